--- a/crates/deckproxy-fleet/src/fleet/overloaded.rs
+++ b/crates/deckproxy-fleet/src/fleet/admission.rs
@@ -55,8 +55,8 @@
 
 /// A line for the operators where something is cut that was not, or no more.
 fn said(
-    before: [Option<crate::overload::cut::Line>; 2],
-    now: [Option<crate::overload::cut::Line>; 2],
+    before: [Option<crate::overload::shed_level::ShedLine>; 2],
+    now: [Option<crate::overload::shed_level::ShedLine>; 2],
 ) -> Option<String> {
     let names = [("the caches", "are"), ("the way to the sources", "is")];
     let mut lines = Vec::new();
--- a/crates/deckproxy-fleet/src/fleet/members.rs
+++ b/crates/deckproxy-fleet/src/fleet/members.rs
@@ -2,10 +2,10 @@
 
 use super::{Effect, Fleet, Listed, Peer, kinds};
 use crate::Millis;
-use crate::board::Key;
-use crate::duties::{Candidate, observers, spread};
+use crate::gossip_store::Key;
 use crate::health::{Health, Held, Terms, Watch, judge};
 use crate::instance::{Instance, Name};
+use crate::rendezvous::{Candidate, observers, spread};
 use crate::view::Standing;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/deckproxy-fleet/src/fleet/mod.rs
+++ b/crates/deckproxy-fleet/src/fleet/mod.rs
@@ -1,17 +1,17 @@
 //! One instance among its fellows: datagrams, probes' results and the time in; datagrams, probes and what is held of
 //! members out.
 
+mod admission;
 mod members;
-mod overloaded;
 mod peers;
 mod types;
 
-pub use crate::board::kinds;
+pub use crate::gossip_store::kinds;
 pub use types::{Beat, Counters, Effect, Listed, Seen, Settings};
 
 use crate::Millis;
-use crate::board::{Board, Key, Limits};
 use crate::clock::OwnTime;
+use crate::gossip_store::{GossipStore, Key, Limits};
 use crate::health::Watch;
 use crate::instance::{Instance, Name};
 use crate::overload::Overload;
@@ -52,7 +52,7 @@
     wire: Wire,
     time: OwnTime,
     swim: Swim,
-    board: Board,
+    board: GossipStore,
     echoes: Echoes,
     view: View,
     peers: BTreeMap<Name, Peer>,
@@ -96,7 +96,7 @@
             wire: Wire::new(&settings.fleet, settings.prefixes.clone()),
             time,
             swim: Swim::new(own.clone(), settings.pace, BODY, seed),
-            board: Board::new(own.name.clone(), own.start, Limits::default()),
+            board: GossipStore::new(own.name.clone(), own.start, Limits::default()),
             echoes: Echoes::default(),
             view: View { old: true, expected: 1, heard: 1, sure: 1, since: now, ..View::default() },
             peers: BTreeMap::new(),
@@ -136,7 +136,7 @@
     }
 
     /// The board.
-    pub fn board(&self) -> &Board {
+    pub fn board(&self) -> &GossipStore {
         &self.board
     }
 
--- a/crates/deckproxy-fleet/src/fleet/peers.rs
+++ b/crates/deckproxy-fleet/src/fleet/peers.rs
@@ -2,7 +2,7 @@
 
 use super::{Beat, Effect, Fleet, Peer, kinds};
 use crate::Millis;
-use crate::board::Taken;
+use crate::gossip_store::Taken;
 use crate::instance::{Instance, Name};
 use crate::probing::Probing;
 use crate::swim::Change;
--- a/crates/deckproxy-fleet/src/board.rs
+++ b/crates/deckproxy-fleet/src/gossip_store.rs
@@ -28,9 +28,9 @@
     pub const HEALTH: u8 = 1;
     /// What an instance counted ([`crate::overload::summary::Summary`]).
     pub const SUMMARY: u8 = 2;
-    /// What is cut, as one decided for all ([`crate::overload::cut::Cut`]).
+    /// What is cut, as one decided for all ([`crate::overload::shed_level::ShedLevel`]).
     pub const CUT: u8 = 3;
-    /// Who was turned away ([`crate::overload::turned::Piece`]), by turns.
+    /// Who was turned away ([`crate::overload::rejected::RejectionBatch`]), by turns.
     pub const TURNED: u8 = 4;
 
     /// Those that change so often that boards are not compared by them.
@@ -158,7 +158,7 @@
 
 /// The board of one instance.
 #[derive(Clone, Debug)]
-pub struct Board {
+pub struct GossipStore {
     own: Name,
     limits: Limits,
     authors: BTreeMap<Name, Author>,
@@ -175,11 +175,16 @@
     now - entry.made >= f64::from(entry.life)
 }
 
-impl Board {
+impl GossipStore {
     /// A board on which only its owner may write, in its present life.
     pub fn new(own: Name, life: u64, limits: Limits) -> Self {
-        let mut board =
-            Board { own: own.clone(), limits, authors: BTreeMap::new(), names: BTreeMap::new(), turn: 0 };
+        let mut board = GossipStore {
+            own: own.clone(),
+            limits,
+            authors: BTreeMap::new(),
+            names: BTreeMap::new(),
+            turn: 0,
+        };
         board.begin(own, life);
         board
     }
--- a/crates/deckproxy-fleet/src/lib.rs
+++ b/crates/deckproxy-fleet/src/lib.rs
@@ -8,21 +8,21 @@
 //! - [`wire`]: datagrams, and why one is not believed.
 //! - [`clock`]: time that stands still while the process does.
 //! - [`swim`]: who is there, by SWIM (the crate `foca`).
-//! - [`board`]: small versioned entries of each instance, the same at all that hear each other.
+//! - [`gossip_store`]: small versioned entries of each instance, the same at all that hear each other.
 //! - [`view`]: how sure an instance is of what it sees.
-//! - [`duties`]: who probes which member, and how often, whatever falls apart.
+//! - [`rendezvous`]: who probes which member, and how often, whatever falls apart.
 //! - [`health`]: from probes and attempts to what the fleet holds of a member.
 //! - [`overload`]: who sheds what, and who may come back when, as one.
 #![forbid(unsafe_code)]
 
-pub mod board;
 pub mod clock;
-pub mod duties;
 pub mod fleet;
+pub mod gossip_store;
 pub mod health;
 pub mod instance;
 pub mod overload;
 mod probing;
+pub mod rendezvous;
 pub mod swim;
 pub mod view;
 pub mod wire;
--- a/crates/deckproxy-fleet/src/overload/mod.rs
+++ b/crates/deckproxy-fleet/src/overload/mod.rs
@@ -1,36 +1,36 @@
 //! Overload, handled by the fleet as one: who sheds what, and who may come back when.
 //!
 //! Each gateway counts what is asked of it and what becomes of that ([`summary`]), and tells the others on the board. One
-//! of those that hear each other looks at the sum and decides one cut for all ([`cut`]): requests of ranks below it are
+//! of those that hear each other looks at the sum and decides one cut for all ([`shed_level`]): requests of ranks below it are
 //! turned away ([`rank`]) wherever they come. Of those turned away so many are promised a time as the fleet's budget of
-//! repeats bears; who was turned away is known to all ([`turned`]), so that coming back elsewhere or too early gains
-//! nothing. What the caches hold passes where only the way to the sources is crowded ([`warmth`]).
+//! repeats bears; who was turned away is known to all ([`rejected`]), so that coming back elsewhere or too early gains
+//! nothing. What the caches hold passes where only the way to the sources is crowded ([`recently_cached`]).
 //!
 //! Whoever hears nobody decides for itself, from what it counts itself: its own share, and no more.
 
-pub mod cut;
 pub mod part;
 pub mod rank;
+pub mod recently_cached;
+pub mod rejected;
+pub mod shed_level;
 pub mod summary;
-pub mod turned;
 mod types;
-pub mod warmth;
 
-pub use deckproxy_recovery::door::Ended;
+pub use deckproxy_recovery::admission::Ended;
 pub use types::{Asked, Class, Counters, Seat, Settings, Ticket, Verdict};
 
 use crate::Millis;
-use crate::board::{Board, Key, kinds};
-use crate::duties::{Candidate, observers};
+use crate::gossip_store::{GossipStore, Key, kinds};
 use crate::instance::Name;
-use cut::{Control, Cut, LOOK, Line};
+use crate::rendezvous::{Candidate, observers};
 use deckproxy_recovery::budget::Budget;
 use part::Part;
 use rank::{Draw, Keys, rank};
+use recently_cached::RecentlyCached;
+use rejected::{PIECES, RejectedRequests, Rejection, RejectionBatch};
+use shed_level::{LOOK, ShedController, ShedLevel, ShedLine};
 use std::collections::BTreeMap;
 use summary::{Counting, Rates, Summary, THINGS, Thing};
-use turned::{PIECES, Piece, Turned, Wishes};
-use warmth::Warmth;
 
 /// An entry that is to stand on the board: its kind and subject, how long it counts, and what it says; none: it is taken
 /// back.
@@ -67,17 +67,17 @@
     keys: Keys,
     bands: usize,
     counting: Counting,
-    control: Control,
+    control: ShedController,
     /// It decided at the last look.
     leads: bool,
     next_look: Millis,
     /// What is in force, and when its epoch began.
-    force: Cut,
+    force: ShedLevel,
     began: Millis,
     parts: [Part; THINGS],
     budget: Budget,
-    wishes: Wishes,
-    warmth: Warmth,
+    wishes: RejectedRequests,
+    recently_cached: RecentlyCached,
     lives: BTreeMap<Name, u64>,
     /// How many were there at the last look, and what came to them.
     seen: (usize, [f64; THINGS]),
@@ -92,15 +92,15 @@
             keys: Keys::of(&set.fleet),
             bands: set.classes.iter().map(|c| c.band + 1).max().unwrap_or(1),
             counting: Counting::new(now, set.window),
-            control: Control::new(set.limits),
+            control: ShedController::new(set.limits),
             leads: false,
             next_look: now,
-            force: Cut::default(),
+            force: ShedLevel::default(),
             began: now,
             parts: [Part::none(now); THINGS],
             budget: Budget::new(set.budget),
-            wishes: Wishes::new(set.remembered, set.most_back.max(1000.0) * 4.0),
-            warmth: Warmth::new(set.remembered, 60_000.0),
+            wishes: RejectedRequests::new(set.remembered, set.most_back.max(1000.0) * 4.0),
+            recently_cached: RecentlyCached::new(set.remembered, 60_000.0),
             lives: BTreeMap::new(),
             seen: (1, [0.0; THINGS]),
             counters: Counters::default(),
@@ -109,7 +109,7 @@
     }
 
     /// What is in force.
-    pub fn cut(&self) -> &Cut {
+    pub fn cut(&self) -> &ShedLevel {
         &self.force
     }
 
@@ -130,7 +130,7 @@
         let Some(class) = self.set.classes.get(asked.class).copied() else {
             return self.pass(now, asked, Thing::Caches, asked.again);
         };
-        let warm = !class.effect && self.warmth.has(asked.object);
+        let warm = !class.effect && self.recently_cached.has(asked.object);
         let thing = if warm { Thing::Caches } else { Thing::Sources };
         let turned = self.wishes.get(self.keys.wish(asked.client, asked.object));
         if turned.is_some_and(|t| t.ran && class.effect) {
@@ -209,7 +209,7 @@
     }
 
     /// Refuses it, with a time: a promised one, where a line says how many are promised one and the draw falls so.
-    fn turn_away(&mut self, now: Millis, asked: &Asked, line: Option<Line>) -> Verdict {
+    fn turn_away(&mut self, now: Millis, asked: &Asked, line: Option<ShedLine>) -> Verdict {
         let draw = self.keys.draw(Draw::Promise, asked.client, asked.object, self.force.epoch);
         let promised = line.is_some_and(|l| draw * f64::from(u16::MAX) < f64::from(l.promise));
         let back = if promised { self.time(now, asked) } else { None };
@@ -220,7 +220,7 @@
     fn remember(&mut self, now: Millis, asked: &Asked, back: Option<Millis>, promised: bool) -> Millis {
         let back = back.unwrap_or(self.set.most_back);
         let wish = self.keys.wish(asked.client, asked.object);
-        self.wishes.turned(now, wish, Turned { back: now + back, promised, ran: false });
+        self.wishes.turned(now, wish, Rejection { back: now + back, promised, ran: false });
         if self.set.advice { back } else { 0.0 }
     }
 
@@ -248,12 +248,12 @@
                     self.budget.earn();
                 }
                 if !effect {
-                    self.warmth.served(now, asked.object);
+                    self.recently_cached.served(now, asked.object);
                 }
                 back
             }
             Ended::Refused => {
-                self.warmth.lost(asked.object);
+                self.recently_cached.lost(asked.object);
                 let left = Asked { left: asked.left - (now - at), ..*asked };
                 let line = self.force.things[*thing as usize];
                 let time = self.time(now, &left);
@@ -274,9 +274,9 @@
                 }
             }
             Ended::Failed | Ended::Gone => {
-                self.warmth.lost(asked.object);
+                self.recently_cached.lost(asked.object);
                 // Nobody asked it back: when it comes it is a repeat, and not hasty.
-                self.wishes.turned(now, wish, Turned { back: now, promised: false, ran: effect });
+                self.wishes.turned(now, wish, Rejection { back: now, promised: false, ran: effect });
                 back
             }
         }
@@ -285,7 +285,7 @@
     // ---- The others ----------------------------------------------------------------------------------------
 
     /// Carries out what is due; gives what is to stand on the board.
-    pub fn tick(&mut self, now: Millis, seat: &Seat, board: &Board) -> Vec<Entry> {
+    pub fn tick(&mut self, now: Millis, seat: &Seat, board: &GossipStore) -> Vec<Entry> {
         let mut out = Vec::new();
         let key = |kind, subject: String| Key { kind, subject: subject.into() };
         if self.counting.tick(now) {
@@ -314,7 +314,7 @@
         out
     }
 
-    fn look(&mut self, now: Millis, seat: &Seat, board: &Board, led: bool) -> Cut {
+    fn look(&mut self, now: Millis, seat: &Seat, board: &GossipStore, led: bool) -> ShedLevel {
         let mut sums = [Rates::default(); THINGS];
         let own = self.counting.summary();
         let others = board.all(now, kinds::SUMMARY).filter(|(author, ..)| is_heard(seat, author));
@@ -356,7 +356,7 @@
     }
 
     /// Takes what the others tell. Of several cuts the stricter one counts, until the others have ended.
-    fn hear(&mut self, now: Millis, seat: &Seat, board: &Board) {
+    fn hear(&mut self, now: Millis, seat: &Seat, board: &GossipStore) {
         for (author, life) in &seat.others {
             let known = self.lives.insert(author.clone(), *life);
             if known.is_some_and(|known| known < *life) {
@@ -366,7 +366,7 @@
         for (author, _, age, value) in board.all(now, kinds::TURNED) {
             let life = board.life(author).unwrap_or(0);
             if Some(author) != seat.own.as_ref()
-                && let Ok(piece) = postcard::from_bytes::<Piece>(value)
+                && let Ok(piece) = postcard::from_bytes::<RejectionBatch>(value)
             {
                 self.wishes.hear(now, author, life, age, &piece);
             }
@@ -381,11 +381,13 @@
         // What this one has decided itself stands there too, and does not go before the others'.
         match force {
             Some((cut, began)) => self.enforce(now, cut, began),
-            None => self.enforce(now, Cut { epoch: self.force.epoch, ..Cut::default() }, self.began),
+            None => {
+                self.enforce(now, ShedLevel { epoch: self.force.epoch, ..ShedLevel::default() }, self.began)
+            }
         }
     }
 
-    fn enforce(&mut self, now: Millis, cut: Cut, began: Millis) {
+    fn enforce(&mut self, now: Millis, cut: ShedLevel, began: Millis) {
         if cut.epoch != self.force.epoch {
             self.began = began;
         }
@@ -419,10 +421,10 @@
 }
 
 /// The strictest of what some have decided, with when the epoch began.
-fn strictest(now: Millis, board: &Board, whose: impl Fn(&Name) -> bool) -> Option<(Cut, Millis)> {
+fn strictest(now: Millis, board: &GossipStore, whose: impl Fn(&Name) -> bool) -> Option<(ShedLevel, Millis)> {
     let all = board.all(now, kinds::CUT).filter(|(author, ..)| whose(author));
     let all = all.filter_map(|(_, _, age, value)| {
-        let cut: Cut = postcard::from_bytes(value).ok()?;
+        let cut: ShedLevel = postcard::from_bytes(value).ok()?;
         Some((cut, now - age - f64::from(cut.lasted)))
     });
     all.reduce(|(one, began), (other, others)| match one.epoch < other.epoch {
@@ -431,7 +433,7 @@
     })
 }
 
-fn stricter(cut: Cut, other: &Cut) -> Cut {
+fn stricter(cut: ShedLevel, other: &ShedLevel) -> ShedLevel {
     let mut out = cut;
     for (line, other) in out.things.iter_mut().zip(other.things) {
         if let Some(other) = other {
--- a/crates/deckproxy-fleet/src/overload/warmth.rs
+++ b/crates/deckproxy-fleet/src/overload/recently_cached.rs
@@ -5,7 +5,7 @@
 
 /// Objects that were served, by two generations: the older is dropped when the younger is full or old.
 #[derive(Debug)]
-pub struct Warmth {
+pub struct RecentlyCached {
     young: HashSet<u64>,
     old: HashSet<u64>,
     since: Millis,
@@ -13,10 +13,10 @@
     span: Millis,
 }
 
-impl Warmth {
+impl RecentlyCached {
     /// Remembers so many at least, twice as many at most, for `span` ms at least.
     pub fn new(most: usize, span: Millis) -> Self {
-        Warmth { young: HashSet::new(), old: HashSet::new(), since: 0.0, most: most.max(1), span }
+        RecentlyCached { young: HashSet::new(), old: HashSet::new(), since: 0.0, most: most.max(1), span }
     }
 
     /// It was served.
@@ -46,15 +46,15 @@
 
     #[test]
     fn what_was_served_lately_is_warm_until_it_is_lost_or_old() {
-        let mut warmth = Warmth::new(4, 1000.0);
-        (0..4).for_each(|i| warmth.served(f64::from(i as u32), i));
-        assert!((0..4).all(|i| warmth.has(i)));
-        warmth.lost(2);
-        assert!(!warmth.has(2));
-        (4..12).for_each(|i| warmth.served(10.0, i));
-        assert!(!warmth.has(0) && warmth.has(11), "two generations of four");
-        warmth.served(1500.0, 20);
-        warmth.served(3000.0, 21);
-        assert!(!warmth.has(11) && warmth.has(20));
+        let mut recently_cached = RecentlyCached::new(4, 1000.0);
+        (0..4).for_each(|i| recently_cached.served(f64::from(i as u32), i));
+        assert!((0..4).all(|i| recently_cached.has(i)));
+        recently_cached.lost(2);
+        assert!(!recently_cached.has(2));
+        (4..12).for_each(|i| recently_cached.served(10.0, i));
+        assert!(!recently_cached.has(0) && recently_cached.has(11), "two generations of four");
+        recently_cached.served(1500.0, 20);
+        recently_cached.served(3000.0, 21);
+        assert!(!recently_cached.has(11) && recently_cached.has(20));
     }
 }
--- a/crates/deckproxy-fleet/src/overload/turned.rs
+++ b/crates/deckproxy-fleet/src/overload/rejected.rs
@@ -20,7 +20,7 @@
 
 /// What is known of a wish that was turned away.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Turned {
+pub struct Rejection {
     /// When it is to come back; what comes before is hasty.
     pub back: Millis,
     /// There is room kept for it then.
@@ -31,7 +31,7 @@
 
 /// Some who were turned away, as the others are told.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Piece {
+pub struct RejectionBatch {
     /// Its number, one more each time.
     pub number: u64,
     /// Five bytes each: the wish, and when it is to come back, in units after the piece was made; the highest bit: it was
@@ -41,28 +41,28 @@
 
 /// All that are known.
 #[derive(Debug)]
-pub struct Wishes {
-    young: HashMap<u32, Turned>,
-    old: HashMap<u32, Turned>,
+pub struct RejectedRequests {
+    young: HashMap<u32, Rejection>,
+    old: HashMap<u32, Rejection>,
     since: Millis,
     most: usize,
     span: Millis,
     /// To be told.
-    untold: Vec<(u32, Turned)>,
+    untold: Vec<(u32, Rejection)>,
     told: Millis,
     number: u64,
     /// The last piece heard of each author's life.
     heard: BTreeMap<Name, (u64, u64)>,
     /// Pieces heard of each author, with when each was made: one that is restarted has forgotten them.
-    pieces: BTreeMap<Name, Vec<(Millis, Piece)>>,
+    pieces: BTreeMap<Name, Vec<(Millis, RejectionBatch)>>,
     /// Turned away here and not told the others, as there was no room for it.
     pub kept_back: u64,
 }
 
-impl Wishes {
+impl RejectedRequests {
     /// Remembers so many at least, twice as many at most, for `span` ms at least.
     pub fn new(most: usize, span: Millis) -> Self {
-        Wishes {
+        RejectedRequests {
             young: HashMap::new(),
             old: HashMap::new(),
             since: 0.0,
@@ -77,7 +77,7 @@
         }
     }
 
-    fn put(&mut self, now: Millis, wish: u32, turned: Turned) {
+    fn put(&mut self, now: Millis, wish: u32, turned: Rejection) {
         // Of two who turned it away, the promise counts, and of two promises the earlier one.
         let known = self.get(wish);
         if self.young.len() >= self.most || now - self.since > self.span {
@@ -88,11 +88,11 @@
             known.is_none_or(|k| (turned.promised, -turned.back) > (k.promised, -k.back) || now > k.back);
         let ran = turned.ran || known.is_some_and(|k| k.ran);
         let keep = if better { turned } else { known.unwrap_or(turned) };
-        self.young.insert(wish, Turned { ran, ..keep });
+        self.young.insert(wish, Rejection { ran, ..keep });
     }
 
     /// A wish was turned away here.
-    pub fn turned(&mut self, now: Millis, wish: u32, turned: Turned) {
+    pub fn turned(&mut self, now: Millis, wish: u32, turned: Rejection) {
         self.put(now, wish, turned);
         if self.untold.len() < 2 * WISHES {
             self.untold.push((wish, turned));
@@ -102,7 +102,7 @@
     }
 
     /// What is known of a wish.
-    pub fn get(&self, wish: u32) -> Option<Turned> {
+    pub fn get(&self, wish: u32) -> Option<Rejection> {
         self.young.get(&wish).or(self.old.get(&wish)).copied()
     }
 
@@ -113,7 +113,7 @@
     }
 
     /// The next piece to be told, if it is time for one.
-    pub fn piece(&mut self, now: Millis) -> Option<Piece> {
+    pub fn piece(&mut self, now: Millis) -> Option<RejectionBatch> {
         if self.untold.is_empty() || now - self.told < EACH {
             return None;
         }
@@ -125,11 +125,11 @@
             let [a, b, c, d] = wish.to_le_bytes();
             [a, b, c, d, after | u8::from(turned.promised) << 7]
         });
-        Some(Piece { number: self.number, wishes: wishes.collect() })
+        Some(RejectionBatch { number: self.number, wishes: wishes.collect() })
     }
 
     /// Another gateway's piece, made so long ago.
-    pub fn hear(&mut self, now: Millis, author: &Name, life: u64, age: Millis, piece: &Piece) {
+    pub fn hear(&mut self, now: Millis, author: &Name, life: u64, age: Millis, piece: &RejectionBatch) {
         let last = self.heard.get(author).copied().unwrap_or((0, 0));
         if (life, piece.number) <= last {
             return;
@@ -141,11 +141,11 @@
         kept.push((now - age, piece.clone()));
     }
 
-    fn learn(&mut self, now: Millis, age: Millis, piece: &Piece) {
+    fn learn(&mut self, now: Millis, age: Millis, piece: &RejectionBatch) {
         for five in piece.wishes.chunks_exact(5) {
             let (wish, after) = (u32::from_le_bytes([five[0], five[1], five[2], five[3]]), five[4]);
             let back = now - age + f64::from(after & 127) * UNIT;
-            self.put(now, wish, Turned { back, promised: after > 127, ran: false });
+            self.put(now, wish, Rejection { back, promised: after > 127, ran: false });
         }
     }
 
@@ -156,7 +156,7 @@
                 let wish = u32::from_le_bytes([five[0], five[1], five[2], five[3]]);
                 let back = made + f64::from(five[4] & 127) * UNIT;
                 if back > now && self.untold.len() < 4 * WISHES {
-                    self.untold.push((wish, Turned { back, promised: five[4] > 127, ran: false }));
+                    self.untold.push((wish, Rejection { back, promised: five[4] > 127, ran: false }));
                 }
             }
         }
@@ -178,17 +178,17 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn away(back: Millis, promised: bool) -> Turned {
-        Turned { back, promised, ran: false }
+    fn away(back: Millis, promised: bool) -> Rejection {
+        Rejection { back, promised, ran: false }
     }
 
     #[test]
     fn who_was_turned_away_here_is_known_there() {
-        let (mut here, mut there) = (Wishes::new(100, 5000.0), Wishes::new(100, 5000.0));
+        let (mut here, mut there) = (RejectedRequests::new(100, 5000.0), RejectedRequests::new(100, 5000.0));
         here.turned(1000.0, 7, away(1400.0, true));
         here.turned(1000.0, 8, away(3000.0, false));
         let piece = here.piece(1000.0).unwrap();
-        assert!(postcard::to_stdvec(&piece).unwrap().len() <= crate::board::LARGEST_VALUE);
+        assert!(postcard::to_stdvec(&piece).unwrap().len() <= crate::gossip_store::LARGEST_VALUE);
         there.hear(91_200.0, &"a".into(), 5, 200.0, &piece);
         // There the clock shows another time; the piece's age tells what that means.
         assert_eq!(there.get(7), Some(away(91_400.0, true)));
@@ -197,14 +197,17 @@
         assert_eq!(there.get(7), None);
         // The same piece again, or an earlier life's, says nothing new.
         there.hear(91_300.0, &"a".into(), 5, 300.0, &piece);
-        there.hear(91_300.0, &"a".into(), 4, 300.0, &Piece { number: 99, ..piece });
+        there.hear(91_300.0, &"a".into(), 4, 300.0, &RejectionBatch { number: 99, ..piece });
         assert_eq!(there.get(7), None);
     }
 
     #[test]
     fn a_successor_is_told_what_the_killed_one_said() {
-        let (mut killed, mut fellow, mut next) =
-            (Wishes::new(100, 5000.0), Wishes::new(100, 5000.0), Wishes::new(100, 5000.0));
+        let (mut killed, mut fellow, mut next) = (
+            RejectedRequests::new(100, 5000.0),
+            RejectedRequests::new(100, 5000.0),
+            RejectedRequests::new(100, 5000.0),
+        );
         killed.turned(0.0, 7, away(900.0, true));
         fellow.hear(100.0, &"a".into(), 1, 100.0, &killed.piece(0.0).unwrap());
         fellow.inherit(300.0, &"a".into());
@@ -216,7 +219,7 @@
 
     #[test]
     fn bytes_are_bounded_and_what_is_not_told_is_counted() {
-        let mut all = Wishes::new(1000, 5000.0);
+        let mut all = RejectedRequests::new(1000, 5000.0);
         (0..1000).for_each(|i| all.turned(0.0, i, away(500.0, false)));
         assert_eq!(all.kept_back, 1000 - 2 * WISHES as u64);
         assert!(all.piece(0.0).is_some() && all.piece(100.0).is_none() && all.piece(125.0).is_some());
@@ -226,7 +229,7 @@
         /// Whatever order pieces come in, and however often, memory stays bounded and no promise is lost to a refusal.
         #[test]
         fn memory_is_bounded(ops in proptest::collection::vec((0u32..400, 0.0f64..2000.0, any::<bool>()), 1..600)) {
-            let mut all = Wishes::new(50, 1000.0);
+            let mut all = RejectedRequests::new(50, 1000.0);
             let mut now = 0.0;
             for (wish, after, promised) in ops {
                 now += 5.0;
--- a/crates/deckproxy-fleet/src/overload/cut.rs
+++ b/crates/deckproxy-fleet/src/overload/shed_level.rs
@@ -86,7 +86,7 @@
 
 /// A cut at one thing, as it is told.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct ShedLine {
     /// Ranks below it are turned away.
     pub rank: u32,
     /// Requests a second that the fleet lets in.
@@ -101,13 +101,13 @@
 
 /// What was decided.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Cut {
+pub struct ShedLevel {
     /// The epoch, by which draws are keyed.
     pub epoch: u64,
     /// For how long it had lasted, ms.
     pub lasted: u16,
     /// By thing, where something is cut.
-    pub things: [Option<Line>; THINGS],
+    pub things: [Option<ShedLine>; THINGS],
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -137,7 +137,7 @@
 
 /// What decides.
 #[derive(Clone, Debug)]
-pub struct Control {
+pub struct ShedController {
     limits: Limits,
     things: [State; THINGS],
     epoch: u64,
@@ -146,15 +146,15 @@
     pub cuts: u64,
 }
 
-impl Control {
+impl ShedController {
     /// With nothing cut.
     pub fn new(limits: Limits) -> Self {
-        Control { limits, things: Default::default(), epoch: 0, began: 0.0, cuts: 0 }
+        ShedController { limits, things: Default::default(), epoch: 0, began: 0.0, cuts: 0 }
     }
 
     /// Takes over from who decided until now; `parts`: the share of what came then that comes to those who go by this one,
     /// by thing: a part of a split goes on with its own part.
-    pub fn take_over(&mut self, now: Millis, cut: &Cut, age: Millis, parts: [f64; THINGS]) {
+    pub fn take_over(&mut self, now: Millis, cut: &ShedLevel, age: Millis, parts: [f64; THINGS]) {
         for ((state, line), part) in self.things.iter_mut().zip(cut.things).zip(parts) {
             let cap = line.map(|l| f64::from(l.cap) * part.clamp(0.0, 1.0));
             let cap = cap.map(|cap| cap.max(self.limits.least));
@@ -182,12 +182,12 @@
     }
 
     /// Decides from what all have counted, once each [`LOOK`].
-    pub fn look(&mut self, now: Millis, sums: &[Rates; THINGS]) -> Cut {
+    pub fn look(&mut self, now: Millis, sums: &[Rates; THINGS]) -> ShedLevel {
         if self.epoch == 0 || now - self.began >= EPOCH {
             (self.epoch, self.began) = (self.epoch + 1, now);
         }
         let lasted = (now - self.began) as u16;
-        let mut told = Cut { epoch: self.epoch, lasted, things: [None; THINGS] };
+        let mut told = ShedLevel { epoch: self.epoch, lasted, things: [None; THINGS] };
         for ((state, rates), line) in self.things.iter_mut().zip(sums).zip(&mut told.things) {
             let had = state.cap.is_some();
             state.look(&self.limits, rates);
@@ -205,7 +205,7 @@
 
 impl State {
     /// What is told of it.
-    fn line(&self, limits: &Limits, rates: &Rates) -> Option<Line> {
+    fn line(&self, limits: &Limits, rates: &Rates) -> Option<ShedLine> {
         let cap = self.cap?;
         // Repeats that pass do so beside the cut.
         let room = (cap / self.over - rates.back).max(0.0);
@@ -222,7 +222,7 @@
             () if away > 0.0 => (returns / away).min(1.0),
             () => 1.0,
         };
-        Some(Line {
+        Some(ShedLine {
             rank: rank.min(RANKS - 1),
             cap: cap as f32,
             come: (rates.come() + rates.back) as f32,
@@ -322,14 +322,14 @@
         }
     }
 
-    fn cap(cut: &Cut) -> Option<f64> {
+    fn cap(cut: &ShedLevel) -> Option<f64> {
         cut.things[1].map(|l| f64::from(l.cap))
     }
 
     #[test]
     fn three_times_the_load_is_cut_to_what_is_served_and_let_in_again_as_it_can_be() {
-        let mut control = Control::new(Limits::default());
-        let mut told = Cut::default();
+        let mut control = ShedController::new(Limits::default());
+        let mut told = ShedLevel::default();
         let mut now = 0.0;
         let mut play = |looks: usize, come: f64, room: f64| {
             for _ in 0..looks {
@@ -349,8 +349,8 @@
 
     #[test]
     fn what_takes_long_whatever_is_let_in_is_not_cut_for_long() {
-        let mut control = Control::new(Limits::default());
-        let mut told = Cut::default();
+        let mut control = ShedController::new(Limits::default());
+        let mut told = ShedLevel::default();
         let mut cut = 0;
         for i in 0..100 {
             let mut rates = world(300.0, 1e9, cap(&told), 0.0);
@@ -363,7 +363,7 @@
 
     #[test]
     fn what_is_only_turned_away_is_not_cut() {
-        let mut control = Control::new(Limits::default());
+        let mut control = ShedController::new(Limits::default());
         for i in 0..20 {
             let told = control.look(f64::from(i) * LOOK, &[Rates::default(), world(900.0, 300.0, None, 0.0)]);
             assert_eq!(told.things, [None; THINGS]);
@@ -372,14 +372,14 @@
 
     #[test]
     fn parts_of_a_split_let_in_what_the_whole_did() {
-        let whole = Cut {
+        let whole = ShedLevel {
             epoch: 9,
             lasted: 100,
-            things: [None, Some(Line { rank: 9, cap: 300.0, come: 900.0, promise: 0, returns: 0.0 })],
+            things: [None, Some(ShedLine { rank: 9, cap: 300.0, come: 900.0, promise: 0, returns: 0.0 })],
         };
         let mut sum = 0.0;
         for part in [0.3, 0.7] {
-            let mut control = Control::new(Limits::default());
+            let mut control = ShedController::new(Limits::default());
             control.take_over(1000.0, &whole, 50.0, [1.0, part]);
             let told = control.look(
                 1001.0,
@@ -393,8 +393,8 @@
 
     #[test]
     fn promises_fit_the_budget_of_repeats() {
-        let mut control = Control::new(Limits::default());
-        let mut told = Cut::default();
+        let mut control = ShedController::new(Limits::default());
+        let mut told = ShedLevel::default();
         let mut promising = 0;
         for i in 0..40 {
             told = control
--- a/crates/deckproxy-fleet/src/overload/summary.rs
+++ b/crates/deckproxy-fleet/src/overload/summary.rs
@@ -234,7 +234,7 @@
             (tally.passed, tally.served, tally.refused) = (u16::MAX, u16::MAX, u16::MAX);
         }
         let bytes = postcard::to_stdvec(&full).unwrap();
-        assert!(bytes.len() <= crate::board::LARGEST_VALUE, "{}", bytes.len());
+        assert!(bytes.len() <= crate::gossip_store::LARGEST_VALUE, "{}", bytes.len());
         assert_eq!(postcard::from_bytes::<Summary>(&bytes).unwrap(), full);
     }
 
--- a/crates/deckproxy-fleet/src/overload/tests.rs
+++ b/crates/deckproxy-fleet/src/overload/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
-use crate::board::Limits as Bounds;
+use crate::gossip_store::Limits as Bounds;
 use deckproxy_recovery::budget;
 
 fn settings() -> Settings {
     Settings {
         fleet: "edge".to_string(),
         classes: vec![Class { band: 0, effect: false }, Class { band: 1, effect: true }],
-        limits: cut::Limits::default(),
+        limits: shed_level::Limits::default(),
         budget: budget::Limits { share: 0.2, saved: 2.0 },
         advice: true,
         least_back: 50.0,
@@ -20,9 +20,9 @@
     Asked { client, class, object, left: 1500.0, size: None, again: false }
 }
 
-fn line(rank: u32, promise: u16, returns: f32) -> Cut {
-    let line = Line { rank, cap: 100.0, come: 300.0, promise, returns };
-    Cut { epoch: 1, lasted: 0, things: [None, Some(line)] }
+fn line(rank: u32, promise: u16, returns: f32) -> ShedLevel {
+    let line = ShedLine { rank, cap: 100.0, come: 300.0, promise, returns };
+    ShedLevel { epoch: 1, lasted: 0, things: [None, Some(line)] }
 }
 
 fn seat(own: &str, others: &[&str]) -> Seat {
@@ -31,15 +31,15 @@
 }
 
 /// A board on which a fellow has said that.
-fn told(cut: &Cut) -> Board {
-    let mut board = Board::new("b".into(), 1, Bounds::default());
+fn told(cut: &ShedLevel) -> GossipStore {
+    let mut board = GossipStore::new("b".into(), 1, Bounds::default());
     let key = Key { kind: kinds::CUT, subject: "".into() };
     assert!(board.write(0.0, key, CUT_LIFE, Some(postcard::to_stdvec(cut).unwrap())));
     board
 }
 
 /// One that goes by what a fellow decided.
-fn led(cut: &Cut) -> Overload {
+fn led(cut: &ShedLevel) -> Overload {
     let mut one = Overload::new(0.0, settings());
     // Whoever of the two would decide: it looks later than this.
     one.next_look = f64::MAX;
@@ -138,7 +138,7 @@
 fn who_slept_goes_on_with_the_cut_that_it_knew() {
     let cut = line(40_000, 0, 0.0);
     let mut one = led(&cut);
-    let empty = Board::new("b".into(), 1, Bounds::default());
+    let empty = GossipStore::new("b".into(), 1, Bounds::default());
     one.tick(9000.0, &Seat { old: true, ..seat("a", &["b"]) }, &empty);
     assert_eq!(one.cut().things, cut.things, "it decides nothing");
     one.next_look = f64::MAX;
@@ -148,9 +148,9 @@
 
 #[test]
 fn of_two_cuts_the_stricter_one_counts() {
-    let (loose, strict) = (line(10_000, 0, 0.0), Cut { epoch: 7, ..line(50_000, 0, 0.0) });
+    let (loose, strict) = (line(10_000, 0, 0.0), ShedLevel { epoch: 7, ..line(50_000, 0, 0.0) });
     for (one, other) in [(loose, strict), (strict, loose)] {
         assert_eq!(stricter(one, &other).things, strict.things);
     }
-    assert_eq!(stricter(Cut::default(), &loose).things, loose.things);
+    assert_eq!(stricter(ShedLevel::default(), &loose).things, loose.things);
 }
--- a/crates/deckproxy-fleet/src/overload/types.rs
+++ b/crates/deckproxy-fleet/src/overload/types.rs
@@ -1,6 +1,6 @@
 //! How overload is handled, and what is told of requests.
 
-use super::cut::Limits;
+use super::shed_level::Limits;
 use super::summary::Thing;
 use crate::Millis;
 use crate::instance::Name;
--- a/crates/deckproxy-fleet/src/probing.rs
+++ b/crates/deckproxy-fleet/src/probing.rs
@@ -1,7 +1,7 @@
 //! When an observer probes its members.
 
 use crate::Millis;
-use crate::duties::spread;
+use crate::rendezvous::spread;
 use rand::{Rng, RngExt};
 use std::collections::BTreeMap;
 
--- a/crates/deckproxy-fleet/src/wire.rs
+++ b/crates/deckproxy-fleet/src/wire.rs
@@ -3,7 +3,7 @@
 //! A datagram is a byte of version, eight bytes that stand for the fleet's name, a message in postcard's form, and a
 //! CRC-32C over all of that. Neither says who may speak: the operators' prefixes do, and the network must.
 
-use crate::board::{Delta, Digest};
+use crate::gossip_store::{Delta, Digest};
 use crate::instance::Instance;
 use ipnet::IpNet;
 use serde::{Deserialize, Serialize};
--- a/crates/deckproxy-fleet/tests/board.rs
+++ b/crates/deckproxy-fleet/tests/gossip_store.rs
@@ -1,7 +1,7 @@
 //! The board against a plain model: whatever order, doubling and loss datagrams have, all that hear each other end with the
 //! same entries, and those are the last ones that their authors wrote.
 
-use deckproxy_fleet::board::{Board, Delta, Digest, Key, Limits};
+use deckproxy_fleet::gossip_store::{Delta, Digest, GossipStore, Key, Limits};
 use deckproxy_fleet::instance::Name;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -55,7 +55,7 @@
 
 struct World {
     now: f64,
-    boards: Vec<Board>,
+    boards: Vec<GossipStore>,
     lives: Vec<u64>,
     /// Of each author's present life.
     model: Vec<Written>,
@@ -64,7 +64,7 @@
 
 impl World {
     fn new() -> Self {
-        let boards = (0..4).map(|i| Board::new(name(i), 1, Limits::default())).collect();
+        let boards = (0..4).map(|i| GossipStore::new(name(i), 1, Limits::default())).collect();
         World { now: 0.0, boards, lives: vec![1; 4], model: vec![BTreeMap::new(); 4], sent: Vec::new() }
     }
 
@@ -111,7 +111,7 @@
             Step::Tell { .. } => {}
             Step::Restart(i) => {
                 self.lives[*i] += 1;
-                self.boards[*i] = Board::new(name(*i), self.lives[*i], Limits::default());
+                self.boards[*i] = GossipStore::new(name(*i), self.lives[*i], Limits::default());
                 self.model[*i].clear();
             }
             Step::Again(index) => {
@@ -164,7 +164,7 @@
     /// An entry ends at the same time everywhere, however long it was on its way, and is not made young again.
     #[test]
     fn age_goes_with_an_entry(hops in prop::collection::vec(0..4000u16, 1..6)) {
-        let mut boards: Vec<Board> = (0..=hops.len()).map(|i| Board::new(name(i), 1, Limits::default())).collect();
+        let mut boards: Vec<GossipStore> = (0..=hops.len()).map(|i| GossipStore::new(name(i), 1, Limits::default())).collect();
         boards[0].write(0.0, key(1), 10_000, Some(vec![1]));
         let mut now = 0.0;
         for (i, wait) in hops.iter().enumerate() {
@@ -187,19 +187,19 @@
 #[test]
 fn bounds_hold_and_are_counted() {
     let limits = Limits { authors: 3, entries: 2 };
-    let mut writer = Board::new(name(1), 1, Limits::default());
+    let mut writer = GossipStore::new(name(1), 1, Limits::default());
     (0..5).for_each(|i| assert!(writer.write(0.0, key(i), LIFE, Some(vec![0]))));
     assert!(!writer.write(0.0, key(9), LIFE, Some(vec![0; 201])), "a value over 200 bytes");
-    let mut reader = Board::new(name(0), 1, limits);
+    let mut reader = GossipStore::new(name(0), 1, limits);
     let taken = reader.take(0.0, writer.news(0.0, 0, ROOM));
     assert_eq!((taken.fresh, taken.over), (2, 3));
     for i in 2..8 {
-        let mut other = Board::new(name(i), 1, Limits::default());
+        let mut other = GossipStore::new(name(i), 1, Limits::default());
         other.write(0.0, key(0), LIFE, Some(vec![0]));
         reader.take(0.0, other.news(0.0, 0, ROOM));
     }
     assert_eq!(reader.sizes().0, 3, "authors");
-    let mut own = Board::new(name(0), 1, limits);
+    let mut own = GossipStore::new(name(0), 1, limits);
     assert!(own.write(0.0, key(0), LIFE, None) && own.write(0.0, key(1), LIFE, None));
     assert!(!own.write(0.0, key(2), LIFE, None), "a third key");
     assert!(own.write(0.0, key(1), LIFE, Some(vec![1])), "a known one");
@@ -207,7 +207,7 @@
 
 #[test]
 fn what_does_not_fit_follows_in_the_next_rounds() {
-    let mut writer = Board::new(name(1), 1, Limits::default());
+    let mut writer = GossipStore::new(name(1), 1, Limits::default());
     for i in 0..200u8 {
         writer.write(
             0.0,
@@ -216,7 +216,7 @@
             Some(vec![i; 30]),
         );
     }
-    let mut reader = Board::new(name(0), 1, Limits::default());
+    let mut reader = GossipStore::new(name(0), 1, Limits::default());
     let mut rounds = 0;
     while reader.sum(0.0, &[]) != writer.sum(0.0, &[]) {
         let digest = reader.digest(&name(1));
@@ -231,16 +231,16 @@
 /// The checker's own check: a board that believes an earlier life is seen.
 #[test]
 fn a_board_that_believes_an_old_life_would_be_seen() {
-    let mut old = Board::new(name(1), 1, Limits::default());
+    let mut old = GossipStore::new(name(1), 1, Limits::default());
     old.write(0.0, key(1), LIFE, Some(vec![7]));
-    let mut new = Board::new(name(1), 2, Limits::default());
+    let mut new = GossipStore::new(name(1), 2, Limits::default());
     new.write(0.0, key(2), LIFE, Some(vec![8]));
-    let mut reader = Board::new(name(0), 1, Limits::default());
+    let mut reader = GossipStore::new(name(0), 1, Limits::default());
     reader.take(0.0, new.news(0.0, 0, ROOM));
     let taken = reader.take(0.0, old.news(0.0, 0, ROOM));
     assert_eq!((taken.fresh, taken.old_lives), (0, 1));
     let sum = reader.sum(0.0, &[]);
-    let mut believer = Board::new(name(2), 1, Limits::default());
+    let mut believer = GossipStore::new(name(2), 1, Limits::default());
     believer.take(0.0, old.news(0.0, 0, ROOM));
     assert_ne!(believer.sum(0.0, &[]), sum);
 }
--- a/crates/deckproxy-fleet/tests/promises.rs
+++ b/crates/deckproxy-fleet/tests/promises.rs
@@ -1,7 +1,7 @@
 //! Times to come back are named only where what is let in was served before: a look at the sums alone, in simulated time.
 
-use deckproxy_fleet::overload::cut::{Control, Cut, LOOK, Limits};
 use deckproxy_fleet::overload::rank::LEVELS;
+use deckproxy_fleet::overload::shed_level::{LOOK, Limits, ShedController, ShedLevel};
 use deckproxy_fleet::overload::summary::Rates;
 
 /// So many come a second, so many are let in, and so many can be served; half as many repeats beside them.
@@ -21,8 +21,8 @@
 /// What is let in climbs by steps that grow, past what can be served: such a step named times that were then broken.
 #[test]
 fn while_more_is_let_in_than_was_ever_served_no_time_is_named() {
-    let mut control = Control::new(Limits::default());
-    let mut told = Cut::default();
+    let mut control = ShedController::new(Limits::default());
+    let mut told = ShedLevel::default();
     let (mut named, mut steps) = (0, 0);
     // The most that was ever served, counted here.
     let mut served: f64 = 0.0;
--- a/crates/deckproxy-fleet/tests/duties.rs
+++ b/crates/deckproxy-fleet/tests/rendezvous.rs
@@ -1,7 +1,7 @@
 //! Who observes what, and the bound on the load over all ways in which a fleet falls apart.
 
-use deckproxy_fleet::duties::{Candidate, observers};
 use deckproxy_fleet::instance::Name;
+use deckproxy_fleet::rendezvous::{Candidate, observers};
 use deckproxy_fleet::view::{View, is_larger};
 use std::collections::BTreeMap;
 
--- a/crates/deckproxy-model/src/hosts.rs
+++ b/crates/deckproxy-model/src/hosts.rs
@@ -12,7 +12,7 @@
 use deckproxy::protocol::feed::{Entry, News, Phase};
 use deckproxy::protocol::front::{Answer, Call};
 use deckproxy::routing::router::{self, Broke, Router};
-use deckproxy_recovery::door::{self, Door, Ended, Verdict};
+use deckproxy_recovery::admission::{self, Admission, Ended, Verdict};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use std::collections::VecDeque;
@@ -266,7 +266,7 @@
 /// The gateway.
 pub struct Gateway {
     router: Router,
-    door: Option<Door>,
+    door: Option<Admission>,
     /// Requests that passed the door: client, object; with which write and size each is.
     open: AHashMap<TryNo, (u64, Wish, u64)>,
     event: u64,
@@ -279,10 +279,10 @@
         let conf = configuration(set, position).conf;
         let known = News::Members { whole: true, entries: listed.iter().map(entry).collect(), dropped: 0 };
         let door = (set.host == Which::Recovery).then(|| {
-            let class = |worth, refusable| door::Class { worth, refusable, least: 100.0 };
+            let class = |worth, refusable| admission::Class { worth, refusable, least: 100.0 };
             // Only what a new try does no harm to may be refused: a write that may have run is not known here.
             let classes = vec![class(0.0, true), class(1.0, true), class(1.0, true)];
-            Door::new(door::Settings { classes, ..door::Settings::default() }, seed)
+            Admission::new(admission::Settings { classes, ..admission::Settings::default() }, seed)
         });
         let mut gateway = Gateway {
             router: Router::new(clock(now), conf, seed, (1, vec![(1, known)])),
--- a/crates/deckproxy-operator/src/fleet.rs
+++ b/crates/deckproxy-operator/src/fleet.rs
@@ -4,7 +4,7 @@
 use deckproxy_fleet::fleet::Settings;
 use deckproxy_fleet::health::Terms;
 use deckproxy_fleet::instance::Instance;
-use deckproxy_fleet::overload::{self, Class, cut};
+use deckproxy_fleet::overload::{self, Class, shed_level};
 use deckproxy_fleet::swim::Pace;
 use deckproxy_recovery::budget;
 use ipnet::IpNet;
@@ -101,7 +101,7 @@
                 .iter()
                 .map(|(w, effect)| Class { band: band(*w), effect: *effect })
                 .collect(),
-            limits: cut::Limits {
+            limits: shed_level::Limits {
                 bad: self.bad_share.unwrap_or(defaults::FLEET_BAD_SHARE),
                 good: self.good_share.unwrap_or(defaults::FLEET_GOOD_SHARE),
                 vain: self.vain_share.unwrap_or(defaults::VAIN_SHARE),
--- a/crates/deckproxy-operator/src/recovery.rs
+++ b/crates/deckproxy-operator/src/recovery.rs
@@ -1,8 +1,8 @@
 //! The recovery's part of the file, in the form of `deckproxy-recovery`.
 
 use crate::{Operator, Recovery, defaults};
-use deckproxy_recovery::door::{Class, Settings};
-use deckproxy_recovery::{brownout, budget, storm};
+use deckproxy_recovery::admission::{Class, Settings};
+use deckproxy_recovery::{budget, class_shedding, retry_storm};
 
 impl Recovery {
     /// How the door is set, defaults filled in. `classes`: name and worth of each, by place; `most_back`: the platform's
@@ -14,10 +14,9 @@
             if others == 0 { 0.5 } else { below as f64 / others as f64 }
         };
         let place = |name: &str| classes.iter().position(|(n, _)| n == name);
-        let steps = self
-            .give_up
-            .iter()
-            .filter_map(|s| Some(brownout::Step { class: place(&s.class)?, enter: s.enter, leave: s.leave }));
+        let steps = self.give_up.iter().filter_map(|s| {
+            Some(class_shedding::Step { class: place(&s.class)?, enter: s.enter, leave: s.leave })
+        });
         Settings {
             // What is refused at the door has gone nowhere: a new try does no harm, whatever the class.
             classes: classes
@@ -28,12 +27,12 @@
                 share: self.share_of_repeats.unwrap_or(defaults::SHARE_OF_REPEATS),
                 saved: f64::from(self.repeats_saved.unwrap_or(defaults::REPEATS_SAVED)),
             }),
-            storm: Some(storm::Limits {
+            storm: Some(retry_storm::Limits {
                 window: f64::from(self.window_ms.unwrap_or(defaults::WINDOW_MS)),
                 bad: self.bad_share.unwrap_or(defaults::BAD_SHARE),
                 good: self.good_share.unwrap_or(defaults::GOOD_SHARE),
                 repeats: self.storm_repeats.unwrap_or(defaults::STORM_REPEATS),
-                ..storm::Limits::default()
+                ..retry_storm::Limits::default()
             }),
             steps: steps.collect(),
             least_back: f64::from(self.least_back_ms.unwrap_or(defaults::LEAST_BACK_MS)).min(most_back),
--- a/crates/deckproxy-recovery/src/door.rs
+++ b/crates/deckproxy-recovery/src/admission.rs
@@ -1,10 +1,10 @@
 //! All of it together, before the decision module.
 
-use crate::brownout::{self, Brownout, Step};
 use crate::budget::{self, Budget};
-use crate::repeats::Repeats;
-use crate::returns::Returns;
-use crate::storm::{self, Storm};
+use crate::class_shedding::{self, ClassShedding, Step};
+use crate::retries::RetryTracker;
+use crate::retry_after::RetryAfterSchedule;
+use crate::retry_storm::{self, RetryStorm};
 use crate::{ClassNo, Millis};
 
 /// A class, as far as this goes.
@@ -26,7 +26,7 @@
     /// Budgets of repeats, one a class.
     pub budget: Option<budget::Limits>,
     /// Storms.
-    pub storm: Option<storm::Limits>,
+    pub storm: Option<retry_storm::Limits>,
     /// Clients that come before they were asked to are refused for the rest of the time.
     pub holds_hasty: bool,
     /// Clients are asked back in turns; else after `least_back`.
@@ -34,7 +34,7 @@
     /// What is given up, in order.
     pub steps: Vec<Step>,
     /// How long the pressure must last for a step.
-    pub times: brownout::Times,
+    pub times: class_shedding::Times,
     /// Shortest and longest time after which a client is asked back.
     pub least_back: Millis,
     /// See `least_back`.
@@ -50,11 +50,11 @@
         Settings {
             classes: Vec::new(),
             budget: Some(budget::Limits::default()),
-            storm: Some(storm::Limits::default()),
+            storm: Some(retry_storm::Limits::default()),
             holds_hasty: true,
             spreads: true,
             steps: Vec::new(),
-            times: brownout::Times::default(),
+            times: class_shedding::Times::default(),
             least_back: 50.0,
             most_back: 500.0,
             remembered: 65_536,
@@ -110,26 +110,26 @@
 
 /// The door of one gateway.
 #[derive(Debug)]
-pub struct Door {
+pub struct Admission {
     set: Settings,
-    repeats: Repeats,
+    repeats: RetryTracker,
     budgets: Vec<Budget>,
-    storm: Option<Storm>,
-    brownout: Brownout,
-    returns: Returns,
+    storm: Option<RetryStorm>,
+    brownout: ClassShedding,
+    returns: RetryAfterSchedule,
     /// Counts.
     pub counters: Counters,
 }
 
-impl Door {
+impl Admission {
     /// An open one.
     pub fn new(set: Settings, seed: u64) -> Self {
-        Door {
-            repeats: Repeats::new(set.remembered, set.span, seed),
+        Admission {
+            repeats: RetryTracker::new(set.remembered, set.span, seed),
             budgets: set.budget.iter().flat_map(|b| set.classes.iter().map(|_| Budget::new(*b))).collect(),
-            storm: set.storm.map(Storm::new),
-            brownout: Brownout::new(set.steps.clone(), set.times),
-            returns: Returns::new(!seed),
+            storm: set.storm.map(RetryStorm::new),
+            brownout: ClassShedding::new(set.steps.clone(), set.times),
+            returns: RetryAfterSchedule::new(!seed),
             counters: Counters::default(),
             set,
         }
@@ -137,7 +137,7 @@
 
     /// Whether a storm is on, and how many requests a second it lets in.
     pub fn cap(&self) -> Option<f64> {
-        self.storm.as_ref().and_then(Storm::cap)
+        self.storm.as_ref().and_then(RetryStorm::cap)
     }
 
     /// Storms so far, steps of the brown-out that are taken, requests remembered, and clients asked back where there was
@@ -235,7 +235,7 @@
             return least.min(self.set.most_back);
         }
         // What comes back finds room beside the first tries; a quarter of what is served is kept for it.
-        let pace = self.storm.as_ref().map_or(0.0, Storm::pace);
+        let pace = self.storm.as_ref().map_or(0.0, RetryStorm::pace);
         self.returns.back(now, least, self.set.most_back, (pace * 0.25).max(1.0))
     }
 
--- a/crates/deckproxy-recovery/src/brownout.rs
+++ b/crates/deckproxy-recovery/src/class_shedding.rs
@@ -34,7 +34,7 @@
 
 /// Where a gateway stands among the steps.
 #[derive(Clone, Debug)]
-pub struct Brownout {
+pub struct ClassShedding {
     steps: Vec<Step>,
     times: Times,
     level: usize,
@@ -45,10 +45,10 @@
     pub changes: u64,
 }
 
-impl Brownout {
+impl ClassShedding {
     /// With these steps; nothing is given up yet.
     pub fn new(steps: Vec<Step>, times: Times) -> Self {
-        Brownout { steps, times, level: 0, up: None, down: None, changes: 0 }
+        ClassShedding { steps, times, level: 0, up: None, down: None, changes: 0 }
     }
 
     /// Takes the pressure.
--- a/crates/deckproxy-recovery/src/ramp.rs
+++ b/crates/deckproxy-recovery/src/recovery_ramp.rs
@@ -31,17 +31,17 @@
 
 /// A ramp.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ramp {
+pub struct RecoveryRamp {
     limits: Limits,
     state: State,
     out: u32,
     wait: Millis,
 }
 
-impl Ramp {
+impl RecoveryRamp {
     /// Of something that is well.
     pub fn new(limits: Limits) -> Self {
-        Ramp { limits, state: State::Full, out: 0, wait: limits.again.0 }
+        RecoveryRamp { limits, state: State::Full, out: 0, wait: limits.again.0 }
     }
 
     /// It is lost.
--- a/crates/deckproxy-recovery/src/repeats.rs
+++ b/crates/deckproxy-recovery/src/retries.rs
@@ -11,7 +11,7 @@
 
 /// What is remembered of a request that was turned away.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Turned {
+pub struct Rejection {
     /// When the client was asked back; what comes before is hasty.
     pub back: Millis,
     /// How often it was turned away, this time included.
@@ -20,21 +20,28 @@
 
 /// Requests that were turned away lately.
 #[derive(Debug)]
-pub struct Repeats {
+pub struct RetryTracker {
     hasher: RandomState,
-    young: HashMap<u64, Turned>,
-    old: HashMap<u64, Turned>,
+    young: HashMap<u64, Rejection>,
+    old: HashMap<u64, Rejection>,
     since: Millis,
     /// Keys of one generation at most, and how long it lasts.
     most: usize,
     span: Millis,
 }
 
-impl Repeats {
+impl RetryTracker {
     /// Remembers so many at least, twice as many at most, for `span` at least. The same seed gives the same keys.
     pub fn new(most: usize, span: Millis, seed: u64) -> Self {
         let hasher = RandomState::with_seeds(seed, !seed, seed.rotate_left(17), seed.rotate_left(41));
-        Repeats { hasher, young: HashMap::new(), old: HashMap::new(), since: 0.0, most: most.max(1), span }
+        RetryTracker {
+            hasher,
+            young: HashMap::new(),
+            old: HashMap::new(),
+            since: 0.0,
+            most: most.max(1),
+            span,
+        }
     }
 
     fn key(&self, client: impl Hash, object: u64) -> u64 {
@@ -53,12 +60,12 @@
         self.turn(now);
         let key = self.key(client, object);
         let times = self.old.remove(&key).map_or(0, |t| t.times);
-        let turned = self.young.entry(key).or_insert(Turned { back, times });
-        *turned = Turned { back, times: turned.times + 1 };
+        let turned = self.young.entry(key).or_insert(Rejection { back, times });
+        *turned = Rejection { back, times: turned.times + 1 };
     }
 
     /// What is known of a request: whether it repeats one that was turned away.
-    pub fn get(&mut self, now: Millis, client: impl Hash, object: u64) -> Option<Turned> {
+    pub fn get(&mut self, now: Millis, client: impl Hash, object: u64) -> Option<Rejection> {
         self.turn(now);
         let key = self.key(client, object);
         self.young.get(&key).or(self.old.get(&key)).copied()
--- a/crates/deckproxy-recovery/src/returns.rs
+++ b/crates/deckproxy-recovery/src/retry_after.rs
@@ -14,7 +14,7 @@
 
 /// The slots ahead.
 #[derive(Debug)]
-pub struct Returns {
+pub struct RetryAfterSchedule {
     rng: Pcg64Mcg,
     /// Clients asked back in each slot, from `first` on.
     slots: VecDeque<u32>,
@@ -25,10 +25,10 @@
     pub promised: u64,
 }
 
-impl Returns {
+impl RetryAfterSchedule {
     /// Nobody is asked back yet.
     pub fn new(seed: u64) -> Self {
-        Returns {
+        RetryAfterSchedule {
             rng: Pcg64Mcg::seed_from_u64(seed),
             slots: VecDeque::new(),
             first: 0,
--- a/crates/deckproxy-recovery/src/storm.rs
+++ b/crates/deckproxy-recovery/src/retry_storm.rs
@@ -100,7 +100,7 @@
 
 /// The state of a gateway.
 #[derive(Clone, Debug)]
-pub struct Storm {
+pub struct RetryStorm {
     limits: Limits,
     began: Option<Millis>,
     now: Counts,
@@ -118,10 +118,10 @@
     pub storms: u64,
 }
 
-impl Storm {
+impl RetryStorm {
     /// A calm one.
     pub fn new(limits: Limits) -> Self {
-        Storm {
+        RetryStorm {
             limits,
             began: None,
             now: Counts::default(),
--- a/crates/deckproxy-recovery/tests/recovery.rs
+++ b/crates/deckproxy-recovery/tests/recovery.rs
@@ -1,21 +1,24 @@
 //! What recovery promises, for random schedules.
 
-use deckproxy_recovery::brownout::{Brownout, Step, Times};
+use deckproxy_recovery::admission::{Admission, Class, Ended, Settings, Verdict};
 use deckproxy_recovery::budget::{Budget, Limits as BudgetLimits};
-use deckproxy_recovery::door::{Class, Door, Ended, Settings, Verdict};
-use deckproxy_recovery::ramp::{Limits as RampLimits, Ramp};
-use deckproxy_recovery::repeats::Repeats;
-use deckproxy_recovery::returns::Returns;
-use deckproxy_recovery::storm::{Limits as StormLimits, Storm};
+use deckproxy_recovery::class_shedding::{ClassShedding, Step, Times};
+use deckproxy_recovery::recovery_ramp::{Limits as RampLimits, RecoveryRamp};
+use deckproxy_recovery::retries::RetryTracker;
+use deckproxy_recovery::retry_after::RetryAfterSchedule;
+use deckproxy_recovery::retry_storm::{Limits as StormLimits, RetryStorm};
 use proptest::prelude::*;
 
 fn config(cases: u32) -> ProptestConfig {
     ProptestConfig { cases, rng_seed: proptest::test_runner::RngSeed::Fixed(17), ..ProptestConfig::default() }
 }
 
-fn door(settings: Settings) -> Door {
+fn door(settings: Settings) -> Admission {
     let class = |worth, refusable| Class { worth, refusable, least: 100.0 };
-    Door::new(Settings { classes: vec![class(0.0, true), class(0.5, true), class(1.0, true)], ..settings }, 7)
+    Admission::new(
+        Settings { classes: vec![class(0.0, true), class(0.5, true), class(1.0, true)], ..settings },
+        7,
+    )
 }
 
 proptest! {
@@ -58,7 +61,7 @@
         rate in 50.0f64..800.0,
     ) {
         let limits = StormLimits::default();
-        let mut storm = Storm::new(limits);
+        let mut storm = RetryStorm::new(limits);
         let mut now = 0.0;
         for (later, served) in bad {
             now += f64::from(later);
@@ -86,7 +89,7 @@
     /// In a storm every class still has its turn, those worth more before others.
     #[test]
     fn no_class_starves_in_a_storm(seed in any::<u64>()) {
-        let mut storm = Storm::new(StormLimits::default());
+        let mut storm = RetryStorm::new(StormLimits::default());
         let mut now = 0.0;
         let mut passed = [0u32; 2];
         for i in 0..40_000u64 {
@@ -111,7 +114,7 @@
     /// more than it has room for while there is room.
     #[test]
     fn they_come_back_as_a_stream(count in 1usize..400, pace in 20.0f64..2000.0, most in 300.0f64..5000.0) {
-        let mut returns = Returns::new(3);
+        let mut returns = RetryAfterSchedule::new(3);
         let now = 1_700_000_000_123.0;
         let mut back: Vec<f64> = (0..count).map(|_| returns.back(now, 50.0, most, pace)).collect();
         prop_assert!(back.iter().all(|b| (50.0..=most).contains(b)));
@@ -132,7 +135,7 @@
     fn a_brown_out_never_flaps(pressures in prop::collection::vec((0.0f64..1.0, 1u32..400), 1..400)) {
         let step = |class, enter| Step { class, enter, leave: enter - 0.3 };
         let times = Times { enter: 1000.0, leave: 3000.0 };
-        let mut brownout = Brownout::new(vec![step(0, 0.5), step(1, 0.7)], times);
+        let mut brownout = ClassShedding::new(vec![step(0, 0.5), step(1, 0.7)], times);
         let (mut now, mut last, mut changed) = (0.0, 0, -1e9);
         for (pressure, later) in pressures {
             now += f64::from(later);
@@ -151,7 +154,7 @@
     #[test]
     fn a_ramp_begins_with_one_and_ends(steps in prop::collection::vec((any::<bool>(), any::<bool>(), 0u32..300), 0..200)) {
         let limits = RampLimits::default();
-        let mut ramp = Ramp::new(limits);
+        let mut ramp = RecoveryRamp::new(limits);
         ramp.lost(0.0);
         let (mut now, mut out) = (0.0, 0u32);
         for (takes, well, later) in steps {
@@ -180,7 +183,7 @@
 
 #[test]
 fn a_herd_that_waits_for_a_lost_thing_sends_one_prober() {
-    let mut ramp = Ramp::new(RampLimits::default());
+    let mut ramp = RecoveryRamp::new(RampLimits::default());
     ramp.lost(0.0);
     assert!((0..100).all(|_| !ramp.take(50.0)));
     let took = (0..100).filter(|_| ramp.take(150.0)).count();
@@ -195,7 +198,7 @@
 
 #[test]
 fn repeats_are_known_in_bounded_memory_and_served_ones_begin_anew() {
-    let mut repeats = Repeats::new(1000, 5000.0, 1);
+    let mut repeats = RetryTracker::new(1000, 5000.0, 1);
     for n in 0..99_500u64 {
         repeats.turned(f64::from(n as u32) * 0.01, n, 7, 0.0);
         assert!(repeats.len() <= 2000);
@@ -231,7 +234,7 @@
     let mut door = door(Settings { budget: None, holds_hasty: false, ..Settings::default() });
     let mut now = 1e6;
     // 400 a second of which a tenth can be served, repeats many: for two seconds.
-    let mut play = |door: &mut Door, ms: u32, good: u64| {
+    let mut play = |door: &mut Admission, ms: u32, good: u64| {
         let mut passed = 0;
         for i in 0..u64::from(ms) * 2 / 5 {
             now += 2.5;
--- a/crates/deckproxy-rig/src/crowded.rs
+++ b/crates/deckproxy-rig/src/crowded.rs
@@ -3,7 +3,7 @@
 
 use crate::simulated::Sim;
 use deckproxy_fleet::Millis;
-use deckproxy_fleet::overload::{Asked, Class, Ended, Settings, Ticket, Verdict, cut};
+use deckproxy_fleet::overload::{Asked, Class, Ended, Settings, Ticket, Verdict, shed_level};
 use deckproxy_recovery::budget;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -72,7 +72,7 @@
     Settings {
         fleet: "test".to_string(),
         classes: vec![class(0, false), class(1, true)],
-        limits: cut::Limits::default(),
+        limits: shed_level::Limits::default(),
         budget: budget::Limits::default(),
         advice: true,
         least_back: 50.0,
--- a/crates/deckproxy/src/program/fleet.rs
+++ b/crates/deckproxy/src/program/fleet.rs
@@ -103,7 +103,7 @@
         info!(log, "fleet: takes part"; "fleet" => &file.name, "instance" => &*own.name, "zone" => &*own.zone,
             "address" => %own.address, "start" => start);
         // The platform may give the same seed to all.
-        let seed = seed ^ start.rotate_left(32) ^ deckproxy_fleet::duties::key(&own.name);
+        let seed = seed ^ start.rotate_left(32) ^ deckproxy_fleet::rendezvous::key(&own.name);
         let mut core = fleet::Fleet::new(clock::steady(), settings, seed);
         core.list(listed(router));
         let mut fleet = Fleet {
@@ -151,7 +151,7 @@
         let Some(overload) = self.core.overload() else { return String::new() };
         let c = overload.counters;
         let [remembered, untold] = overload.sizes();
-        let line = |line: &Option<overload::cut::Line>| {
+        let line = |line: &Option<overload::shed_level::ShedLine>| {
             line.map_or("none".to_string(), |l| {
                 format!(
                     "{:.0}/{:.0}@{:.3}",
--- a/crates/deckproxy/src/program/recovery.rs
+++ b/crates/deckproxy/src/program/recovery.rs
@@ -4,7 +4,7 @@
 use crate::protocol::front::{Answer, Call};
 use crate::routing::router::ClientId;
 use deckproxy_operator::{Client, Operator};
-use deckproxy_recovery::door::{self, Door, Ended};
+use deckproxy_recovery::admission::{self, Admission, Ended};
 use deckproxy_settings::Conf;
 use slog::{Logger, info, warn};
 use std::collections::{BTreeMap, HashMap};
@@ -12,7 +12,7 @@
 /// The door of one gateway.
 pub struct Recovery {
     log: Logger,
-    door: Door,
+    door: Admission,
     classes: HashMap<Box<str>, usize>,
     /// Requests that passed, with their objects.
     open: BTreeMap<(ClientId, u32), u64>,
@@ -39,7 +39,7 @@
         settings.holds_hasty = advice;
         Some(Box::new(Recovery {
             log: log.clone(),
-            door: Door::new(settings, seed),
+            door: Admission::new(settings, seed),
             classes: classes.iter().enumerate().map(|(i, (name, _))| (name.as_str().into(), i)).collect(),
             open: BTreeMap::new(),
             callers: Callers::known_by(recovery.client() == Client::Address),
@@ -96,11 +96,11 @@
         let Some(class) = self.classes.get(&call.class).copied() else { return Verdict::Pass };
         let client = self.callers.of(of.0);
         match self.door.request(cx.now, client, class, call.object.1, call.allow) {
-            door::Verdict::Pass => {
+            admission::Verdict::Pass => {
                 self.open.insert(of, call.object.1);
                 Verdict::Pass
             }
-            door::Verdict::Refuse(back) => {
+            admission::Verdict::Refuse(back) => {
                 Verdict::Answer(Answer::Refused(if self.advice { back } else { 0.0 }))
             }
         }
--- a/crates/deckproxy/tests/overload.rs
+++ b/crates/deckproxy/tests/overload.rs
@@ -1,10 +1,10 @@
 //! Several processes of the gateway under more than can be served, hurt by faults: what they let in in sum, what comes back
 //! and when. All is counted at clients and members.
 
-use deckproxy_fleet::board::{Delta, Key, Part, Told};
 use deckproxy_fleet::fleet::kinds;
+use deckproxy_fleet::gossip_store::{Delta, Key, Part, Told};
 use deckproxy_fleet::instance::Instance;
-use deckproxy_fleet::overload::cut::{Cut, Line};
+use deckproxy_fleet::overload::shed_level::{ShedLevel, ShedLine};
 use deckproxy_fleet::wire::{Body, Packet, Wire};
 use deckproxy_rig::overloaded::{Figures, draw, judge, terms};
 use deckproxy_rig::plan::{Fault, Plan, Shed, What};
@@ -191,8 +191,8 @@
     rig.until("each serves", |rig| (0..4).all(|i| rig.log(i).contains("fleet view")));
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     // A cut that lets nobody in, from an instance that nobody knows, said to be new each time.
-    let line = Line { rank: 65_535, cap: 1.0, come: 1000.0, promise: 0, returns: 0.0 };
-    let cut = Cut { epoch: 9, lasted: 0, things: [Some(line); 2] };
+    let line = ShedLine { rank: 65_535, cap: 1.0, come: 1000.0, promise: 0, returns: 0.0 };
+    let cut = ShedLevel { epoch: 9, lasted: 0, things: [Some(line); 2] };
     let told = Told {
         key: Key { kind: kinds::CUT, subject: "".into() },
         version: 1,
