--- a/crates/deckproxy-fleet/tests/overload.rs
+++ b/crates/deckproxy-fleet/tests/overload.rs
@@ -1,29 +1,29 @@
 //! Several instances under overload in simulated time: what passes in sum, whatever falls apart.
 
-use deckproxy_rig::crowded::{Count, Crowded, Manners, Terms, settings};
 use deckproxy_rig::simulated::{Net, Sim};
+use deckproxy_rig::simulated_load::{Count, Manners, SimulatedLoad, Terms, settings};
 use proptest::prelude::*;
 
 /// Repeats that pass for each first try, over all.
 const SHARE: f64 = 0.2;
 
-fn met(instances: usize, terms: Terms, seed: u64) -> Crowded {
+fn met(instances: usize, terms: Terms, seed: u64) -> SimulatedLoad {
     let mut sim = Sim::new(instances, 2, 6, Net::default(), seed);
     sim.size = instances;
     sim.overload = Some(settings());
     (0..instances).for_each(|i| sim.start(i));
     assert!(sim.until(12_000.0, Sim::agree).is_some(), "all hear each other: {:?}", sim.logs);
     sim.run(3000.0);
-    let mut all = Crowded::new(sim, terms, seed);
+    let mut all = SimulatedLoad::new(sim, terms, seed);
     all.run(4000.0);
     all
 }
 
-fn lately(all: &Crowded, span: f64) -> Count {
+fn lately(all: &SimulatedLoad, span: f64) -> Count {
     all.count(all.sim.now - span, all.sim.now)
 }
 
-fn cut(all: &Crowded, i: usize) -> Option<f64> {
+fn cut(all: &SimulatedLoad, i: usize) -> Option<f64> {
     all.sim.fleet(i).overload().and_then(|o| o.cut().things[1]).map(|line| f64::from(line.cap))
 }
 
@@ -33,7 +33,7 @@
 }
 
 /// Repeats that passed beside those allowed, at the most over any two seconds from a time on.
-fn budget(all: &Crowded, from: f64) -> f64 {
+fn budget(all: &SimulatedLoad, from: f64) -> f64 {
     let mut worst: f64 = 0.0;
     let mut at = from;
     while at + 2000.0 <= all.sim.now {
--- a/crates/deckproxy-rig/src/crowd.rs
+++ b/crates/deckproxy-rig/src/client_population.rs
@@ -1,7 +1,7 @@
 //! Clients that come to any instance, and go to the next one after a refusal, a death or a silence, while there is time
 //! left. What may not run twice is not asked again once it may have run.
 
-use crate::posts::Absences;
+use crate::processes::Absences;
 use deckproxy_standins::caller::{Draw, Wish, encode, outcome};
 use deckproxy_standins::client::fresh_name;
 use deckproxy_standins::record::{Fact, Outcome, Record};
@@ -22,7 +22,7 @@
 
 /// An instance as clients know it.
 #[derive(Clone)]
-pub struct Door {
+pub struct Endpoint {
     /// Where it listens.
     pub at: SocketAddr,
     /// When it could not answer.
@@ -43,7 +43,7 @@
 }
 
 /// The clients of a run.
-pub struct Crowd {
+pub struct ClientPopulation {
     running: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
     /// What they counted.
@@ -52,7 +52,7 @@
 
 /// How the clients come.
 #[derive(Clone)]
-pub struct Coming {
+pub struct PopulationSettings {
     /// How many there are.
     pub clients: usize,
     /// First tries a second of all.
@@ -63,9 +63,9 @@
     pub draw: Draw,
 }
 
-impl Crowd {
+impl ClientPopulation {
     /// Starts them.
-    pub fn start(coming: &Coming, doors: &[Door], record: &Record) -> Self {
+    pub fn start(coming: &PopulationSettings, doors: &[Endpoint], record: &Record) -> Self {
         let running = Arc::new(AtomicBool::new(true));
         let counts = Arc::new(Counts::default());
         let threads = (0..coming.clients).map(|i| {
@@ -83,7 +83,7 @@
             thread::spawn(move || one.live(&coming, &running))
         });
         let threads = threads.collect();
-        Crowd { running, threads, counts }
+        ClientPopulation { running, threads, counts }
     }
 
     /// They ask for nothing more; waits for what is open.
@@ -112,7 +112,7 @@
 }
 
 struct One {
-    doors: Vec<Door>,
+    doors: Vec<Endpoint>,
     record: Record,
     counts: Arc<Counts>,
     line: Option<Line>,
@@ -133,7 +133,7 @@
 }
 
 impl One {
-    fn live(&mut self, coming: &Coming, running: &AtomicBool) {
+    fn live(&mut self, coming: &PopulationSettings, running: &AtomicBool) {
         let rate = coming.rate / coming.clients as f64;
         let mut due = Instant::now();
         while running.load(Ordering::SeqCst) {
--- a/crates/deckproxy-rig/src/judge.rs
+++ b/crates/deckproxy-rig/src/judge.rs
@@ -3,7 +3,7 @@
 
 use crate::plan::What;
 use crate::play::Played;
-use crate::posts::Absences;
+use crate::processes::Absences;
 use deckproxy_standins::record::Fact;
 use deckproxy_standins::rules::{self, Verdict};
 use serde_json::Value;
--- a/crates/deckproxy-rig/src/lib.rs
+++ b/crates/deckproxy-rig/src/lib.rs
@@ -2,10 +2,10 @@
 //!
 //! - [`plan`]: what runs and what goes wrong, as a file; drawn from a seed; shrunk to what still breaks a promise.
 //! - [`relay`]: datagrams between every two instances, cut one way or both, lost, late, doubled.
-//! - [`posts`]: the instances' processes: started, killed, stopped, ended, restarted.
-//! - [`crowd`]: clients that come to any instance, and go to another after a refusal or a death.
-//! - [`throng`]: clients as overload has them: many requests open at a time, repeated at once.
-//! - [`crowded`]: the same in simulated time, around what serves only so much.
+//! - [`processes`]: the instances' processes: started, killed, stopped, ended, restarted.
+//! - [`client_population`]: clients that come to any instance, and go to another after a rejection or a death.
+//! - [`load_generator`]: an open-loop load generator for overload: many requests in flight at a time, retried at once.
+//! - [`simulated_load`]: the same in simulated time, around what serves only so much.
 //! - [`play`]: a whole run.
 //! - [`judge`]: what was counted at members and clients, and what the instances' own logs show of their views.
 //! - [`overloaded`]: what a run under overload came to.
@@ -14,16 +14,16 @@
 #![forbid(unsafe_code)]
 #![allow(clippy::missing_panics_doc)]
 
-pub mod crowd;
-pub mod crowded;
+pub mod client_population;
 pub mod draw;
 pub mod judge;
+pub mod load_generator;
 pub mod overloaded;
 pub mod plan;
 pub mod play;
-pub mod posts;
+pub mod processes;
 pub mod relay;
 pub mod shrink;
 pub mod simulated;
-pub mod throng;
+pub mod simulated_load;
 pub mod timeline;
--- a/crates/deckproxy-rig/src/throng.rs
+++ b/crates/deckproxy-rig/src/load_generator.rs
@@ -2,7 +2,7 @@
 //! asked at times that no answer delays (open loop), and repeated as its manners are. What may have run twice is not asked
 //! again.
 
-use crate::crowd::Door;
+use crate::client_population::Endpoint;
 use deckproxy_standins::caller::{Draw, Wish, encode, outcome};
 use deckproxy_standins::client::fresh_name;
 use deckproxy_standins::record::{Fact, Outcome, Record};
@@ -72,7 +72,7 @@
 
 /// How they come.
 #[derive(Clone)]
-pub struct Coming {
+pub struct LoadSettings {
     /// How many there are.
     pub clients: usize,
     /// First tries a second of all; may be changed while they come.
@@ -109,15 +109,15 @@
 }
 
 /// The clients of a run.
-pub struct Throng {
+pub struct LoadGenerator {
     running: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
     tries: Arc<Mutex<Vec<Try>>>,
 }
 
-impl Throng {
+impl LoadGenerator {
     /// Starts them.
-    pub fn start(coming: &Coming, doors: &[Door], record: &Record) -> Self {
+    pub fn start(coming: &LoadSettings, doors: &[Endpoint], record: &Record) -> Self {
         let running = Arc::new(AtomicBool::new(true));
         let tries: Arc<Mutex<Vec<Try>>> = Arc::default();
         let threads = (0..HANDS).map(|hand| {
@@ -147,7 +147,7 @@
             })
         });
         let threads = threads.collect();
-        Throng { running, threads, tries }
+        LoadGenerator { running, threads, tries }
     }
 
     /// They ask for nothing more; waits for what is open, and gives all tries in the order of time.
@@ -198,7 +198,7 @@
 }
 
 impl Client {
-    fn new(i: usize, coming: &Coming, doors: usize) -> Self {
+    fn new(i: usize, coming: &LoadSettings, doors: usize) -> Self {
         // Some share of all comes to the first instance, the rest to the others by turns.
         let first = coming.skew / (coming.skew + doors as f64 - 1.0);
         let before = (i as f64 * first).floor() != ((i + 1) as f64 * first).floor();
@@ -210,10 +210,10 @@
 
 /// What a thread does for some of the clients.
 struct Hand {
-    coming: Coming,
+    coming: LoadSettings,
     share: f64,
     clients: Vec<Client>,
-    doors: Vec<Door>,
+    doors: Vec<Endpoint>,
     record: Record,
     poll: Poll,
     /// Client and instance of a connection, by its key.
--- a/crates/deckproxy-rig/src/overloaded.rs
+++ b/crates/deckproxy-rig/src/overloaded.rs
@@ -1,8 +1,8 @@
 //! What a run under overload came to, as clients and members saw it.
 
+use crate::load_generator::Try;
 use crate::plan::{Plan, What};
 use crate::play::Played;
-use crate::throng::Try;
 use deckproxy_standins::caller::{Draw, Wish};
 use deckproxy_standins::record::{Fact, Outcome};
 use deckproxy_standins::rules::{self, Verdict};
--- a/crates/deckproxy-rig/src/play.rs
+++ b/crates/deckproxy-rig/src/play.rs
@@ -1,11 +1,11 @@
 //! A whole run: members, instances, clients, and a plan that hurts them.
 
-use crate::crowd::{Coming, Counts, Crowd, Door};
+use crate::client_population::{ClientPopulation, Counts, Endpoint, PopulationSettings};
 use crate::judge::{View, views};
+use crate::load_generator::{self, LoadGenerator, Manners, Rate, Try};
 use crate::plan::{Plan, Trouble, What};
-use crate::posts::{Absences, Post, Shims, sockets};
+use crate::processes::{Absences, InstanceProcess, Shims, sockets};
 use crate::relay::{Fate, Relays};
-use crate::throng::{self, Manners, Rate, Throng, Try};
 use deckproxy_standins::caller::Draw;
 use deckproxy_standins::fleet::{self, Site, Terms, zone_name};
 use deckproxy_standins::record::{Fact, Record, Seen};
@@ -56,11 +56,11 @@
     site: Site,
     relays: Relays,
     shims: Shims,
-    posts: Vec<Arc<Mutex<Post>>>,
+    posts: Vec<Arc<Mutex<InstanceProcess>>>,
     caches: Vec<String>,
     busy: Vec<JoinHandle<()>>,
-    crowd: Option<Crowd>,
-    throng: Option<Throng>,
+    crowd: Option<ClientPopulation>,
+    throng: Option<LoadGenerator>,
     rate: Arc<Rate>,
     from: f64,
     sent: (u64, u64),
@@ -104,8 +104,9 @@
         let zones = (0..plan.zones).map(|z| zone_name(plan.zones, z));
         let caches: Vec<String> = zones.flat_map(|zone| site.caches_of(&zone)).collect();
         let shims = shims(plan, &site);
-        let post = |i| Arc::new(Mutex::new(Post::new(plan, i, &site, &relays, at[i], &shims, &record)));
-        let posts: Vec<Arc<Mutex<Post>>> = (0..plan.instances).map(post).collect();
+        let post =
+            |i| Arc::new(Mutex::new(InstanceProcess::new(plan, i, &site, &relays, at[i], &shims, &record)));
+        let posts: Vec<Arc<Mutex<InstanceProcess>>> = (0..plan.instances).map(post).collect();
         thread::scope(|scope| {
             for post in &posts {
                 scope.spawn(|| post.lock().unwrap().start());
@@ -129,21 +130,33 @@
         if plan.fleet && !plan.alone {
             rig.until("the instances have met", |rig| (0..rig.plan.instances).all(|i| rig.hears_all(i)));
         }
-        let door = |p: &Arc<Mutex<Post>>| {
+        let door = |p: &Arc<Mutex<InstanceProcess>>| {
             let post = p.lock().unwrap();
-            Door { at: post.listen, absent: post.absent.clone() }
+            Endpoint { at: post.listen, absent: post.absent.clone() }
         };
-        let doors: Vec<Door> = rig.posts.iter().map(door).collect();
+        let doors: Vec<Endpoint> = rig.posts.iter().map(door).collect();
         if plan.throng {
             let manners = if plan.hasty { Manners::Hasty } else { Manners::Moves };
             let (clients, rate, seed) = (plan.clients, rig.rate.clone(), plan.seed);
-            let coming = throng::Coming { clients, rate, seed, draw: draw.clone(), manners, skew: plan.skew };
-            rig.throng = Some(Throng::start(&coming, &doors, &rig.record));
+            let coming = load_generator::LoadSettings {
+                clients,
+                rate,
+                seed,
+                draw: draw.clone(),
+                manners,
+                skew: plan.skew,
+            };
+            rig.throng = Some(LoadGenerator::start(&coming, &doors, &rig.record));
             (rig.from, rig.sent) = (rig.record.now(), rig.relays.sent());
             return rig;
         }
-        let coming = Coming { clients: plan.clients, rate: plan.rate, seed: plan.seed, draw: draw.clone() };
-        rig.crowd = Some(Crowd::start(&coming, &doors, &rig.record));
+        let coming = PopulationSettings {
+            clients: plan.clients,
+            rate: plan.rate,
+            seed: plan.seed,
+            draw: draw.clone(),
+        };
+        rig.crowd = Some(ClientPopulation::start(&coming, &doors, &rig.record));
         (rig.from, rig.sent) = (rig.record.now(), rig.relays.sent());
         rig
     }
@@ -230,8 +243,8 @@
         self.settle();
         let to = self.record.now();
         let after = self.relays.sent();
-        let counts = self.crowd.take().map_or_else(Arc::default, Crowd::finish);
-        let tries = self.throng.take().map_or_else(Vec::new, Throng::finish);
+        let counts = self.crowd.take().map_or_else(Arc::default, ClientPopulation::finish);
+        let tries = self.throng.take().map_or_else(Vec::new, LoadGenerator::finish);
         thread::scope(|scope| {
             for post in &self.posts {
                 scope.spawn(|| post.lock().unwrap().end());
@@ -277,7 +290,7 @@
 
 impl Rig {
     /// Something at an instance, beside all else: it may take its time.
-    fn at(&mut self, i: usize, what: impl FnOnce(&mut Post) + Send + 'static) {
+    fn at(&mut self, i: usize, what: impl FnOnce(&mut InstanceProcess) + Send + 'static) {
         let post = self.posts[i].clone();
         self.busy.push(thread::spawn(move || what(&mut post.lock().unwrap())));
     }
@@ -289,10 +302,10 @@
     /// Something goes wrong from now on, meant for so many seconds, or no more.
     pub fn change(&mut self, what: &What, lasts: f64, begins: bool) {
         match what {
-            What::Kill(i) if begins => self.at(*i, Post::kill),
-            What::Kill(i) => self.at(*i, Post::start),
-            What::Pause(i) if begins => self.at(*i, Post::stop),
-            What::Pause(i) => self.at(*i, Post::go_on),
+            What::Kill(i) if begins => self.at(*i, InstanceProcess::kill),
+            What::Kill(i) => self.at(*i, InstanceProcess::start),
+            What::Pause(i) if begins => self.at(*i, InstanceProcess::stop),
+            What::Pause(i) => self.at(*i, InstanceProcess::go_on),
             What::Restart(i) if begins => self.at(*i, |post| {
                 post.end();
                 post.start();
--- a/crates/deckproxy-rig/src/posts.rs
+++ b/crates/deckproxy-rig/src/processes.rs
@@ -43,7 +43,7 @@
 pub type Shims = HashMap<(usize, String), Shim>;
 
 /// One instance.
-pub struct Post {
+pub struct InstanceProcess {
     /// Its number.
     pub index: usize,
     /// Its name.
@@ -84,7 +84,7 @@
     (0..plan.instances).map(|_| free_address()).collect()
 }
 
-impl Post {
+impl InstanceProcess {
     /// One that is not started yet. `at`: its datagram socket's address.
     pub fn new(
         plan: &Plan,
@@ -153,7 +153,7 @@
         let folder =
             std::env::temp_dir().join(format!("deckproxy-rig-{}-{}", std::process::id(), next_number()));
         std::fs::create_dir_all(&folder).expect("the folder for temporary files takes one");
-        Post {
+        InstanceProcess {
             index,
             name,
             zone,
@@ -254,7 +254,7 @@
     }
 }
 
-impl Drop for Post {
+impl Drop for InstanceProcess {
     fn drop(&mut self) {
         self.gateway = None;
         let _ = std::fs::remove_dir_all(&self.folder);
--- a/crates/deckproxy-rig/src/crowded.rs
+++ b/crates/deckproxy-rig/src/simulated_load.rs
@@ -121,7 +121,7 @@
 }
 
 /// The run.
-pub struct Crowded {
+pub struct SimulatedLoad {
     /// The instances.
     pub sim: Sim,
     /// How all is set; may be changed on the way.
@@ -138,11 +138,11 @@
     room: [f64; 2],
 }
 
-impl Crowded {
+impl SimulatedLoad {
     /// Clients around instances that have met.
     pub fn new(sim: Sim, terms: Terms, seed: u64) -> Self {
         let next = sim.now;
-        Crowded {
+        SimulatedLoad {
             sim,
             terms,
             tries: Vec::new(),
