--- a/crates/deckproxy-rig/src/judge.rs
+++ b/crates/deckproxy-rig/src/judge.rs
@@ -1,64 +1,14 @@
 //! What a run showed: counted at members, relays and clients. Of two things alone the instances' own logs tell, as nobody
 //! else can: whom each took for dead, and what each had on its board.
 
+use crate::fleet_view::{View, views};
 use crate::plan::What;
 use crate::play::Played;
 use crate::processes::Absences;
 use deckproxy_standins::record::Fact;
 use deckproxy_standins::rules::{self, Verdict};
-use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// What an instance saw of the fleet from a time on.
-#[derive(Clone, Debug, PartialEq)]
-pub struct View {
-    /// Unix time, ms.
-    pub at: f64,
-    /// Those heard.
-    pub heard: BTreeSet<String>,
-    /// Those taken for gone.
-    pub lost: BTreeSet<String>,
-    /// Instances expected, and those that hear it too.
-    pub expected: u64,
-    /// See `expected`.
-    pub sure: u64,
-    /// It took itself to be in the larger part.
-    pub larger: bool,
-    /// It took its view for old.
-    pub old: bool,
-    /// Members that it observes, and that it holds back.
-    pub observes: u64,
-    /// See `observes`.
-    pub held: u64,
-    /// The same number where boards said the same.
-    pub board: String,
-}
-
-/// The views in a log.
-pub fn views(log: &str) -> Vec<View> {
-    let lines = log.lines().filter(|line| line.contains("\"fleet view\""));
-    lines.filter_map(|line| view(&serde_json::from_str(line).ok()?)).collect()
-}
-
-fn view(line: &Value) -> Option<View> {
-    let number = |name: &str| line[name].as_u64();
-    let names = |field: &str| Some(line[field].as_str()?.split_whitespace().map(String::from).collect());
-    let at = humantime::parse_rfc3339(line["ts"].as_str()?).ok()?;
-    let at = at.duration_since(std::time::UNIX_EPOCH).ok()?.as_secs_f64() * 1000.0;
-    Some(View {
-        at,
-        heard: names("heard")?,
-        lost: names("lost")?,
-        expected: number("expected")?,
-        sure: number("sure")?,
-        larger: line["larger"].as_bool()?,
-        old: line["old"].as_bool()?,
-        observes: number("observes")?,
-        held: number("held")?,
-        board: line["board"].as_str()?.to_string(),
-    })
-}
-
 /// What was counted.
 #[derive(Clone, Debug)]
 pub struct Figures {
--- a/crates/deckproxy-rig/src/lib.rs
+++ b/crates/deckproxy-rig/src/lib.rs
@@ -6,8 +6,9 @@
 //! - [`client_population`]: clients that come to any instance, and go to another after a rejection or a death.
 //! - [`load_generator`]: an open-loop load generator for overload: many requests in flight at a time, retried at once.
 //! - [`simulated_load`]: the same in simulated time, around what serves only so much.
+//! - [`fleet_view`]: the instances' views of the fleet, as their logs show them.
 //! - [`play`]: a whole run.
-//! - [`judge`]: what was counted at members and clients, and what the instances' own logs show of their views.
+//! - [`judge`]: what was counted at members and clients, and whether the instances' views agreed.
 //! - [`overloaded`]: what a run under overload came to.
 //! - [`simulated`]: many instances in simulated time.
 //! - [`timeline`]: a page of what happened.
@@ -16,6 +17,7 @@
 
 pub mod client_population;
 pub mod draw;
+pub mod fleet_view;
 pub mod judge;
 pub mod load_generator;
 pub mod overloaded;
--- a/crates/deckproxy-rig/src/play.rs
+++ b/crates/deckproxy-rig/src/play.rs
@@ -1,7 +1,7 @@
 //! A whole run: members, instances, clients, and a plan that hurts them.
 
 use crate::client_population::{ClientPopulation, Counts, Endpoint, PopulationSettings};
-use crate::judge::{View, views};
+use crate::fleet_view::{View, views};
 use crate::load_generator::{self, LoadGenerator, Manners, Rate, Try};
 use crate::plan::{Plan, Trouble, What};
 use crate::processes::{Absences, InstanceProcess, Shims, sockets};
--- a/crates/deckproxy-rig/src/timeline.rs
+++ b/crates/deckproxy-rig/src/timeline.rs
@@ -1,7 +1,8 @@
 //! A page of what happened in a run: faults, each instance's view of the others, probes by member, service. One file of
 //! HTML with its pictures in it.
 
-use crate::judge::{Figures, View, views};
+use crate::fleet_view::{View, views};
+use crate::judge::Figures;
 use crate::plan::said;
 use crate::play::Played;
 use deckproxy_standins::record::{Fact, Outcome};
--- a/crates/deckproxy/tests/fleet.rs
+++ b/crates/deckproxy/tests/fleet.rs
@@ -130,7 +130,7 @@
     rig.until("it says that it stood still", |rig| rig.log(2).contains("this process stood still"));
     rig.until("all are one again", Rig::is_one);
     probed(&rig, 4);
-    let views = deckproxy_rig::judge::views(&rig.log(2));
+    let views = deckproxy_rig::fleet_view::views(&rig.log(2));
     assert!(views.iter().skip_while(|v| v.old).any(|v| v.old), "its view was old after it had been good");
     sound(rig);
 }
@@ -206,7 +206,7 @@
     rig.until("it gets requests again", |rig| rig.came(&cache) > now);
     let lifts: Vec<f64> = (0..4)
         .map(|i| {
-            let views = deckproxy_rig::judge::views(&rig.log(i));
+            let views = deckproxy_rig::fleet_view::views(&rig.log(i));
             let at =
                 views.windows(2).filter(|w| w[0].held == 1 && w[1].held == 0).map(|w| w[1].at).next_back();
             at.expect("it held it back and took it back")
