--- a/crates/deckproxy-rig/src/judge.rs
+++ b/crates/deckproxy-rig/src/judge.rs
@@ -198,26 +198,3 @@
     }
     Some(worst)
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn spans_and_gaps_are_counted() {
-        assert_eq!(most_within(&[0.0, 500.0, 1999.0, 2000.0, 2400.0], 2000.0), 4);
-        assert_eq!(longest_gap(&[1000.0, 1500.0, 9000.0], 0.0, 10_000.0), 7500.0);
-        assert_eq!(longest_gap(&[], 0.0, 3000.0), 3000.0);
-    }
-
-    #[test]
-    fn views_are_read_from_a_log() {
-        let log = "{\"msg\":\"serving\"}\n{\"msg\":\"fleet view\",\"level\":\"INFO\",\"ts\":\"2026-12-01T23:16:10.70459065Z\",\
-                   \"board\":\"2d\",\"held\":1,\"observes\":4,\"old\":true,\"larger\":true,\"expected\":5,\"sure\":2,\"heard\":\"i1 i3\",\"lost\":\"i2\"}\nrubbish \"fleet view\"\n";
-        let views = views(log);
-        assert_eq!(views.len(), 1);
-        assert_eq!((views[0].heard.len(), views[0].observes, views[0].old), (2, 4, true));
-        assert!(views[0].lost.contains("i2"));
-        assert!((views[0].at - 1_796_166_970_704.6).abs() < 1.0, "{}", views[0].at);
-    }
-}
