--- a/crates/deckproxy-rig/src/judge.rs
+++ b/crates/deckproxy-rig/src/judge.rs
@@ -1,64 +1,14 @@
 //! What a run showed: counted at members, relays and clients. Of two things alone the instances' own logs tell, as nobody
 //! else can: whom each took for dead, and what each had on its board.
 
+use crate::fleet_view::{View, views};
 use crate::plan::What;
 use crate::play::Played;
-use crate::posts::Absences;
+use crate::processes::Absences;
 use deckproxy_standins::record::Fact;
 use deckproxy_standins::rules::{self, Verdict};
-use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// What an instance saw of the fleet from a time on.
-#[derive(Clone, Debug, PartialEq)]
-pub struct View {
-    /// Unix time, ms.
-    pub at: f64,
-    /// Those heard.
-    pub heard: BTreeSet<String>,
-    /// Those taken for gone.
-    pub lost: BTreeSet<String>,
-    /// Instances expected, and those that hear it too.
-    pub expected: u64,
-    /// See `expected`.
-    pub sure: u64,
-    /// It took itself to be in the larger part.
-    pub larger: bool,
-    /// It took its view for old.
-    pub old: bool,
-    /// Members that it observes, and that it holds back.
-    pub observes: u64,
-    /// See `observes`.
-    pub held: u64,
-    /// The same number where boards said the same.
-    pub board: String,
-}
-
-/// The views in a log.
-pub fn views(log: &str) -> Vec<View> {
-    let lines = log.lines().filter(|line| line.contains("\"fleet view\""));
-    lines.filter_map(|line| view(&serde_json::from_str(line).ok()?)).collect()
-}
-
-fn view(line: &Value) -> Option<View> {
-    let number = |name: &str| line[name].as_u64();
-    let names = |field: &str| Some(line[field].as_str()?.split_whitespace().map(String::from).collect());
-    let at = humantime::parse_rfc3339(line["ts"].as_str()?).ok()?;
-    let at = at.duration_since(std::time::UNIX_EPOCH).ok()?.as_secs_f64() * 1000.0;
-    Some(View {
-        at,
-        heard: names("heard")?,
-        lost: names("lost")?,
-        expected: number("expected")?,
-        sure: number("sure")?,
-        larger: line["larger"].as_bool()?,
-        old: line["old"].as_bool()?,
-        observes: number("observes")?,
-        held: number("held")?,
-        board: line["board"].as_str()?.to_string(),
-    })
-}
-
 /// What was counted.
 #[derive(Clone, Debug)]
 pub struct Figures {
@@ -248,26 +198,3 @@
     }
     Some(worst)
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn spans_and_gaps_are_counted() {
-        assert_eq!(most_within(&[0.0, 500.0, 1999.0, 2000.0, 2400.0], 2000.0), 4);
-        assert_eq!(longest_gap(&[1000.0, 1500.0, 9000.0], 0.0, 10_000.0), 7500.0);
-        assert_eq!(longest_gap(&[], 0.0, 3000.0), 3000.0);
-    }
-
-    #[test]
-    fn views_are_read_from_a_log() {
-        let log = "{\"msg\":\"serving\"}\n{\"msg\":\"fleet view\",\"level\":\"INFO\",\"ts\":\"2026-12-01T23:16:10.70459065Z\",\
-                   \"board\":\"2d\",\"held\":1,\"observes\":4,\"old\":true,\"larger\":true,\"expected\":5,\"sure\":2,\"heard\":\"i1 i3\",\"lost\":\"i2\"}\nrubbish \"fleet view\"\n";
-        let views = views(log);
-        assert_eq!(views.len(), 1);
-        assert_eq!((views[0].heard.len(), views[0].observes, views[0].old), (2, 4, true));
-        assert!(views[0].lost.contains("i2"));
-        assert!((views[0].at - 1_796_166_970_704.6).abs() < 1.0, "{}", views[0].at);
-    }
-}
