--- a/crates/deckproxy-model/src/hosts.rs
+++ b/crates/deckproxy-model/src/hosts.rs
@@ -7,10 +7,10 @@
 use crate::{Micros, clock, stream};
 use ahash::AHashMap;
 use bytes::Bytes;
-use deckproxy::protocol::back::{self, Reply, Word};
 use deckproxy::protocol::config;
+use deckproxy::protocol::downstream::{Answer, Call};
 use deckproxy::protocol::feed::{Entry, News, Phase};
-use deckproxy::protocol::front::{Answer, Call};
+use deckproxy::protocol::upstream::{self, Reply, Word};
 use deckproxy::routing::router::{self, Broke, Router};
 use deckproxy_recovery::admission::{self, Admission, Ended, Verdict};
 use rand::RngExt;
@@ -346,7 +346,7 @@
     }
 
     fn reply(&mut self, now: Micros, key: Key, back: &Back) {
-        let copy = back.issued.map(|at| back::Copy { issued: Some(at), tag: Box::default() });
+        let copy = back.issued.map(|at| upstream::Copy { issued: Some(at), tag: Box::default() });
         let report = vec![("busy_reqs".into(), back.report[0]), ("cpu_share".into(), back.report[1])];
         let reply = Reply { id: Box::default(), word: back.word, report, copy, body: Bytes::new() };
         self.router.reply(clock(now), key, reply);
--- a/crates/deckproxy/src/program/clients.rs
+++ b/crates/deckproxy/src/program/clients.rs
@@ -2,7 +2,7 @@
 
 use crate::program::gateway::{ACCEPT_AGAIN, ACCEPTS, Chore, Gateway, Need, Peer, context};
 use crate::program::subsystem::{Event, Verdict};
-use crate::protocol::front::{self, Answer, Message};
+use crate::protocol::downstream::{self, Answer, Message};
 use crate::protocol::limits;
 use crate::routing::router::ClientId;
 use crate::transport::client::Client;
@@ -274,7 +274,7 @@
             }
             Message::Ping(request) => {
                 client.follows(request);
-                client.push(front::ready(request, self.terminating.is_none()));
+                client.push(downstream::ready(request, self.terminating.is_none()));
                 self.parts.tell(&context(now, &self.router), &Event::Ponged { client: id });
             }
             Message::Abort(requests) => {
--- a/crates/deckproxy/src/program/fleet.rs
+++ b/crates/deckproxy/src/program/fleet.rs
@@ -2,8 +2,8 @@
 //! requests pass while the fleet is overloaded.
 
 use crate::program::subsystem::{Callers, Context, Effect, Effects, Event, Subsystem, Verdict, ended};
-use crate::protocol::back::Word;
-use crate::protocol::front::{Answer, Call};
+use crate::protocol::downstream::{Answer, Call};
+use crate::protocol::upstream::Word;
 use crate::routing::router::{AttemptKey, ClientId, Router};
 use crate::transport::clock;
 use deckproxy_control::interface::{self, Lifecycle};
--- a/crates/deckproxy/src/program/flows.rs
+++ b/crates/deckproxy/src/program/flows.rs
@@ -2,8 +2,8 @@
 //! that requests leave.
 
 use crate::program::subsystem::{Context, Effect, Effects, Event, FAR, Note, Subsystem, micros};
-use crate::protocol::back::Word;
-use crate::protocol::front::Answer;
+use crate::protocol::downstream::Answer;
+use crate::protocol::upstream::Word;
 use crate::routing::router::{AttemptKey, ClientId};
 use crate::transport::clock;
 use crate::transport::outbox::Written;
--- a/crates/deckproxy/src/program/gateway.rs
+++ b/crates/deckproxy/src/program/gateway.rs
@@ -4,8 +4,8 @@
 use crate::program::parts::Parts;
 use crate::program::subsystem::{Context, Effect as PartEffect, Event, FAR, LineId, micros};
 use crate::program::usage::Usage;
-use crate::protocol::back;
 use crate::protocol::limits::{self, Bounds};
+use crate::protocol::upstream;
 use crate::routing::counters::ENDINGS;
 use crate::routing::members::Place;
 use crate::routing::router::{AttemptKey, ClientId, Effect, Router};
@@ -462,7 +462,7 @@
                         member: self.router.member_name(member),
                     };
                     self.parts.tell(&context(now, &self.router), &event);
-                    let parts = back::ask(&call, &orders);
+                    let parts = upstream::ask(&call, &orders);
                     self.send(now, (key, member, place), &call.name, Message::Ask { parts, unsent });
                 }
                 Effect::Probe { key, member, place } => {
--- a/crates/deckproxy/src/program/recovery.rs
+++ b/crates/deckproxy/src/program/recovery.rs
@@ -1,7 +1,7 @@
 //! Recovery from storms, before the router: which requests pass, and when the others are asked back.
 
 use crate::program::subsystem::{Callers, Context, Effects, Event, Subsystem, Verdict, ended};
-use crate::protocol::front::{Answer, Call};
+use crate::protocol::downstream::{Answer, Call};
 use crate::routing::router::ClientId;
 use deckproxy_operator::{Client, Operator};
 use deckproxy_recovery::admission::{self, Admission, Ended};
--- a/crates/deckproxy/src/program/sites.rs
+++ b/crates/deckproxy/src/program/sites.rs
@@ -3,8 +3,8 @@
 use crate::program::subsystem::{
     Context, Effect, Effects, Event, FAR, LineId, Note, Subsystem, Verdict, ended,
 };
-use crate::protocol::back::Copy;
-use crate::protocol::front::{Answer, Call};
+use crate::protocol::downstream::{Answer, Call};
+use crate::protocol::upstream::Copy;
 use crate::protocol::{limits, link};
 use crate::routing::router::ClientId;
 use bytes::Bytes;
--- a/crates/deckproxy/src/program/subsystem.rs
+++ b/crates/deckproxy/src/program/subsystem.rs
@@ -4,8 +4,8 @@
 //! ([`Event`]) with what it may look at ([`Context`]), and puts typed effects ([`Effect`]) behind those that wait. It
 //! knows neither the loop nor its fellows, so that each can be read, tested and switched off alone.
 
-use crate::protocol::back::{Copy, Word};
-use crate::protocol::front::{Answer, Call};
+use crate::protocol::downstream::{Answer, Call};
+use crate::protocol::upstream::{Copy, Word};
 use crate::routing::router::{AttemptKey, ClientId, Router};
 use crate::transport::outbox::Written;
 use bytes::Bytes;
--- a/crates/deckproxy/src/protocol/link.rs
+++ b/crates/deckproxy/src/protocol/link.rs
@@ -1,6 +1,6 @@
 //! Links between gateways: a length of four bytes, then a protobuf frame of `deckproxy_sites::frame`.
 
-use crate::protocol::front::{self, Call};
+use crate::protocol::downstream::{self, Call};
 use crate::protocol::limits;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use deckproxy_sites::frame::{Ask, Frame};
@@ -70,8 +70,8 @@
 
 /// A request that came over a link, held to the same rules as a client's.
 pub fn call(ask: Ask) -> Result<Call, &'static str> {
-    let key = ask.key.as_deref().map(|key| front::word(key, "key")).transpose()?;
-    let have = ask.have.as_deref().map(|have| front::word(have, "have")).transpose()?;
+    let key = ask.key.as_deref().map(|key| downstream::word(key, "key")).transpose()?;
+    let have = ask.have.as_deref().map(|have| downstream::word(have, "have")).transpose()?;
     if ask.class.len() > limits::FIELD {
         return Err("class");
     }
@@ -86,11 +86,11 @@
         return Err("size or allow is out of range");
     }
     Ok(Call {
-        name: front::hex(&ask.name, "name")?.0,
+        name: downstream::hex(&ask.name, "name")?.0,
         class: ask.class.into(),
         allow: ask.allow,
         key,
-        object: front::hex(&ask.object, "object")?,
+        object: downstream::hex(&ask.object, "object")?,
         part: ask.part,
         group: ask.group,
         size,
--- a/crates/deckproxy/src/protocol/back.rs
+++ b/crates/deckproxy/src/protocol/upstream.rs
@@ -3,7 +3,7 @@
 //! The decoder is this project's own: it keeps its place in a message, checks each length before anything is
 //! reserved for it, and gives bodies as slices of what was read.
 
-use crate::protocol::front::Call;
+use crate::protocol::downstream::Call;
 use crate::protocol::limits;
 use bytes::{Bytes, BytesMut};
 use std::fmt::Write;
--- a/crates/deckproxy/src/routing/counters.rs
+++ b/crates/deckproxy/src/routing/counters.rs
@@ -1,6 +1,6 @@
 //! What the summary lines tell.
 
-use crate::protocol::front::Answer;
+use crate::protocol::downstream::Answer;
 
 /// Counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
--- a/crates/deckproxy/src/routing/router.rs
+++ b/crates/deckproxy/src/routing/router.rs
@@ -3,10 +3,10 @@
 //! It makes no choice of its own. It tells the module what happened, carries out what the module decides,
 //! ends attempts and requests whose time is over, and checks what must hold of that.
 
-use crate::protocol::back::{Copy, Orders, Reply, Word};
+use crate::protocol::downstream::{Answer, Call};
 use crate::protocol::feed::News;
-use crate::protocol::front::{Answer, Call};
 use crate::protocol::limits;
+use crate::protocol::upstream::{Copy, Orders, Reply, Word};
 use crate::routing::counters::Counters;
 use crate::routing::members::{Members, Place};
 use crate::routing::timers::Timers;
--- a/crates/deckproxy/src/transport/client.rs
+++ b/crates/deckproxy/src/transport/client.rs
@@ -1,6 +1,6 @@
 //! A client's connection.
 
-use crate::protocol::front::{self, Answer, Broken, Decoder, Message};
+use crate::protocol::downstream::{self, Answer, Broken, Decoder, Message};
 use crate::protocol::limits;
 use crate::transport::outbox::{Outgoing, Written};
 use crate::transport::stream::{Progress, Stream};
@@ -175,7 +175,7 @@
     /// Appends the answer to an admitted request, or to one that was not.
     pub fn answer(&mut self, id: u32, answer: &Answer, admitted: bool) {
         let key = if admitted { COUNTED } else { OTHER };
-        self.append(Outgoing { key, parts: front::answer(id, answer) });
+        self.append(Outgoing { key, parts: downstream::answer(id, answer) });
     }
 
     /// Appends bytes that answer no request.
--- a/crates/deckproxy/src/transport/member.rs
+++ b/crates/deckproxy/src/transport/member.rs
@@ -1,6 +1,6 @@
 //! A connection to a member. It carries many attempts, and knows of each whether it was written whole.
 
-use crate::protocol::back::{self, Decoder, Reply};
+use crate::protocol::upstream::{self, Decoder, Reply};
 use crate::transport::outbox::{Outgoing, Written};
 use crate::transport::stream::{Progress, Stream};
 use bytes::Bytes;
@@ -107,7 +107,7 @@
 
     /// Appends a probe.
     pub fn probe(&mut self, key: u64, name: Box<str>, now: f64) {
-        let message = Outgoing::whole(key, back::probe(&name));
+        let message = Outgoing::whole(key, upstream::probe(&name));
         self.add(key, name, message, false, now);
     }
 
@@ -151,7 +151,7 @@
         }
         let cut = self.stream.cut().is_some_and(|cut| cut.key == key);
         if ask.quits {
-            self.stream.push(Outgoing::whole(OTHER, back::quit(&ask.name)));
+            self.stream.push(Outgoing::whole(OTHER, upstream::quit(&ask.name)));
         }
         self.given_up.insert(ask.name);
         let silent = ask.written.is_some_and(|at| self.heard < at && now - at > patience);
--- a/crates/deckproxy/tests/closing.rs
+++ b/crates/deckproxy/tests/closing.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use deckproxy::protocol::{front, limits};
+use deckproxy::protocol::{downstream, limits};
 use deckproxy::transport::client as transport;
 use deckproxy::transport::stream::Stream;
 use deckproxy_standins::wait::until_in;
@@ -260,13 +260,13 @@
     while client.holds() < limits::CLIENT_REFUSALS {
         assert!(!client.is_overfull(), "{} bytes", client.holds());
         id += 1;
-        client.answer(id, &front::Answer::Refused(0.0), false);
+        client.answer(id, &downstream::Answer::Refused(0.0), false);
     }
-    client.answer(id + 1, &front::Answer::Refused(0.0), false);
+    client.answer(id + 1, &downstream::Answer::Refused(0.0), false);
     assert!(client.is_overfull());
     // What the kernel has is not held here; answers to open requests are bounded by their number.
     client.flush(1.0, |_| {}).unwrap();
     assert!(!client.is_overfull() && client.holds() == 0);
-    client.answer(id + 2, &front::Answer::Served(vec![0; 200_000].into()), true);
+    client.answer(id + 2, &downstream::Answer::Served(vec![0; 200_000].into()), true);
     assert!(!client.is_overfull());
 }
--- a/crates/deckproxy/tests/codecs.rs
+++ b/crates/deckproxy/tests/codecs.rs
@@ -1,9 +1,9 @@
 //! Properties of the decoders: any split gives the same values, and no bytes make them panic or grow.
 
 use bytes::{Bytes, BytesMut};
-use deckproxy::protocol::back::{self, Orders, Reply, Word};
+use deckproxy::protocol::downstream::{self, Answer, Broken, Call, Message};
 use deckproxy::protocol::feed::{self, Line, News};
-use deckproxy::protocol::front::{self, Answer, Broken, Call, Message};
+use deckproxy::protocol::upstream::{self, Orders, Reply, Word};
 use deckproxy::protocol::{config, limits};
 use proptest::prelude::*;
 use rmpv::Value;
@@ -23,7 +23,7 @@
 }
 
 fn messages(bytes: &[u8], cuts: &[usize]) -> Vec<Result<Message, Broken>> {
-    let mut decoder = front::Decoder::default();
+    let mut decoder = downstream::Decoder::default();
     let mut broken = false;
     in_pieces(bytes, cuts, |buffer| {
         let mut got = Vec::new();
@@ -45,7 +45,7 @@
 }
 
 fn replies(bytes: &[u8], cuts: &[usize]) -> Vec<Result<Reply, &'static str>> {
-    let mut decoder = back::Decoder::default();
+    let mut decoder = upstream::Decoder::default();
     let mut broken = false;
     in_pieces(bytes, cuts, |buffer| {
         let mut got = Vec::new();
@@ -236,7 +236,7 @@
         body: Bytes::from_static(b"body"),
     };
     let text = |orders: &Orders| {
-        let all: Vec<u8> = back::ask(&call, orders).iter().flat_map(|p| p.to_vec()).collect();
+        let all: Vec<u8> = upstream::ask(&call, orders).iter().flat_map(|p| p.to_vec()).collect();
         String::from_utf8(all).unwrap()
     };
     let fields = "lane=page,name=7f3a9c21e0b4d655,piece=3,ttl=1499,dedupe=5c0f,mine=4be0";
@@ -261,8 +261,8 @@
 
 #[test]
 fn probes_and_withdrawals_are_words_of_one_argument() {
-    assert_eq!(back::probe("p1"), &b"*2\r\n$4\r\nINFO\r\n$2\r\np1\r\n"[..]);
-    assert_eq!(back::quit("9b1f"), &b"*2\r\n$4\r\nQUIT\r\n$4\r\n9b1f\r\n"[..]);
+    assert_eq!(upstream::probe("p1"), &b"*2\r\n$4\r\nINFO\r\n$2\r\np1\r\n"[..]);
+    assert_eq!(upstream::quit("9b1f"), &b"*2\r\n$4\r\nQUIT\r\n$4\r\n9b1f\r\n"[..]);
     // Answers to probes come with or without fields and body.
     for (text, alive, report) in [
         ("*2\r\n$2\r\np1\r\n$5\r\nalive\r\n", true, vec![]),
@@ -286,15 +286,15 @@
         value.to_string()
     };
     let body = Bytes::from(vec![1, 2]);
-    assert_eq!(read(front::answer(7, &Answer::Served(body))), "[1, 7, nil, [[1, 2], {}]]");
-    assert_eq!(read(front::answer(7, &Answer::Unchanged)), "[1, 7, nil, [[], {\"notmod\": \"1\"}]]");
+    assert_eq!(read(downstream::answer(7, &Answer::Served(body))), "[1, 7, nil, [[1, 2], {}]]");
+    assert_eq!(read(downstream::answer(7, &Answer::Unchanged)), "[1, 7, nil, [[], {\"notmod\": \"1\"}]]");
     assert_eq!(
-        read(front::answer(7, &Answer::Refused(120.7))),
+        read(downstream::answer(7, &Answer::Refused(120.7))),
         "[1, 7, [\"Shed\", {\"cooldown\": \"120\"}], nil]"
     );
-    assert_eq!(read(front::answer(7, &Answer::Refused(0.0))), "[1, 7, [\"Shed\", {}], nil]");
-    assert_eq!(read(front::answer(7, &Answer::Failed)), "[1, 7, [\"Fault\", {}], nil]");
-    assert_eq!(read([front::ready(8, true), Bytes::new(), Bytes::new()]), "[1, 8, nil, [true, {}]]");
+    assert_eq!(read(downstream::answer(7, &Answer::Refused(0.0))), "[1, 7, [\"Shed\", {}], nil]");
+    assert_eq!(read(downstream::answer(7, &Answer::Failed)), "[1, 7, [\"Fault\", {}], nil]");
+    assert_eq!(read([downstream::ready(8, true), Bytes::new(), Bytes::new()]), "[1, 8, nil, [true, {}]]");
 }
 
 #[test]
--- a/crates/deckproxy/tests/endings.rs
+++ b/crates/deckproxy/tests/endings.rs
@@ -1,9 +1,9 @@
 //! What happens to an attempt and which ending the module is told, row by row as docs/architecture.md has it.
 
 use bytes::Bytes;
-use deckproxy::protocol::back::{Reply, Word};
 use deckproxy::protocol::config;
-use deckproxy::protocol::front::{Answer, Call};
+use deckproxy::protocol::downstream::{Answer, Call};
+use deckproxy::protocol::upstream::{Reply, Word};
 use deckproxy::routing::counters::ENDINGS;
 use deckproxy::routing::router::{AttemptKey, Broke, Effect, Router};
 use serde_json::json;
--- a/crates/deckproxy/tests/links.rs
+++ b/crates/deckproxy/tests/links.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Bytes, BytesMut};
 use deckproxy::protocol::link::{self, Decoder};
-use deckproxy::protocol::{front, limits};
+use deckproxy::protocol::{downstream, limits};
 use deckproxy_sites::frame::{Answer, Ask, Beat, Credit, Frame, Numbers, Piece, Purge, Say};
 use proptest::prelude::*;
 
@@ -93,7 +93,7 @@
 
 #[test]
 fn a_call_crosses_and_comes_out_the_same() {
-    let call = front::Call {
+    let call = downstream::Call {
         name: "9b1f03aa5c7e2d41".into(),
         class: "post".into(),
         allow: 1234.0,
--- a/crates/deckproxy/tests/routing.rs
+++ b/crates/deckproxy/tests/routing.rs
@@ -2,10 +2,10 @@
 //! request that has ended, one attempt at a time, no more of them than the settings allow.
 
 use bytes::Bytes;
-use deckproxy::protocol::back::{Reply, Word};
 use deckproxy::protocol::config;
+use deckproxy::protocol::downstream::{Answer, Call};
 use deckproxy::protocol::feed::{Entry, News, Phase};
-use deckproxy::protocol::front::{Answer, Call};
+use deckproxy::protocol::upstream::{Reply, Word};
 use deckproxy::routing::router::{AttemptKey, Broke, Effect, Router};
 use proptest::prelude::*;
 use serde_json::json;
