--- a/crates/deckproxy-adapter/src/host.rs
+++ b/crates/deckproxy-adapter/src/host.rs
@@ -2,7 +2,7 @@
 
 use crate::wire::{Batch, Reply, WireError, WireEvent};
 use deckproxy_control::Control;
-use deckproxy_control::interface::{Action, Event, Load};
+use deckproxy_control::interface::{Action, Event, LoadReport};
 use deckproxy_settings as settings;
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -13,7 +13,7 @@
 }
 
 impl Instance {
-    fn load(&self, values: &[f32]) -> Option<Load> {
+    fn load(&self, values: &[f32]) -> Option<LoadReport> {
         settings::load(self.report.iter().map(String::as_str).zip(values.iter().map(|v| f64::from(*v))))
     }
 }
@@ -63,18 +63,18 @@
                 self.instances.remove(&id);
                 return Ok(());
             }
-            WireEvent::Members(kind, list) => Event::Members(kind, list),
+            WireEvent::MemberList(kind, list) => Event::MemberList(kind, list),
             WireEvent::Request(r) => Event::Request(r),
             WireEvent::First { request, attempt } => Event::First { request, attempt },
             WireEvent::Outcome { request, attempt, member, ending, elapsed, finished, note, load } => {
                 let load = self.instances.get(&id).and_then(|i| i.load(&load));
                 Event::Outcome { request, attempt, member, ending, elapsed, finished, note, load }
             }
-            WireEvent::Gone(request) => Event::Gone(request),
+            WireEvent::ClientGone(request) => Event::ClientGone(request),
             WireEvent::Timer(token) => Event::Timer(token),
-            WireEvent::Probed { member, ok, load } => {
+            WireEvent::HealthChecked { member, ok, load } => {
                 let load = self.instances.get(&id).and_then(|i| i.load(&load));
-                Event::Probed { member, ok, load }
+                Event::HealthChecked { member, ok, load }
             }
             WireEvent::Peer(from, text) => Event::Peer(from, text),
             WireEvent::Purged { object, group, age } => Event::Purged { object, group, age },
--- a/crates/deckproxy-adapter/src/wire.rs
+++ b/crates/deckproxy-adapter/src/wire.rs
@@ -3,7 +3,9 @@
 //! Fields are little-endian and unpadded; event records have 56 bytes, action records 40, and data without a
 //! fixed size lies in the frame's tail. Times are milliseconds on both sides.
 
-use deckproxy_control::interface::{Action, Ending, How, Lifecycle, ListKind, Member, Note, Request};
+use deckproxy_control::interface::{
+    Action, AttemptEnding, FillNote, GetOptions, Lifecycle, ListKind, Member, Request,
+};
 use std::fmt;
 use std::io::{self, Read};
 
@@ -67,7 +69,7 @@
     /// The instance is dead.
     Destroy,
     /// News of the members.
-    Members(ListKind, Vec<Member>),
+    MemberList(ListKind, Vec<Member>),
     /// A request.
     Request(Request),
     /// A stream has begun.
@@ -86,22 +88,22 @@
         /// Where it went.
         member: u32,
         /// How it ended.
-        ending: Ending,
+        ending: AttemptEnding,
         /// Time since it was sent.
         elapsed: f64,
         /// The request is over.
         finished: bool,
         /// What is told of the copy or fill.
-        note: Note,
+        note: FillNote,
         /// The raw load report.
         load: Vec<f32>,
     },
     /// The client has left.
-    Gone(u32),
+    ClientGone(u32),
     /// A timer.
     Timer(u64),
     /// A probe's result.
-    Probed {
+    HealthChecked {
         /// The member.
         member: u32,
         /// Whether it answered well.
@@ -264,7 +266,7 @@
             };
             let lines = f.tail(8, tail, ENTRY)?;
             let members = lines.chunks_exact(ENTRY).map(entry).collect::<Result<_, _>>()?;
-            WireEvent::Members(kind, members)
+            WireEvent::MemberList(kind, members)
         }
         2 => {
             let size = f.f32(19)?;
@@ -289,9 +291,9 @@
             note: note(f.u32(23)?),
             load: f.load(35)?,
         },
-        5 => WireEvent::Gone(f.u32(3)?),
+        5 => WireEvent::ClientGone(f.u32(3)?),
         6 => WireEvent::Timer(f.u64(3)?),
-        7 => WireEvent::Probed { member: f.u32(3)?, ok: f.u16(7)? == 200, load: f.load(17)? },
+        7 => WireEvent::HealthChecked { member: f.u32(3)?, ok: f.u16(7)? == 200, load: f.load(17)? },
         8 => WireEvent::Peer(u32::from(f.u16(3)?), f.tail(5, tail, 1)?.to_vec()),
         9 => WireEvent::Destroy,
         10 => {
@@ -327,34 +329,34 @@
     })
 }
 
-fn ending(code: u16) -> Result<Ending, WireError> {
+fn ending(code: u16) -> Result<AttemptEnding, WireError> {
     Ok(match code {
-        200 => Ending::Ok,
-        502 => Ending::Error,
-        429 => Ending::Full,
-        408 => Ending::Timeout,
-        521 => Ending::ConnectFailed,
-        520 => Ending::Reset,
-        444 => Ending::Cancelled,
-        409 => Ending::Moot,
-        204 => Ending::Miss,
+        200 => AttemptEnding::Served,
+        502 => AttemptEnding::Error,
+        429 => AttemptEnding::Rejected,
+        408 => AttemptEnding::Timeout,
+        521 => AttemptEnding::ConnectFailed,
+        520 => AttemptEnding::Reset,
+        444 => AttemptEnding::Cancelled,
+        409 => AttemptEnding::NotSent,
+        204 => AttemptEnding::Miss,
         other => return Err(WireError::Malformed(format!("unknown outcome {other}"))),
     })
 }
 
-fn note(code: u32) -> Note {
+fn note(code: u32) -> FillNote {
     match code {
-        1 => Note::Hit,
-        2 => Note::Filled,
-        3 => Note::FilledByOrigin,
-        4 => Note::Joined,
-        5 => Note::Stale,
-        6 => Note::SourceRefused,
-        7 => Note::SourceFailed,
-        8 => Note::SourceLacks,
-        9 => Note::NoPlace,
-        10 => Note::OriginFailed,
-        _ => Note::None,
+        1 => FillNote::Hit,
+        2 => FillNote::Filled,
+        3 => FillNote::FilledByOrigin,
+        4 => FillNote::Joined,
+        5 => FillNote::Stale,
+        6 => FillNote::SourceRefused,
+        7 => FillNote::SourceFailed,
+        8 => FillNote::SourceLacks,
+        9 => FillNote::NoPlace,
+        10 => FillNote::OriginFailed,
+        _ => FillNote::None,
     }
 }
 
@@ -374,7 +376,7 @@
             Action::LookUp { request, member, until } => {
                 r.code(0).u32(3, *request).f64(7, *until).u32(15, *member);
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 r.code(1).u32(3, *request).f64(7, *retry_after);
             }
             Action::Fail { request } => {
@@ -386,13 +388,13 @@
             Action::Timer { token, at } => {
                 r.code(4).u64(3, *token).f64(11, *at);
             }
-            Action::Probe(member) => {
+            Action::HealthCheck(member) => {
                 r.code(5).u32(3, *member);
             }
             Action::Close(member) => {
                 r.code(6).u32(3, *member);
             }
-            Action::Tell(to, text) => {
+            Action::SendToPeer(to, text) => {
                 let at = self.append(&text[..text.len().min(PEER_MOST)]);
                 r.code(7).u16(3, to.map_or(u16::MAX, |p| p as u16)).u32(5, at.0).u32(9, at.1);
             }
@@ -443,9 +445,9 @@
     }
 }
 
-fn manner(how: How) -> u8 {
+fn manner(how: GetOptions) -> u8 {
     u8::from(how.join)
-        | u8::from(how.held_only) << 1
+        | u8::from(how.cached_only) << 1
         | u8::from(how.no_parent_copy) << 2
         | u8::from(how.renew) << 3
 }
--- a/crates/deckproxy-adapter/tests/wire.rs
+++ b/crates/deckproxy-adapter/tests/wire.rs
@@ -98,7 +98,7 @@
     };
     assert_eq!(batch.event(0).unwrap(), (3, WireEvent::Request(request)));
     assert_eq!(batch.event(1).unwrap(), (3, WireEvent::Timer(77)));
-    assert_eq!(batch.event(2).unwrap(), (5, WireEvent::Gone(0x0e6f_2b19)));
+    assert_eq!(batch.event(2).unwrap(), (5, WireEvent::ClientGone(0x0e6f_2b19)));
     assert!(batch.event(3).is_err());
 }
 
@@ -107,7 +107,7 @@
     let list = hex("01 0000000000000000 0000803f 0000 00 0000 074a1203
         02 0000000000d4b740 0000c03f 0200 01 0500 f211902c
         00 0000000000000000 00000000 0000 00 0000 01000000");
-    let WireEvent::Members(kind, members) = one("01 0300 03 29000000 00000000 03000000", &list).unwrap()
+    let WireEvent::MemberList(kind, members) = one("01 0300 03 29000000 00000000 03000000", &list).unwrap()
     else {
         panic!("no list")
     };
@@ -129,10 +129,10 @@
             request: 0x5d3a_91c4,
             attempt: 2,
             member: 0x0312_4a07,
-            ending: Ending::Miss,
+            ending: AttemptEnding::Miss,
             elapsed: 18.5,
             finished: true,
-            note: Note::Joined,
+            note: FillNote::Joined,
             load: vec![1.0, 2.0],
         }
     );
@@ -142,7 +142,7 @@
     );
     assert_eq!(
         one("07 0300 074a1203 c800 0000000000803240 01 0000803f", &[]).unwrap(),
-        WireEvent::Probed { member: 0x0312_4a07, ok: true, load: vec![1.0] }
+        WireEvent::HealthChecked { member: 0x0312_4a07, ok: true, load: vec![1.0] }
     );
     assert_eq!(one("08 0300 0200 00000000 02000000", b"hi").unwrap(), WireEvent::Peer(2, b"hi".to_vec()));
     assert_eq!(one("09 0300", &[]).unwrap(), WireEvent::Destroy);
@@ -159,15 +159,15 @@
 #[test]
 fn every_ending_has_its_code() {
     let codes = [
-        (200u16, Ending::Ok),
-        (502, Ending::Error),
-        (429, Ending::Full),
-        (408, Ending::Timeout),
-        (521, Ending::ConnectFailed),
-        (520, Ending::Reset),
-        (444, Ending::Cancelled),
-        (409, Ending::Moot),
-        (204, Ending::Miss),
+        (200u16, AttemptEnding::Served),
+        (502, AttemptEnding::Error),
+        (429, AttemptEnding::Rejected),
+        (408, AttemptEnding::Timeout),
+        (521, AttemptEnding::ConnectFailed),
+        (520, AttemptEnding::Reset),
+        (444, AttemptEnding::Cancelled),
+        (409, AttemptEnding::NotSent),
+        (204, AttemptEnding::Miss),
     ];
     for (code, want) in codes {
         let code = format!("{:02x}{:02x}", code & 255, code >> 8);
@@ -184,14 +184,14 @@
             Action::LookUp { request: 0x5d3a_91c4, member: 0x0312_4a07, until: 8492.25 },
             "00 0300 c4913a5d 000000002096c040 074a1203 +21",
         ),
-        (Action::Refuse { request: 0x5d3a_91c4, retry_after: 18.5 }, "01 0300 c4913a5d 0000000000803240 +25"),
+        (Action::Reject { request: 0x5d3a_91c4, retry_after: 18.5 }, "01 0300 c4913a5d 0000000000803240 +25"),
         (Action::Fail { request: 0x5d3a_91c4 }, "02 0300 c4913a5d +33"),
         (Action::Cancel { request: 0x5d3a_91c4, attempt: 2 }, "03 0300 c4913a5d 02 +32"),
         (Action::Timer { token: 77, at: 8912.25 }, "04 0300 4d00000000000000 000000002068c140 +21"),
-        (Action::Probe(0x0312_4a07), "05 0300 074a1203 +33"),
+        (Action::HealthCheck(0x0312_4a07), "05 0300 074a1203 +33"),
         (Action::Close(0x0312_4a07), "06 0300 074a1203 +33"),
-        (Action::Tell(None, b"h7 h".to_vec()), "07 0300 ffff 00000000 04000000 +27"),
-        (Action::Tell(Some(2), b"x".to_vec()), "07 0300 0200 00000000 01000000 +27"),
+        (Action::SendToPeer(None, b"h7 h".to_vec()), "07 0300 ffff 00000000 04000000 +27"),
+        (Action::SendToPeer(Some(2), b"x".to_vec()), "07 0300 0200 00000000 01000000 +27"),
         (Action::Log("two servers known".into()), "08 0300 00000000 11000000 +29"),
         (Action::Watch(true), "0a 0300 01 +36"),
         (Action::Fetch, "0b 0300 +37"),
@@ -203,7 +203,7 @@
                 source: 0x2c90_11f2,
                 keep: 2,
                 age: 1500.0,
-                how: How { join: true, renew: true, ..How::default() },
+                how: GetOptions { join: true, renew: true, ..GetOptions::default() },
             },
             "0c 0300 c4913a5d 074a1203 000000002030c240 f211902c 02 0000000000709740 09 +7",
         ),
@@ -211,8 +211,8 @@
     for (act, want) in cases {
         assert_eq!(action(&act).0, hex(want), "{act:?}");
     }
-    assert_eq!(action(&Action::Tell(None, b"h7 h".to_vec())).1, b"h7 h");
-    assert_eq!(action(&Action::Tell(None, vec![7; 400])).1.len(), 256);
+    assert_eq!(action(&Action::SendToPeer(None, b"h7 h".to_vec())).1, b"h7 h");
+    assert_eq!(action(&Action::SendToPeer(None, vec![7; 400])).1.len(), 256);
     let mut reply = Reply::default();
     reply.push(3, &Action::Log("one".into()));
     reply.panic(5, "broken");
--- a/crates/deckproxy-control/src/control.rs
+++ b/crates/deckproxy-control/src/control.rs
@@ -65,10 +65,10 @@
         match event {
             Event::Started if self.s.list_on_request => self.acts.push(Action::Watch(true)),
             Event::Timer(1) => self.acts.push(Action::Watch(true)),
-            Event::Members(ListKind::Failed, _) => {
+            Event::MemberList(ListKind::Failed, _) => {
                 self.acts.push(Action::Timer { token: 1, at: now + REWATCH });
             }
-            Event::Members(kind, list) => self.members(kind, list),
+            Event::MemberList(kind, list) => self.members(kind, list),
             Event::Request(r) => self.request(r),
             Event::First { request, attempt } => {
                 let o = self.open.get_mut(&request).into_iter();
@@ -77,7 +77,7 @@
             Event::Outcome { request, attempt, member, ending, elapsed, finished, note, load } => {
                 self.outcome(request, attempt, Ended { member, ending, elapsed, note, load }, finished);
             }
-            Event::Gone(id) => {
+            Event::ClientGone(id) => {
                 self.open.get_mut(&id).into_iter().for_each(|o| o.ended = true);
                 self.close(id);
             }
@@ -89,7 +89,7 @@
                 *last = last.max(at);
                 self.purged.retain(|_, at| now <= *at + self.s.purge_done);
             }
-            Event::Probed { .. } | Event::Peer(..) | Event::Started => {}
+            Event::HealthChecked { .. } | Event::Peer(..) | Event::Started => {}
         }
         if !self.sweeping && !self.open.is_empty() {
             (self.sweeping, self.sweep_due) = (true, now + SWEEP);
--- a/crates/deckproxy-control/src/control/dispatch.rs
+++ b/crates/deckproxy-control/src/control/dispatch.rs
@@ -95,10 +95,13 @@
                 Effect::Unsafe => o.maybe_run.is_none(),
             };
             o.ended = true;
-            let retry_after =
-                if self.s.retry_after { self.s.max_retry_after.min(COME_BACK * class.aim) } else { 0.0 };
+            let retry_after = if self.s.retry_after {
+                self.s.max_retry_after.min(COME_BACK * class.latency_objective)
+            } else {
+                0.0
+            };
             self.acts.push(match harmless {
-                true => Action::Refuse { request: id, retry_after },
+                true => Action::Reject { request: id, retry_after },
                 false => Action::Fail { request: id },
             });
         }
--- a/crates/deckproxy-control/src/control/endpoints.rs
+++ b/crates/deckproxy-control/src/control/endpoints.rs
@@ -79,7 +79,7 @@
         }
         for mut m in list {
             // What is no size must not weigh in the hash.
-            m.weight = if self.s.sized { m.weight } else { 1.0 };
+            m.weight = if self.s.weights_are_sizes { m.weight } else { 1.0 };
             match self.peers.get_mut(&m.id) {
                 Some(p) if m.lifecycle == Lifecycle::Gone => p.m.lifecycle = Lifecycle::Gone,
                 None if m.lifecycle == Lifecycle::Gone => {}
--- a/crates/deckproxy-control/src/control/gate.rs
+++ b/crates/deckproxy-control/src/control/gate.rs
@@ -12,7 +12,7 @@
         let Some(o) = self.open.get(&id).filter(|_| room) else { return false };
         let class = &self.s.classes[o.r.class];
         // One at a time or, where allowed, two; attempt count, deadline, a stream that has begun.
-        let most = if self.s.second_copies && class.effect == Effect::Safe { 2 } else { 1 };
+        let most = if self.s.hedged_requests && class.effect == Effect::Safe { 2 } else { 1 };
         let spent = o.ended || o.streaming || o.out.len() >= most;
         if spent || o.sends >= self.s.max_attempts || o.r.expires - now < LEAST_LEFT {
             return false;
@@ -38,11 +38,14 @@
         let (work, cost) = (self.work(&o.r), self.means[o.r.class].0 * COLD_COST);
         let trial = ends.iter().any(|m| self.peers[m].trial);
         let (until, bound) = (o.r.expires, self.purge_bound(&o.r));
-        let age = bound.map_or(0.0, |b| if class.fresh > 0.0 { b.min(class.fresh) } else { b });
+        let age = bound.map_or(0.0, |b| {
+            if class.freshness_lifetime > 0.0 { b.min(class.freshness_lifetime) } else { b }
+        });
         // A crowded origin or link is spared: the parent gives what it holds, the rest is given up at once.
         let spared = kind == Kind::Fill && (self.origin_late(o) || self.leads(id) && self.link_full(o));
-        let held_only = spared && source.is_some_and(|s| self.is_parent(&self.peers[&s].m));
-        let how = How { join: self.s.joins && kind != Kind::LookUp, held_only, ..How::default() };
+        let cached_only = spared && source.is_some_and(|s| self.is_parent(&self.peers[&s].m));
+        let how =
+            GetOptions { join: self.s.joins && kind != Kind::LookUp, cached_only, ..GetOptions::default() };
         let keep = if class.write || !local { 0 } else { RANK };
         self.acts.push(if kind == Kind::LookUp && bound.is_none() || self.is_origin(&target) {
             Action::LookUp { request: id, member: to, until }
@@ -79,7 +82,8 @@
     /// of little worth go first, as their aims leave the least room.
     pub(super) fn too_late(&self, o: &Open, takes: Millis) -> bool {
         let class = &self.s.classes[o.r.class];
-        let aim = (class.aim + class.aim_stretch * self.work(&o.r)).min(class.deadline);
+        let aim =
+            (class.latency_objective + class.latency_objective_stretch * self.work(&o.r)).min(class.deadline);
         let left = (aim - (self.now - o.arrived)).max(aim * 0.5);
         takes + WAY > left
     }
--- a/crates/deckproxy-control/src/control/load.rs
+++ b/crates/deckproxy-control/src/control/load.rs
@@ -106,12 +106,12 @@
 
     /// A member's link in answers at full pace: told, else judged by what its kind bears, once that is seen.
     pub(super) fn size(&self, m: &Member) -> Option<f64> {
-        if self.s.sized { Some(m.weight) } else { self.borne.get(&m.kind)?.size(self.now) }
+        if self.s.weights_are_sizes { Some(m.weight) } else { self.borne.get(&m.kind)?.size(self.now) }
     }
 
     /// Books what a member bore, or its report of how busy it is.
     pub(super) fn bear(&mut self, id: MemberId, work: Millis, busy: Option<f64>) {
-        let Some(m) = self.peers.get(&id).filter(|_| !self.s.sized).map(|p| p.m) else { return };
+        let Some(m) = self.peers.get(&id).filter(|_| !self.s.weights_are_sizes).map(|p| p.m) else { return };
         let new = Borne { work: 0.0, since: self.now, at: self.now, busy: (0.0, 0.0) };
         let alike = 1.0 + self.pool(&m).filter(|p| p.m.kind == m.kind).count() as f64;
         let all = work * self.sharers(&m) / alike;
@@ -137,8 +137,8 @@
     }
 
     /// Takes a member's report of its load.
-    pub(super) fn told(&mut self, id: MemberId, load: Load) {
-        let (now, here, sized) = (self.now, self.s.zone, self.s.sized);
+    pub(super) fn told(&mut self, id: MemberId, load: LoadReport) {
+        let (now, here, sized) = (self.now, self.s.zone, self.s.weights_are_sizes);
         let sharers = self.peers.get(&id).map_or(1.0, |p| self.sharers(&p.m));
         let Some(p) = self.peers.get_mut(&id) else { return };
         let m = p.m;
@@ -146,7 +146,7 @@
         // Where what it holds is not reported, how busy it is tells that, if not busy all the time.
         let taken = load.cpu.filter(|_| sized).map(|x| (x, x * m.weight));
         let taken = taken.filter(|(x, held)| *x < BUSY || *held > p.held.all(sharers, now)).map(|x| x.1);
-        load.held.or(taken).into_iter().for_each(|held| p.held.tell(held, now));
+        load.in_flight.or(taken).into_iter().for_each(|held| p.held.tell(held, now));
         self.bear(id, 0.0, load.cpu);
         let Some(full) = load.link.filter(|_| self.is_cache(&m) && m.zone == here) else { return };
         let all = self.link_fit().map_or(full + self.link.own, |fit| full * fit);
--- a/crates/deckproxy-control/src/control/outcomes.rs
+++ b/crates/deckproxy-control/src/control/outcomes.rs
@@ -7,15 +7,20 @@
         let Some(o) = self.open.get_mut(&id) else { return };
         let Some(i) = o.out.iter().position(|a| a.no == no && a.member == end.member) else { return };
         let a = o.out.remove(i);
-        let ok = end.ending == Ending::Ok;
+        let ok = end.ending == AttemptEnding::Served;
         o.ended |= finished || ok;
-        let never_ran =
-            matches!(end.ending, Ending::Full | Ending::ConnectFailed | Ending::Moot | Ending::Miss);
+        let never_ran = matches!(
+            end.ending,
+            AttemptEnding::Rejected
+                | AttemptEnding::ConnectFailed
+                | AttemptEnding::NotSent
+                | AttemptEnding::Miss
+        );
         if !never_ran && o.maybe_run.is_none() {
             o.maybe_run = Some((a.sent, a.member));
         }
         // What failed at one member and is an error at the next may be the request's own fault.
-        let suspect = end.ending == Ending::Error && !o.bad.is_empty();
+        let suspect = end.ending == AttemptEnding::Error && !o.bad.is_empty();
         let (r, ended) = (o.r, o.ended);
         self.book(&a, &r, end, suspect);
         if ended {
@@ -29,23 +34,27 @@
         }
         // Of two attempts the other one decides, where it waits or fills already.
         let Some(o) = self.open.get(&id) else { return };
-        let missed = end.ending == Ending::Miss && a.kind == Kind::LookUp;
+        let missed = end.ending == AttemptEnding::Miss && a.kind == Kind::LookUp;
         if o.waiting.is_some() || o.out.iter().any(|other| !missed || other.kind == Kind::Fill) {
             return;
         } else if missed {
             // Where misses cannot join another router's fill that is under way, they wait and look again.
-            let under_way = end.note == Note::Joined && !self.s.joins && o.sends < 3 && !self.last_call(o);
+            let under_way =
+                end.note == FillNote::Joined && !self.s.joins && o.sends < 3 && !self.last_call(o);
             if under_way && !self.table.contains_key(&(r.object, r.part)) {
                 let since = self.now - WAIT + self.work(&r) + WAY;
                 return self.open.get_mut(&id).into_iter().for_each(|o| o.waiting = Some(since));
             }
             return self.missed(id, a.member);
         }
-        if end.note == Note::SourceLacks {
+        if end.note == FillNote::SourceLacks {
             return self.give_up(id);
         }
-        let at_cache = matches!(end.ending, Ending::ConnectFailed | Ending::Reset | Ending::Cancelled);
-        let at_source = a.kind == Kind::Fill && !at_cache && end.note != Note::NoPlace;
+        let at_cache = matches!(
+            end.ending,
+            AttemptEnding::ConnectFailed | AttemptEnding::Reset | AttemptEnding::Cancelled
+        );
+        let at_source = a.kind == Kind::Fill && !at_cache && end.note != FillNote::NoPlace;
         let guilty = a.source.filter(|_| at_source).unwrap_or(a.member);
         let Some(o) = self.open.get_mut(&id) else { return };
         o.bad.push(guilty);
@@ -89,7 +98,10 @@
             if m != a.member || a.kind == Kind::LookUp || !a.late {
                 p.held.add(-1.0, self.now);
             }
-            let silent = matches!(end.ending, Ending::Timeout | Ending::Cancelled | Ending::Moot);
+            let silent = matches!(
+                end.ending,
+                AttemptEnding::Timeout | AttemptEnding::Cancelled | AttemptEnding::NotSent
+            );
             // What was taken back before it was late tells of no silence, nor of life.
             if m == a.member && (!silent || self.now < a.late_at) {
                 p.unanswered = if silent { p.unanswered.saturating_sub(1) } else { 0 };
@@ -100,11 +112,11 @@
         let failing = origin.is_some_and(|p| p.trial || p.drag(self.now) > PASS_DRAG);
         let origin = origin.is_some_and(|p| a.member == p.m.id || a.source == Some(p.m.id));
         match end.ending {
-            Ending::Ok => {
+            AttemptEnding::Served => {
                 // What came by way of the origin shows that, where notes tell, unless the parent is slow.
                 let parent = source.and_then(|s| self.peers.get(&s)).filter(|p| self.is_parent(&p.m));
                 let (parent, slow) = (parent.is_some(), parent.is_some_and(|p| p.drag(self.now) > PASS_DRAG));
-                let by_origin = end.note == Note::FilledByOrigin && !self.s.classes[r.class].write;
+                let by_origin = end.note == FillNote::FilledByOrigin && !self.s.classes[r.class].write;
                 if !(by_origin && parent) {
                     self.see(a, |expected| end.elapsed / expected);
                 }
@@ -117,7 +129,8 @@
                 }
                 // Where it is not reported, fills from parents' copies tell how full the link is.
                 let shows = a.kind == Kind::Fill && end.load.is_none_or(|l| l.link.is_none());
-                let shows = shows && a.sure && !matches!(end.note, Note::FilledByOrigin | Note::Joined);
+                let shows =
+                    shows && a.sure && !matches!(end.note, FillNote::FilledByOrigin | FillNote::Joined);
                 if let Some(fit) = self.link_fit().filter(|_| shows) {
                     self.link.tell(FILL_PACE * fit * end.elapsed / (a.work + 2.0 * WAY), self.now);
                 }
@@ -128,24 +141,24 @@
                 self.bear(a.member, a.work, None);
                 if let Some(s) = source {
                     self.judge(s, true);
-                    self.bear(s, if end.note == Note::Joined { 0.0 } else { a.work }, None);
+                    self.bear(s, if end.note == FillNote::Joined { 0.0 } else { a.work }, None);
                 }
             }
-            Ending::Miss => self.judge(a.member, true),
+            AttemptEnding::Miss => self.judge(a.member, true),
             // What fails at a parent while the origin does is not held against it: it still has its copies.
             _ if a.kind == Kind::Fill && !origin && failing || suspect => {}
-            Ending::Timeout | Ending::Full if a.kind != Kind::LookUp && !a.late => {
+            AttemptEnding::Timeout | AttemptEnding::Rejected if a.kind != Kind::LookUp && !a.late => {
                 self.see(a, |_| LATE_DRAG);
-                if end.ending == Ending::Full && a.kind == Kind::Fill {
+                if end.ending == AttemptEnding::Rejected && a.kind == Kind::Fill {
                     self.judge(source.unwrap_or(a.member), false);
                 }
             }
-            Ending::Moot | Ending::Cancelled => {}
+            AttemptEnding::NotSent | AttemptEnding::Cancelled => {}
             // Crowding and the client's own deadline tell nothing of a member's health.
-            Ending::Timeout if !a.trial && end.note == Note::None && !origin => {}
-            Ending::Full if !a.trial && source.is_none() => {}
-            Ending::ConnectFailed | Ending::Reset => self.judge(a.member, false),
-            _ if matches!(end.note, Note::NoPlace | Note::SourceLacks | Note::OriginFailed) => {}
+            AttemptEnding::Timeout if !a.trial && end.note == FillNote::None && !origin => {}
+            AttemptEnding::Rejected if !a.trial && source.is_none() => {}
+            AttemptEnding::ConnectFailed | AttemptEnding::Reset => self.judge(a.member, false),
+            _ if matches!(end.note, FillNote::NoPlace | FillNote::SourceLacks | FillNote::OriginFailed) => {}
             // A fill that failed: nearly always the source, as the cache had room to look up.
             _ => self.judge(source.unwrap_or(a.member), false),
         }
--- a/crates/deckproxy-control/src/control/requests.rs
+++ b/crates/deckproxy-control/src/control/requests.rs
@@ -67,10 +67,10 @@
 #[derive(Clone, Copy)]
 pub(super) struct Ended {
     pub(super) member: MemberId,
-    pub(super) ending: Ending,
+    pub(super) ending: AttemptEnding,
     pub(super) elapsed: Millis,
-    pub(super) note: Note,
-    pub(super) load: Option<Load>,
+    pub(super) note: FillNote,
+    pub(super) load: Option<LoadReport>,
 }
 
 impl Control {
--- a/crates/deckproxy-control/src/control/sweep.rs
+++ b/crates/deckproxy-control/src/control/sweep.rs
@@ -40,7 +40,7 @@
         }
         // Where two attempts may be out, a second one makes up for an answer that got lost.
         for (id, a) in again {
-            if self.s.second_copies && self.retries >= 1.0 && self.emit(id, a.member, a.source, a.kind) {
+            if self.s.hedged_requests && self.retries >= 1.0 && self.emit(id, a.member, a.source, a.kind) {
                 self.retries -= 1.0;
             }
         }
--- a/crates/deckproxy-control/src/interface.rs
+++ b/crates/deckproxy-control/src/interface.rs
@@ -45,15 +45,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// An answer within this span earns the full worth.
-    pub aim: Millis,
+    pub latency_objective: Millis,
     /// The aim grows by this multiple of the request's own sending time.
-    pub aim_stretch: f64,
+    pub latency_objective_stretch: f64,
     /// The span after which a client gives up for good.
     pub deadline: Millis,
     /// What one request is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth that a late answer earns.
-    pub late_share: f64,
+    pub late_weight_share: f64,
     /// What a repeat may do.
     pub effect: Effect,
     /// Who drops repeats of a keyed request.
@@ -61,11 +61,11 @@
     /// How long repeats of a keyed request are dropped.
     pub dedup_window: Millis,
     /// How long a copy is fresh; 0: until it is purged.
-    pub fresh: Millis,
+    pub freshness_lifetime: Millis,
     /// How long past that a copy may still be served.
-    pub grace: Millis,
+    pub stale_lifetime: Millis,
     /// Share of the worth that an answer from a copy past its fresh time earns.
-    pub stale_worth: f64,
+    pub stale_weight_share: f64,
     /// Never kept: it runs at the origin.
     pub write: bool,
     /// Answers are streamed: once begun, an attempt belongs to the client.
@@ -113,7 +113,7 @@
     /// Pace of one answer, KB a second; the unit of the members' weights.
     pub flow: f64,
     /// The members' weights tell their sizes; else they mean nothing.
-    pub sized: bool,
+    pub weights_are_sizes: bool,
     /// The rule on cold caches.
     pub cold_cache: ColdRule,
     /// The rule on cold parents.
@@ -127,7 +127,7 @@
     /// Most attempts of one request.
     pub max_attempts: u32,
     /// Two attempts of one request may be out together.
-    pub second_copies: bool,
+    pub hedged_requests: bool,
     /// Attempts may be cancelled.
     pub cancel: bool,
     /// Refusals may name a time to come back.
@@ -182,13 +182,13 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum AttemptEnding {
     /// Served.
-    Ok,
+    Served,
     /// The member answered with an error; it may have run.
     Error,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// Nothing came in time; it may have run.
     Timeout,
     /// No connection.
@@ -198,14 +198,14 @@
     /// Called off; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
     /// No copy that will do, and none filled.
     Miss,
 }
 
 /// What an answer tells of its copy or fill, where it tells anything.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum FillNote {
     /// Nothing is told.
     None,
     /// From a copy.
@@ -232,9 +232,9 @@
 
 /// A member's report of its load; late and not exact.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
+pub struct LoadReport {
     /// Requests held.
-    pub held: Option<f64>,
+    pub in_flight: Option<f64>,
     /// At a cache, fullness of its location's link; at a parent, fetches out.
     pub link: Option<f64>,
     /// Busy share of its cores.
@@ -266,7 +266,7 @@
     /// The router has started; its last list follows.
     Started,
     /// News of the members.
-    Members(ListKind, Vec<Member>),
+    MemberList(ListKind, Vec<Member>),
     /// A request came.
     Request(Request),
     /// A streamed answer has begun.
@@ -285,28 +285,28 @@
         /// Where it went.
         member: MemberId,
         /// How it ended.
-        ending: Ending,
+        ending: AttemptEnding,
         /// Time since it was sent.
         elapsed: Millis,
         /// The request has its final answer.
         finished: bool,
         /// What is told of the copy or fill.
-        note: Note,
+        note: FillNote,
         /// The member's load, where told.
-        load: Option<Load>,
+        load: Option<LoadReport>,
     },
     /// The client has left; nothing is owed any more.
-    Gone(RequestId),
+    ClientGone(RequestId),
     /// A timer is due.
     Timer(u64),
     /// A probe's result.
-    Probed {
+    HealthChecked {
         /// The member.
         member: MemberId,
         /// Whether it answered.
         ok: bool,
         /// Its load, where told.
-        load: Option<Load>,
+        load: Option<LoadReport>,
     },
     /// A message from another router.
     Peer(u32, Vec<u8>),
@@ -323,11 +323,11 @@
 
 /// The switches of a get.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct How {
+pub struct GetOptions {
     /// Wait for a fill that runs already.
     pub join: bool,
     /// The source gives only what it holds.
-    pub held_only: bool,
+    pub cached_only: bool,
     /// The parent keeps no copy.
     pub no_parent_copy: bool,
     /// Renew an ageing copy behind its answer.
@@ -361,10 +361,10 @@
         /// The oldest copy that will do; 0: the fresh time.
         age: Millis,
         /// Switches.
-        how: How,
+        how: GetOptions,
     },
     /// Final: refused; a new try does no harm.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// When to come back; 0: no advice.
@@ -390,11 +390,11 @@
         at: Millis,
     },
     /// Probe a member.
-    Probe(MemberId),
+    HealthCheck(MemberId),
     /// Close idle connections to a member.
     Close(MemberId),
     /// Send a message to one router, or to all.
-    Tell(Option<u32>, Vec<u8>),
+    SendToPeer(Option<u32>, Vec<u8>),
     /// Subscribe to the list of members, or end that.
     Watch(bool),
     /// Ask for the whole list once.
--- a/crates/deckproxy-control/tests/cold_sums.rs
+++ b/crates/deckproxy-control/tests/cold_sums.rs
@@ -46,7 +46,7 @@
 
     fn tell(&mut self, i: usize) {
         let cold = self.cold;
-        self.rigs[i].event(Event::Members(ListKind::Delta, vec![cold]));
+        self.rigs[i].event(Event::MemberList(ListKind::Delta, vec![cold]));
     }
 
     /// The process is started again: it knows the list, and nothing of what it sent.
@@ -57,7 +57,7 @@
         let position = u32::try_from(i).unwrap();
         let mut rig = Rig::with(Settings { position, ..self.told.clone() }, Vec::new());
         rig.now = now;
-        rig.event(Event::Members(ListKind::Cached, list));
+        rig.event(Event::MemberList(ListKind::Cached, list));
         self.rigs[i] = rig;
     }
 
@@ -72,7 +72,12 @@
                 self.judge.came(self.rigs[i].now, SIZES[class]);
             }
             let fills = source.is_some_and(|s| s != to);
-            self.rigs[i].end(id, attempt, to, if fills { Ending::Ok } else { Ending::Miss });
+            self.rigs[i].end(
+                id,
+                attempt,
+                to,
+                if fills { AttemptEnding::Served } else { AttemptEnding::Miss },
+            );
             attempt += 1;
         }
     }
--- a/crates/deckproxy-control/tests/common/mod.rs
+++ b/crates/deckproxy-control/tests/common/mod.rs
@@ -22,17 +22,17 @@
 
 pub fn class(aim: f64, deadline: f64, effect: Effect, write: bool) -> Class {
     Class {
-        aim,
-        aim_stretch: 2.0,
+        latency_objective: aim,
+        latency_objective_stretch: 2.0,
         deadline,
-        worth: 1.0,
-        late_share: 0.0,
+        priority_weight: 1.0,
+        late_weight_share: 0.0,
         effect,
         group: Group::All,
         dedup_window: 2000.0,
-        fresh: 0.0,
-        grace: 0.0,
-        stale_worth: 0.0,
+        freshness_lifetime: 0.0,
+        stale_lifetime: 0.0,
+        stale_weight_share: 0.0,
         write,
         stream: false,
     }
@@ -41,7 +41,7 @@
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
-            Class { fresh: 12_000.0, ..class(400.0, 8000.0, Effect::Safe, false) },
+            Class { freshness_lifetime: 12_000.0, ..class(400.0, 8000.0, Effect::Safe, false) },
             class(600.0, 8000.0, Effect::Safe, false),
             class(700.0, 6000.0, Effect::Keyed, true),
             class(700.0, 6000.0, Effect::Unsafe, true),
@@ -57,14 +57,14 @@
         joins: true,
         siblings: Siblings::None,
         flow: 1000.0,
-        sized: true,
+        weights_are_sizes: true,
         cold_cache: ColdRule { from: 0.2, ramp: 16_000.0, multiple: 3.0, window: 2000.0 },
         cold_parent: ColdRule { from: 0.1, ramp: 20_000.0, multiple: 2.0, window: 2000.0 },
         purge_grace: 300.0,
         purge_done: 6000.0,
         list_on_request: false,
         max_attempts: 6,
-        second_copies: false,
+        hedged_requests: false,
         cancel: true,
         retry_after: true,
         max_retry_after: 1000.0,
@@ -97,7 +97,7 @@
     pub fn with(settings: Settings, members: Vec<Member>) -> Rig {
         let mut rig = Rig { control: Control::new(settings, 1), now: 1000.0, acts: vec![], next: 1 };
         rig.event(Event::Started);
-        rig.event(Event::Members(ListKind::Cached, members));
+        rig.event(Event::MemberList(ListKind::Cached, members));
         rig
     }
 
@@ -127,9 +127,9 @@
     }
 
     /// Ends the attempt that a send began.
-    pub fn end(&mut self, request: RequestId, attempt: u32, member: MemberId, ending: Ending) {
-        let finished = ending == Ending::Ok;
-        let (elapsed, note, load) = (10.0, Note::None, None);
+    pub fn end(&mut self, request: RequestId, attempt: u32, member: MemberId, ending: AttemptEnding) {
+        let finished = ending == AttemptEnding::Served;
+        let (elapsed, note, load) = (10.0, FillNote::None, None);
         self.event(Event::Outcome { request, attempt, member, ending, elapsed, finished, note, load });
     }
 
@@ -138,18 +138,18 @@
         &mut self,
         (request, attempt): (RequestId, u32),
         member: MemberId,
-        (ending, note): (Ending, Note),
+        (ending, note): (AttemptEnding, FillNote),
         elapsed: Millis,
-        load: Option<Load>,
+        load: Option<LoadReport>,
     ) {
-        let finished = ending == Ending::Ok;
+        let finished = ending == AttemptEnding::Served;
         self.event(Event::Outcome { request, attempt, member, ending, elapsed, finished, note, load });
     }
 
     /// Whether the last step's get asks its source only for what that holds; nothing without a get.
-    pub fn held_only(&self) -> Option<bool> {
+    pub fn cached_only(&self) -> Option<bool> {
         self.acts.iter().find_map(|a| match a {
-            Action::Get { how, .. } => Some(how.held_only),
+            Action::Get { how, .. } => Some(how.cached_only),
             _ => None,
         })
     }
@@ -179,7 +179,7 @@
     pub fn ask_and_miss(&mut self, class: usize, object: u64) -> (RequestId, MemberId) {
         let id = self.ask(class, object, 0);
         let cache = self.sends()[0].1;
-        self.end(id, 0, cache, Ending::Miss);
+        self.end(id, 0, cache, AttemptEnding::Miss);
         (id, cache)
     }
 }
@@ -195,7 +195,7 @@
 }
 
 pub fn refused(acts: &[Action], id: RequestId) -> bool {
-    acts.iter().any(|a| matches!(a, Action::Refuse { request, .. } if *request == id))
+    acts.iter().any(|a| matches!(a, Action::Reject { request, .. } if *request == id))
 }
 
 pub fn failed(acts: &[Action], id: RequestId) -> bool {
--- a/crates/deckproxy-control/tests/ordinary_path.rs
+++ b/crates/deckproxy-control/tests/ordinary_path.rs
@@ -11,7 +11,7 @@
     let home = rig.sends()[0];
     assert!(matches!(rig.acts[0], Action::LookUp { .. }));
     assert!(CACHES.contains(&home.1));
-    rig.end(first, 0, home.1, Ending::Ok);
+    rig.end(first, 0, home.1, AttemptEnding::Served);
     assert!(rig.acts.is_empty());
     rig.ask(SMALL, 5, 0);
     assert_eq!(rig.sends()[0].1, home.1, "an object has one home");
@@ -25,7 +25,7 @@
         let (id, cache) = rig.ask_and_miss(SMALL, object);
         homes.push(cache);
         parents.extend(rig.sends()[0].2);
-        rig.end(id, 1, cache, Ending::Ok);
+        rig.end(id, 1, cache, AttemptEnding::Served);
     }
     assert!(CACHES.iter().all(|c| homes.contains(c)));
     assert!(PARENTS.iter().all(|p| parents.contains(p)), "also the parent of the other hub");
@@ -44,10 +44,10 @@
     for object in 1..40 {
         let (a, at) = here.ask_and_miss(SMALL, object);
         let mine = here.sends()[0].2;
-        here.end(a, 1, at, Ending::Ok);
+        here.end(a, 1, at, AttemptEnding::Served);
         let (b, at) = there.ask_and_miss(SMALL, object);
         assert_eq!(there.sends()[0].2, mine);
-        there.end(b, 1, at, Ending::Ok);
+        there.end(b, 1, at, AttemptEnding::Served);
     }
 }
 
@@ -63,10 +63,10 @@
     // Another part is another key.
     let part = rig.ask(SMALL, 5, 1);
     let at = rig.sends()[0].1;
-    rig.end(part, 0, at, Ending::Miss);
+    rig.end(part, 0, at, AttemptEnding::Miss);
     assert_eq!(rig.sends().len(), 1);
     // The leader is served: the waiter looks up at that cache.
-    rig.end(leader, 1, cache, Ending::Ok);
+    rig.end(leader, 1, cache, AttemptEnding::Served);
     assert_eq!(rig.sends(), vec![(waiter, cache, None)]);
 }
 
@@ -77,13 +77,13 @@
     let source = rig.sends()[0].2;
     let (oldest, _) = rig.ask_and_miss(SMALL, 5);
     let (_younger, _) = rig.ask_and_miss(SMALL, 5);
-    rig.end(leader, 1, cache, Ending::Error);
+    rig.end(leader, 1, cache, AttemptEnding::Error);
     let sends = rig.sends();
     assert_eq!(sends.len(), 1, "{sends:?}");
     assert_eq!(sends[0].0, oldest);
     assert_ne!(sends[0].2, source, "not from the source that failed");
     // Once it is served, the others go to its cache, the first leader among them.
-    rig.end(oldest, 1, cache, Ending::Ok);
+    rig.end(oldest, 1, cache, AttemptEnding::Served);
     assert_eq!(rig.sends().len(), 2);
 }
 
@@ -110,7 +110,7 @@
     let r = Request { id, object: 5, part: 0, group: 7, size: Some(50.0), class: SMALL, expires };
     rig.event(Event::Request(r));
     let cache = rig.sends()[0].1;
-    rig.end(id, 0, cache, Ending::Miss);
+    rig.end(id, 0, cache, AttemptEnding::Miss);
     let start = rig.now;
     rig.sweep_until(start + 500.0);
     assert!(rig.sends().is_empty());
@@ -132,9 +132,9 @@
     let mut rig = Rig::new();
     let (leader, cache) = rig.ask_and_miss(SMALL, 5);
     let (waiter, _) = rig.ask_and_miss(SMALL, 5);
-    rig.event(Event::Gone(leader));
+    rig.event(Event::ClientGone(leader));
     assert!(rig.sends().is_empty(), "its fill runs on");
-    rig.end(leader, 1, cache, Ending::Ok);
+    rig.end(leader, 1, cache, AttemptEnding::Served);
     assert_eq!(rig.sends(), vec![(waiter, cache, None)]);
 }
 
@@ -143,8 +143,8 @@
     let mut rig = Rig::new();
     let (leader, cache) = rig.ask_and_miss(SMALL, 5);
     let (waiter, _) = rig.ask_and_miss(SMALL, 5);
-    rig.event(Event::Gone(leader));
-    rig.end(leader, 1, cache, Ending::Cancelled);
+    rig.event(Event::ClientGone(leader));
+    rig.end(leader, 1, cache, AttemptEnding::Cancelled);
     assert_eq!(rig.sends().len(), 1);
     assert_eq!(rig.sends()[0].0, waiter);
     assert!(rig.sends()[0].2.is_some());
@@ -155,8 +155,8 @@
     let mut rig = Rig::new();
     let (leader, cache) = rig.ask_and_miss(SMALL, 5);
     let (waiter, _) = rig.ask_and_miss(SMALL, 5);
-    rig.event(Event::Gone(waiter));
-    rig.end(leader, 1, cache, Ending::Ok);
+    rig.event(Event::ClientGone(waiter));
+    rig.end(leader, 1, cache, AttemptEnding::Served);
     assert!(rig.sends().is_empty());
 }
 
@@ -166,7 +166,7 @@
     let (id, cache) = rig.ask_and_miss(SMALL, 5);
     let mut seen = vec![rig.sends()[0].2.unwrap()];
     for attempt in 1..3 {
-        rig.end(id, attempt, cache, Ending::Error);
+        rig.end(id, attempt, cache, AttemptEnding::Error);
         seen.push(rig.sends()[0].2.unwrap());
     }
     assert_ne!(seen[0], seen[1]);
@@ -186,7 +186,7 @@
 fn without_joins_everyone_waits_for_the_leader() {
     let mut rig = Rig::with(Settings { joins: false, ..settings() }, everyone());
     rig.ask_and_miss(LARGE, 5);
-    assert!(matches!(rig.acts[0], Action::Get { how: How { join: false, .. }, .. }));
+    assert!(matches!(rig.acts[0], Action::Get { how: GetOptions { join: false, .. }, .. }));
     rig.ask_and_miss(LARGE, 5);
     assert!(rig.sends().is_empty());
 }
@@ -196,7 +196,7 @@
     let mut rig = Rig::new();
     let id = rig.ask(SMALL, 5, 0);
     let home = rig.sends()[0].1;
-    rig.end(id, 0, home, Ending::ConnectFailed);
+    rig.end(id, 0, home, AttemptEnding::ConnectFailed);
     let next = rig.sends()[0];
     assert!(next.1 != home && CACHES.contains(&next.1) && next.2.is_none());
 }
@@ -218,7 +218,7 @@
     let mut rig = Rig::new();
     let id = rig.ask(KEYED, 5, 0);
     assert_eq!(rig.sends()[0].1, THE_ORIGIN);
-    rig.end(id, 0, THE_ORIGIN, Ending::Ok);
+    rig.end(id, 0, THE_ORIGIN, AttemptEnding::Served);
     // And through a cache where nothing goes straight.
     let mut rig = Rig::with(Settings { direct: false, ..settings() }, everyone());
     rig.ask(KEYED, 5, 0);
@@ -232,7 +232,7 @@
     let mut rig = Rig::with(Settings { list_on_request: true, ..settings() }, everyone());
     rig.event(Event::Started);
     assert_eq!(rig.acts, vec![Action::Watch(true)]);
-    rig.event(Event::Members(ListKind::Failed, vec![]));
+    rig.event(Event::MemberList(ListKind::Failed, vec![]));
     let Action::Timer { token, at } = rig.acts[0] else { panic!("no timer") };
     rig.now = at;
     rig.event(Event::Timer(token));
@@ -244,13 +244,13 @@
 #[test]
 fn events_for_what_is_unknown_mean_nothing() {
     let mut rig = Rig::new();
-    rig.end(77, 0, 101, Ending::Ok);
+    rig.end(77, 0, 101, AttemptEnding::Served);
     assert!(rig.acts.is_empty());
-    rig.event(Event::Gone(77));
+    rig.event(Event::ClientGone(77));
     rig.event(Event::First { request: 77, attempt: 0 });
     assert!(rig.acts.is_empty());
     let id = rig.ask(SMALL, 5, 0);
-    rig.end(id, 9, 101, Ending::Error);
+    rig.end(id, 9, 101, AttemptEnding::Error);
     assert!(rig.acts.is_empty(), "an attempt that was never made");
     let r = Request { id: 500, object: 1, part: 0, group: 0, size: None, class: 99, expires: 9e9 };
     rig.event(Event::Request(r));
@@ -266,7 +266,7 @@
             let (id, cache) = rig.ask_and_miss(SMALL, object % 40);
             all.extend(rig.acts.clone());
             if object % 3 == 0 {
-                rig.end(id, 1, cache, Ending::Error);
+                rig.end(id, 1, cache, AttemptEnding::Error);
                 all.extend(rig.acts.clone());
             }
             rig.now += 7.0;
@@ -284,7 +284,7 @@
         let request = rig.ask(SMALL, 5, 0);
         let member = rig.sends()[0].1;
         let miss = |rig: &mut Rig, attempt| {
-            rig.answer((request, attempt), member, (Ending::Miss, Note::Joined), 2.0, None);
+            rig.answer((request, attempt), member, (AttemptEnding::Miss, FillNote::Joined), 2.0, None);
         };
         miss(&mut rig, 0);
         if joins {
--- a/crates/deckproxy-control/tests/properties.rs
+++ b/crates/deckproxy-control/tests/properties.rs
@@ -81,7 +81,7 @@
                 Action::Get { request, member, until, source, age, .. } => {
                     self.sent(request, member, until, Some(source), Some(age))
                 }
-                Action::Refuse { request, .. } => {
+                Action::Reject { request, .. } => {
                     let asked = self.live.remove(&request).expect("refused one that is not live");
                     let class = &settings().classes[asked.r.class];
                     let harmless = class.effect != Effect::Unsafe || asked.maybe.is_none();
@@ -155,20 +155,21 @@
         asked.sends += 1;
     }
 
-    fn end(&mut self, id: RequestId, ending: Ending) {
+    fn end(&mut self, id: RequestId, ending: AttemptEnding) {
         let now = self.rig.now;
         let Some(asked) = self.live.get_mut(&id) else { return };
         let Some(out) = asked.out.take() else { return };
-        let never = [Ending::Full, Ending::ConnectFailed, Ending::Miss].contains(&ending);
+        let never =
+            [AttemptEnding::Rejected, AttemptEnding::ConnectFailed, AttemptEnding::Miss].contains(&ending);
         if !never && asked.maybe.is_none() {
             asked.maybe = Some(out.at);
         }
-        let finished = ending == Ending::Ok;
+        let finished = ending == AttemptEnding::Served;
         if finished {
             self.live.remove(&id);
             self.ended += 1;
         }
-        let (elapsed, note, load) = (now - out.at, Note::None, None);
+        let (elapsed, note, load) = (now - out.at, FillNote::None, None);
         let (attempt, member) = (out.no, out.member);
         self.event(Event::Outcome { request: id, attempt, member, ending, elapsed, finished, note, load });
     }
@@ -186,7 +187,7 @@
             }
             self.rig.now = self.rig.now.max(next);
             if out.0 <= timer {
-                self.end(out.1, Ending::Timeout);
+                self.end(out.1, AttemptEnding::Timeout);
             } else {
                 let i = self.timers.iter().position(|t| t.0 == timer).unwrap();
                 let (_, token) = self.timers.remove(i);
@@ -227,12 +228,12 @@
                     return;
                 }
                 let ending = match how {
-                    0..=3 => Ending::Ok,
-                    4..=7 => Ending::Miss,
-                    8 => Ending::Error,
-                    9 => Ending::Full,
-                    10 => Ending::ConnectFailed,
-                    _ => Ending::Reset,
+                    0..=3 => AttemptEnding::Served,
+                    4..=7 => AttemptEnding::Miss,
+                    8 => AttemptEnding::Error,
+                    9 => AttemptEnding::Rejected,
+                    10 => AttemptEnding::ConnectFailed,
+                    _ => AttemptEnding::Reset,
                 };
                 self.end(out[usize::from(which) % out.len()], ending);
             }
@@ -262,10 +263,11 @@
                 if let Some(id) = ids.get(usize::from(which) % ids.len().max(1)) {
                     let asked = self.live.remove(id).unwrap();
                     self.ended += 1;
-                    self.event(Event::Gone(*id));
+                    self.event(Event::ClientGone(*id));
                     if let Some(out) = asked.out {
                         let (attempt, member) = (out.no, out.member);
-                        let (ending, elapsed, note) = (Ending::Cancelled, self.rig.now - out.at, Note::None);
+                        let (ending, elapsed, note) =
+                            (AttemptEnding::Cancelled, self.rig.now - out.at, FillNote::None);
                         let load = None;
                         self.event(Event::Outcome {
                             request: *id,
@@ -286,8 +288,8 @@
                     // It leaves the list and comes back to it as the same process.
                     let Some(same) = self.members.get(&id).copied() else { return };
                     let gone = Member { lifecycle: Lifecycle::Gone, ..same };
-                    self.event(Event::Members(ListKind::Delta, vec![gone]));
-                    self.event(Event::Members(ListKind::Delta, vec![same]));
+                    self.event(Event::MemberList(ListKind::Delta, vec![gone]));
+                    self.event(Event::MemberList(ListKind::Delta, vec![same]));
                     return;
                 }
                 let new = match what {
@@ -302,7 +304,7 @@
                 } else {
                     self.members.insert(id, new);
                 }
-                self.event(Event::Members(ListKind::Delta, vec![new]));
+                self.event(Event::MemberList(ListKind::Delta, vec![new]));
             }
             Op::Purge { object, whole, age } => {
                 let age = f64::from(age);
--- a/crates/deckproxy-control/tests/rules.rs
+++ b/crates/deckproxy-control/tests/rules.rs
@@ -12,10 +12,10 @@
     let id = rig.ask(SMALL, 5, 0);
     let home = rig.sends()[0].1;
     rig.now += 5000.0;
-    rig.end(id, 0, home, Ending::Timeout);
+    rig.end(id, 0, home, AttemptEnding::Timeout);
     assert!(refused(&rig.acts, id));
     assert!(rig.sends().is_empty());
-    rig.end(id, 0, home, Ending::Timeout);
+    rig.end(id, 0, home, AttemptEnding::Timeout);
     assert!(rig.acts.is_empty());
 }
 
@@ -26,7 +26,7 @@
     for attempt in 0..3 {
         assert_eq!(rig.sends().len(), 1);
         let at = rig.sends()[0].1;
-        rig.end(id, attempt, at, Ending::Reset);
+        rig.end(id, attempt, at, AttemptEnding::Reset);
     }
     assert!(rig.sends().is_empty() && refused(&rig.acts, id));
 }
@@ -36,8 +36,8 @@
     let mut rig = Rig::new();
     let id = rig.ask(SMALL, 5, 0);
     let home = rig.sends()[0].1;
-    rig.event(Event::Gone(id));
-    rig.end(id, 0, home, Ending::Miss);
+    rig.event(Event::ClientGone(id));
+    rig.end(id, 0, home, AttemptEnding::Miss);
     assert!(rig.acts.is_empty());
 }
 
@@ -46,7 +46,7 @@
     for (retry_after, most) in [(true, 1000.0), (true, 100.0), (false, 1000.0)] {
         let mut rig = Rig::with(Settings { retry_after, max_retry_after: most, ..settings() }, vec![]);
         rig.ask(SMALL, 5, 0);
-        let Action::Refuse { retry_after: at, .. } = rig.acts[0] else { panic!("not refused") };
+        let Action::Reject { retry_after: at, .. } = rig.acts[0] else { panic!("not refused") };
         assert_eq!(at > 0.0, retry_after);
         assert!(at <= most);
     }
@@ -58,7 +58,7 @@
     let id = rig.ask(SMALL, 5, 0);
     let home = rig.sends()[0].1;
     rig.event(Event::First { request: id, attempt: 0 });
-    rig.end(id, 0, home, Ending::Reset);
+    rig.end(id, 0, home, AttemptEnding::Reset);
     assert!(rig.sends().is_empty());
 }
 
@@ -71,7 +71,7 @@
         rig.now += 4000.0;
         let (waiter, _) = rig.ask_and_miss(SMALL, 5);
         rig.now += 1000.0 - left;
-        rig.end(leader, 1, cache, Ending::Error);
+        rig.end(leader, 1, cache, AttemptEnding::Error);
         let sends: Vec<RequestId> = rig.sends().iter().map(|s| s.0).collect();
         assert!(sends.contains(&waiter));
         assert!(sends.contains(&leader) || refused(&rig.acts, leader), "{left}");
@@ -82,13 +82,15 @@
 
 #[test]
 fn an_unsafe_request_goes_again_only_if_it_never_ran() {
-    for never in [Ending::Full, Ending::ConnectFailed, Ending::Miss] {
+    for never in [AttemptEnding::Rejected, AttemptEnding::ConnectFailed, AttemptEnding::Miss] {
         let mut rig = Rig::new();
         let id = rig.ask(UNSAFE, 5, 0);
         rig.end(id, 0, THE_ORIGIN, never);
         assert!(rig.sends().len() == 1 || refused(&rig.acts, id), "{never:?}");
     }
-    for maybe in [Ending::Error, Ending::Timeout, Ending::Reset, Ending::Cancelled] {
+    for maybe in
+        [AttemptEnding::Error, AttemptEnding::Timeout, AttemptEnding::Reset, AttemptEnding::Cancelled]
+    {
         let mut rig = Rig::new();
         let id = rig.ask(UNSAFE, 5, 0);
         rig.end(id, 0, THE_ORIGIN, maybe);
@@ -102,7 +104,7 @@
         let mut rig = Rig::new();
         let id = rig.ask(KEYED, 5, 0);
         rig.now += at;
-        rig.end(id, 0, THE_ORIGIN, Ending::Timeout);
+        rig.end(id, 0, THE_ORIGIN, AttemptEnding::Timeout);
         assert_eq!(!rig.sends().is_empty(), again, "{at}");
         // Refusing does no harm: every member drops its repeats.
         assert_eq!(refused(&rig.acts, id), !again);
@@ -116,7 +118,7 @@
     let members = everyone().into_iter().map(|m| Member { cell: m.id, ..m }).collect();
     let mut rig = Rig::with(s, members);
     let id = rig.ask(KEYED, 5, 0);
-    rig.end(id, 0, THE_ORIGIN, Ending::Reset);
+    rig.end(id, 0, THE_ORIGIN, AttemptEnding::Reset);
     assert!(rig.sends().iter().all(|s| s.1 == THE_ORIGIN));
     if rig.sends().is_empty() {
         assert!(failed(&rig.acts, id) && !refused(&rig.acts, id));
@@ -130,12 +132,12 @@
     for lifecycle in [Lifecycle::Draining, Lifecycle::Gone] {
         for out in [101, 201] {
             let mut rig = Rig::new();
-            rig.event(Event::Members(ListKind::Delta, vec![Member { lifecycle, ..member(out) }]));
+            rig.event(Event::MemberList(ListKind::Delta, vec![Member { lifecycle, ..member(out) }]));
             for object in 0..60 {
                 let (id, cache) = rig.ask_and_miss(SMALL, object);
                 let fill = rig.sends()[0];
                 assert!(cache != out && fill.1 != out && fill.2 != Some(out));
-                rig.end(id, 1, cache, Ending::Ok);
+                rig.end(id, 1, cache, AttemptEnding::Served);
             }
         }
     }
@@ -147,11 +149,11 @@
     let (leader, cache) = rig.ask_and_miss(SMALL, 5);
     rig.ask_and_miss(SMALL, 5);
     let draining = Member { lifecycle: Lifecycle::Draining, ..member(cache) };
-    rig.event(Event::Members(ListKind::Delta, vec![draining]));
+    rig.event(Event::MemberList(ListKind::Delta, vec![draining]));
     let late = rig.ask(SMALL, 5, 0);
     assert!(rig.sends().iter().all(|s| s.1 != cache), "nor is a new request looked up where the fill runs");
-    rig.event(Event::Gone(late));
-    rig.end(leader, 1, cache, Ending::Ok);
+    rig.event(Event::ClientGone(late));
+    rig.end(leader, 1, cache, AttemptEnding::Served);
     assert_eq!(rig.sends().len(), 1);
     assert_ne!(rig.sends()[0].1, cache);
 }
@@ -161,8 +163,8 @@
     let mut rig = Rig::new();
     let (id, cache) = rig.ask_and_miss(SMALL, 5);
     let left = everyone().into_iter().filter(|m| m.id != cache).collect();
-    rig.event(Event::Members(ListKind::Full, left));
-    rig.end(id, 1, cache, Ending::Reset);
+    rig.event(Event::MemberList(ListKind::Full, left));
+    rig.end(id, 1, cache, AttemptEnding::Reset);
     assert!(rig.sends().iter().all(|s| s.1 != cache));
     assert_eq!(rig.sends().len(), 1);
 }
@@ -183,7 +185,7 @@
             if to == id || source == Some(id) {
                 times.push(rig.now);
             }
-            let how = if attempt == 0 { Ending::Miss } else { Ending::Ok };
+            let how = if attempt == 0 { AttemptEnding::Miss } else { AttemptEnding::Served };
             rig.end(request, attempt, to, how);
             attempt += 1;
         }
@@ -227,14 +229,14 @@
                 rig.now = 1000.0 + 250.0 * f64::from(step);
                 // Some hear of it late.
                 if step == 12 * (i as u32 % 3) {
-                    rig.event(Event::Members(ListKind::Delta, vec![parent]));
+                    rig.event(Event::MemberList(ListKind::Delta, vec![parent]));
                 }
                 let class = if step % 2 == 0 { SMALL } else { LARGE };
                 let (id, cache) = rig.ask_and_miss(class, 5000 + 100 * i as u64 + u64::from(step));
                 if let Some((_, _, Some(201))) = rig.sends().first() {
                     sent.push((rig.now, SIZES[class]));
                 }
-                rig.end(id, 1, cache, Ending::Ok);
+                rig.end(id, 1, cache, AttemptEnding::Served);
             }
         }
         assert!(sent.len() > 4, "{routers}: it gets work, {}", sent.len());
@@ -269,7 +271,7 @@
             if at == 101 {
                 sent.push((rig.now, SIZES[LARGE]));
             }
-            rig.end(id, 0, at, Ending::Ok);
+            rig.end(id, 0, at, AttemptEnding::Served);
         }
         let load: f64 = sent.iter().map(|s| s.1).sum();
         let least = rule.multiple * rule.from * weight * 6000.0;
@@ -289,7 +291,7 @@
     let mut rig = Rig::with(settings(), vec![member(101), cold]);
     let (id, cache) = rig.ask_and_miss(SMALL, 1);
     assert!(rig.sends().iter().all(|s| s.2 != Some(201)));
-    rig.end(id, 1, cache, Ending::Ok);
+    rig.end(id, 1, cache, AttemptEnding::Served);
     rig.now = 2.0 * settings().cold_parent.window;
     rig.ask_and_miss(SMALL, 2);
     assert_eq!(rig.sends()[0].2, Some(201));
@@ -311,7 +313,7 @@
     let mut rig = Rig::new();
     let before = pressure(&mut rig, 101, SMALL).len();
     let again = Member { started: Some(rig.now), ..member(101) };
-    rig.event(Event::Members(ListKind::Delta, vec![again]));
+    rig.event(Event::MemberList(ListKind::Delta, vec![again]));
     assert!(pressure(&mut rig, 101, SMALL).len() < before / 2);
 }
 
@@ -326,15 +328,15 @@
             let id = rig.ask(SMALL, object, 0);
             let at = rig.sends()[0].1;
             sent += u32::from(at == 101);
-            rig.end(id, 0, at, Ending::Ok);
+            rig.end(id, 0, at, AttemptEnding::Served);
             if whole {
                 let others = everyone().into_iter().filter(|m| m.id != 101).collect();
-                rig.event(Event::Members(ListKind::Full, others));
+                rig.event(Event::MemberList(ListKind::Full, others));
             } else {
                 let gone = Member { lifecycle: Lifecycle::Gone, ..cold(member(101)) };
-                rig.event(Event::Members(ListKind::Delta, vec![gone]));
+                rig.event(Event::MemberList(ListKind::Delta, vec![gone]));
             }
-            rig.event(Event::Members(ListKind::Delta, vec![cold(member(101))]));
+            rig.event(Event::MemberList(ListKind::Delta, vec![cold(member(101))]));
         }
         let rule = settings().cold_cache;
         let most = rule.multiple * rule.from * 1.1 * member(101).weight * rule.window;
@@ -356,7 +358,7 @@
         assert_eq!(member, source, "still only a look-up");
         assert!(!how.join && age > 0.0 && age <= rig.now - purged);
         rig.now += 40.0;
-        rig.end(id, 0, member, Ending::Miss);
+        rig.end(id, 0, member, AttemptEnding::Miss);
         let Action::Get { age, source, .. } = rig.acts[0] else { panic!("no fill") };
         assert!(PARENTS.contains(&source) && age > 0.0 && age <= rig.now - purged, "judged at its send");
         rig.now = purged + done + 1.0;
@@ -391,7 +393,7 @@
 #[test]
 fn the_bound_is_never_looser_than_the_fresh_time() {
     let mut s = settings();
-    s.classes[SMALL].fresh = 30.0;
+    s.classes[SMALL].freshness_lifetime = 30.0;
     let mut rig = Rig::with(s, everyone());
     rig.event(Event::Purged { object: Some(5), group: 7, age: 1000.0 });
     rig.ask(SMALL, 5, 0);
--- a/crates/deckproxy-control/tests/trouble.rs
+++ b/crates/deckproxy-control/tests/trouble.rs
@@ -10,7 +10,7 @@
     for object in 0..count {
         let id = rig.ask(SMALL, object, 0);
         let member = rig.sends()[0].1;
-        let (ending, note, load) = (Ending::Ok, Note::None, None);
+        let (ending, note, load) = (AttemptEnding::Served, FillNote::None, None);
         let elapsed = elapsed(member);
         rig.event(Event::Outcome {
             request: id,
@@ -29,7 +29,7 @@
 fn home(rig: &mut Rig, object: u64) -> MemberId {
     let id = rig.ask(SMALL, object, 0);
     let member = rig.sends()[0].1;
-    rig.end(id, 0, member, Ending::Ok);
+    rig.end(id, 0, member, AttemptEnding::Served);
     member
 }
 
@@ -44,7 +44,7 @@
     rig.sweep_until(start + 1000.0);
     let cancelled = rig.acts.iter().filter(|a| matches!(a, Action::Cancel { .. })).count();
     assert_eq!(cancelled, held.len());
-    rig.end(held[0], 0, silent, Ending::Cancelled);
+    rig.end(held[0], 0, silent, AttemptEnding::Cancelled);
     assert!(rig.sends()[0].1 != silent);
     assert_ne!(home(&mut rig, 5), silent, "others go to the next in the object's order");
     // After a while one request at a time tries it.
@@ -53,7 +53,7 @@
     assert_eq!(rig.sends()[0].1, silent);
     rig.ask(SMALL, 5, 0);
     assert_ne!(rig.sends()[0].1, silent);
-    rig.end(trial, 0, silent, Ending::Ok);
+    rig.end(trial, 0, silent, AttemptEnding::Served);
     assert_eq!(home(&mut rig, 5), silent);
 }
 
@@ -64,7 +64,7 @@
     let member = home(&mut rig, 5);
     let held: Vec<RequestId> = (0..8).map(|_| rig.ask(SMALL, 5, 0)).collect();
     rig.now += 20.0;
-    held.iter().for_each(|id| rig.end(*id, 0, member, Ending::Reset));
+    held.iter().for_each(|id| rig.end(*id, 0, member, AttemptEnding::Reset));
     assert_eq!(home(&mut rig, 5), member, "it is still asked");
     // Failures one after another still leave it out.
     let mut asked = Vec::new();
@@ -72,7 +72,7 @@
         rig.now += 20.0;
         let id = rig.ask(SMALL, 5, 0);
         asked.push(rig.sends()[0].1);
-        rig.end(id, 0, asked[asked.len() - 1], Ending::Reset);
+        rig.end(id, 0, asked[asked.len() - 1], AttemptEnding::Reset);
     }
     assert!(asked[0] == member && asked[7] != member, "{asked:?}");
 }
@@ -86,7 +86,7 @@
         let id = rig.ask(SMALL, object, 0);
         let mut attempts = 0;
         while let Some((_, member, _)) = rig.sends().first().copied() {
-            rig.end(id, attempts, member, Ending::Error);
+            rig.end(id, attempts, member, AttemptEnding::Error);
             attempts += 1;
         }
         assert!(attempts <= 3 && refused(&rig.acts, id), "{attempts}");
@@ -106,8 +106,8 @@
     for _ in 0..40 {
         let id = rig.ask(SMALL, 5, 0);
         rig.now += 60.0;
-        rig.event(Event::Gone(id));
-        rig.end(id, 0, member, Ending::Cancelled);
+        rig.event(Event::ClientGone(id));
+        rig.end(id, 0, member, AttemptEnding::Cancelled);
         let logged = rig.event(Event::Timer(0)).iter().any(|a| matches!(a, Action::Log(_)));
         assert!(!logged, "{member} is left out");
     }
@@ -121,7 +121,7 @@
     for _ in 0..10 {
         let id = rig.ask(KEYED, 5, 0);
         assert_eq!(rig.sends(), [(id, THE_ORIGIN, None)]);
-        rig.end(id, 0, THE_ORIGIN, Ending::Reset);
+        rig.end(id, 0, THE_ORIGIN, AttemptEnding::Reset);
         rig.now += 50.0;
     }
 }
@@ -135,7 +135,7 @@
     }
     rig.now += 500.0;
     let id = rig.ask(SMALL, 5, 0);
-    rig.end(id, 0, member, Ending::Ok);
+    rig.end(id, 0, member, AttemptEnding::Served);
     let now = rig.now;
     rig.sweep_until(now + 600.0);
     assert!(!rig.acts.iter().any(|a| matches!(a, Action::Cancel { .. })));
@@ -175,7 +175,7 @@
     let (small, _) = rig.ask_and_miss(SMALL, 900);
     assert!(!refused(&rig.acts, small) && rig.sends().len() == 1, "a small one still gets through in time");
     for (id, cache) in led {
-        rig.end(id, 1, cache, Ending::Ok);
+        rig.end(id, 1, cache, AttemptEnding::Served);
     }
     let (id, _) = rig.ask_and_miss(LARGE, 901);
     assert!(!refused(&rig.acts, id), "the room comes back");
@@ -200,8 +200,8 @@
         refusals += usize::from(refused(&rig.acts, id));
         let probe = rig.ask(SMALL, 5000 + object, 0);
         let member = rig.sends()[0].1;
-        let load = Some(Load { link: Some(object as f64 / 2.0), ..Load::default() });
-        let (ending, note, elapsed) = (Ending::Ok, Note::None, 20.0);
+        let load = Some(LoadReport { link: Some(object as f64 / 2.0), ..LoadReport::default() });
+        let (ending, note, elapsed) = (AttemptEnding::Served, FillNote::None, 20.0);
         rig.event(Event::Outcome {
             request: probe,
             attempt: 0,
@@ -232,7 +232,7 @@
     for _ in 0..10 {
         for (object, elapsed) in [(1, 20.0), (2, 900.0)] {
             let id = ask(&mut rig, object);
-            let (member, ending, note) = (rig.sends()[0].1, Ending::Ok, Note::None);
+            let (member, ending, note) = (rig.sends()[0].1, AttemptEnding::Served, FillNote::None);
             let load = None;
             rig.event(Event::Outcome {
                 request: id,
@@ -251,7 +251,7 @@
         for turn in 0..2 {
             let id = ask(&mut rig, object);
             let member = rig.sends()[0].1;
-            rig.end(id, 0, member, Ending::Miss);
+            rig.end(id, 0, member, AttemptEnding::Miss);
             assert_eq!(rig.sends().is_empty(), waits && turn == 1, "{object}");
         }
     }
@@ -266,7 +266,7 @@
         let (id, cache) = rig.ask_and_miss(SMALL, object);
         let mut attempt = 1;
         while let Some((_, _, Some(source))) = rig.sends().first().copied() {
-            let how = if PARENTS.contains(&source) { Ending::Full } else { Ending::Ok };
+            let how = if PARENTS.contains(&source) { AttemptEnding::Rejected } else { AttemptEnding::Served };
             rig.end(id, attempt, cache, how);
             attempt += 1;
         }
@@ -282,12 +282,12 @@
     for object in 0..400 {
         let id = rig.ask(SMALL, object, 0);
         let at = rig.sends()[0].1;
-        let how = if object % 4 == 0 { Ending::Reset } else { Ending::Ok };
+        let how = if object % 4 == 0 { AttemptEnding::Reset } else { AttemptEnding::Served };
         rig.end(id, 0, at, how);
         assert!(!rig.acts.iter().any(|a| matches!(a, Action::Log(_))), "{object}: {:?}", rig.acts);
-        if how == Ending::Reset {
+        if how == AttemptEnding::Reset {
             let next = rig.sends()[0].1;
-            rig.end(id, 1, next, Ending::Ok);
+            rig.end(id, 1, next, AttemptEnding::Served);
         }
     }
     assert!(!rig.acts.iter().any(|a| matches!(a, Action::Log(_))));
@@ -307,7 +307,7 @@
         for part in 0..12 {
             let id = rig.ask(SMALL, object, part);
             at.push(rig.sends()[0].1);
-            rig.end(id, 0, at[at.len() - 1], Ending::Ok);
+            rig.end(id, 0, at[at.len() - 1], AttemptEnding::Served);
         }
         at.sort();
         at.dedup();
@@ -402,22 +402,22 @@
 /// Answers that got lost on the way left their requests waiting for the client's deadline.
 #[test]
 fn a_late_answer_of_known_size_is_asked_for_again_where_two_may_be_out() {
-    for second_copies in [true, false] {
-        let mut rig = Rig::with(Settings { second_copies, ..settings() }, everyone());
+    for hedged_requests in [true, false] {
+        let mut rig = Rig::with(Settings { hedged_requests, ..settings() }, everyone());
         let id = rig.ask(SMALL, 5, 0);
         let cache = rig.sends()[0].1;
         let start = rig.now;
         rig.sweep_until(start + 300.0);
         assert!(rig.sends().is_empty(), "not yet late");
         rig.sweep_until(start + 400.0);
-        assert_eq!(rig.sends().len(), usize::from(second_copies));
-        if second_copies {
+        assert_eq!(rig.sends().len(), usize::from(hedged_requests));
+        if hedged_requests {
             assert_eq!(rig.sends()[0].1, cache, "it may have the copy by now");
             rig.sweep_until(start + 2000.0);
             assert!(rig.sends().is_empty(), "two at most");
-            rig.end(id, 1, cache, Ending::Ok);
+            rig.end(id, 1, cache, AttemptEnding::Served);
             assert!(rig.acts.contains(&Action::Cancel { request: id, attempt: 0 }));
-            rig.end(id, 0, cache, Ending::Cancelled);
+            rig.end(id, 0, cache, AttemptEnding::Cancelled);
             assert!(rig.sends().is_empty());
         }
     }
@@ -425,7 +425,7 @@
 
 #[test]
 fn a_write_is_never_doubled() {
-    let mut rig = Rig::with(Settings { second_copies: true, ..settings() }, everyone());
+    let mut rig = Rig::with(Settings { hedged_requests: true, ..settings() }, everyone());
     rig.ask(KEYED, 5, 0);
     let start = rig.now;
     rig.sweep_until(start + 3000.0);
@@ -435,19 +435,26 @@
 /// A leader's waiters were held by its first copy although its second one had been answered.
 #[test]
 fn waiters_are_released_when_the_second_copy_is_answered() {
-    let mut rig = Rig::with(Settings { second_copies: true, ..settings() }, everyone());
+    let mut rig = Rig::with(Settings { hedged_requests: true, ..settings() }, everyone());
     let (leader, cache) = rig.ask_and_miss(SMALL, 5);
     let (waiter, _) = rig.ask_and_miss(SMALL, 5);
     let start = rig.now;
     rig.sweep_until(start + 500.0);
     assert_eq!(rig.sends()[0].0, leader);
-    rig.end(leader, 2, cache, Ending::Ok);
+    rig.end(leader, 2, cache, AttemptEnding::Served);
     assert_eq!(rig.sends()[0].0, waiter);
 }
 
 /// Serves an attempt.
-fn answer(rig: &mut Rig, request: RequestId, attempt: u32, member: MemberId, elapsed: Millis, note: Note) {
-    rig.answer((request, attempt), member, (Ending::Ok, note), elapsed, None);
+fn answer(
+    rig: &mut Rig,
+    request: RequestId,
+    attempt: u32,
+    member: MemberId,
+    elapsed: Millis,
+    note: FillNote,
+) {
+    rig.answer((request, attempt), member, (AttemptEnding::Served, note), elapsed, None);
 }
 
 /// The sources of fills of many objects, the slow ones taking far longer than the aim.
@@ -458,7 +465,7 @@
         let Some((_, _, Some(source))) = rig.sends().first().copied() else { continue };
         sources.push(source);
         let elapsed = if slow.contains(&source) { 2000.0 } else { 100.0 };
-        answer(rig, request, 1, member, elapsed, Note::None);
+        answer(rig, request, 1, member, elapsed, FillNote::None);
     }
     sources
 }
@@ -489,7 +496,14 @@
         let (request, member) = rig.ask_and_miss(SMALL, object);
         let Some((_, _, Some(source))) = rig.sends().first().copied() else { continue };
         seen.push(source);
-        answer(&mut rig, request, 1, member, if source == THE_ORIGIN { 330.0 } else { 400.0 }, Note::None);
+        answer(
+            &mut rig,
+            request,
+            1,
+            member,
+            if source == THE_ORIGIN { 330.0 } else { 400.0 },
+            FillNote::None,
+        );
     }
     assert!(PARENTS.iter().all(|s| seen[80..].contains(s)) && !seen.contains(&THE_ORIGIN), "{seen:?}");
 }
@@ -503,14 +517,14 @@
         for object in 0..30 {
             let request = rig.ask(SMALL, object, 0);
             let Some((_, member, _)) = rig.sends().first().copied() else { continue };
-            let load = Some(Load { held: Some(80.0), cpu: Some(busy), ..Load::default() });
-            rig.answer((request, 0), member, (Ending::Ok, Note::Hit), 50.0, load);
+            let load = Some(LoadReport { in_flight: Some(80.0), cpu: Some(busy), ..LoadReport::default() });
+            rig.answer((request, 0), member, (AttemptEnding::Served, FillNote::Hit), 50.0, load);
         }
         let request = rig.ask(SMALL, 100, 0);
         let Some((_, member, _)) = rig.sends().first().copied() else {
             return (refused(&rig.acts, request), false);
         };
-        rig.end(request, 0, member, Ending::Miss);
+        rig.end(request, 0, member, AttemptEnding::Miss);
         (false, refused(&rig.acts, request))
     };
     assert_eq!(asked(1.0), (true, false), "its link is full");
@@ -528,7 +542,7 @@
         let (request, member) = rig.ask_and_miss(SMALL, object);
         if let Some((_, _, Some(source))) = rig.sends().first().copied() {
             asked.push(source);
-            answer(rig, request, 1, member, 2000.0, Note::None);
+            answer(rig, request, 1, member, 2000.0, FillNote::None);
         }
     }
     asked
@@ -554,7 +568,7 @@
     asked_while_slow(&mut rig, 8000.0);
     let now = rig.now;
     let cold = |m: Member| Member { started: PARENTS.contains(&m.id).then_some(now), ..m };
-    rig.event(Event::Members(ListKind::Full, everyone().into_iter().map(cold).collect()));
+    rig.event(Event::MemberList(ListKind::Full, everyone().into_iter().map(cold).collect()));
     let (mut at_parents, mut at_origin) = (0, 0);
     for object in 1000..1300 {
         rig.now += 20.0;
@@ -562,7 +576,7 @@
         if let Some((_, _, Some(source))) = rig.sends().first().copied() {
             let slow = source == THE_ORIGIN;
             (at_parents, at_origin) = (at_parents + u32::from(!slow), at_origin + u32::from(slow));
-            answer(&mut rig, request, 1, member, if slow { 2000.0 } else { 100.0 }, Note::None);
+            answer(&mut rig, request, 1, member, if slow { 2000.0 } else { 100.0 }, FillNote::None);
         }
     }
     assert!(at_parents > 0 && at_origin > 0, "{at_parents} and {at_origin} of 300");
@@ -571,9 +585,9 @@
 /// The list told no sizes, units 1 was taken for a link of one answer, and a quarter of a quiet day was refused.
 #[test]
 fn a_size_that_is_not_told_is_judged_by_what_members_bear() {
-    let told = |sized: bool, busy: f64| {
+    let told = |weights_are_sizes: bool, busy: f64| {
         let list = everyone().into_iter().map(|m| Member { weight: 1.0, ..m }).collect();
-        let mut rig = Rig::with(Settings { sized, ..settings() }, list);
+        let mut rig = Rig::with(Settings { weights_are_sizes, ..settings() }, list);
         let mut out: VecDeque<(RequestId, u32, MemberId)> = VecDeque::new();
         let (mut refusals, mut first) = (0, None);
         for object in 0..2000 {
@@ -588,8 +602,8 @@
             if out.len() > 50
                 && let Some((request, attempt, member)) = out.pop_front()
             {
-                let load = Some(Load { cpu: Some(busy), ..Load::default() });
-                let (ending, note, elapsed, finished) = (Ending::Ok, Note::Hit, 60.0, true);
+                let load = Some(LoadReport { cpu: Some(busy), ..LoadReport::default() });
+                let (ending, note, elapsed, finished) = (AttemptEnding::Served, FillNote::Hit, 60.0, true);
                 rig.event(Event::Outcome { request, attempt, member, ending, elapsed, finished, note, load });
             }
         }
@@ -609,20 +623,20 @@
     let mut rig = Rig::new();
     for object in 0..8 {
         let (request, member) = rig.ask_and_miss(SMALL, object);
-        let (elapsed, note) = if rig.held_only().expect("a fill") {
-            (90.0, Note::Filled)
+        let (elapsed, note) = if rig.cached_only().expect("a fill") {
+            (90.0, FillNote::Filled)
         } else {
-            (2000.0, Note::FilledByOrigin)
+            (2000.0, FillNote::FilledByOrigin)
         };
         answer(&mut rig, request, 1, member, elapsed, note);
     }
     let (request, member) = rig.ask_and_miss(SMALL, 100);
-    assert_eq!(rig.held_only(), Some(true));
-    rig.answer((request, 1), member, (Ending::Miss, Note::SourceLacks), 40.0, None);
+    assert_eq!(rig.cached_only(), Some(true));
+    rig.answer((request, 1), member, (AttemptEnding::Miss, FillNote::SourceLacks), 40.0, None);
     assert!(refused(&rig.acts, request), "at once");
     rig.now += 8000.0;
     rig.ask_and_miss(SMALL, 101);
-    assert_eq!(rig.held_only(), Some(false), "without news it is asked again");
+    assert_eq!(rig.cached_only(), Some(false), "without news it is asked again");
 }
 
 /// The origin was quick again, and a quarter was still refused for seconds, as what had been slow faded slowly.
@@ -631,15 +645,16 @@
     let mut rig = Rig::new();
     for object in 0..8 {
         let (request, member) = rig.ask_and_miss(LARGE, object);
-        let spared = rig.held_only() == Some(true);
-        let (elapsed, note) = if spared { (90.0, Note::Filled) } else { (4000.0, Note::FilledByOrigin) };
+        let spared = rig.cached_only() == Some(true);
+        let (elapsed, note) =
+            if spared { (90.0, FillNote::Filled) } else { (4000.0, FillNote::FilledByOrigin) };
         answer(&mut rig, request, 1, member, elapsed, note);
     }
     let (request, member) = rig.ask_and_miss(LARGE, 100);
-    assert_eq!(rig.held_only(), Some(true), "it is slow");
-    answer(&mut rig, request, 1, member, 400.0, Note::FilledByOrigin);
+    assert_eq!(rig.cached_only(), Some(true), "it is slow");
+    answer(&mut rig, request, 1, member, 400.0, FillNote::FilledByOrigin);
     rig.ask_and_miss(LARGE, 101);
-    assert_eq!(rig.held_only(), Some(false));
+    assert_eq!(rig.cached_only(), Some(false));
 }
 
 /// A look-up at an empty cache weighed as much on it as its fill, and was a miss.
@@ -654,7 +669,7 @@
         let (_, at, source) = rig.sends()[0];
         assert_eq!(source.is_some(), at == CACHES[0], "the others are looked up at first");
         fills += u32::from(source.is_some());
-        rig.end(id, 0, at, Ending::Ok);
+        rig.end(id, 0, at, AttemptEnding::Served);
     }
     assert!(fills > 5, "{fills}");
 }
@@ -665,8 +680,9 @@
     for _ in 0..4 {
         let request = rig.ask(SMALL, 5, 0);
         let (member, finished) = (rig.sends()[0].1, true);
-        let load = Some(Load { held: Some(held), ..Load::default() }).filter(|_| member == first);
-        let (attempt, ending, elapsed, note) = (0, Ending::Ok, 50.0, Note::None);
+        let load =
+            Some(LoadReport { in_flight: Some(held), ..LoadReport::default() }).filter(|_| member == first);
+        let (attempt, ending, elapsed, note) = (0, AttemptEnding::Served, 50.0, FillNote::None);
         rig.event(Event::Outcome { request, attempt, member, ending, elapsed, finished, note, load });
     }
     home(&mut rig, 5) != first
@@ -689,7 +705,7 @@
         let id = rig.ask(SMALL, object, 0);
         let mut attempt = 0;
         while let Some((_, at, _)) = rig.sends().first().copied() {
-            rig.end(id, attempt, at, Ending::Full);
+            rig.end(id, attempt, at, AttemptEnding::Rejected);
             attempt += 1;
         }
         further += attempt.saturating_sub(1);
@@ -700,26 +716,26 @@
 /// Two look-ups of one request that both missed made it wait twice.
 #[test]
 fn of_two_attempts_that_miss_one_waits_or_leads() {
-    let mut rig = Rig::with(Settings { second_copies: true, ..settings() }, everyone());
+    let mut rig = Rig::with(Settings { hedged_requests: true, ..settings() }, everyone());
     let twice = rig.ask(SMALL, 5, 0);
     let cache = rig.sends()[0].1;
     let start = rig.now;
     rig.sweep_until(start + 400.0);
     assert_eq!(rig.sends().len(), 1);
     let (leader, _) = rig.ask_and_miss(SMALL, 5);
-    rig.end(twice, 1, cache, Ending::Miss);
-    rig.end(twice, 0, cache, Ending::Miss);
+    rig.end(twice, 1, cache, AttemptEnding::Miss);
+    rig.end(twice, 0, cache, AttemptEnding::Miss);
     assert!(rig.sends().is_empty(), "it waits");
-    rig.end(leader, 1, cache, Ending::Ok);
+    rig.end(leader, 1, cache, AttemptEnding::Served);
     assert_eq!(rig.sends().len(), 1, "and goes once");
-    rig.end(twice, 2, cache, Ending::Ok);
+    rig.end(twice, 2, cache, AttemptEnding::Served);
     let alone = rig.ask(SMALL, 6, 0);
     let cache = rig.sends()[0].1;
     let start = rig.now;
     rig.sweep_until(start + 400.0);
-    rig.end(alone, 1, cache, Ending::Miss);
+    rig.end(alone, 1, cache, AttemptEnding::Miss);
     assert_eq!(rig.sends().len(), 1, "it leads");
-    rig.end(alone, 0, cache, Ending::Miss);
+    rig.end(alone, 0, cache, AttemptEnding::Miss);
     assert!(rig.sends().is_empty(), "once");
 }
 
@@ -730,13 +746,18 @@
         let mut rig = Rig::new();
         for object in 0..80 {
             let write = rig.ask(KEYED, object, 0);
-            rig.end(write, 0, THE_ORIGIN, if origin_fails { Ending::Full } else { Ending::Ok });
-            rig.event(Event::Gone(write));
+            rig.end(
+                write,
+                0,
+                THE_ORIGIN,
+                if origin_fails { AttemptEnding::Rejected } else { AttemptEnding::Served },
+            );
+            rig.event(Event::ClientGone(write));
             let (id, cache) = rig.ask_and_miss(SMALL, object);
             let mut attempt = 1;
             while let Some((_, _, Some(source))) = rig.sends().first().copied() {
                 let ok = source == THE_ORIGIN && !origin_fails;
-                rig.end(id, attempt, cache, if ok { Ending::Ok } else { Ending::Full });
+                rig.end(id, attempt, cache, if ok { AttemptEnding::Served } else { AttemptEnding::Rejected });
                 attempt += 1;
             }
         }
@@ -755,12 +776,19 @@
         let mut rig =
             Rig::with(Settings { zone_link: vec![0.0, 0.0, 3000.0, 0.0], ..settings() }, everyone());
         let (request, member) = rig.ask_and_miss(SMALL, 1);
-        answer(&mut rig, request, 1, member, 100.0, if notes { Note::FilledByOrigin } else { Note::None });
+        answer(
+            &mut rig,
+            request,
+            1,
+            member,
+            100.0,
+            if notes { FillNote::FilledByOrigin } else { FillNote::None },
+        );
         let (mut whole, mut held, mut refusals) = (0, 0, 0);
         for object in 10..40 {
             let (id, _) = rig.ask_and_miss(LARGE, object);
             refusals += u32::from(refused(&rig.acts, id));
-            let get = rig.held_only();
+            let get = rig.cached_only();
             (whole, held) = (whole + u32::from(get == Some(false)), held + u32::from(get == Some(true)));
         }
         assert!(whole > 0 && whole < 10, "the link carries a few: {whole}");
@@ -773,11 +801,11 @@
     let list = everyone().into_iter().filter(|m| m.kind != PARENT).collect();
     let mut rig = Rig::with(Settings { zone_link: vec![0.0, 0.0, 3000.0, 0.0], ..settings() }, list);
     let (request, member) = rig.ask_and_miss(SMALL, 1);
-    answer(&mut rig, request, 1, member, 100.0, Note::FilledByOrigin);
+    answer(&mut rig, request, 1, member, 100.0, FillNote::FilledByOrigin);
     let fills: Vec<bool> = (10..40)
         .map(|object| {
             rig.ask_and_miss(LARGE, object);
-            rig.held_only().is_some()
+            rig.cached_only().is_some()
         })
         .collect();
     assert!(fills[0] && !fills[10..].contains(&true), "{fills:?}");
@@ -797,56 +825,56 @@
     let home = |source| at.iter().filter(move |x| x.3 == source);
     // The origin is slow, the parent is not: it stays its objects' source.
     for (_, request, member, _) in home(PARENTS[0]).take(6) {
-        answer(&mut rig, *request, 1, *member, 1200.0, Note::FilledByOrigin);
+        answer(&mut rig, *request, 1, *member, 1200.0, FillNote::FilledByOrigin);
     }
     let first = at.iter().find(|x| x.3 == PARENTS[0]).map(|x| x.0).unwrap();
     let (request, _) = rig.ask_and_miss(SMALL, first);
     assert_eq!(rig.sends().first().map(|s| (s.0, s.2)), Some((request, Some(PARENTS[0]))));
-    assert_eq!(rig.held_only(), Some(true), "the origin is seen to be slow");
+    assert_eq!(rig.cached_only(), Some(true), "the origin is seen to be slow");
     // The other way round: the parent is slow with its own copies, then by way of the origin too, and late.
     for late in [false, true] {
         let mut rig = Rig::with(Settings { zone_link: vec![0.0, 0.0, 15_000.0, 0.0], ..settings() }, roomy());
         let (request, member) = rig.ask_and_miss(SMALL, 1000);
-        answer(&mut rig, request, 1, member, 170.0, Note::FilledByOrigin);
+        answer(&mut rig, request, 1, member, 170.0, FillNote::FilledByOrigin);
         let mut at = vec![];
         for object in 0..24_u64 {
             let id = rig.ask_of_size(SMALL, object, 0, None);
             let member = rig.sends()[0].1;
-            rig.end(id, 0, member, Ending::Miss);
+            rig.end(id, 0, member, AttemptEnding::Miss);
             at.push((object, id, member, rig.sends()[0].2.expect("a fill")));
         }
         let slow: Vec<_> = at.iter().filter(|x| x.3 == PARENTS[0]).collect();
         for (_, request, member, _) in &slow[..4] {
-            answer(&mut rig, *request, 1, *member, 9000.0, Note::Filled);
+            answer(&mut rig, *request, 1, *member, 9000.0, FillNote::Filled);
         }
         // The other parent's are through.
         for (_, request, member, _) in at.iter().filter(|x| x.3 != PARENTS[0]) {
-            answer(&mut rig, *request, 1, *member, 900.0, Note::Filled);
+            answer(&mut rig, *request, 1, *member, 900.0, FillNote::Filled);
         }
         if late {
             rig.sweep_until(rig.now + 4500.0);
         } else {
             for (_, request, member, _) in &slow[4..] {
-                answer(&mut rig, *request, 1, *member, 9000.0, Note::FilledByOrigin);
+                answer(&mut rig, *request, 1, *member, 9000.0, FillNote::FilledByOrigin);
             }
         }
         let request = rig.ask_of_size(SMALL, 2000, 0, None);
         let member = rig.sends()[0].1;
-        rig.end(request, 0, member, Ending::Miss);
+        rig.end(request, 0, member, AttemptEnding::Miss);
         assert_eq!(rig.sends().first().map(|s| (s.0, s.2)), Some((request, Some(PARENTS[1]))), "{late}");
-        assert_eq!(rig.held_only(), Some(false), "{late}: the origin is not known to be slow");
+        assert_eq!(rig.cached_only(), Some(false), "{late}: the origin is not known to be slow");
     }
 }
 
 /// What is told as a size but changes all the time moved homes with each list.
 #[test]
 fn what_is_no_size_does_not_move_homes() {
-    let moved = |sized: bool| {
-        let mut rig = Rig::with(Settings { sized, ..settings() }, everyone());
+    let moved = |weights_are_sizes: bool| {
+        let mut rig = Rig::with(Settings { weights_are_sizes, ..settings() }, everyone());
         let before: Vec<_> = (0..60).map(|object| home(&mut rig, object)).collect();
         let list =
             everyone().into_iter().map(|m| Member { weight: f64::from(m.id % 10) * 3.0, ..m }).collect();
-        rig.event(Event::Members(ListKind::Full, list));
+        rig.event(Event::MemberList(ListKind::Full, list));
         (0..60).zip(before).filter(|(object, at)| home(&mut rig, *object) != *at).count()
     };
     assert!(moved(true) > 5);
@@ -862,7 +890,7 @@
         let (request, member) = rig.ask_and_miss(SMALL, object);
         let sent = !rig.sends().is_empty();
         if sent {
-            answer(rig, request, 1, member, elapsed, Note::None);
+            answer(rig, request, 1, member, elapsed, FillNote::None);
         }
         sent
     };
@@ -881,13 +909,13 @@
         let class = if object % 3 == 0 { LARGE } else { SMALL };
         let due = SIZES[class] + 120.0;
         let (request, member) = rig.ask_and_miss(class, object);
-        if rig.held_only() == Some(false) {
+        if rig.cached_only() == Some(false) {
             let times = if class == LARGE { 8.0 } else { 1.0 };
-            answer(&mut rig, request, 1, member, due * times, Note::FilledByOrigin);
+            answer(&mut rig, request, 1, member, due * times, FillNote::FilledByOrigin);
         }
     }
     rig.ask_and_miss(LARGE, 100);
-    assert_eq!(rig.held_only(), Some(true));
+    assert_eq!(rig.cached_only(), Some(true));
 }
 
 /// The origin's pace was learned only from fills that ended, seconds after it had become slow.
@@ -899,17 +927,24 @@
         let miss = |rig: &mut Rig, object| {
             let id = rig.ask_of_size(SMALL, object, 0, None);
             let member = rig.sends()[0].1;
-            rig.end(id, 0, member, Ending::Miss);
+            rig.end(id, 0, member, AttemptEnding::Miss);
             (id, member)
         };
         let (request, member) = miss(&mut rig, 1);
-        answer(&mut rig, request, 1, member, 920.0, if notes { Note::FilledByOrigin } else { Note::None });
+        answer(
+            &mut rig,
+            request,
+            1,
+            member,
+            920.0,
+            if notes { FillNote::FilledByOrigin } else { FillNote::None },
+        );
         (10..30).for_each(|object| {
             miss(&mut rig, object);
         });
         rig.sweep_until(rig.now + 4500.0);
         miss(&mut rig, 40);
-        assert_eq!(rig.held_only(), Some(notes));
+        assert_eq!(rig.cached_only(), Some(notes));
     }
 }
 
@@ -917,7 +952,7 @@
 /// is it one where the object may just be large.
 #[test]
 fn the_time_of_fills_of_known_size_tells_of_the_link_beside_reports_of_other_things() {
-    let shuts = |size: Option<f64>, held: u64, elapsed: Millis, note: Note, link: Option<f64>| {
+    let shuts = |size: Option<f64>, held: u64, elapsed: Millis, note: FillNote, link: Option<f64>| {
         let set = Settings {
             zone_link: vec![0.0, 0.0, 30_000.0, 0.0],
             zone_routers: vec![0, 0, 20, 1],
@@ -929,7 +964,7 @@
         let miss = |rig: &mut Rig, object| {
             let id = rig.ask_of_size(LARGE, object, 0, size);
             let member = rig.sends()[0].1;
-            rig.end(id, 0, member, Ending::Miss);
+            rig.end(id, 0, member, AttemptEnding::Miss);
             (id, member)
         };
         (0..held).for_each(|object| {
@@ -937,16 +972,16 @@
         });
         rig.now += 3000.0;
         let (id, member) = miss(&mut rig, 100);
-        let load = Some(Load { cpu: Some(0.3), link, ..Load::default() });
-        rig.answer((id, 1), member, (Ending::Ok, note), elapsed, load);
+        let load = Some(LoadReport { cpu: Some(0.3), link, ..LoadReport::default() });
+        rig.answer((id, 1), member, (AttemptEnding::Served, note), elapsed, load);
         miss(&mut rig, 101);
-        rig.held_only() != Some(false)
+        rig.cached_only() != Some(false)
     };
-    assert!(shuts(Some(400.0), 4, 1350.0, Note::Filled, None));
-    assert!(!shuts(Some(400.0), 4, 1350.0, Note::Filled, Some(0.1)), "the link is reported to be idle");
-    assert!(!shuts(Some(400.0), 4, 400.0, Note::Filled, None), "nothing crowds it");
-    assert!(!shuts(Some(400.0), 4, 1350.0, Note::FilledByOrigin, None), "it is the origin that is slow");
-    assert!(!shuts(None, 2, 2300.0, Note::Filled, None), "an object not met before may just be large");
+    assert!(shuts(Some(400.0), 4, 1350.0, FillNote::Filled, None));
+    assert!(!shuts(Some(400.0), 4, 1350.0, FillNote::Filled, Some(0.1)), "the link is reported to be idle");
+    assert!(!shuts(Some(400.0), 4, 400.0, FillNote::Filled, None), "nothing crowds it");
+    assert!(!shuts(Some(400.0), 4, 1350.0, FillNote::FilledByOrigin, None), "it is the origin that is slow");
+    assert!(!shuts(None, 2, 2300.0, FillNote::Filled, None), "an object not met before may just be large");
 }
 
 /// Where reports tell only how busy a cache is, its load was our own sends times the routers, which is noise; and
@@ -958,8 +993,8 @@
         let held = [rig.ask(SMALL, 5, 0), rig.ask(SMALL, 5, 0)];
         let first = rig.sends()[0].1;
         rig.now += 380.0;
-        let load = busy.map(|cpu| Load { cpu: Some(cpu), ..Load::default() });
-        rig.answer((held[1], 0), first, (Ending::Ok, Note::Hit), 60.0, load);
+        let load = busy.map(|cpu| LoadReport { cpu: Some(cpu), ..LoadReport::default() });
+        rig.answer((held[1], 0), first, (AttemptEnding::Served, FillNote::Hit), 60.0, load);
         rig.ask(SMALL, 5, 0);
         rig.sends()[0].1 != first
     };
--- a/crates/deckproxy-settings/src/lib.rs
+++ b/crates/deckproxy-settings/src/lib.rs
@@ -8,7 +8,7 @@
 
 pub mod keys;
 
-use deckproxy_control::interface::{Class, ColdRule, Effect, Group, Load, Settings, Siblings};
+use deckproxy_control::interface::{Class, ColdRule, Effect, Group, LoadReport, Settings, Siblings};
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
@@ -50,12 +50,12 @@
 }
 
 /// Reads the values of a load report by their names. The settings and the sockets' page have each their own.
-pub fn load<'a>(values: impl IntoIterator<Item = (&'a str, f64)>) -> Option<Load> {
-    let mut load = None::<Load>;
+pub fn load<'a>(values: impl IntoIterator<Item = (&'a str, f64)>) -> Option<LoadReport> {
+    let mut load = None::<LoadReport>;
     for (name, value) in values {
         let load = load.get_or_insert_default();
         match name {
-            "busy_reqs" | "inflight" => load.held = Some(value),
+            "busy_reqs" | "inflight" => load.in_flight = Some(value),
             "x1" => load.link = Some(value),
             "cpu_share" | "util" => load.cpu = Some(value),
             _ => {}
@@ -123,11 +123,11 @@
         let aim = text.number(&key("aimMs"), 0.0)?;
         names.push(text.get(&key("name")).unwrap_or_default().to_string());
         classes.push(Class {
-            aim,
-            aim_stretch: text.number(&key("aimStretch"), 0.0)?,
+            latency_objective: aim,
+            latency_objective_stretch: text.number(&key("aimStretch"), 0.0)?,
             deadline: text.number(&key("deadlineMs"), aim)?,
-            worth: text.number(&key("importance"), 1.0)?,
-            late_share: text.number(&key("lateShare"), 0.0)?,
+            priority_weight: text.number(&key("importance"), 1.0)?,
+            late_weight_share: text.number(&key("lateShare"), 0.0)?,
             effect: match text.get(&key("effect")) {
                 Some("retryable") => Effect::Safe,
                 Some("dedup") => Effect::Keyed,
@@ -142,9 +142,9 @@
                 Some(other) => return Err(format!("setting {}: unknown group {other:?}", key("group"))),
             },
             dedup_window: text.number(&key("dedupWindowMs"), 0.0)?,
-            fresh: fresh.get(i).copied().unwrap_or(0.0),
-            grace: grace.get(i).copied().unwrap_or(0.0),
-            stale_worth: stale.get(i).copied().unwrap_or(0.0),
+            freshness_lifetime: fresh.get(i).copied().unwrap_or(0.0),
+            stale_lifetime: grace.get(i).copied().unwrap_or(0.0),
+            stale_weight_share: stale.get(i).copied().unwrap_or(0.0),
             write: write.get(i).copied().unwrap_or(false),
             stream: text.flag(&key("stream"))?,
         });
@@ -181,7 +181,7 @@
             Some(other) => return Err(format!("setting familyInfo.sideways: unknown value {other:?}")),
         },
         flow: text.number("familyInfo.flowKbPerS", 0.0)?,
-        sized: match text.get("weightKind") {
+        weights_are_sizes: match text.get("weightKind") {
             None | Some("nominal" | "rough") => true,
             // A size over what is held changes all the time: no size to hash or to budget by.
             Some("none" | "live") => false,
@@ -197,7 +197,7 @@
         purge_done: text.number("familyInfo.clearedWithinMs", 0.0)?,
         list_on_request: text.get("discovery") == Some("on_request"),
         max_attempts: text.parse("limits.sendCap")?.unwrap_or(1),
-        second_copies: text.flag("limits.secondCopies")?,
+        hedged_requests: text.flag("limits.secondCopies")?,
         cancel: text.flag("limits.cancel")?,
         retry_after: text.flag("limits.retryAfter")?,
         max_retry_after: text.number("limits.maxRetryAfterMs", 0.0)?,
--- a/crates/deckproxy-settings/tests/settings.rs
+++ b/crates/deckproxy-settings/tests/settings.rs
@@ -14,14 +14,14 @@
     let s = conf.settings;
     assert_eq!((s.zone, s.routers, s.max_attempts), (1, 1, 4));
     assert_eq!((s.parent_kind, s.origin_kind, s.siblings), (Some(1), Some(2), Siblings::None));
-    assert_eq!((s.classes[0].effect, s.classes[0].fresh), (Effect::Safe, 0.0));
+    assert_eq!((s.classes[0].effect, s.classes[0].freshness_lifetime), (Effect::Safe, 0.0));
     assert_eq!(settings::read("familyInfo.shieldKind=-1").unwrap().settings.parent_kind, None);
     assert_eq!(settings::read("").unwrap().settings.classes.len(), 0);
     let listed = "services.count=2\nfamilyInfo.maxAgeMs=0.0,12000.0\nfamilyInfo.goesThrough=false,true\n\
         services.0.effect=dedup\nservices.0.group=cell\nrules.coldFrom=0.2\nfamilyInfo.upperColdFrom=0.1\n\
         rules.fallMs=1500.0\nreport.fields=busy_reqs,x1\n";
     let conf = settings::read(listed).unwrap();
-    assert_eq!(conf.settings.classes[1].fresh, 12000.0);
+    assert_eq!(conf.settings.classes[1].freshness_lifetime, 12000.0);
     assert!(conf.settings.classes[1].write && !conf.settings.classes[0].write);
     assert_eq!(
         (conf.settings.classes[0].effect, conf.settings.classes[0].group),
@@ -31,7 +31,7 @@
     assert_eq!((conf.settings.cold_cache.from, conf.settings.cold_parent.from), (0.2, 0.1));
     assert_eq!(conf.settings.cold_parent.window, 1500.0);
     let load = settings::load([("busy_reqs", 3.0), ("x1", 0.5)]).unwrap();
-    assert_eq!((load.held, load.link, load.cpu), (Some(3.0), Some(0.5), None));
+    assert_eq!((load.in_flight, load.link, load.cpu), (Some(3.0), Some(0.5), None));
     assert_eq!(settings::load([]), None);
     for bad in [
         "groupSize=many",
@@ -49,7 +49,7 @@
 #[test]
 fn a_load_report_is_read_by_either_name_of_its_values() {
     let load = settings::load([("inflight", 7.0), ("util", 0.61), ("unknown", 1.0)]).unwrap();
-    assert_eq!((load.held, load.link, load.cpu), (Some(7.0), None, Some(0.61)));
+    assert_eq!((load.in_flight, load.link, load.cpu), (Some(7.0), None, Some(0.61)));
 }
 
 #[test]
@@ -76,7 +76,7 @@
 
 #[test]
 fn sizes_are_told_unless_the_settings_say_that_they_are_not() {
-    let sized = |text: &str| settings::read(text).unwrap().settings.sized;
+    let sized = |text: &str| settings::read(text).unwrap().settings.weights_are_sizes;
     assert!(sized("") && sized("weightKind=nominal") && sized("weightKind=rough"));
     assert!(!sized("weightKind=none") && !sized("weightKind=live"));
 }
--- a/crates/deckproxy/src/program/fleet.rs
+++ b/crates/deckproxy/src/program/fleet.rs
@@ -60,7 +60,7 @@
     let settings = &router.conf().settings;
     let effect = |c: &interface::Class| c.write || c.effect != interface::Effect::Safe;
     Platform {
-        classes: settings.classes.iter().map(|c| (c.worth, effect(c))).collect(),
+        classes: settings.classes.iter().map(|c| (c.priority_weight, effect(c))).collect(),
         advice: settings.retry_after,
         most_back: settings.max_retry_after,
     }
--- a/crates/deckproxy/src/program/recovery.rs
+++ b/crates/deckproxy/src/program/recovery.rs
@@ -30,7 +30,7 @@
         for name in recovery.unknown(&conf.classes) {
             warn!(log, "recovery: a class is to be given up that the settings do not have"; "class" => name);
         }
-        let worth = conf.settings.classes.iter().map(|c| c.worth);
+        let worth = conf.settings.classes.iter().map(|c| c.priority_weight);
         let classes: Vec<(String, f64)> = conf.classes.iter().cloned().zip(worth).collect();
         let advice = conf.settings.retry_after;
         let most = conf.settings.max_retry_after.max(1.0);
--- a/crates/deckproxy/src/program/sites.rs
+++ b/crates/deckproxy/src/program/sites.rs
@@ -58,9 +58,9 @@
 
 /// A class's place among all by worth, from 0 to 1.
 fn rank(classes: &[interface::Class], class: usize) -> f64 {
-    let worth = classes[class].worth;
-    let below = classes.iter().filter(|c| c.worth < worth).count();
-    let above = classes.iter().filter(|c| c.worth > worth).count();
+    let worth = classes[class].priority_weight;
+    let below = classes.iter().filter(|c| c.priority_weight < worth).count();
+    let above = classes.iter().filter(|c| c.priority_weight > worth).count();
     if below + above == 0 { 0.5 } else { below as f64 / (below + above) as f64 }
 }
 
--- a/crates/deckproxy/src/routing/router.rs
+++ b/crates/deckproxy/src/routing/router.rs
@@ -12,8 +12,8 @@
 use crate::routing::timers::Timers;
 use deckproxy_control::Control;
 use deckproxy_control::interface::{
-    Action, Effect as Repeats, Ending, Event, Lifecycle, ListKind, Load, Member, MemberId, Note, Request,
-    RequestId,
+    Action, AttemptEnding, Effect as Repeats, Event, FillNote, Lifecycle, ListKind, LoadReport, Member,
+    MemberId, Request, RequestId,
 };
 use deckproxy_settings::Conf;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
@@ -121,7 +121,7 @@
     member: MemberId,
     sent: f64,
     /// Being given up: the ending to tell if it was sent.
-    given_up: Option<Ending>,
+    given_up: Option<AttemptEnding>,
 }
 
 struct Open {
@@ -169,17 +169,17 @@
     u64::from(request) * ATTEMPTS + u64::from(no)
 }
 
-fn place_in(endings: Ending) -> usize {
+fn place_in(endings: AttemptEnding) -> usize {
     match endings {
-        Ending::Ok => 0,
-        Ending::Error => 1,
-        Ending::Full => 2,
-        Ending::Timeout => 3,
-        Ending::ConnectFailed => 4,
-        Ending::Reset => 5,
-        Ending::Cancelled => 6,
-        Ending::Moot => 7,
-        Ending::Miss => 8,
+        AttemptEnding::Served => 0,
+        AttemptEnding::Error => 1,
+        AttemptEnding::Rejected => 2,
+        AttemptEnding::Timeout => 3,
+        AttemptEnding::ConnectFailed => 4,
+        AttemptEnding::Reset => 5,
+        AttemptEnding::Cancelled => 6,
+        AttemptEnding::NotSent => 7,
+        AttemptEnding::Miss => 8,
     }
 }
 
@@ -379,10 +379,10 @@
         open.ended = true;
         self.ids.remove(&(open.client, open.id));
         for out in open.out.iter_mut().filter(|o| o.given_up.is_none()) {
-            out.given_up = Some(Ending::Cancelled);
+            out.given_up = Some(AttemptEnding::Cancelled);
             self.effects.push_back(Effect::Withdraw { key: key(request, out.no), member: out.member });
         }
-        self.tell(now, Event::Gone(request));
+        self.tell(now, Event::ClientGone(request));
         self.forget(request);
     }
 
@@ -398,13 +398,13 @@
         let held = self.open.get(&((at / ATTEMPTS) as RequestId)).and_then(|o| o.call.have.as_ref());
         let named = held.is_some() && held == copy.as_ref().map(|c| &c.tag);
         let (ending, answer) = match reply.word {
-            Word::Ok => (Ending::Ok, Some(Answer::Served(reply.body))),
-            Word::Unchanged if named => (Ending::Ok, Some(Answer::Unchanged)),
-            Word::Miss => (Ending::Miss, None),
-            Word::Full => (Ending::Full, None),
-            Word::Over => (Ending::Moot, None),
+            Word::Ok => (AttemptEnding::Served, Some(Answer::Served(reply.body))),
+            Word::Unchanged if named => (AttemptEnding::Served, Some(Answer::Unchanged)),
+            Word::Miss => (AttemptEnding::Miss, None),
+            Word::Full => (AttemptEnding::Rejected, None),
+            Word::Over => (AttemptEnding::NotSent, None),
             // A probe's word under an attempt's id, and that another copy holds than the client's, prove nothing.
-            Word::Error | Word::Alive(_) | Word::Unchanged => (Ending::Error, None),
+            Word::Error | Word::Alive(_) | Word::Unchanged => (AttemptEnding::Error, None),
         };
         self.end(now, at, ending, answer.map(|answer| (answer, copy)), load);
     }
@@ -414,7 +414,8 @@
         if let Some(member) = self.probes.remove(&at) {
             return self.probed(now, member, false, None);
         }
-        let ending = if how == Broke::NeverSent { Ending::ConnectFailed } else { Ending::Reset };
+        let ending =
+            if how == Broke::NeverSent { AttemptEnding::ConnectFailed } else { AttemptEnding::Reset };
         self.end(now, at, ending, None, None);
     }
 
@@ -436,7 +437,7 @@
         let out = self.open.get(&((at / ATTEMPTS) as RequestId));
         let out = out.and_then(|o| o.out.iter().find(|o| key((at / ATTEMPTS) as RequestId, o.no) == at));
         let Some(ending) = out.and_then(|o| o.given_up) else { return };
-        self.end(now, at, if sent { ending } else { Ending::Moot }, None, None);
+        self.end(now, at, if sent { ending } else { AttemptEnding::NotSent }, None, None);
     }
 
     /// The feed told an event. One that was told before is passed over. Tells whether it followed the last one;
@@ -459,7 +460,7 @@
             self.counters.late = self.counters.late.max(now - at);
             match due {
                 Due::Module(token) => self.tell(now, Event::Timer(token)),
-                Due::Attempt(at) => self.give_up(at, Ending::Timeout),
+                Due::Attempt(at) => self.give_up(at, AttemptEnding::Timeout),
                 Due::Probe(at) => {
                     if let Some(member) = self.probes.get(&at).copied() {
                         self.effects.push_back(Effect::Withdraw { key: at, member });
@@ -505,7 +506,7 @@
                 let unlisted = self.members.ids().filter(|id| whole && !all.iter().any(|m| m.id == *id));
                 let gone: Vec<MemberId> = left.chain(unlisted).collect();
                 self.effects.extend(gone.iter().copied().map(Effect::Close));
-                self.tell(now, Event::Members(if whole { whole_list } else { ListKind::Delta }, all));
+                self.tell(now, Event::MemberList(if whole { whole_list } else { ListKind::Delta }, all));
                 // The module asks them for nothing more; what is out there ends by its number alone.
                 gone.into_iter().for_each(|id| self.members.forget(id));
                 self.effects.push_back(Effect::Listed);
@@ -559,23 +560,25 @@
                     keep,
                     age,
                     join: how.join,
-                    held_only: how.held_only,
+                    held_only: how.cached_only,
                     no_parent_copy: how.no_parent_copy,
                     renew: how.renew,
                     wait: 0.0,
                 };
                 self.ask(now, request, member, until, orders);
             }
-            Action::Refuse { request, retry_after } => self.finish(request, Answer::Refused(retry_after)),
+            Action::Reject { request, retry_after } => self.finish(request, Answer::Refused(retry_after)),
             Action::Fail { request } => self.finish(request, Answer::Failed),
-            Action::Cancel { request, attempt } => self.give_up(key(request, attempt), Ending::Cancelled),
+            Action::Cancel { request, attempt } => {
+                self.give_up(key(request, attempt), AttemptEnding::Cancelled)
+            }
             // Never at once: a timer that is always due would hold the loop for good.
             Action::Timer { token, at } => self.timers.set(at.max(now + limits::TICK), Due::Module(token)),
-            Action::Probe(member) => self.probe(now, member),
+            Action::HealthCheck(member) => self.probe(now, member),
             Action::Close(member) => self.effects.push_back(Effect::Close(member)),
             Action::Log(text) => self.effects.push_back(Effect::Log(text)),
             // The feed pushes every change, and no page tells of messages between gateways.
-            Action::Tell(..) | Action::Watch(_) | Action::Fetch => {}
+            Action::SendToPeer(..) | Action::Watch(_) | Action::Fetch => {}
         }
     }
 
@@ -603,7 +606,13 @@
                 let orders = Orders { wait: until - now, ..orders };
                 self.effects.push_back(Effect::Ask { key: at, member, place, client, call, orders, unsent });
             }
-            _ => self.end(now, at, if moot { Ending::Moot } else { Ending::ConnectFailed }, None, None),
+            _ => self.end(
+                now,
+                at,
+                if moot { AttemptEnding::NotSent } else { AttemptEnding::ConnectFailed },
+                None,
+                None,
+            ),
         }
     }
 
@@ -623,9 +632,9 @@
         }
     }
 
-    fn probed(&mut self, now: f64, member: MemberId, good: bool, load: Option<Load>) {
+    fn probed(&mut self, now: f64, member: MemberId, good: bool, load: Option<LoadReport>) {
         self.effects.push_back(Effect::Probed { member, good });
-        self.tell(now, Event::Probed { member, ok: good, load });
+        self.tell(now, Event::HealthChecked { member, ok: good, load });
     }
 
     /// The members as the list has them, with their names.
@@ -639,12 +648,12 @@
     pub fn hold_back(&mut self, now: f64, members: &[MemberId]) {
         let changed = self.members.hold_back(members);
         if !changed.is_empty() {
-            self.tell(now, Event::Members(ListKind::Delta, changed));
+            self.tell(now, Event::MemberList(ListKind::Delta, changed));
         }
     }
 
     /// Gives an attempt up, if it is still out.
-    fn give_up(&mut self, at: AttemptKey, ending: Ending) {
+    fn give_up(&mut self, at: AttemptKey, ending: AttemptEnding) {
         let request = (at / ATTEMPTS) as RequestId;
         let out =
             self.open.get_mut(&request).and_then(|o| o.out.iter_mut().find(|o| key(request, o.no) == at));
@@ -659,15 +668,21 @@
         &mut self,
         now: f64,
         at: AttemptKey,
-        ending: Ending,
+        ending: AttemptEnding,
         answer: Option<(Answer, Option<Copy>)>,
-        load: Option<Load>,
+        load: Option<LoadReport>,
     ) {
         let request = (at / ATTEMPTS) as RequestId;
         let Some(open) = self.open.get_mut(&request) else { return };
         let Some(i) = open.out.iter().position(|o| key(request, o.no) == at) else { return };
         let out = open.out.remove(i);
-        let never_ran = matches!(ending, Ending::Full | Ending::ConnectFailed | Ending::Moot | Ending::Miss);
+        let never_ran = matches!(
+            ending,
+            AttemptEnding::Rejected
+                | AttemptEnding::ConnectFailed
+                | AttemptEnding::NotSent
+                | AttemptEnding::Miss
+        );
         if !never_ran {
             open.maybe_run.get_or_insert(out.sent);
         }
@@ -677,7 +692,7 @@
         }
         let finished = self.open.get(&request).is_none_or(|o| o.ended);
         let elapsed = now - out.sent;
-        let (attempt, member, note) = (out.no, out.member, Note::None);
+        let (attempt, member, note) = (out.no, out.member, FillNote::None);
         self.forget(request);
         let told = Event::Outcome { request, attempt, member, ending, elapsed, finished, note, load };
         self.tell(now, told);
