--- a/crates/deckproxy-adapter/src/host.rs
+++ b/crates/deckproxy-adapter/src/host.rs
@@ -65,10 +65,10 @@
             }
             WireEvent::MemberList(kind, list) => Event::MemberList(kind, list),
             WireEvent::Request(r) => Event::Request(r),
-            WireEvent::First { request, attempt } => Event::First { request, attempt },
-            WireEvent::Outcome { request, attempt, member, ending, elapsed, finished, note, load } => {
+            WireEvent::StreamStarted { request, attempt } => Event::StreamStarted { request, attempt },
+            WireEvent::AttemptEnded { request, attempt, member, ending, elapsed, finished, note, load } => {
                 let load = self.instances.get(&id).and_then(|i| i.load(&load));
-                Event::Outcome { request, attempt, member, ending, elapsed, finished, note, load }
+                Event::AttemptEnded { request, attempt, member, ending, elapsed, finished, note, load }
             }
             WireEvent::ClientGone(request) => Event::ClientGone(request),
             WireEvent::Timer(token) => Event::Timer(token),
@@ -76,7 +76,7 @@
                 let load = self.instances.get(&id).and_then(|i| i.load(&load));
                 Event::HealthChecked { member, ok, load }
             }
-            WireEvent::Peer(from, text) => Event::Peer(from, text),
+            WireEvent::PeerMessage(from, text) => Event::PeerMessage(from, text),
             WireEvent::Purged { object, group, age } => Event::Purged { object, group, age },
         };
         // An event for an instance that was never started, or has been destroyed, means nothing.
--- a/crates/deckproxy-adapter/src/wire.rs
+++ b/crates/deckproxy-adapter/src/wire.rs
@@ -73,14 +73,14 @@
     /// A request.
     Request(Request),
     /// A stream has begun.
-    First {
+    StreamStarted {
         /// The request.
         request: u32,
         /// The attempt.
         attempt: u32,
     },
     /// An attempt ended.
-    Outcome {
+    AttemptEnded {
         /// The request.
         request: u32,
         /// The attempt.
@@ -112,7 +112,7 @@
         load: Vec<f32>,
     },
     /// A message.
-    Peer(u32, Vec<u8>),
+    PeerMessage(u32, Vec<u8>),
     /// A purge.
     Purged {
         /// The object, if one is named.
@@ -275,13 +275,13 @@
                 part: whole(f.f32(7)?),
                 object: f.u64(11)?,
                 size: (size > 0.0 && size.is_finite()).then_some(f64::from(size)),
-                expires: f.f64(28)?,
+                deadline: f.f64(28)?,
                 class: usize::from(f.u8(36)?),
                 group: whole(f.f32(37)?),
             })
         }
-        3 => WireEvent::First { request: f.u32(3)?, attempt: u32::from(f.u8(7)?) },
-        4 => WireEvent::Outcome {
+        3 => WireEvent::StreamStarted { request: f.u32(3)?, attempt: u32::from(f.u8(7)?) },
+        4 => WireEvent::AttemptEnded {
             request: f.u32(3)?,
             attempt: u32::from(f.u8(7)?),
             member: f.u32(8)?,
@@ -294,7 +294,7 @@
         5 => WireEvent::ClientGone(f.u32(3)?),
         6 => WireEvent::Timer(f.u64(3)?),
         7 => WireEvent::HealthChecked { member: f.u32(3)?, ok: f.u16(7)? == 200, load: f.load(17)? },
-        8 => WireEvent::Peer(u32::from(f.u16(3)?), f.tail(5, tail, 1)?.to_vec()),
+        8 => WireEvent::PeerMessage(u32::from(f.u16(3)?), f.tail(5, tail, 1)?.to_vec()),
         9 => WireEvent::Destroy,
         10 => {
             let object = f.u64(3)?;
@@ -373,8 +373,8 @@
     pub fn push(&mut self, instance: u16, action: &Action) {
         let mut r = Record::new(instance);
         match action {
-            Action::LookUp { request, member, until } => {
-                r.code(0).u32(3, *request).f64(7, *until).u32(15, *member);
+            Action::Lookup { request, member, deadline } => {
+                r.code(0).u32(3, *request).f64(7, *deadline).u32(15, *member);
             }
             Action::Reject { request, retry_after } => {
                 r.code(1).u32(3, *request).f64(7, *retry_after);
@@ -391,7 +391,7 @@
             Action::HealthCheck(member) => {
                 r.code(5).u32(3, *member);
             }
-            Action::Close(member) => {
+            Action::CloseIdle(member) => {
                 r.code(6).u32(3, *member);
             }
             Action::SendToPeer(to, text) => {
@@ -402,15 +402,15 @@
                 let at = self.append(text.as_bytes());
                 r.code(8).u32(3, at.0).u32(7, at.1);
             }
-            Action::Watch(on) => {
+            Action::WatchMembers(on) => {
                 r.code(10).u8(3, u8::from(*on));
             }
-            Action::Fetch => {
+            Action::FetchMembers => {
                 r.code(11);
             }
-            Action::Get { request, member, until, source, keep, age, how } => {
-                r.code(12).u32(3, *request).u32(7, *member).f64(11, *until);
-                r.u32(19, *source).u8(23, *keep).f64(24, *age).u8(32, manner(*how));
+            Action::Get { request, member, deadline, source, copy_rank, max_age, options } => {
+                r.code(12).u32(3, *request).u32(7, *member).f64(11, *deadline);
+                r.u32(19, *source).u8(23, *copy_rank).f64(24, *max_age).u8(32, manner(*options));
             }
         }
         self.records.extend_from_slice(&r.0);
--- a/crates/deckproxy-adapter/tests/wire.rs
+++ b/crates/deckproxy-adapter/tests/wire.rs
@@ -92,7 +92,7 @@
         part: 3,
         object: 0x91f0_3b7c_55d2_0a64,
         size: Some(640.0),
-        expires: 8652.25,
+        deadline: 8652.25,
         class: 0,
         group: 11,
     };
@@ -125,7 +125,7 @@
         02 0000803f 00000040 00000000 00000000";
     assert_eq!(
         one(outcome, &[]).unwrap(),
-        WireEvent::Outcome {
+        WireEvent::AttemptEnded {
             request: 0x5d3a_91c4,
             attempt: 2,
             member: 0x0312_4a07,
@@ -138,13 +138,16 @@
     );
     assert_eq!(
         one("03 0300 c4913a5d 01 074a1203 0000000000803240", &[]).unwrap(),
-        WireEvent::First { request: 0x5d3a_91c4, attempt: 1 }
+        WireEvent::StreamStarted { request: 0x5d3a_91c4, attempt: 1 }
     );
     assert_eq!(
         one("07 0300 074a1203 c800 0000000000803240 01 0000803f", &[]).unwrap(),
         WireEvent::HealthChecked { member: 0x0312_4a07, ok: true, load: vec![1.0] }
     );
-    assert_eq!(one("08 0300 0200 00000000 02000000", b"hi").unwrap(), WireEvent::Peer(2, b"hi".to_vec()));
+    assert_eq!(
+        one("08 0300 0200 00000000 02000000", b"hi").unwrap(),
+        WireEvent::PeerMessage(2, b"hi".to_vec())
+    );
     assert_eq!(one("09 0300", &[]).unwrap(), WireEvent::Destroy);
     assert_eq!(
         one("0a 0300 010ad2557c000000 0b00 0000000000405540", &[]).unwrap(),
@@ -172,7 +175,7 @@
     for (code, want) in codes {
         let code = format!("{:02x}{:02x}", code & 255, code >> 8);
         let record = format!("04 0300 01000000 00 02000000 {code} 0000000000000000");
-        let WireEvent::Outcome { ending, .. } = one(&record, &[]).unwrap() else { panic!("no outcome") };
+        let WireEvent::AttemptEnded { ending, .. } = one(&record, &[]).unwrap() else { panic!("no outcome") };
         assert_eq!(ending, want);
     }
 }
@@ -181,7 +184,7 @@
 fn every_action_is_written() {
     let cases = [
         (
-            Action::LookUp { request: 0x5d3a_91c4, member: 0x0312_4a07, until: 8492.25 },
+            Action::Lookup { request: 0x5d3a_91c4, member: 0x0312_4a07, deadline: 8492.25 },
             "00 0300 c4913a5d 000000002096c040 074a1203 +21",
         ),
         (Action::Reject { request: 0x5d3a_91c4, retry_after: 18.5 }, "01 0300 c4913a5d 0000000000803240 +25"),
@@ -189,21 +192,21 @@
         (Action::Cancel { request: 0x5d3a_91c4, attempt: 2 }, "03 0300 c4913a5d 02 +32"),
         (Action::Timer { token: 77, at: 8912.25 }, "04 0300 4d00000000000000 000000002068c140 +21"),
         (Action::HealthCheck(0x0312_4a07), "05 0300 074a1203 +33"),
-        (Action::Close(0x0312_4a07), "06 0300 074a1203 +33"),
+        (Action::CloseIdle(0x0312_4a07), "06 0300 074a1203 +33"),
         (Action::SendToPeer(None, b"h7 h".to_vec()), "07 0300 ffff 00000000 04000000 +27"),
         (Action::SendToPeer(Some(2), b"x".to_vec()), "07 0300 0200 00000000 01000000 +27"),
         (Action::Log("two servers known".into()), "08 0300 00000000 11000000 +29"),
-        (Action::Watch(true), "0a 0300 01 +36"),
-        (Action::Fetch, "0b 0300 +37"),
+        (Action::WatchMembers(true), "0a 0300 01 +36"),
+        (Action::FetchMembers, "0b 0300 +37"),
         (
             Action::Get {
                 request: 0x5d3a_91c4,
                 member: 0x0312_4a07,
-                until: 9312.25,
+                deadline: 9312.25,
                 source: 0x2c90_11f2,
-                keep: 2,
-                age: 1500.0,
-                how: GetOptions { join: true, renew: true, ..GetOptions::default() },
+                copy_rank: 2,
+                max_age: 1500.0,
+                options: GetOptions { join: true, renew: true, ..GetOptions::default() },
             },
             "0c 0300 c4913a5d 074a1203 000000002030c240 f211902c 02 0000000000709740 09 +7",
         ),
--- a/crates/deckproxy-control/src/control.rs
+++ b/crates/deckproxy-control/src/control.rs
@@ -63,18 +63,18 @@
     pub fn handle(&mut self, now: Millis, event: Event, acts: &mut Vec<Action>) {
         self.now = now;
         match event {
-            Event::Started if self.s.list_on_request => self.acts.push(Action::Watch(true)),
-            Event::Timer(1) => self.acts.push(Action::Watch(true)),
+            Event::Started if self.s.poll_member_list => self.acts.push(Action::WatchMembers(true)),
+            Event::Timer(1) => self.acts.push(Action::WatchMembers(true)),
             Event::MemberList(ListKind::Failed, _) => {
                 self.acts.push(Action::Timer { token: 1, at: now + REWATCH });
             }
             Event::MemberList(kind, list) => self.members(kind, list),
             Event::Request(r) => self.request(r),
-            Event::First { request, attempt } => {
+            Event::StreamStarted { request, attempt } => {
                 let o = self.open.get_mut(&request).into_iter();
                 o.for_each(|o| o.streaming |= o.out.iter().any(|a| a.no == attempt));
             }
-            Event::Outcome { request, attempt, member, ending, elapsed, finished, note, load } => {
+            Event::AttemptEnded { request, attempt, member, ending, elapsed, finished, note, load } => {
                 self.outcome(request, attempt, Ended { member, ending, elapsed, note, load }, finished);
             }
             Event::ClientGone(id) => {
@@ -87,9 +87,9 @@
                 let last =
                     self.purged.entry((object, if object.is_some() { 0 } else { group })).or_insert(at);
                 *last = last.max(at);
-                self.purged.retain(|_, at| now <= *at + self.s.purge_done);
+                self.purged.retain(|_, at| now <= *at + self.s.purge_settle_time);
             }
-            Event::HealthChecked { .. } | Event::Peer(..) | Event::Started => {}
+            Event::HealthChecked { .. } | Event::PeerMessage(..) | Event::Started => {}
         }
         if !self.sweeping && !self.open.is_empty() {
             (self.sweeping, self.sweep_due) = (true, now + SWEEP);
--- a/crates/deckproxy-control/src/control/collapsing.rs
+++ b/crates/deckproxy-control/src/control/collapsing.rs
@@ -20,7 +20,7 @@
     pub(super) fn missed(&mut self, id: RequestId, cache: MemberId) {
         let Some(o) = self.open.get(&id) else { return };
         // Too little time to wait for the next sweep counts like a large object.
-        let alone = self.s.joins && self.work(&o.r) >= LARGE || self.last_call(o);
+        let alone = self.s.join_fills && self.work(&o.r) >= LARGE || self.last_call(o);
         let new = Collapse { leader: id, cache, waiters: VecDeque::new() };
         let entry = self.table.entry((o.r.object, o.r.part)).or_insert(new);
         if entry.leader == id || alone || entry.waiters.len() >= WAITERS_MOST {
@@ -35,7 +35,7 @@
 
     /// Only one attempt's time is left.
     pub(super) fn last_call(&self, o: &Open) -> bool {
-        o.r.expires - self.now <= LATE * (self.work(&o.r) + WAY) + SWEEP
+        o.r.deadline - self.now <= LATE * (self.work(&o.r) + WAY) + SWEEP
     }
 
     /// A fill at a cache, from the first source that will do; else at the next cache; else past them.
--- a/crates/deckproxy-control/src/control/dispatch.rs
+++ b/crates/deckproxy-control/src/control/dispatch.rs
@@ -89,10 +89,10 @@
         let Some(o) = self.open.get_mut(&id) else { return };
         if !o.ended {
             let class = &self.s.classes[o.r.class];
-            let harmless = match class.effect {
-                Effect::Safe => true,
-                Effect::Keyed => o.maybe_run.is_none() || class.group == Group::All,
-                Effect::Unsafe => o.maybe_run.is_none(),
+            let harmless = match class.idempotency {
+                Idempotency::Idempotent => true,
+                Idempotency::Keyed => o.maybe_run.is_none() || class.group == Group::All,
+                Idempotency::NotIdempotent => o.maybe_run.is_none(),
             };
             o.ended = true;
             let retry_after = if self.s.retry_after {
--- a/crates/deckproxy-control/src/control/endpoints.rs
+++ b/crates/deckproxy-control/src/control/endpoints.rs
@@ -54,18 +54,18 @@
     pub(super) fn cold_room(
         &mut self,
         place: u32,
-        rule: &ColdRule,
+        rule: &SlowStart,
         part: f64,
         dearest: f64,
         now: Millis,
     ) -> bool {
         let age = (now - self.m.started.unwrap_or(now)).max(0.0);
-        let capacity = rule.from + (1.0 - rule.from) * age / rule.ramp;
-        let pace = COLD_SHARE * rule.multiple * capacity * part;
+        let capacity = rule.initial_share + (1.0 - rule.initial_share) * age / rule.duration;
+        let pace = COLD_SHARE * rule.overload_multiple * capacity * part;
         let shift = mix(u64::from(self.m.id)) as f64 / u64::MAX as f64;
         let first = dearest * (f64::from(place) * GOLDEN + shift).fract();
         let saved = self.saved.unwrap_or(first) + pace * (now - self.saved_at).max(0.0);
-        let lapsed = ((saved - pace * rule.window) / dearest).floor().max(0.0) * dearest;
+        let lapsed = ((saved - pace * rule.overload_window) / dearest).floor().max(0.0) * dearest;
         (self.saved, self.saved_at) = (Some(saved - lapsed), now.max(self.saved_at));
         saved - lapsed >= dearest
     }
@@ -87,13 +87,14 @@
                 // A new process starts anew. One that a starting router knows may have been sent to before.
                 _ => {
                     let known = kind == ListKind::Cached && self.is_cold(&m);
-                    let from = if known { self.now + self.s.cold_cache.window } else { f64::MIN };
+                    let from =
+                        if known { self.now + self.s.cache_slow_start.overload_window } else { f64::MIN };
                     self.peers.insert(m.id, Peer::new(m, self.now, from));
                 }
             }
         }
         // One that left while cold is kept: should the list take it back, its budget is spent as before.
-        let (now, ramp) = (self.now, self.s.cold_cache.ramp.max(self.s.cold_parent.ramp));
+        let (now, ramp) = (self.now, self.s.cache_slow_start.duration.max(self.s.parent_slow_start.duration));
         let cold = |p: &Peer| p.m.started.is_some_and(|s| now - s < ramp);
         self.peers.retain(|_, p| p.m.lifecycle != Lifecycle::Gone || cold(p));
     }
@@ -106,12 +107,12 @@
         self.s.origin_kind == Some(m.kind)
     }
 
-    pub(super) fn cold_rule(&self, m: &Member) -> ColdRule {
-        if self.is_cache(m) { self.s.cold_cache } else { self.s.cold_parent }
+    pub(super) fn cold_rule(&self, m: &Member) -> SlowStart {
+        if self.is_cache(m) { self.s.cache_slow_start } else { self.s.parent_slow_start }
     }
 
     pub(super) fn is_cold(&self, m: &Member) -> bool {
-        !self.is_origin(m) && m.started.is_some_and(|at| self.now - at < self.cold_rule(m).ramp)
+        !self.is_origin(m) && m.started.is_some_and(|at| self.now - at < self.cold_rule(m).duration)
     }
 
     pub(super) fn is_cache(&self, m: &Member) -> bool {
--- a/crates/deckproxy-control/src/control/gate.rs
+++ b/crates/deckproxy-control/src/control/gate.rs
@@ -12,9 +12,9 @@
         let Some(o) = self.open.get(&id).filter(|_| room) else { return false };
         let class = &self.s.classes[o.r.class];
         // One at a time or, where allowed, two; attempt count, deadline, a stream that has begun.
-        let most = if self.s.hedged_requests && class.effect == Effect::Safe { 2 } else { 1 };
+        let most = if self.s.hedged_requests && class.idempotency == Idempotency::Idempotent { 2 } else { 1 };
         let spent = o.ended || o.streaming || o.out.len() >= most;
-        if spent || o.sends >= self.s.max_attempts || o.r.expires - now < LEAST_LEFT {
+        if spent || o.sends >= self.s.max_attempts || o.r.deadline - now < LEAST_LEFT {
             return false;
         }
         // Effects: what may have run goes again only where repeats are dropped, and in time.
@@ -26,31 +26,44 @@
                 _ => false,
             };
             let in_time = now < at + class.dedup_window - 1.0;
-            if !(class.effect == Effect::Safe || class.effect == Effect::Keyed && same && in_time) {
+            if !(class.idempotency == Idempotency::Idempotent
+                || class.idempotency == Idempotency::Keyed && same && in_time)
+            {
                 return false;
             }
         }
         let target = self.peers[&to].m;
         let local = self.is_cache(&target) && target.zone == self.s.zone;
-        if !local && (!self.s.direct || self.is_cache(&target)) {
+        if !local && (!self.s.cache_bypass || self.is_cache(&target)) {
             return false;
         }
         let (work, cost) = (self.work(&o.r), self.means[o.r.class].0 * COLD_COST);
         let trial = ends.iter().any(|m| self.peers[m].trial);
-        let (until, bound) = (o.r.expires, self.purge_bound(&o.r));
-        let age = bound.map_or(0.0, |b| {
+        let (deadline, bound) = (o.r.deadline, self.purge_bound(&o.r));
+        let max_age = bound.map_or(0.0, |b| {
             if class.freshness_lifetime > 0.0 { b.min(class.freshness_lifetime) } else { b }
         });
         // A crowded origin or link is spared: the parent gives what it holds, the rest is given up at once.
         let spared = kind == Kind::Fill && (self.origin_late(o) || self.leads(id) && self.link_full(o));
         let cached_only = spared && source.is_some_and(|s| self.is_parent(&self.peers[&s].m));
-        let how =
-            GetOptions { join: self.s.joins && kind != Kind::LookUp, cached_only, ..GetOptions::default() };
-        let keep = if class.write || !local { 0 } else { RANK };
+        let options = GetOptions {
+            join: self.s.join_fills && kind != Kind::LookUp,
+            cached_only,
+            ..GetOptions::default()
+        };
+        let copy_rank = if class.write || !local { 0 } else { RANK };
         self.acts.push(if kind == Kind::LookUp && bound.is_none() || self.is_origin(&target) {
-            Action::LookUp { request: id, member: to, until }
+            Action::Lookup { request: id, member: to, deadline }
         } else {
-            Action::Get { request: id, member: to, until, source: source.unwrap_or(to), keep, age, how }
+            Action::Get {
+                request: id,
+                member: to,
+                deadline,
+                source: source.unwrap_or(to),
+                copy_rank,
+                max_age,
+                options,
+            }
         });
         let (load, crowd) = (self.load(&self.peers[&to]), self.crowd());
         for m in &ends {
--- a/crates/deckproxy-control/src/control/load.rs
+++ b/crates/deckproxy-control/src/control/load.rs
@@ -132,8 +132,12 @@
 
     /// Transfers that fit the location's link, where its room is told.
     pub(super) fn link_fit(&self) -> Option<f64> {
-        let told = self.s.zone_link.get(self.s.zone as usize).filter(|kb| **kb > 0.0 && self.s.flow > 0.0);
-        told.map(|kb| (kb / self.s.flow / FILL_PACE).max(1.0))
+        let told = self
+            .s
+            .zone_link_rate
+            .get(self.s.zone as usize)
+            .filter(|kb| **kb > 0.0 && self.s.transfer_rate > 0.0);
+        told.map(|kb| (kb / self.s.transfer_rate / FILL_PACE).max(1.0))
     }
 
     /// Takes a member's report of its load.
--- a/crates/deckproxy-control/src/control/outcomes.rs
+++ b/crates/deckproxy-control/src/control/outcomes.rs
@@ -25,7 +25,7 @@
         self.book(&a, &r, end, suspect);
         if ended {
             // What is out beside it is called off; its waiters need not wait for that.
-            let out = self.open.get(&id).filter(|_| self.s.cancel).into_iter().flat_map(|o| &o.out);
+            let out = self.open.get(&id).filter(|_| self.s.cancellation).into_iter().flat_map(|o| &o.out);
             self.acts.extend(out.map(|a| Action::Cancel { request: id, attempt: a.no }));
             if ok && a.kind != Kind::Direct {
                 self.pass_on(id, (r.object, r.part), Some(a.member), Vec::new());
@@ -40,7 +40,7 @@
         } else if missed {
             // Where misses cannot join another router's fill that is under way, they wait and look again.
             let under_way =
-                end.note == FillNote::Joined && !self.s.joins && o.sends < 3 && !self.last_call(o);
+                end.note == FillNote::Joined && !self.s.join_fills && o.sends < 3 && !self.last_call(o);
             if under_way && !self.table.contains_key(&(r.object, r.part)) {
                 let since = self.now - WAIT + self.work(&r) + WAY;
                 return self.open.get_mut(&id).into_iter().for_each(|o| o.waiting = Some(since));
@@ -59,7 +59,7 @@
         let Some(o) = self.open.get_mut(&id) else { return };
         o.bad.push(guilty);
         let (key, bad) = ((r.object, r.part), o.bad.clone());
-        if self.retries < 1.0 || self.now >= r.expires || suspect && bad.len() > 2 {
+        if self.retries < 1.0 || self.now >= r.deadline || suspect && bad.len() > 2 {
             return self.give_up(id);
         }
         self.retries -= 1.0;
--- a/crates/deckproxy-control/src/control/requests.rs
+++ b/crates/deckproxy-control/src/control/requests.rs
@@ -77,7 +77,7 @@
     /// Sending time of a request: told, else learned of the object, else the class's learned mean.
     pub(super) fn work(&self, r: &Request) -> f64 {
         match r.size {
-            Some(kb) if self.s.flow > 0.0 => kb / self.s.flow * 1000.0,
+            Some(kb) if self.s.transfer_rate > 0.0 => kb / self.s.transfer_rate * 1000.0,
             _ => self.objects.get(&r.object).and_then(|o| o.sending).unwrap_or(self.means[r.class].0),
         }
     }
@@ -103,6 +103,6 @@
     pub(super) fn purge_bound(&self, r: &Request) -> Option<f64> {
         let last = [(Some(r.object), 0), (None, r.group)].map(|key| self.purged.get(&key));
         let last = last.into_iter().flatten().copied().fold(f64::MIN, f64::max);
-        (self.now <= last + self.s.purge_done).then(|| (self.now - last - 0.002).max(0.001))
+        (self.now <= last + self.s.purge_settle_time).then(|| (self.now - last - 0.002).max(0.001))
     }
 }
--- a/crates/deckproxy-control/src/control/sweep.rs
+++ b/crates/deckproxy-control/src/control/sweep.rs
@@ -51,7 +51,9 @@
         let silent: Vec<MemberId> = self.peers.values().filter(silent).map(|p| p.m.id).collect();
         for id in silent {
             self.leave_out(id, "silent");
-            for (request, o) in self.open.iter().filter(|(_, o)| self.s.cancel && !o.ended && !o.streaming) {
+            for (request, o) in
+                self.open.iter().filter(|(_, o)| self.s.cancellation && !o.ended && !o.streaming)
+            {
                 let held = o.out.iter().filter(|a| a.member == id);
                 self.acts.extend(held.map(|a| Action::Cancel { request: *request, attempt: a.no }));
             }
--- a/crates/deckproxy-control/src/interface.rs
+++ b/crates/deckproxy-control/src/interface.rs
@@ -9,13 +9,13 @@
 
 /// What a repeat of a request may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// May be repeated and refused freely.
-    Safe,
+    Idempotent,
     /// Carries a key by which a group of members drops repeats for a while.
     Keyed,
     /// Never sent again once it may have run.
-    Unsafe,
+    NotIdempotent,
 }
 
 /// The members that drop repeats of a keyed request.
@@ -55,7 +55,7 @@
     /// Share of the worth that a late answer earns.
     pub late_weight_share: f64,
     /// What a repeat may do.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Who drops repeats of a keyed request.
     pub group: Group,
     /// How long repeats of a keyed request are dropped.
@@ -74,15 +74,15 @@
 
 /// How a member that started lately may be loaded.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ColdRule {
+pub struct SlowStart {
     /// Share of its capacity that it has at its start, at least.
-    pub from: f64,
+    pub initial_share: f64,
     /// Span until it is warm, at most.
-    pub ramp: Millis,
+    pub duration: Millis,
     /// Multiple of its present capacity that pushes it over.
-    pub multiple: f64,
+    pub overload_multiple: f64,
     /// The window over which that counts.
-    pub window: Millis,
+    pub overload_window: Millis,
 }
 
 /// What a router is told at its start.
@@ -95,7 +95,7 @@
     /// Routers in each zone.
     pub zone_routers: Vec<u32>,
     /// Each zone's link in, KB a second; 0 where not told.
-    pub zone_link: Vec<f64>,
+    pub zone_link_rate: Vec<f64>,
     /// Routers in all.
     pub routers: u32,
     /// This router's number among them, from 0.
@@ -105,31 +105,31 @@
     /// Kind of the origin.
     pub origin_kind: Option<u32>,
     /// Parents and the origin take attempts too.
-    pub direct: bool,
+    pub cache_bypass: bool,
     /// A request may join a fill that is under way.
-    pub joins: bool,
+    pub join_fills: bool,
     /// Which caches may supply a fill.
     pub siblings: Siblings,
     /// Pace of one answer, KB a second; the unit of the members' weights.
-    pub flow: f64,
+    pub transfer_rate: f64,
     /// The members' weights tell their sizes; else they mean nothing.
     pub weights_are_sizes: bool,
     /// The rule on cold caches.
-    pub cold_cache: ColdRule,
+    pub cache_slow_start: SlowStart,
     /// The rule on cold parents.
-    pub cold_parent: ColdRule,
+    pub parent_slow_start: SlowStart,
     /// Span after news of a purge from which no older copy may answer.
     pub purge_grace: Millis,
     /// Span after a purge within which older copies vanish by themselves.
-    pub purge_done: Millis,
+    pub purge_settle_time: Millis,
     /// The list of members must be asked for.
-    pub list_on_request: bool,
+    pub poll_member_list: bool,
     /// Most attempts of one request.
     pub max_attempts: u32,
     /// Two attempts of one request may be out together.
     pub hedged_requests: bool,
     /// Attempts may be cancelled.
-    pub cancel: bool,
+    pub cancellation: bool,
     /// Refusals may name a time to come back.
     pub retry_after: bool,
     /// The longest such span that clients follow.
@@ -257,7 +257,7 @@
     /// Its class.
     pub class: usize,
     /// Clock time at which the client gives up.
-    pub expires: Millis,
+    pub deadline: Millis,
 }
 
 /// What happened.
@@ -270,14 +270,14 @@
     /// A request came.
     Request(Request),
     /// A streamed answer has begun.
-    First {
+    StreamStarted {
         /// The request.
         request: RequestId,
         /// Number of the attempt.
         attempt: u32,
     },
     /// An attempt ended.
-    Outcome {
+    AttemptEnded {
         /// The request.
         request: RequestId,
         /// Number of the attempt, from 0.
@@ -309,7 +309,7 @@
         load: Option<LoadReport>,
     },
     /// A message from another router.
-    Peer(u32, Vec<u8>),
+    PeerMessage(u32, Vec<u8>),
     /// Copies are void: those of one object, or of a whole group.
     Purged {
         /// The object; none: the whole group.
@@ -338,13 +338,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// An attempt that asks a member only for what it holds.
-    LookUp {
+    Lookup {
         /// The request.
         request: RequestId,
         /// The member asked.
         member: MemberId,
         /// When to give the attempt up.
-        until: Millis,
+        deadline: Millis,
     },
     /// An attempt with orders for a miss.
     Get {
@@ -353,15 +353,15 @@
         /// The member asked.
         member: MemberId,
         /// When to give the attempt up.
-        until: Millis,
+        deadline: Millis,
         /// Where a miss is filled from; the member itself: nowhere.
         source: MemberId,
         /// Rank of the copy, 1 to 3; 0 keeps none.
-        keep: u8,
+        copy_rank: u8,
         /// The oldest copy that will do; 0: the fresh time.
-        age: Millis,
+        max_age: Millis,
         /// Switches.
-        how: GetOptions,
+        options: GetOptions,
     },
     /// Final: refused; a new try does no harm.
     Reject {
@@ -392,13 +392,13 @@
     /// Probe a member.
     HealthCheck(MemberId),
     /// Close idle connections to a member.
-    Close(MemberId),
+    CloseIdle(MemberId),
     /// Send a message to one router, or to all.
     SendToPeer(Option<u32>, Vec<u8>),
     /// Subscribe to the list of members, or end that.
-    Watch(bool),
+    WatchMembers(bool),
     /// Ask for the whole list once.
-    Fetch,
+    FetchMembers,
     /// A line for the operators.
     Log(String),
 }
--- a/crates/deckproxy-control/tests/cold_sums.rs
+++ b/crates/deckproxy-control/tests/cold_sums.rs
@@ -9,9 +9,15 @@
 const STARTED: Millis = 900.0;
 
 /// What a member bears by these settings.
-fn bears(member: &Member, rule: ColdRule) -> ColdMember {
-    let ColdRule { from, ramp, multiple, window } = rule;
-    ColdMember { started: STARTED, weight: member.weight, from, ramp, multiple, window }
+fn bears(member: &Member, rule: SlowStart) -> ColdMember {
+    ColdMember {
+        started: STARTED,
+        weight: member.weight,
+        from: rule.initial_share,
+        ramp: rule.duration,
+        multiple: rule.overload_multiple,
+        window: rule.overload_window,
+    }
 }
 
 /// Routers of one location, of unequal traffic, with one cold member among those that serve it.
@@ -26,8 +32,14 @@
 impl Fleet {
     fn of(routers: u32, cold: Member) -> Fleet {
         let set = settings();
-        let (cold_cache, cold_parent) = (slow(set.cold_cache), slow(set.cold_parent));
-        let told = Settings { routers, zone_routers: vec![0, 0, routers], cold_cache, cold_parent, ..set };
+        let (cache_slow_start, parent_slow_start) = (slow(set.cache_slow_start), slow(set.parent_slow_start));
+        let told = Settings {
+            routers,
+            zone_routers: vec![0, 0, routers],
+            cache_slow_start,
+            parent_slow_start,
+            ..set
+        };
         let rigs = (0..routers)
             .map(|position| Rig::with(Settings { position, ..told.clone() }, Self::others(&cold)))
             .collect();
@@ -84,14 +96,17 @@
 }
 
 /// Warm after five minutes: as the settings say, a lull can be long against the time from one turn to the next.
-fn slow(rule: ColdRule) -> ColdRule {
-    ColdRule { ramp: 300_000.0, ..rule }
+fn slow(rule: SlowStart) -> SlowStart {
+    SlowStart { duration: 300_000.0, ..rule }
 }
 
 /// A small cache and a small parent: all routers together have more than a handful of calls only in sum.
-fn cases() -> [(Member, ColdRule); 2] {
+fn cases() -> [(Member, SlowStart); 2] {
     let cold = |id, weight| Member { started: Some(STARTED), weight, ..member(id) };
-    [(cold(101, 0.8), slow(settings().cold_cache)), (cold(201, 1.5), slow(settings().cold_parent))]
+    [
+        (cold(101, 0.8), slow(settings().cache_slow_start)),
+        (cold(201, 1.5), slow(settings().parent_slow_start)),
+    ]
 }
 
 /// 24 routers, the busiest with twelve times the traffic of the quietest. Some hear of the member late, some start
@@ -120,7 +135,7 @@
         }
         assert_eq!(fleet.judge.fall(bears(&cold, rule)), None, "{}", cold.id);
         // It is used: a tenth at least of what it bears at its slowest, but for the lulls.
-        let least = 0.1 * rule.multiple * rule.from * cold.weight * 42_000.0;
+        let least = 0.1 * rule.overload_multiple * rule.initial_share * cold.weight * 42_000.0;
         assert!(fleet.judge.work() > least, "{}: {}", cold.id, fleet.judge.work());
     }
 }
--- a/crates/deckproxy-control/tests/common/mod.rs
+++ b/crates/deckproxy-control/tests/common/mod.rs
@@ -20,14 +20,14 @@
 /// KB of one part, by class; at 1000 KB/s these are the sending times in ms.
 pub const SIZES: [f64; 4] = [50.0, 400.0, 20.0, 20.0];
 
-pub fn class(aim: f64, deadline: f64, effect: Effect, write: bool) -> Class {
+pub fn class(aim: f64, deadline: f64, effect: Idempotency, write: bool) -> Class {
     Class {
         latency_objective: aim,
         latency_objective_stretch: 2.0,
         deadline,
         priority_weight: 1.0,
         late_weight_share: 0.0,
-        effect,
+        idempotency: effect,
         group: Group::All,
         dedup_window: 2000.0,
         freshness_lifetime: 0.0,
@@ -41,31 +41,41 @@
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
-            Class { freshness_lifetime: 12_000.0, ..class(400.0, 8000.0, Effect::Safe, false) },
-            class(600.0, 8000.0, Effect::Safe, false),
-            class(700.0, 6000.0, Effect::Keyed, true),
-            class(700.0, 6000.0, Effect::Unsafe, true),
+            Class { freshness_lifetime: 12_000.0, ..class(400.0, 8000.0, Idempotency::Idempotent, false) },
+            class(600.0, 8000.0, Idempotency::Idempotent, false),
+            class(700.0, 6000.0, Idempotency::Keyed, true),
+            class(700.0, 6000.0, Idempotency::NotIdempotent, true),
         ],
         zone: HERE,
         zone_routers: vec![0, 0, 1, 1],
-        zone_link: vec![0.0; 4],
+        zone_link_rate: vec![0.0; 4],
         routers: 2,
         position: 0,
         parent_kind: Some(PARENT),
         origin_kind: Some(ORIGIN),
-        direct: true,
-        joins: true,
+        cache_bypass: true,
+        join_fills: true,
         siblings: Siblings::None,
-        flow: 1000.0,
+        transfer_rate: 1000.0,
         weights_are_sizes: true,
-        cold_cache: ColdRule { from: 0.2, ramp: 16_000.0, multiple: 3.0, window: 2000.0 },
-        cold_parent: ColdRule { from: 0.1, ramp: 20_000.0, multiple: 2.0, window: 2000.0 },
+        cache_slow_start: SlowStart {
+            initial_share: 0.2,
+            duration: 16_000.0,
+            overload_multiple: 3.0,
+            overload_window: 2000.0,
+        },
+        parent_slow_start: SlowStart {
+            initial_share: 0.1,
+            duration: 20_000.0,
+            overload_multiple: 2.0,
+            overload_window: 2000.0,
+        },
         purge_grace: 300.0,
-        purge_done: 6000.0,
-        list_on_request: false,
+        purge_settle_time: 6000.0,
+        poll_member_list: false,
         max_attempts: 6,
         hedged_requests: false,
-        cancel: true,
+        cancellation: true,
         retry_after: true,
         max_retry_after: 1000.0,
     }
@@ -121,8 +131,8 @@
     pub fn ask_of_size(&mut self, class: usize, object: u64, part: u32, size: Option<f64>) -> RequestId {
         let id = self.next;
         self.next += 1;
-        let expires = self.now + 5000.0;
-        self.event(Event::Request(Request { id, object, part, group: 7, size, class, expires }));
+        let deadline = self.now + 5000.0;
+        self.event(Event::Request(Request { id, object, part, group: 7, size, class, deadline }));
         id
     }
 
@@ -130,7 +140,7 @@
     pub fn end(&mut self, request: RequestId, attempt: u32, member: MemberId, ending: AttemptEnding) {
         let finished = ending == AttemptEnding::Served;
         let (elapsed, note, load) = (10.0, FillNote::None, None);
-        self.event(Event::Outcome { request, attempt, member, ending, elapsed, finished, note, load });
+        self.event(Event::AttemptEnded { request, attempt, member, ending, elapsed, finished, note, load });
     }
 
     /// Ends an attempt with what its answer tells.
@@ -143,13 +153,13 @@
         load: Option<LoadReport>,
     ) {
         let finished = ending == AttemptEnding::Served;
-        self.event(Event::Outcome { request, attempt, member, ending, elapsed, finished, note, load });
+        self.event(Event::AttemptEnded { request, attempt, member, ending, elapsed, finished, note, load });
     }
 
     /// Whether the last step's get asks its source only for what that holds; nothing without a get.
     pub fn cached_only(&self) -> Option<bool> {
         self.acts.iter().find_map(|a| match a {
-            Action::Get { how, .. } => Some(how.cached_only),
+            Action::Get { options, .. } => Some(options.cached_only),
             _ => None,
         })
     }
@@ -187,7 +197,7 @@
 pub fn sends(acts: &[Action]) -> Vec<(RequestId, MemberId, Option<MemberId>)> {
     acts.iter()
         .filter_map(|a| match a {
-            Action::LookUp { request, member, .. } => Some((*request, *member, None)),
+            Action::Lookup { request, member, .. } => Some((*request, *member, None)),
             Action::Get { request, member, source, .. } => Some((*request, *member, Some(*source))),
             _ => None,
         })
--- a/crates/deckproxy-control/tests/ordinary_path.rs
+++ b/crates/deckproxy-control/tests/ordinary_path.rs
@@ -9,7 +9,7 @@
     let mut rig = Rig::new();
     let first = rig.ask(SMALL, 5, 0);
     let home = rig.sends()[0];
-    assert!(matches!(rig.acts[0], Action::LookUp { .. }));
+    assert!(matches!(rig.acts[0], Action::Lookup { .. }));
     assert!(CACHES.contains(&home.1));
     rig.end(first, 0, home.1, AttemptEnding::Served);
     assert!(rig.acts.is_empty());
@@ -55,9 +55,11 @@
 fn after_a_miss_one_leads_at_the_middle_rank_and_the_others_wait() {
     let mut rig = Rig::new();
     let (leader, cache) = rig.ask_and_miss(SMALL, 5);
-    let Action::Get { request, member, source, keep, how, age, .. } = rig.acts[0] else { panic!("no fill") };
-    assert_eq!((request, member, keep, age), (leader, cache, 2, 0.0));
-    assert!(PARENTS.contains(&source) && how.join);
+    let Action::Get { request, member, source, copy_rank, options, max_age, .. } = rig.acts[0] else {
+        panic!("no fill")
+    };
+    assert_eq!((request, member, copy_rank, max_age), (leader, cache, 2, 0.0));
+    assert!(PARENTS.contains(&source) && options.join);
     let (waiter, _) = rig.ask_and_miss(SMALL, 5);
     assert!(rig.sends().is_empty(), "the second waits");
     // Another part is another key.
@@ -106,8 +108,8 @@
     let mut rig = Rig::new();
     rig.ask_and_miss(SMALL, 5);
     let id = 90;
-    let expires = rig.now + 1000.0;
-    let r = Request { id, object: 5, part: 0, group: 7, size: Some(50.0), class: SMALL, expires };
+    let deadline = rig.now + 1000.0;
+    let r = Request { id, object: 5, part: 0, group: 7, size: Some(50.0), class: SMALL, deadline };
     rig.event(Event::Request(r));
     let cache = rig.sends()[0].1;
     rig.end(id, 0, cache, AttemptEnding::Miss);
@@ -123,8 +125,8 @@
     let mut rig = Rig::new();
     let (_, cache) = rig.ask_and_miss(LARGE, 5);
     let (second, _) = rig.ask_and_miss(LARGE, 5);
-    let Action::Get { request, member, how, .. } = rig.acts[0] else { panic!("it waits") };
-    assert_eq!((request, member, how.join), (second, cache, true));
+    let Action::Get { request, member, options, .. } = rig.acts[0] else { panic!("it waits") };
+    assert_eq!((request, member, options.join), (second, cache, true));
 }
 
 #[test]
@@ -184,9 +186,9 @@
 
 #[test]
 fn without_joins_everyone_waits_for_the_leader() {
-    let mut rig = Rig::with(Settings { joins: false, ..settings() }, everyone());
+    let mut rig = Rig::with(Settings { join_fills: false, ..settings() }, everyone());
     rig.ask_and_miss(LARGE, 5);
-    assert!(matches!(rig.acts[0], Action::Get { how: GetOptions { join: false, .. }, .. }));
+    assert!(matches!(rig.acts[0], Action::Get { options: GetOptions { join: false, .. }, .. }));
     rig.ask_and_miss(LARGE, 5);
     assert!(rig.sends().is_empty());
 }
@@ -220,23 +222,23 @@
     assert_eq!(rig.sends()[0].1, THE_ORIGIN);
     rig.end(id, 0, THE_ORIGIN, AttemptEnding::Served);
     // And through a cache where nothing goes straight.
-    let mut rig = Rig::with(Settings { direct: false, ..settings() }, everyone());
+    let mut rig = Rig::with(Settings { cache_bypass: false, ..settings() }, everyone());
     rig.ask(KEYED, 5, 0);
-    let Action::Get { member, source, keep, .. } = rig.acts[0] else { panic!("not sent") };
+    let Action::Get { member, source, copy_rank, .. } = rig.acts[0] else { panic!("not sent") };
     assert!(CACHES.contains(&member));
-    assert_eq!((source, keep), (THE_ORIGIN, 0));
+    assert_eq!((source, copy_rank), (THE_ORIGIN, 0));
 }
 
 #[test]
 fn the_list_is_asked_for_where_it_must_be_and_again_after_a_failure() {
-    let mut rig = Rig::with(Settings { list_on_request: true, ..settings() }, everyone());
+    let mut rig = Rig::with(Settings { poll_member_list: true, ..settings() }, everyone());
     rig.event(Event::Started);
-    assert_eq!(rig.acts, vec![Action::Watch(true)]);
+    assert_eq!(rig.acts, vec![Action::WatchMembers(true)]);
     rig.event(Event::MemberList(ListKind::Failed, vec![]));
     let Action::Timer { token, at } = rig.acts[0] else { panic!("no timer") };
     rig.now = at;
     rig.event(Event::Timer(token));
-    assert!(rig.acts.contains(&Action::Watch(true)));
+    assert!(rig.acts.contains(&Action::WatchMembers(true)));
     rig.ask(SMALL, 5, 0);
     assert_eq!(rig.sends().len(), 1, "the old list still holds");
 }
@@ -247,12 +249,12 @@
     rig.end(77, 0, 101, AttemptEnding::Served);
     assert!(rig.acts.is_empty());
     rig.event(Event::ClientGone(77));
-    rig.event(Event::First { request: 77, attempt: 0 });
+    rig.event(Event::StreamStarted { request: 77, attempt: 0 });
     assert!(rig.acts.is_empty());
     let id = rig.ask(SMALL, 5, 0);
     rig.end(id, 9, 101, AttemptEnding::Error);
     assert!(rig.acts.is_empty(), "an attempt that was never made");
-    let r = Request { id: 500, object: 1, part: 0, group: 0, size: None, class: 99, expires: 9e9 };
+    let r = Request { id: 500, object: 1, part: 0, group: 0, size: None, class: 99, deadline: 9e9 };
     rig.event(Event::Request(r));
     assert!(failed(&rig.acts, 500), "a class that the settings do not have");
 }
@@ -280,7 +282,7 @@
 #[test]
 fn where_misses_cannot_join_another_routers_fill_they_wait_and_look_again() {
     for joins in [false, true] {
-        let mut rig = Rig::with(Settings { joins, ..settings() }, everyone());
+        let mut rig = Rig::with(Settings { join_fills: joins, ..settings() }, everyone());
         let request = rig.ask(SMALL, 5, 0);
         let member = rig.sends()[0].1;
         let miss = |rig: &mut Rig, attempt| {
--- a/crates/deckproxy-control/tests/properties.rs
+++ b/crates/deckproxy-control/tests/properties.rs
@@ -77,14 +77,16 @@
         let acts = self.rig.event(event).to_vec();
         for act in acts {
             match act {
-                Action::LookUp { request, member, until } => self.sent(request, member, until, None, None),
-                Action::Get { request, member, until, source, age, .. } => {
-                    self.sent(request, member, until, Some(source), Some(age))
+                Action::Lookup { request, member, deadline } => {
+                    self.sent(request, member, deadline, None, None)
+                }
+                Action::Get { request, member, deadline, source, max_age, .. } => {
+                    self.sent(request, member, deadline, Some(source), Some(max_age))
                 }
                 Action::Reject { request, .. } => {
                     let asked = self.live.remove(&request).expect("refused one that is not live");
                     let class = &settings().classes[asked.r.class];
-                    let harmless = class.effect != Effect::Unsafe || asked.maybe.is_none();
+                    let harmless = class.idempotency != Idempotency::NotIdempotent || asked.maybe.is_none();
                     assert!(harmless && asked.out.is_none(), "refused what may have run");
                     self.ended += 1;
                 }
@@ -120,12 +122,12 @@
         let class = &settings().classes[r.class];
         assert!(asked.out.is_none(), "two attempts at once");
         assert!(asked.sends < settings().max_attempts);
-        assert!(now < r.expires && until > now && until <= r.expires);
+        assert!(now < r.deadline && until > now && until <= r.deadline);
         if let Some(first) = asked.maybe {
-            match class.effect {
-                Effect::Safe => {}
-                Effect::Keyed => assert!(now < first + class.dedup_window, "a repeat after the window"),
-                Effect::Unsafe => panic!("an unsafe request sent again"),
+            match class.idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::Keyed => assert!(now < first + class.dedup_window, "a repeat after the window"),
+                Idempotency::NotIdempotent => panic!("an unsafe request sent again"),
             }
         }
         let is_origin = to == THE_ORIGIN;
@@ -134,19 +136,24 @@
             assert_eq!(listed.lifecycle, Lifecycle::Ready, "sent to a draining member");
             if let Some(started) = listed.started.filter(|_| m != THE_ORIGIN) {
                 let cache = listed.kind == CACHE;
-                let rule = if cache { settings().cold_cache } else { settings().cold_parent };
-                let share = (rule.from + (1.0 - rule.from) * (now - started) / rule.ramp).min(1.0);
+                let rule = if cache { settings().cache_slow_start } else { settings().parent_slow_start };
+                let share = (rule.initial_share
+                    + (1.0 - rule.initial_share) * (now - started) / rule.duration)
+                    .min(1.0);
                 self.cold.push((m, now, SIZES[r.class]));
-                let window =
-                    self.cold.iter().filter(|c| c.0 == m && c.1 > now - rule.window && c.1 >= started);
+                let window = self
+                    .cold
+                    .iter()
+                    .filter(|c| c.0 == m && c.1 > now - rule.overload_window && c.1 >= started);
                 let load: f64 = window.map(|c| c.2).sum();
                 // One of two routers may have the whole turn; the sum over all is tested with the rules.
-                let most = rule.multiple * share * listed.weight * rule.window;
+                let most = rule.overload_multiple * share * listed.weight * rule.overload_window;
                 assert!(share >= 1.0 || load <= most, "{m} pushed over: {load} of {most}");
             }
         }
         let purges = self.purged.iter().filter(|p| p.0 == Some(r.object) || p.0.is_none() && p.1 == r.group);
-        let newest = purges.map(|p| p.2).filter(|at| now <= at + settings().purge_done).fold(None, newer);
+        let newest =
+            purges.map(|p| p.2).filter(|at| now <= at + settings().purge_settle_time).fold(None, newer);
         if let Some(at) = newest.filter(|_| !is_origin) {
             let age = age.expect("a look-up without a bound after a purge");
             assert!(age > 0.0 && age <= now - at + 0.0011, "a copy of {age} ms may be older than the purge");
@@ -171,7 +178,16 @@
         }
         let (elapsed, note, load) = (now - out.at, FillNote::None, None);
         let (attempt, member) = (out.no, out.member);
-        self.event(Event::Outcome { request: id, attempt, member, ending, elapsed, finished, note, load });
+        self.event(Event::AttemptEnded {
+            request: id,
+            attempt,
+            member,
+            ending,
+            elapsed,
+            finished,
+            note,
+            load,
+        });
     }
 
     /// Lets time pass; timers and time-outs come when they are due.
@@ -201,7 +217,7 @@
 
     fn overdue(&self) {
         for asked in self.live.values() {
-            assert!(self.rig.now <= asked.r.expires + 0.001, "no final answer in time: {:?}", asked.r);
+            assert!(self.rig.now <= asked.r.deadline + 0.001, "no final answer in time: {:?}", asked.r);
         }
     }
 
@@ -212,11 +228,11 @@
                 let class = usize::from(class);
                 let id = self.rig.next;
                 self.rig.next += 1;
-                let expires = self.rig.now + f64::from(patience);
+                let deadline = self.rig.now + f64::from(patience);
                 // An object has one class and one group.
                 let object = u64::from(object) * 4 + class as u64;
                 let group = (object % 2) as u32;
-                let r = Request { id, object, part: 0, group, size: Some(SIZES[class]), class, expires };
+                let r = Request { id, object, part: 0, group, size: Some(SIZES[class]), class, deadline };
                 self.live.insert(id, Asked { r, sends: 0, out: None, maybe: None });
                 self.asked += 1;
                 self.event(Event::Request(r));
@@ -251,7 +267,7 @@
             // An attempt that ends just before its client gives up.
             Op::Brink { which, left, how } => {
                 let out: Vec<Millis> =
-                    self.live.values().filter(|a| a.out.is_some()).map(|a| a.r.expires).collect();
+                    self.live.values().filter(|a| a.out.is_some()).map(|a| a.r.deadline).collect();
                 if !out.is_empty() {
                     let at = out[usize::from(which) % out.len()] - f64::from(left) / 2.0;
                     self.wait((at - self.rig.now).max(0.0));
@@ -269,7 +285,7 @@
                         let (ending, elapsed, note) =
                             (AttemptEnding::Cancelled, self.rig.now - out.at, FillNote::None);
                         let load = None;
-                        self.event(Event::Outcome {
+                        self.event(Event::AttemptEnded {
                             request: *id,
                             attempt,
                             member,
--- a/crates/deckproxy-control/tests/rules.rs
+++ b/crates/deckproxy-control/tests/rules.rs
@@ -57,7 +57,7 @@
     let mut rig = Rig::new();
     let id = rig.ask(SMALL, 5, 0);
     let home = rig.sends()[0].1;
-    rig.event(Event::First { request: id, attempt: 0 });
+    rig.event(Event::StreamStarted { request: id, attempt: 0 });
     rig.end(id, 0, home, AttemptEnding::Reset);
     assert!(rig.sends().is_empty());
 }
@@ -196,16 +196,20 @@
 
 #[test]
 fn a_cold_member_is_never_sent_more_than_its_budget() {
-    for (id, rule, routers) in [(101, settings().cold_cache, 1.0), (201, settings().cold_parent, 2.0)] {
+    for (id, rule, routers) in
+        [(101, settings().cache_slow_start, 1.0), (201, settings().parent_slow_start, 2.0)]
+    {
         for class in [SMALL, LARGE] {
             let cold = |m: Member| Member { started: (m.id == id).then_some(900.0), ..m };
             let mut rig = Rig::with(settings(), everyone().into_iter().map(cold).collect());
             let times = pressure(&mut rig, id, class);
             assert!(!times.is_empty(), "it gets its share");
             for (i, end) in times.iter().enumerate() {
-                let sent = times[..=i].iter().filter(|t| **t > end - rule.window).count() as f64;
-                let capacity = rule.from + (1.0 - rule.from) * (end - 900.0) / rule.ramp;
-                let budget = rule.multiple * capacity * member(id).weight * rule.window / routers;
+                let sent = times[..=i].iter().filter(|t| **t > end - rule.overload_window).count() as f64;
+                let capacity =
+                    rule.initial_share + (1.0 - rule.initial_share) * (end - 900.0) / rule.duration;
+                let budget =
+                    rule.overload_multiple * capacity * member(id).weight * rule.overload_window / routers;
                 assert!(sent * SIZES[class] <= budget, "{id}: {sent} by {end} over {budget}");
             }
         }
@@ -215,7 +219,7 @@
 /// Split evenly, a cold member's budget was under the cost of one send, and it got nothing until it was warm.
 #[test]
 fn all_routers_together_keep_a_cold_members_budget_and_use_it() {
-    let rule = settings().cold_parent;
+    let rule = settings().parent_slow_start;
     for (routers, weight) in [(1, 12.0), (4, 12.0), (40, 40.0), (200, 100.0), (1000, 400.0)] {
         let told = Settings { routers, zone_routers: vec![0, 0, routers], ..settings() };
         let parent = Member { started: Some(900.0), weight, ..member(201) };
@@ -241,9 +245,10 @@
         }
         assert!(sent.len() > 4, "{routers}: it gets work, {}", sent.len());
         for (end, _) in &sent {
-            let load: f64 = sent.iter().filter(|s| s.0 <= *end && s.0 > end - rule.window).map(|s| s.1).sum();
-            let capacity = rule.from + (1.0 - rule.from) * (end - 900.0) / rule.ramp;
-            let most = rule.multiple * capacity * weight * rule.window;
+            let load: f64 =
+                sent.iter().filter(|s| s.0 <= *end && s.0 > end - rule.overload_window).map(|s| s.1).sum();
+            let capacity = rule.initial_share + (1.0 - rule.initial_share) * (end - 900.0) / rule.duration;
+            let most = rule.overload_multiple * capacity * weight * rule.overload_window;
             assert!(load <= most, "{routers}: {load} by {end} of {most}");
         }
     }
@@ -252,7 +257,7 @@
 /// The turns went by the places of all routers, and the thirteen that may send to a cache had next to none of them.
 #[test]
 fn the_routers_of_one_location_use_a_cold_caches_budget_and_keep_it() {
-    let rule = settings().cold_cache;
+    let rule = settings().cache_slow_start;
     for (here, weight) in [(13, 6.0), (40, 3.0)] {
         let cold = Member { started: Some(900.0), weight, ..member(101) };
         let mut rigs: Vec<Rig> = (100..100 + here)
@@ -274,12 +279,16 @@
             rig.end(id, 0, at, AttemptEnding::Served);
         }
         let load: f64 = sent.iter().map(|s| s.1).sum();
-        let least = rule.multiple * rule.from * weight * 6000.0;
+        let least = rule.overload_multiple * rule.initial_share * weight * 6000.0;
         assert!(load > 0.3 * least, "{here}: {load} of {least}");
         for (end, _) in &sent {
-            let load: f64 = sent.iter().filter(|s| s.0 <= *end && s.0 > end - rule.window).map(|s| s.1).sum();
-            let capacity = rule.from + (1.0 - rule.from) * (end - 900.0) / rule.ramp;
-            assert!(load <= rule.multiple * capacity * weight * rule.window, "{here}: {load} by {end}");
+            let load: f64 =
+                sent.iter().filter(|s| s.0 <= *end && s.0 > end - rule.overload_window).map(|s| s.1).sum();
+            let capacity = rule.initial_share + (1.0 - rule.initial_share) * (end - 900.0) / rule.duration;
+            assert!(
+                load <= rule.overload_multiple * capacity * weight * rule.overload_window,
+                "{here}: {load} by {end}"
+            );
         }
     }
 }
@@ -292,20 +301,20 @@
     let (id, cache) = rig.ask_and_miss(SMALL, 1);
     assert!(rig.sends().iter().all(|s| s.2 != Some(201)));
     rig.end(id, 1, cache, AttemptEnding::Served);
-    rig.now = 2.0 * settings().cold_parent.window;
+    rig.now = 2.0 * settings().parent_slow_start.overload_window;
     rig.ask_and_miss(SMALL, 2);
     assert_eq!(rig.sends()[0].2, Some(201));
 }
 
 #[test]
 fn a_member_past_its_ramp_has_no_budget() {
-    let rule = settings().cold_cache;
+    let rule = settings().cache_slow_start;
     let count = |started: Millis| {
         let warm = |m: Member| Member { started: (m.id == 101).then_some(started), ..m };
         let mut rig = Rig::with(settings(), everyone().into_iter().map(warm).collect());
         pressure(&mut rig, 101, SMALL).len()
     };
-    assert!(count(1000.0 - rule.ramp) > 3 * count(1000.0));
+    assert!(count(1000.0 - rule.duration) > 3 * count(1000.0));
 }
 
 #[test]
@@ -338,8 +347,9 @@
             }
             rig.event(Event::MemberList(ListKind::Delta, vec![cold(member(101))]));
         }
-        let rule = settings().cold_cache;
-        let most = rule.multiple * rule.from * 1.1 * member(101).weight * rule.window;
+        let rule = settings().cache_slow_start;
+        let most =
+            rule.overload_multiple * rule.initial_share * 1.1 * member(101).weight * rule.overload_window;
         assert!(f64::from(sent) * SIZES[SMALL] <= most, "{sent}");
     }
 }
@@ -348,22 +358,25 @@
 
 #[test]
 fn a_purge_binds_every_kind_of_send_until_copies_are_gone() {
-    let done = settings().purge_done;
+    let done = settings().purge_settle_time;
     for (object, group) in [(Some(5), 0), (None, 7)] {
         let mut rig = Rig::new();
         rig.event(Event::Purged { object, group, age: 100.0 });
         let purged = rig.now - 100.0;
         let id = rig.ask(SMALL, 5, 0);
-        let Action::Get { member, source, age, how, .. } = rig.acts[0] else { panic!("no bound") };
+        let Action::Get { member, source, max_age, options, .. } = rig.acts[0] else { panic!("no bound") };
         assert_eq!(member, source, "still only a look-up");
-        assert!(!how.join && age > 0.0 && age <= rig.now - purged);
+        assert!(!options.join && max_age > 0.0 && max_age <= rig.now - purged);
         rig.now += 40.0;
         rig.end(id, 0, member, AttemptEnding::Miss);
-        let Action::Get { age, source, .. } = rig.acts[0] else { panic!("no fill") };
-        assert!(PARENTS.contains(&source) && age > 0.0 && age <= rig.now - purged, "judged at its send");
+        let Action::Get { max_age, source, .. } = rig.acts[0] else { panic!("no fill") };
+        assert!(
+            PARENTS.contains(&source) && max_age > 0.0 && max_age <= rig.now - purged,
+            "judged at its send"
+        );
         rig.now = purged + done + 1.0;
         rig.ask(SMALL, 5, 1);
-        assert!(matches!(rig.acts[0], Action::LookUp { .. }), "past it, copies are gone by themselves");
+        assert!(matches!(rig.acts[0], Action::Lookup { .. }), "past it, copies are gone by themselves");
         // Others are not bound.
         rig.now = purged + 200.0;
         rig.event(Event::Purged { object: Some(6), group: 3, age: 0.0 });
@@ -375,8 +388,8 @@
     let mut rig = Rig::new();
     rig.event(Event::Purged { object: Some(5), group: 7, age: 0.0 });
     rig.ask(LARGE, 5, 0);
-    let Action::Get { age, .. } = rig.acts[0] else { panic!("no bound") };
-    assert!(age >= 0.001, "0 would mean any age");
+    let Action::Get { max_age, .. } = rig.acts[0] else { panic!("no bound") };
+    assert!(max_age >= 0.001, "0 would mean any max_age");
 }
 
 #[test]
@@ -386,8 +399,8 @@
     rig.event(Event::Purged { object: Some(5), group: 7, age: 4000.0 });
     rig.now += 50.0;
     rig.ask(SMALL, 5, 0);
-    let Action::Get { age, .. } = rig.acts[0] else { panic!("no bound") };
-    assert!(age <= 50.0);
+    let Action::Get { max_age, .. } = rig.acts[0] else { panic!("no bound") };
+    assert!(max_age <= 50.0);
 }
 
 #[test]
@@ -397,8 +410,8 @@
     let mut rig = Rig::with(s, everyone());
     rig.event(Event::Purged { object: Some(5), group: 7, age: 1000.0 });
     rig.ask(SMALL, 5, 0);
-    let Action::Get { age, .. } = rig.acts[0] else { panic!("no bound") };
-    assert!(age <= 30.0);
+    let Action::Get { max_age, .. } = rig.acts[0] else { panic!("no bound") };
+    assert!(max_age <= 30.0);
 }
 
 #[test]
@@ -406,6 +419,6 @@
     let mut rig = Rig::with(settings(), everyone().into_iter().filter(|m| m.kind != CACHE).collect());
     rig.event(Event::Purged { object: Some(5), group: 7, age: 10.0 });
     rig.ask(SMALL, 5, 0);
-    let Action::Get { age, member, .. } = rig.acts[0] else { panic!("no bound") };
-    assert!(PARENTS.contains(&member) && age > 0.0 && age <= 10.0);
+    let Action::Get { max_age, member, .. } = rig.acts[0] else { panic!("no bound") };
+    assert!(PARENTS.contains(&member) && max_age > 0.0 && max_age <= 10.0);
 }
--- a/crates/deckproxy-control/tests/trouble.rs
+++ b/crates/deckproxy-control/tests/trouble.rs
@@ -12,7 +12,7 @@
         let member = rig.sends()[0].1;
         let (ending, note, load) = (AttemptEnding::Served, FillNote::None, None);
         let elapsed = elapsed(member);
-        rig.event(Event::Outcome {
+        rig.event(Event::AttemptEnded {
             request: id,
             attempt: 0,
             member,
@@ -158,7 +158,7 @@
 #[test]
 fn a_crowded_link_sheds_what_would_come_too_late_and_large_ones_first() {
     let mut s = settings();
-    s.zone_link = vec![0.0, 0.0, 8000.0, 0.0];
+    s.zone_link_rate = vec![0.0, 0.0, 8000.0, 0.0];
     let mut rig = Rig::with(s, everyone());
     let mut led = vec![];
     let mut shed = None;
@@ -202,7 +202,7 @@
         let member = rig.sends()[0].1;
         let load = Some(LoadReport { link: Some(object as f64 / 2.0), ..LoadReport::default() });
         let (ending, note, elapsed) = (AttemptEnding::Served, FillNote::None, 20.0);
-        rig.event(Event::Outcome {
+        rig.event(Event::AttemptEnded {
             request: probe,
             attempt: 0,
             member,
@@ -224,8 +224,8 @@
     let ask = |rig: &mut Rig, object: u64| {
         let id = rig.next;
         rig.next += 1;
-        let expires = rig.now + 5000.0;
-        let r = Request { id, object, part: 0, group: 0, size: None, class: SMALL, expires };
+        let deadline = rig.now + 5000.0;
+        let r = Request { id, object, part: 0, group: 0, size: None, class: SMALL, deadline };
         rig.event(Event::Request(r));
         id
     };
@@ -234,7 +234,7 @@
             let id = ask(&mut rig, object);
             let (member, ending, note) = (rig.sends()[0].1, AttemptEnding::Served, FillNote::None);
             let load = None;
-            rig.event(Event::Outcome {
+            rig.event(Event::AttemptEnded {
                 request: id,
                 attempt: 0,
                 member,
@@ -363,7 +363,7 @@
 #[test]
 fn stalled_fills_make_room_on_the_link() {
     let mut s = settings();
-    s.zone_link = vec![0.0, 0.0, 8000.0, 0.0];
+    s.zone_link_rate = vec![0.0, 0.0, 8000.0, 0.0];
     let mut rig = Rig::with(s, everyone());
     for object in 0..60 {
         rig.ask_and_miss(LARGE, object);
@@ -604,7 +604,16 @@
             {
                 let load = Some(LoadReport { cpu: Some(busy), ..LoadReport::default() });
                 let (ending, note, elapsed, finished) = (AttemptEnding::Served, FillNote::Hit, 60.0, true);
-                rig.event(Event::Outcome { request, attempt, member, ending, elapsed, finished, note, load });
+                rig.event(Event::AttemptEnded {
+                    request,
+                    attempt,
+                    member,
+                    ending,
+                    elapsed,
+                    finished,
+                    note,
+                    load,
+                });
             }
         }
         (refusals, first)
@@ -683,7 +692,7 @@
         let load =
             Some(LoadReport { in_flight: Some(held), ..LoadReport::default() }).filter(|_| member == first);
         let (attempt, ending, elapsed, note) = (0, AttemptEnding::Served, 50.0, FillNote::None);
-        rig.event(Event::Outcome { request, attempt, member, ending, elapsed, finished, note, load });
+        rig.event(Event::AttemptEnded { request, attempt, member, ending, elapsed, finished, note, load });
     }
     home(&mut rig, 5) != first
 }
@@ -774,7 +783,7 @@
 fn on_a_crowded_link_parents_give_what_they_hold_where_notes_tell() {
     for notes in [false, true] {
         let mut rig =
-            Rig::with(Settings { zone_link: vec![0.0, 0.0, 3000.0, 0.0], ..settings() }, everyone());
+            Rig::with(Settings { zone_link_rate: vec![0.0, 0.0, 3000.0, 0.0], ..settings() }, everyone());
         let (request, member) = rig.ask_and_miss(SMALL, 1);
         answer(
             &mut rig,
@@ -799,7 +808,7 @@
 #[test]
 fn on_a_crowded_link_nothing_comes_from_the_origin() {
     let list = everyone().into_iter().filter(|m| m.kind != PARENT).collect();
-    let mut rig = Rig::with(Settings { zone_link: vec![0.0, 0.0, 3000.0, 0.0], ..settings() }, list);
+    let mut rig = Rig::with(Settings { zone_link_rate: vec![0.0, 0.0, 3000.0, 0.0], ..settings() }, list);
     let (request, member) = rig.ask_and_miss(SMALL, 1);
     answer(&mut rig, request, 1, member, 100.0, FillNote::FilledByOrigin);
     let fills: Vec<bool> = (10..40)
@@ -833,7 +842,8 @@
     assert_eq!(rig.cached_only(), Some(true), "the origin is seen to be slow");
     // The other way round: the parent is slow with its own copies, then by way of the origin too, and late.
     for late in [false, true] {
-        let mut rig = Rig::with(Settings { zone_link: vec![0.0, 0.0, 15_000.0, 0.0], ..settings() }, roomy());
+        let mut rig =
+            Rig::with(Settings { zone_link_rate: vec![0.0, 0.0, 15_000.0, 0.0], ..settings() }, roomy());
         let (request, member) = rig.ask_and_miss(SMALL, 1000);
         answer(&mut rig, request, 1, member, 170.0, FillNote::FilledByOrigin);
         let mut at = vec![];
@@ -923,7 +933,7 @@
 fn fills_that_are_late_by_the_origin_count_before_they_end() {
     for notes in [false, true] {
         let mut rig =
-            Rig::with(Settings { zone_link: vec![0.0, 0.0, 15_000.0, 0.0], ..settings() }, everyone());
+            Rig::with(Settings { zone_link_rate: vec![0.0, 0.0, 15_000.0, 0.0], ..settings() }, everyone());
         let miss = |rig: &mut Rig, object| {
             let id = rig.ask_of_size(SMALL, object, 0, None);
             let member = rig.sends()[0].1;
@@ -954,7 +964,7 @@
 fn the_time_of_fills_of_known_size_tells_of_the_link_beside_reports_of_other_things() {
     let shuts = |size: Option<f64>, held: u64, elapsed: Millis, note: FillNote, link: Option<f64>| {
         let set = Settings {
-            zone_link: vec![0.0, 0.0, 30_000.0, 0.0],
+            zone_link_rate: vec![0.0, 0.0, 30_000.0, 0.0],
             zone_routers: vec![0, 0, 20, 1],
             ..settings()
         };
--- a/crates/deckproxy-settings/src/lib.rs
+++ b/crates/deckproxy-settings/src/lib.rs
@@ -8,7 +8,7 @@
 
 pub mod keys;
 
-use deckproxy_control::interface::{Class, ColdRule, Effect, Group, LoadReport, Settings, Siblings};
+use deckproxy_control::interface::{Class, Group, Idempotency, LoadReport, Settings, Siblings, SlowStart};
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
@@ -128,11 +128,11 @@
             deadline: text.number(&key("deadlineMs"), aim)?,
             priority_weight: text.number(&key("importance"), 1.0)?,
             late_weight_share: text.number(&key("lateShare"), 0.0)?,
-            effect: match text.get(&key("effect")) {
-                Some("retryable") => Effect::Safe,
-                Some("dedup") => Effect::Keyed,
+            idempotency: match text.get(&key("effect")) {
+                Some("retryable") => Idempotency::Idempotent,
+                Some("dedup") => Idempotency::Keyed,
                 // The careful reading where nothing is told.
-                Some("fragile") | None => Effect::Unsafe,
+                Some("fragile") | None => Idempotency::NotIdempotent,
                 Some(other) => return Err(format!("setting {}: unknown effect {other:?}", key("effect"))),
             },
             group: match text.get(&key("group")) {
@@ -149,17 +149,17 @@
             stream: text.flag(&key("stream"))?,
         });
     }
-    let rule = |from: &str, ramp: &str, multiple: &str| -> Result<ColdRule, String> {
-        let cache = ColdRule {
-            from: text.number("rules.coldFrom", 0.0)?,
-            ramp: text.number("rules.rampTimeMs", 0.0)?,
-            multiple: text.number("rules.fallMultiple", 1.0)?,
-            window: text.number("rules.fallMs", 1000.0)?,
+    let rule = |initial_share: &str, duration: &str, multiple: &str| -> Result<SlowStart, String> {
+        let cache = SlowStart {
+            initial_share: text.number("rules.coldFrom", 0.0)?,
+            duration: text.number("rules.rampTimeMs", 0.0)?,
+            overload_multiple: text.number("rules.fallMultiple", 1.0)?,
+            overload_window: text.number("rules.fallMs", 1000.0)?,
         };
-        Ok(ColdRule {
-            from: text.number(from, cache.from)?,
-            ramp: text.number(ramp, cache.ramp)?,
-            multiple: text.number(multiple, cache.multiple)?,
+        Ok(SlowStart {
+            initial_share: text.number(initial_share, cache.initial_share)?,
+            duration: text.number(duration, cache.duration)?,
+            overload_multiple: text.number(multiple, cache.overload_multiple)?,
             ..cache
         })
     };
@@ -167,38 +167,38 @@
         classes,
         zone: text.position("locality")?.unwrap_or(0),
         zone_routers: text.list("familyInfo.zoneBalancers")?,
-        zone_link: text.list("familyInfo.inletKbPerS")?,
+        zone_link_rate: text.list("familyInfo.inletKbPerS")?,
         routers: text.parse("groupSize")?.unwrap_or(1),
         position: text.position("position")?.unwrap_or(0),
         parent_kind: text.position("familyInfo.shieldKind")?,
         origin_kind: text.position("familyInfo.sourceKind")?,
-        direct: text.flag("familyInfo.bypassAllowed")?,
-        joins: text.flag("familyInfo.canJoin")?,
+        cache_bypass: text.flag("familyInfo.bypassAllowed")?,
+        join_fills: text.flag("familyInfo.canJoin")?,
         siblings: match text.get("familyInfo.sideways") {
             None | Some("none") => Siblings::None,
             Some("location") => Siblings::Location,
             Some("any") => Siblings::Any,
             Some(other) => return Err(format!("setting familyInfo.sideways: unknown value {other:?}")),
         },
-        flow: text.number("familyInfo.flowKbPerS", 0.0)?,
+        transfer_rate: text.number("familyInfo.flowKbPerS", 0.0)?,
         weights_are_sizes: match text.get("weightKind") {
             None | Some("nominal" | "rough") => true,
             // A size over what is held changes all the time: no size to hash or to budget by.
             Some("none" | "live") => false,
             Some(other) => return Err(format!("setting weightKind: unknown value {other:?}")),
         },
-        cold_cache: rule("rules.coldFrom", "rules.rampTimeMs", "rules.fallMultiple")?,
-        cold_parent: rule(
+        cache_slow_start: rule("rules.coldFrom", "rules.rampTimeMs", "rules.fallMultiple")?,
+        parent_slow_start: rule(
             "familyInfo.upperColdFrom",
             "familyInfo.upperColdMs",
             "familyInfo.parentFallMultiple",
         )?,
         purge_grace: text.number("familyInfo.obeyAfterMs", 0.0)?,
-        purge_done: text.number("familyInfo.clearedWithinMs", 0.0)?,
-        list_on_request: text.get("discovery") == Some("on_request"),
+        purge_settle_time: text.number("familyInfo.clearedWithinMs", 0.0)?,
+        poll_member_list: text.get("discovery") == Some("on_request"),
         max_attempts: text.parse("limits.sendCap")?.unwrap_or(1),
         hedged_requests: text.flag("limits.secondCopies")?,
-        cancel: text.flag("limits.cancel")?,
+        cancellation: text.flag("limits.cancel")?,
         retry_after: text.flag("limits.retryAfter")?,
         max_retry_after: text.number("limits.maxRetryAfterMs", 0.0)?,
     };
--- a/crates/deckproxy-settings/tests/settings.rs
+++ b/crates/deckproxy-settings/tests/settings.rs
@@ -1,6 +1,6 @@
 //! The settings from their text: what is read, what stands in, what is named as wrong.
 
-use deckproxy_control::interface::{Effect, Group, Siblings};
+use deckproxy_control::interface::{Group, Idempotency, Siblings};
 use deckproxy_settings as settings;
 
 const CONF: &str = "services.count=1\nservices.0.aimMs=400.0\nservices.0.deadlineMs=2000.0\n\
@@ -14,7 +14,7 @@
     let s = conf.settings;
     assert_eq!((s.zone, s.routers, s.max_attempts), (1, 1, 4));
     assert_eq!((s.parent_kind, s.origin_kind, s.siblings), (Some(1), Some(2), Siblings::None));
-    assert_eq!((s.classes[0].effect, s.classes[0].freshness_lifetime), (Effect::Safe, 0.0));
+    assert_eq!((s.classes[0].idempotency, s.classes[0].freshness_lifetime), (Idempotency::Idempotent, 0.0));
     assert_eq!(settings::read("familyInfo.shieldKind=-1").unwrap().settings.parent_kind, None);
     assert_eq!(settings::read("").unwrap().settings.classes.len(), 0);
     let listed = "services.count=2\nfamilyInfo.maxAgeMs=0.0,12000.0\nfamilyInfo.goesThrough=false,true\n\
@@ -24,12 +24,19 @@
     assert_eq!(conf.settings.classes[1].freshness_lifetime, 12000.0);
     assert!(conf.settings.classes[1].write && !conf.settings.classes[0].write);
     assert_eq!(
-        (conf.settings.classes[0].effect, conf.settings.classes[0].group),
-        (Effect::Keyed, Group::Cell)
+        (conf.settings.classes[0].idempotency, conf.settings.classes[0].group),
+        (Idempotency::Keyed, Group::Cell)
     );
-    assert_eq!(conf.settings.classes[1].effect, Effect::Unsafe, "the careful reading of what is not told");
-    assert_eq!((conf.settings.cold_cache.from, conf.settings.cold_parent.from), (0.2, 0.1));
-    assert_eq!(conf.settings.cold_parent.window, 1500.0);
+    assert_eq!(
+        conf.settings.classes[1].idempotency,
+        Idempotency::NotIdempotent,
+        "the careful reading of what is not told"
+    );
+    assert_eq!(
+        (conf.settings.cache_slow_start.initial_share, conf.settings.parent_slow_start.initial_share),
+        (0.2, 0.1)
+    );
+    assert_eq!(conf.settings.parent_slow_start.overload_window, 1500.0);
     let load = settings::load([("busy_reqs", 3.0), ("x1", 0.5)]).unwrap();
     assert_eq!((load.in_flight, load.link, load.cpu), (Some(3.0), Some(0.5), None));
     assert_eq!(settings::load([]), None);
--- a/crates/deckproxy/src/program/fleet.rs
+++ b/crates/deckproxy/src/program/fleet.rs
@@ -58,7 +58,7 @@
 /// What the platform says that overload has to do with.
 fn platform(router: &Router) -> Platform {
     let settings = &router.conf().settings;
-    let effect = |c: &interface::Class| c.write || c.effect != interface::Effect::Safe;
+    let effect = |c: &interface::Class| c.write || c.idempotency != interface::Idempotency::Idempotent;
     Platform {
         classes: settings.classes.iter().map(|c| (c.priority_weight, effect(c))).collect(),
         advice: settings.retry_after,
--- a/crates/deckproxy/src/program/sites.rs
+++ b/crates/deckproxy/src/program/sites.rs
@@ -69,12 +69,12 @@
     let class = cx.router.usable(call)?;
     let settings = &cx.router.conf().settings;
     let kind = &settings.classes[class];
-    let safe = kind.effect == interface::Effect::Safe;
+    let safe = kind.idempotency == interface::Idempotency::Idempotent;
     Ok(Want {
         object: call.object.1,
         expires: cx.now + call.allow.min(kind.deadline),
         repeat: if safe { Repeat::Safe } else { Repeat::Never },
-        joins: settings.joins && safe && !kind.write && !kind.stream,
+        joins: settings.join_fills && safe && !kind.write && !kind.stream,
         rank: rank(&settings.classes, class),
         ask: link::ask(call, path),
     })
--- a/crates/deckproxy/src/routing/router.rs
+++ b/crates/deckproxy/src/routing/router.rs
@@ -12,8 +12,8 @@
 use crate::routing::timers::Timers;
 use deckproxy_control::Control;
 use deckproxy_control::interface::{
-    Action, AttemptEnding, Effect as Repeats, Event, FillNote, Lifecycle, ListKind, LoadReport, Member,
-    MemberId, Request, RequestId,
+    Action, AttemptEnding, Event, FillNote, Idempotency, Lifecycle, ListKind, LoadReport, Member, MemberId,
+    Request, RequestId,
 };
 use deckproxy_settings::Conf;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
@@ -278,11 +278,11 @@
         let class = self.classes.get(&call.class).copied().ok_or("an unknown class")?;
         let kind = &self.conf.settings.classes[class];
         // A size that takes so long would also be learned as the class's.
-        let sending = call.size.filter(|_| self.conf.settings.flow > 0.0);
-        let sending = sending.map_or(0.0, |kb| kb / self.conf.settings.flow * 1000.0);
+        let sending = call.size.filter(|_| self.conf.settings.transfer_rate > 0.0);
+        let sending = sending.map_or(0.0, |kb| kb / self.conf.settings.transfer_rate * 1000.0);
         let wrong = [
             (
-                call.key.is_some() != (kind.effect == Repeats::Keyed),
+                call.key.is_some() != (kind.idempotency == Idempotency::Keyed),
                 "replay: in keyed classes and in no other",
             ),
             (call.allow > kind.deadline + limits::SOCKET_SLACK, "allow is over the class's longest time"),
@@ -328,7 +328,7 @@
             group: call.group,
             size: call.size,
             class,
-            expires,
+            deadline: expires,
         };
         self.held += call.body.len();
         self.names.insert(call.name.clone());
@@ -550,22 +550,22 @@
 
     fn act(&mut self, now: f64, action: Action) {
         match action {
-            Action::LookUp { request, member, until } => {
-                self.ask(now, request, member, until, Orders::default());
+            Action::Lookup { request, member, deadline } => {
+                self.ask(now, request, member, deadline, Orders::default());
             }
-            Action::Get { request, member, until, source, keep, age, how } => {
+            Action::Get { request, member, deadline, source, copy_rank, max_age, options } => {
                 let name = self.members.name(source).filter(|_| source != member).map(Into::into);
                 let orders = Orders {
                     source: name,
-                    keep,
-                    age,
-                    join: how.join,
-                    held_only: how.cached_only,
-                    no_parent_copy: how.no_parent_copy,
-                    renew: how.renew,
+                    keep: copy_rank,
+                    age: max_age,
+                    join: options.join,
+                    held_only: options.cached_only,
+                    no_parent_copy: options.no_parent_copy,
+                    renew: options.renew,
                     wait: 0.0,
                 };
-                self.ask(now, request, member, until, orders);
+                self.ask(now, request, member, deadline, orders);
             }
             Action::Reject { request, retry_after } => self.finish(request, Answer::Refused(retry_after)),
             Action::Fail { request } => self.finish(request, Answer::Failed),
@@ -575,10 +575,10 @@
             // Never at once: a timer that is always due would hold the loop for good.
             Action::Timer { token, at } => self.timers.set(at.max(now + limits::TICK), Due::Module(token)),
             Action::HealthCheck(member) => self.probe(now, member),
-            Action::Close(member) => self.effects.push_back(Effect::Close(member)),
+            Action::CloseIdle(member) => self.effects.push_back(Effect::Close(member)),
             Action::Log(text) => self.effects.push_back(Effect::Log(text)),
             // The feed pushes every change, and no page tells of messages between gateways.
-            Action::SendToPeer(..) | Action::Watch(_) | Action::Fetch => {}
+            Action::SendToPeer(..) | Action::WatchMembers(_) | Action::FetchMembers => {}
         }
     }
 
@@ -596,7 +596,7 @@
         let (client, call) = (open.client, Rc::clone(&open.call));
         // What may have run goes again only in its class's time for repeats, however long it waits to be written.
         let class = self.classes.get(&call.class).map(|class| &self.conf.settings.classes[*class]);
-        let window = class.filter(|c| c.effect == Repeats::Keyed).map(|c| c.dedup_window);
+        let window = class.filter(|c| c.idempotency == Idempotency::Keyed).map(|c| c.dedup_window);
         let window = open.maybe_run.zip(window).map_or(f64::MAX, |(first, window)| first + window - now);
         let unsent = self.conf.limits.unsent.min(window);
         let at = key(request, no);
@@ -694,7 +694,7 @@
         let elapsed = now - out.sent;
         let (attempt, member, note) = (out.no, out.member, FillNote::None);
         self.forget(request);
-        let told = Event::Outcome { request, attempt, member, ending, elapsed, finished, note, load };
+        let told = Event::AttemptEnded { request, attempt, member, ending, elapsed, finished, note, load };
         self.tell(now, told);
     }
 
