--- a/crates/deckproxy-model/src/hosts.rs
+++ b/crates/deckproxy-model/src/hosts.rs
@@ -11,7 +11,7 @@
 use deckproxy::protocol::downstream::{Answer, Call};
 use deckproxy::protocol::feed::{Entry, News, Phase};
 use deckproxy::protocol::upstream::{self, Reply, Word};
-use deckproxy::routing::router::{self, Broke, Router};
+use deckproxy::routing::{self, ConnectionFailure, Router};
 use deckproxy_recovery::admission::{self, Admission, Ended, Verdict};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
@@ -198,7 +198,11 @@
     pub fn broke(&mut self, now: Micros, key: Key, sent: bool) {
         match self {
             Host::Gateway(g) => {
-                g.router.broke(clock(now), key, if sent { Broke::Reset } else { Broke::NeverSent });
+                g.router.connection_failed(
+                    clock(now),
+                    key,
+                    if sent { ConnectionFailure::Reset } else { ConnectionFailure::NotSent },
+                );
             }
             Host::Plain(p) => p.ended(now, key, if sent { None } else { Some(Word::Full) }),
         }
@@ -234,7 +238,7 @@
     pub fn next_due(&self) -> Option<Micros> {
         match self {
             Host::Gateway(g) => {
-                g.router.next_due().map(|at| ((at - clock(0)).max(0.0) * 1000.0).ceil() as Micros)
+                g.router.next_deadline().map(|at| ((at - clock(0)).max(0.0) * 1000.0).ceil() as Micros)
             }
             Host::Plain(p) => p.timers.front().map(|(at, _)| *at),
         }
@@ -254,7 +258,7 @@
             Host::Gateway(g) => {
                 let c = g.door.as_ref().map(|d| d.counters).unwrap_or_default();
                 (
-                    g.router.counters.broken + g.router.counters.overdue,
+                    g.router.counters.broken_invariants + g.router.counters.overdue,
                     [c.firsts, c.repeats, c.passed_firsts, c.passed_repeats],
                 )
             }
@@ -298,7 +302,7 @@
 
     fn feed(&mut self, now: Micros, news: News) {
         self.event += 1;
-        self.router.feed(clock(now), self.event, news, false);
+        self.router.feed_event(clock(now), self.event, news, false);
     }
 
     fn request(&mut self, now: Micros, of: TryNo, client: u64, wish: &Wish, allow: f64, write: u64) {
@@ -333,7 +337,7 @@
     }
 
     fn gone(&mut self, now: Micros, of: TryNo) {
-        self.router.abort(clock(now), CLIENT, of);
+        self.router.cancel(clock(now), CLIENT, of);
         self.ended(now, of, Ended::Gone, 0.0);
     }
 
@@ -357,34 +361,34 @@
             if let Some(effect) = self.early.pop_front() {
                 return Some(effect);
             }
-            match self.router.effect()? {
-                router::Effect::Ask { key, place, call, orders, .. } => {
+            match self.router.next_effect()? {
+                routing::Effect::SendAttempt { key, endpoint, call, options, .. } => {
                     let of = call.name.split('-').next().and_then(|n| TryNo::from_str_radix(n, 16).ok());
                     let of = of.expect("a name that is made here");
                     let (_, wish, write) = *self.open.get(&of).expect("what is asked for is open");
                     let source =
-                        orders.source.as_deref().and_then(|s| MemberNo::from_str_radix(&s[1..], 16).ok());
+                        options.source.as_deref().and_then(|s| MemberNo::from_str_radix(&s[1..], 16).ok());
                     let order = Order {
                         object: wish.object,
                         size: wish.size,
                         class: wish.class,
                         source,
-                        keep: orders.keep > 0,
-                        age: orders.age,
-                        join: orders.join,
+                        keep: options.keep > 0,
+                        age: options.age,
+                        join: options.join,
                         write,
                     };
                     let request = u64::from(of);
-                    return Some(Effect::Ask { key, request, member: member_at(place.address), order });
+                    return Some(Effect::Ask { key, request, member: member_at(endpoint.address), order });
                 }
-                router::Effect::Withdraw { key, .. } => {
-                    self.router.withdrawn(clock(now), key, true);
+                routing::Effect::CancelAttempt { key, .. } => {
+                    self.router.attempt_cancelled(clock(now), key, true);
                     return Some(Effect::Withdraw { key });
                 }
-                router::Effect::Probe { key, place, .. } => {
-                    return Some(Effect::Probe { key, member: member_at(place.address) });
+                routing::Effect::SendHealthCheck { key, endpoint, .. } => {
+                    return Some(Effect::Probe { key, member: member_at(endpoint.address) });
                 }
-                router::Effect::Answer { id, answer, .. } => {
+                routing::Effect::Answer { id, answer, .. } => {
                     let (ended, back) = match answer {
                         Answer::Served(_) | Answer::Unchanged => (Ended::Served, 0.0),
                         Answer::Refused(back) => (Ended::Refused, back),
@@ -400,11 +404,11 @@
                     return Some(Effect::Answer { of: id, answer, by_door: false });
                 }
                 // What other sites, the fleet and connections would hear; none of them is modelled.
-                router::Effect::Purged { .. }
-                | router::Effect::Probed { .. }
-                | router::Effect::Listed
-                | router::Effect::Close(_)
-                | router::Effect::Log(_) => {}
+                routing::Effect::Purged { .. }
+                | routing::Effect::HealthChecked { .. }
+                | routing::Effect::MembersChanged
+                | routing::Effect::CloseIdle(_)
+                | routing::Effect::Log(_) => {}
             }
         }
     }
--- a/crates/deckproxy/src/program/clients.rs
+++ b/crates/deckproxy/src/program/clients.rs
@@ -4,7 +4,7 @@
 use crate::program::subsystem::{Event, Verdict};
 use crate::protocol::downstream::{self, Answer, Message};
 use crate::protocol::limits;
-use crate::routing::router::ClientId;
+use crate::routing::ClientId;
 use crate::transport::client::Client;
 use crate::transport::clock;
 use crate::transport::listener::{Accepted, Listener};
@@ -26,7 +26,7 @@
     /// Has accepting tried again in a while, once however often it was in vain: each newcomer at the bound tries.
     pub(super) fn accept_again(&mut self, now: f64) -> bool {
         if !std::mem::replace(&mut self.accept_due, true) {
-            self.chores.set(now + ACCEPT_AGAIN, Chore::Accept);
+            self.chores.schedule(now + ACCEPT_AGAIN, Chore::Accept);
         }
         false
     }
@@ -206,16 +206,16 @@
     pub(super) fn dismiss(&mut self, now: f64, id: ClientId, why: &str) {
         let Some(client) = self.clients.get_mut(&id) else { return };
         client.begin_close();
-        self.router.counters.unusable += 1;
+        self.router.counters.invalid += 1;
         self.line(&format!("a client's connection closes: {why}"));
-        self.chores.set(now + limits::CLOSING, Chore::Linger(id));
+        self.chores.schedule(now + limits::CLOSING, Chore::Linger(id));
         self.flush_client(now, id);
     }
 
     /// Whether connections and bodies hold as many bytes as they may.
     pub(super) fn is_full(&self) -> bool {
         let (clients, members) = (&self.from_clients, &self.from_members);
-        let all = clients.input.get() + clients.output.get() + members.input.get() + self.router.held();
+        let all = clients.input.get() + clients.output.get() + members.input.get() + self.router.body_bytes();
         let all = all + self.parts.holds();
         let all = all + self.lines.as_ref().map_or(0, |l| l.holds());
         let all = all + self.exits.as_ref().map_or(0, |e| e.holds());
@@ -238,7 +238,7 @@
             Message::Call(request, call) => {
                 if self.router.is_open(id, request) || self.parts.holds_request(id, request) {
                     // Two open requests of one id: no answer could be told from the other's.
-                    self.router.counters.unusable += 1;
+                    self.router.counters.invalid += 1;
                     self.line("a client's connection closes: two open requests of one id");
                     return self.end_client(now, id);
                 }
@@ -250,7 +250,7 @@
                 }
                 if self.last_accepts {
                     // The time for stragglers is over: what is refused at once is soon with another gateway.
-                    self.router.counters.refused += 1;
+                    self.router.counters.rejected += 1;
                     self.put(now, (id, request), &Answer::Refused(0.0), false);
                     return self.flush_client(now, id);
                 }
@@ -261,7 +261,7 @@
                         Verdict::Taken => {}
                         Verdict::Answer(answer) => {
                             match answer {
-                                Answer::Unusable(_) => self.router.counters.unusable += 1,
+                                Answer::Unusable(_) => self.router.counters.invalid += 1,
                                 _ => self.router.counters.count(&answer),
                             }
                             self.answer(now, id, request, &answer);
@@ -269,7 +269,7 @@
                     }
                     return;
                 }
-                self.router.counters.refused += 1;
+                self.router.counters.rejected += 1;
                 self.put(now, (id, request), &Answer::Refused(0.0), false);
             }
             Message::Ping(request) => {
@@ -284,7 +284,7 @@
                         let many = client.release();
                         let event = Event::GaveUp { client: id, id: request };
                         self.parts.tell(&context(now, &self.router), &event);
-                        self.router.abort(now, id, request);
+                        self.router.cancel(now, id, request);
                         if many {
                             return self.dismiss(now, id, "it takes back all that it asks for");
                         }
@@ -294,7 +294,7 @@
             }
             Message::Unusable(request, why) => {
                 client.follows(request);
-                self.router.counters.unusable += 1;
+                self.router.counters.invalid += 1;
                 self.put(now, (id, request), &Answer::Unusable(why), false);
             }
             Message::Ignored => return,
@@ -329,7 +329,7 @@
             self.end_client(now, id);
         } else if client.shut(now) {
             // From here on the client has a while to close its side.
-            self.chores.set(now + limits::LINGER, Chore::Linger(id));
+            self.chores.schedule(now + limits::LINGER, Chore::Linger(id));
         }
     }
 
@@ -338,10 +338,10 @@
     pub(super) fn lingered(&mut self, now: f64, id: ClientId) {
         match self.clients.get(&id) {
             Some(client) if !client.is_shut() && self.router.owes_to(id) => {
-                self.chores.set(now + limits::CLOSING, Chore::Linger(id));
+                self.chores.schedule(now + limits::CLOSING, Chore::Linger(id));
             }
             Some(client) if client.still_comes(now) => {
-                self.chores.set(now + limits::LINGER, Chore::Linger(id));
+                self.chores.schedule(now + limits::LINGER, Chore::Linger(id));
             }
             Some(client) if client.is_shut() => self.end_client(now, id),
             _ => self.cut_client(now, id),
--- a/crates/deckproxy/src/program/feed.rs
+++ b/crates/deckproxy/src/program/feed.rs
@@ -55,7 +55,7 @@
                 }
                 Ok(Some(Ok(Line::Event(number, news)))) => {
                     let gaps = self.feed_gap == Some(self.router.last_event());
-                    if !self.router.feed(now, number, news, gaps) && !self.gap_is_final() {
+                    if !self.router.feed_event(now, number, news, gaps) && !self.gap_is_final() {
                         return self.lose_feed(now, "events are missing");
                     }
                     self.feed_wait = limits::FEED_BACKOFF.0;
@@ -84,7 +84,7 @@
             feed.stream.close(&self.handle);
         }
         self.line(&format!("control feed: {why}"));
-        self.chores.set(now + self.feed_wait, Chore::Feed);
+        self.chores.schedule(now + self.feed_wait, Chore::Feed);
         self.feed_wait = (self.feed_wait * 2.0).min(limits::FEED_BACKOFF.1);
     }
 }
--- a/crates/deckproxy/src/program/fleet.rs
+++ b/crates/deckproxy/src/program/fleet.rs
@@ -4,7 +4,7 @@
 use crate::program::subsystem::{Callers, Context, Effect, Effects, Event, Subsystem, Verdict, ended};
 use crate::protocol::downstream::{Answer, Call};
 use crate::protocol::upstream::Word;
-use crate::routing::router::{AttemptKey, ClientId, Router};
+use crate::routing::{AttemptKey, ClientId, Router};
 use crate::transport::clock;
 use deckproxy_control::interface::{self, Lifecycle};
 use deckproxy_fleet::fleet::{self, Listed, Seen};
@@ -46,7 +46,7 @@
 const ATTEMPTS: usize = 65_536;
 
 fn listed(router: &Router) -> impl Iterator<Item = Listed> + '_ {
-    router.listed().map(|(member, name)| Listed {
+    router.listed_members().map(|(member, name)| Listed {
         id: member.id,
         name: name.into(),
         zone: router.conf().zones.get(member.zone as usize).map_or("", String::as_str).into(),
@@ -121,7 +121,7 @@
 
     fn relist(&mut self, router: &Router) {
         self.core.list(listed(router));
-        self.members = router.listed().map(|(member, name)| (name.to_string(), member.id)).collect();
+        self.members = router.listed_members().map(|(member, name)| (name.to_string(), member.id)).collect();
     }
 
     /// Whether clients' addresses are wanted.
@@ -216,7 +216,7 @@
                 Outcome::Failed => self.attempted(key, false),
                 _ => drop(self.attempts.remove(&key)),
             },
-            Event::Kept => self.core.load(u32::try_from(cx.router.owed()).unwrap_or(u32::MAX)),
+            Event::Kept => self.core.load(u32::try_from(cx.router.unanswered()).unwrap_or(u32::MAX)),
             Event::Ending => self.core.leave(clock::steady()),
             _ => {}
         }
--- a/crates/deckproxy/src/program/flows.rs
+++ b/crates/deckproxy/src/program/flows.rs
@@ -4,7 +4,7 @@
 use crate::program::subsystem::{Context, Effect, Effects, Event, FAR, Note, Subsystem, micros};
 use crate::protocol::downstream::Answer;
 use crate::protocol::upstream::Word;
-use crate::routing::router::{AttemptKey, ClientId};
+use crate::routing::{AttemptKey, ClientId};
 use crate::transport::clock;
 use crate::transport::outbox::Written;
 use ahash::RandomState;
--- a/crates/deckproxy/src/program/gateway.rs
+++ b/crates/deckproxy/src/program/gateway.rs
@@ -7,9 +7,9 @@
 use crate::protocol::limits::{self, Bounds};
 use crate::protocol::upstream;
 use crate::routing::counters::ENDINGS;
-use crate::routing::members::Place;
-use crate::routing::router::{AttemptKey, ClientId, Effect, Router};
+use crate::routing::members::Endpoint;
 use crate::routing::timers::Timers;
+use crate::routing::{AttemptKey, ClientId, Effect, Router};
 use crate::transport::alarm::Alarm;
 use crate::transport::client::Client;
 use crate::transport::clock;
@@ -90,7 +90,7 @@
 pub(super) struct Held {
     pub(super) link: Link,
     pub(super) member: MemberId,
-    pub(super) place: Place,
+    pub(super) endpoint: Endpoint,
     pub(super) connecting: bool,
 }
 
@@ -236,7 +236,7 @@
             most_sockets: 0,
             longest_turn: 0.0,
         };
-        gateway.chores.set(now, Chore::Feed);
+        gateway.chores.schedule(now, Chore::Feed);
         gateway.pump(now);
         Ok(gateway)
     }
@@ -256,9 +256,9 @@
         if self.terminating.is_some() {
             return;
         }
-        info!(self.log, "told to end"; "open" => self.router.owed(), "clients" => self.clients.len());
+        info!(self.log, "told to end"; "open" => self.router.unanswered(), "clients" => self.clients.len());
         self.terminating = Some(now);
-        self.chores.set(now + limits::STRAGGLERS, Chore::Stragglers);
+        self.chores.schedule(now + limits::STRAGGLERS, Chore::Stragglers);
         self.parts.tell(&context(now, &self.router), &Event::Ending);
         // The fleet hears good-bye at once, and the address is free for who comes next.
         self.pump(now);
@@ -267,7 +267,7 @@
         }
         let longest = self.router.conf().settings.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
         let last = longest.min(limits::LONGEST_COUNTED) + limits::STRAGGLERS - limits::LAST_CALL;
-        self.chores.set(now + last, Chore::LastCall);
+        self.chores.schedule(now + last, Chore::LastCall);
     }
 
     /// Takes from a new configuration what may change while serving: where the feed is, which is asked there at
@@ -329,7 +329,7 @@
         self.work(start);
         if self.terminating.is_some()
             && self.listener.is_none()
-            && self.router.owed() == 0
+            && self.router.unanswered() == 0
             && self.parts.is_settled()
             && self.lines.as_ref().is_none_or(|l| l.is_written())
         {
@@ -339,7 +339,7 @@
         self.most_sockets = self.most_sockets.max(self.clients.len() + self.links.len());
         self.longest_turn = self.longest_turn.max(clock::now() - start);
         let background = self.background.next_due().map(|at| at as f64 / 1000.0);
-        let next = [self.router.next_due(), self.chores.next(), self.parts.due(), background]
+        let next = [self.router.next_deadline(), self.chores.next_deadline(), self.parts.due(), background]
             .into_iter()
             .flatten()
             .fold(f64::MAX, f64::min);
@@ -400,7 +400,7 @@
     fn due(&mut self, now: f64) {
         self.router.tick(now);
         self.parts.tick(&context(now, &self.router));
-        while let Some((_, chore)) = self.chores.due(now) {
+        while let Some((_, chore)) = self.chores.pop_due(now) {
             match chore {
                 Chore::Connect(id) if self.links.get(&id).is_some_and(|h| h.connecting) => {
                     self.end_link(now, id, "connect time-out");
@@ -422,11 +422,11 @@
                     if let Some(listener) = self.listener.take() {
                         listener.close(&self.handle);
                     }
-                    self.router.end_all(now);
+                    self.router.fail_all(now);
                     self.parts.end_all(&context(now, &self.router));
                     self.carry_out(now);
                     let all = self.clients.keys().map(|id| Chore::Close(*id)).collect::<Vec<_>>();
-                    all.into_iter().for_each(|chore| self.chores.set(now + limits::LINGER, chore));
+                    all.into_iter().for_each(|chore| self.chores.schedule(now + limits::LINGER, chore));
                 }
             }
         }
@@ -451,10 +451,18 @@
     }
 
     fn pump_router(&mut self, now: f64) {
-        while let Some(effect) = self.router.effect() {
+        while let Some(effect) = self.router.next_effect() {
             match effect {
-                Effect::Ask { key, client, .. } if !self.is_wanted(now, key, client) => {}
-                Effect::Ask { key, member, place, client, call, orders, unsent } => {
+                Effect::SendAttempt { key, client, .. } if !self.is_wanted(now, key, client) => {}
+                Effect::SendAttempt {
+                    key,
+                    member,
+                    endpoint,
+                    client,
+                    call,
+                    options,
+                    unsent_timeout: unsent,
+                } => {
                     let event = Event::Sent {
                         key,
                         client,
@@ -462,14 +470,14 @@
                         member: self.router.member_name(member),
                     };
                     self.parts.tell(&context(now, &self.router), &event);
-                    let parts = upstream::ask(&call, &orders);
-                    self.send(now, (key, member, place), &call.name, Message::Ask { parts, unsent });
+                    let parts = upstream::ask(&call, &options);
+                    self.send(now, (key, member, endpoint), &call.name, Message::Ask { parts, unsent });
                 }
-                Effect::Probe { key, member, place } => {
+                Effect::SendHealthCheck { key, member, endpoint } => {
                     let tag = format!("p{:x}", key & 0xffff_ffff);
-                    self.send(now, (key, member, place), &tag, Message::Probe);
+                    self.send(now, (key, member, endpoint), &tag, Message::Probe);
                 }
-                Effect::Withdraw { key, .. } => self.withdraw(now, key),
+                Effect::CancelAttempt { key, .. } => self.withdraw(now, key),
                 Effect::Answer { client, id, answer, copy } => match client {
                     0..FAR => self.answer(now, client, id, &answer),
                     FAR.. => self.parts.routed(&context(now, &self.router), client, answer, copy),
@@ -478,11 +486,11 @@
                     let event = Event::Purged { object, group, age };
                     self.parts.tell(&context(now, &self.router), &event);
                 }
-                Effect::Probed { member, good } => {
-                    self.parts.tell(&context(now, &self.router), &Event::Probed { member, good });
+                Effect::HealthChecked { member, healthy } => {
+                    self.parts.tell(&context(now, &self.router), &Event::Probed { member, good: healthy });
                 }
-                Effect::Listed => self.parts.tell(&context(now, &self.router), &Event::Listed),
-                Effect::Close(member) => self.close_idle(member),
+                Effect::MembersChanged => self.parts.tell(&context(now, &self.router), &Event::Listed),
+                Effect::CloseIdle(member) => self.close_idle(member),
                 Effect::Log(text) => self.line(&text),
             }
         }
@@ -516,9 +524,9 @@
                     self.answer(now, client, id, &answer);
                 }
                 PartEffect::Route { client, call } => self.router.request(now, client, 0, *call),
-                PartEffect::Abort(client) => self.router.abort(now, client, 0),
-                PartEffect::Took => self.router.counters.taken += 1,
-                PartEffect::Gone => self.router.counters.gone += 1,
+                PartEffect::Abort(client) => self.router.cancel(now, client, 0),
+                PartEffect::Took => self.router.counters.accepted += 1,
+                PartEffect::Gone => self.router.counters.cancelled += 1,
                 PartEffect::Purged { object, group, age } => self.router.purged(now, object, group, age),
                 PartEffect::Noted(note) => {
                     self.parts.tell(&context(now, &self.router), &Event::Noted(&note));
@@ -555,11 +563,11 @@
                 PartEffect::Datagram { to, bytes } => {
                     self.datagrams.iter_mut().for_each(|socket| socket.send(to, &bytes));
                 }
-                PartEffect::Probe(member) => self.router.probe(now, member),
-                PartEffect::HoldBack(members) => self.router.hold_back(now, &members),
+                PartEffect::Probe(member) => self.router.health_check(now, member),
+                PartEffect::HoldBack(members) => self.router.set_ejected(now, &members),
                 PartEffect::Work { task, at: Some(at) } => self.background.wake_at(task, at),
                 PartEffect::Work { task, at: None } => self.background.wake(micros(now), task),
-                PartEffect::TurnAt(at) => self.chores.set(at, Chore::Turn),
+                PartEffect::TurnAt(at) => self.chores.schedule(at, Chore::Turn),
                 PartEffect::Line(text) => self.line(&text),
             }
         }
@@ -640,7 +648,7 @@
             ("read", self.from_clients.input.get() + self.from_members.input.get()),
             ("unread", self.from_clients.output.get()),
         ];
-        let all = own.into_iter().chain(bytes).chain(self.router.sizes());
+        let all = own.into_iter().chain(bytes).chain(self.router.table_sizes());
         all.map(|(name, size)| format!("{name}:{size}")).collect::<Vec<_>>().join(",")
     }
 
@@ -652,15 +660,15 @@
         let endings: Vec<String> =
             ENDINGS.iter().zip(c.endings).filter(|(_, n)| *n > 0).map(|(w, n)| format!("{w}:{n}")).collect();
         info!(self.log, "{}", name;
-            "taken" => c.taken, "served" => c.served, "refused" => c.refused, "failed" => c.failed,
-            "gone" => c.gone, "unusable" => c.unusable, "owed" => self.router.owed(),
-            "attempts" => endings.join(","), "probes" => c.probes,
+            "taken" => c.accepted, "served" => c.served, "refused" => c.rejected, "failed" => c.failed,
+            "gone" => c.cancelled, "unusable" => c.invalid, "owed" => self.router.unanswered(),
+            "attempts" => endings.join(","), "probes" => c.health_checks,
             "clients" => self.clients.len(), "links" => self.links.len(), "most_sockets" => self.most_sockets,
             "sizes" => self.sizes(),
             "sites" => sites, "recovery" => recovery, "flows" => flows, "fleet" => fleet,
             "feed" => self.feed.is_some(), "event" => self.router.last_event(),
             "cpu_ms" => usage.cpu, "memory_kb" => usage.memory, "descriptors" => usage.descriptors,
-            "broken" => c.broken, "overdue" => c.overdue, "timer_late_ms" => format!("{:.1}", c.late),
+            "broken" => c.broken_invariants, "overdue" => c.overdue, "timer_late_ms" => format!("{:.1}", c.late),
             "longest_turn_ms" => format!("{:.1}", self.longest_turn));
     }
 }
--- a/crates/deckproxy/src/program/lines.rs
+++ b/crates/deckproxy/src/program/lines.rs
@@ -64,7 +64,7 @@
             Some(Ok(stream)) => {
                 let held = Held { line: Line::new(stream), connecting: Some((peer, way)) };
                 lines.held.insert(id, held);
-                return self.chores.set(now + patience, Chore::LineUp(id));
+                return self.chores.schedule(now + patience, Chore::LineUp(id));
             }
             Some(Err(e)) => Some(e),
             None => None,
--- a/crates/deckproxy/src/program/members.rs
+++ b/crates/deckproxy/src/program/members.rs
@@ -3,8 +3,8 @@
 use crate::program::gateway::{Chore, Gateway, Held, LinkId, Need, Peer, context};
 use crate::program::subsystem::Event;
 use crate::protocol::limits;
-use crate::routing::members::Place;
-use crate::routing::router::{AttemptKey, Broke};
+use crate::routing::members::Endpoint;
+use crate::routing::{AttemptKey, ConnectionFailure};
 use crate::transport::clock;
 use crate::transport::member::{Link, Message, Withdrawn};
 use crate::transport::stream::{Progress, Stream, is_exhausted};
@@ -17,13 +17,13 @@
     pub(super) fn send(
         &mut self,
         now: f64,
-        (key, member, place): (AttemptKey, MemberId, Place),
+        (key, member, endpoint): (AttemptKey, MemberId, Endpoint),
         name: &str,
         message: Message,
     ) {
-        let Some(id) = self.link_for(now, member, place, name) else {
+        let Some(id) = self.link_for(now, member, endpoint, name) else {
             self.attempt_ended(now, key, Outcome::Cut);
-            return self.router.broke(now, key, Broke::NeverSent);
+            return self.router.connection_failed(now, key, ConnectionFailure::NotSent);
         };
         if let Some(held) = self.links.get_mut(&id) {
             self.carried.insert(key, id);
@@ -39,7 +39,7 @@
             };
             self.flush_link(now, id);
             if self.links.get(&id).is_some_and(|h| !h.link.is_written(key)) {
-                self.chores.set(now + unsent, Chore::Unsent(key));
+                self.chores.schedule(now + unsent, Chore::Unsent(key));
             }
         }
     }
@@ -51,7 +51,7 @@
         if held.is_some_and(|h| h.link.take_back(key)) {
             self.carried.remove(&key);
             self.attempt_ended(now, key, Outcome::Cut);
-            self.router.broke(now, key, Broke::NeverSent);
+            self.router.connection_failed(now, key, ConnectionFailure::NotSent);
         }
     }
 
@@ -63,7 +63,7 @@
     /// A connection that can take an attempt of that name. Each attempt has one to itself while descriptors
     /// allow: an answer that can't be read, a silence or a reset ends all that is out on its connection. Idle
     /// ones are used again, the last used first, so that those not needed grow old and are closed.
-    fn link_for(&mut self, now: f64, member: MemberId, place: Place, name: &str) -> Option<LinkId> {
+    fn link_for(&mut self, now: f64, member: MemberId, endpoint: Endpoint, name: &str) -> Option<LinkId> {
         let (idle, streams) = (self.router.conf().limits.idle, self.router.conf().limits.streams);
         let (mut free, mut connecting) = (Vec::new(), 0);
         for id in self.pools.get(&member).cloned().unwrap_or_default() {
@@ -71,7 +71,7 @@
             // A new process, or another address: the old connections carry nothing new. Nor does one that the
             // member is about to close for being idle.
             let old = idle > 0.0 && now - held.link.idle_since() > idle - limits::IDLE_MARGIN;
-            held.link.retired |= held.place != place || old && held.link.load() == 0;
+            held.link.retired |= held.endpoint != endpoint || old && held.link.load() == 0;
             connecting += usize::from(held.connecting);
             if held.link.load() > 0 {
                 continue;
@@ -96,7 +96,7 @@
         let most = self.bounds.links;
         if self.links.len() < most - most / limits::SHARE_FROM
             && connecting < limits::CONNECTING
-            && let Some(id) = self.connect(now, member, place)
+            && let Some(id) = self.connect(now, member, endpoint)
         {
             return Some(id);
         }
@@ -112,10 +112,10 @@
                 && link.takes(name)
         });
         let least = shared.map(|(load, id, _)| (load, id)).min();
-        least.map(|(_, id)| id).or_else(|| self.connect(now, member, place))
+        least.map(|(_, id)| id).or_else(|| self.connect(now, member, endpoint))
     }
 
-    pub(super) fn connect(&mut self, now: f64, member: MemberId, place: Place) -> Option<LinkId> {
+    pub(super) fn connect(&mut self, now: f64, member: MemberId, endpoint: Endpoint) -> Option<LinkId> {
         if self.links.len() >= self.bounds.links {
             let idle = self.links.iter().filter(|(_, h)| h.link.load() == 0);
             let oldest = idle.min_by(|a, b| a.1.link.idle_since().total_cmp(&b.1.link.idle_since()));
@@ -125,10 +125,10 @@
         self.next += 1;
         let id = self.next;
         let ready = move |g: &mut Gateway, news| g.link_news(id, news);
-        let mut made = Stream::connect(&self.handle, &self.from_members, place.address, ready);
+        let mut made = Stream::connect(&self.handle, &self.from_members, endpoint.address, ready);
         if made.as_ref().is_err_and(is_exhausted) && self.make_room(now, Need::Own) {
             // The lack is ours; an idle client's descriptor is worth less than a request.
-            made = Stream::connect(&self.handle, &self.from_members, place.address, ready);
+            made = Stream::connect(&self.handle, &self.from_members, endpoint.address, ready);
         }
         let stream = match made {
             Ok(stream) => stream,
@@ -137,9 +137,9 @@
                 return None;
             }
         };
-        self.links.insert(id, Held { link: Link::new(stream, now), member, place, connecting: true });
+        self.links.insert(id, Held { link: Link::new(stream, now), member, endpoint, connecting: true });
         self.pools.entry(member).or_default().push(id);
-        self.chores.set(now + self.router.conf().limits.connect, Chore::Connect(id));
+        self.chores.schedule(now + self.router.conf().limits.connect, Chore::Connect(id));
         Some(id)
     }
 
@@ -227,7 +227,7 @@
         let patience = self.router.conf().limits.connect;
         let id = self.carried.remove(&key);
         // One that no connection carries was held back before it went out.
-        let Some(id) = id else { return self.router.withdrawn(now, key, false) };
+        let Some(id) = id else { return self.router.attempt_cancelled(now, key, false) };
         let held = self.links.get_mut(&id);
         let sent = held.and_then(|h| h.link.withdraw(key, now, patience)).unwrap_or(Withdrawn::Sent);
         if sent == Withdrawn::Cut && self.links.get(&id).is_some_and(|h| h.link.load() == 0) {
@@ -237,7 +237,7 @@
         self.flush_link(now, id);
         let runs = sent == Withdrawn::Sent || sent == Withdrawn::Cut && self.links.contains_key(&id);
         self.attempt_ended(now, key, Outcome::Cut);
-        self.router.withdrawn(now, key, runs);
+        self.router.attempt_cancelled(now, key, runs);
     }
 
     /// A connection has ended: what was out on it ends as it was sent.
@@ -252,7 +252,11 @@
         for (key, written) in lost {
             self.carried.remove(&key);
             self.attempt_ended(now, key, if written { Outcome::Failed } else { Outcome::Cut });
-            self.router.broke(now, key, if written { Broke::Reset } else { Broke::NeverSent });
+            self.router.connection_failed(
+                now,
+                key,
+                if written { ConnectionFailure::Reset } else { ConnectionFailure::NotSent },
+            );
         }
     }
 
--- a/crates/deckproxy/src/program/parts.rs
+++ b/crates/deckproxy/src/program/parts.rs
@@ -7,7 +7,7 @@
 use crate::program::subsystem::{Context, Effect, Effects, Event, LineId, Subsystem, Verdict};
 use crate::protocol::downstream::{Answer, Call};
 use crate::protocol::upstream::Copy;
-use crate::routing::router::{ClientId, Router};
+use crate::routing::{ClientId, Router};
 use deckproxy_flow::work::{Micros, Scheduler, TaskId};
 use deckproxy_operator::Operator;
 use deckproxy_sites::frame::Frame;
--- a/crates/deckproxy/src/program/recovery.rs
+++ b/crates/deckproxy/src/program/recovery.rs
@@ -2,7 +2,7 @@
 
 use crate::program::subsystem::{Callers, Context, Effects, Event, Subsystem, Verdict, ended};
 use crate::protocol::downstream::{Answer, Call};
-use crate::routing::router::ClientId;
+use crate::routing::ClientId;
 use deckproxy_operator::{Client, Operator};
 use deckproxy_recovery::admission::{self, Admission, Ended};
 use deckproxy_settings::Conf;
--- a/crates/deckproxy/src/program/sites.rs
+++ b/crates/deckproxy/src/program/sites.rs
@@ -6,7 +6,7 @@
 use crate::protocol::downstream::{Answer, Call};
 use crate::protocol::upstream::Copy;
 use crate::protocol::{limits, link};
-use crate::routing::router::ClientId;
+use crate::routing::ClientId;
 use bytes::Bytes;
 use deckproxy_control::interface;
 use deckproxy_flow::meter::Outcome;
@@ -66,7 +66,7 @@
 
 /// What crossing a request takes; the error tells why it can't be used.
 fn want(cx: &Context<'_>, call: &Call, path: Vec<String>) -> Result<Want, &'static str> {
-    let class = cx.router.usable(call)?;
+    let class = cx.router.validate(call)?;
     let settings = &cx.router.conf().settings;
     let kind = &settings.classes[class];
     let safe = kind.idempotency == interface::Idempotency::Idempotent;
--- a/crates/deckproxy/src/program/subsystem.rs
+++ b/crates/deckproxy/src/program/subsystem.rs
@@ -6,7 +6,7 @@
 
 use crate::protocol::downstream::{Answer, Call};
 use crate::protocol::upstream::{Copy, Word};
-use crate::routing::router::{AttemptKey, ClientId, Router};
+use crate::routing::{AttemptKey, ClientId, Router};
 use crate::transport::outbox::Written;
 use bytes::Bytes;
 use deckproxy_control::interface::MemberId;
--- /dev/null
+++ b/crates/deckproxy/src/routing/attempts.rs
@@ -0,0 +1,153 @@
+//! Attempts: sending them, and how they end.
+
+use crate::protocol::downstream::Answer;
+use crate::protocol::upstream::{Orders, Reply, Word};
+use crate::routing::attempt_key::{AttemptKey, attempt_key, request_of};
+use crate::routing::completion::FinalAnswer;
+use crate::routing::counters;
+use crate::routing::deadline::Deadline;
+use crate::routing::effect::{ClientId, ConnectionFailure, Effect};
+use crate::routing::requests::{Attempt, OpenRequest};
+use crate::routing::router::Router;
+use deckproxy_control::interface::{
+    AttemptEnding, Event, FillNote, Idempotency, LoadReport, MemberId, RequestId,
+};
+use std::rc::Rc;
+
+/// How an attempt ended, and what came with it.
+pub(super) struct AttemptResult {
+    /// The ending.
+    pub(super) ending: AttemptEnding,
+    /// The answer for the client, if it brought one.
+    pub(super) answer: Option<FinalAnswer>,
+    /// The member's report of its load, if it sent one.
+    pub(super) load: Option<LoadReport>,
+}
+
+/// Whether an attempt with that ending certainly did not run.
+fn never_ran(ending: AttemptEnding) -> bool {
+    matches!(
+        ending,
+        AttemptEnding::Rejected | AttemptEnding::ConnectFailed | AttemptEnding::NotSent | AttemptEnding::Miss
+    )
+}
+
+impl Router {
+    /// Sends an attempt of a request to a member, to end by `until` at the latest; 0: at the request's own deadline.
+    pub(super) fn send_attempt(
+        &mut self,
+        now: f64,
+        request: RequestId,
+        member: MemberId,
+        until: f64,
+        options: Orders,
+    ) {
+        let unfinished = self.requests.is_unfinished(request);
+        self.check_invariant(unfinished, "no attempt for a request that has ended");
+        let endpoint = self.members.endpoint(member);
+        let Some(open) = self.requests.get_mut(request) else { return };
+        let number = open.attempts;
+        open.attempts += 1;
+        open.in_flight.push(Attempt { number, member, sent_at: now, cancelled_as: None });
+        let until = if until > 0.0 { until.min(open.deadline) } else { open.deadline };
+        let too_late = open.finished || until <= now || number >= self.conf.settings.max_attempts;
+        let key = attempt_key(request, number);
+        if too_late {
+            return self.end_attempt(now, key, AttemptEnding::NotSent.into());
+        }
+        let Some(endpoint) = endpoint else {
+            return self.end_attempt(now, key, AttemptEnding::ConnectFailed.into());
+        };
+        let Some(open) = self.requests.get(request) else { return };
+        let (client, call) = (open.client, Rc::clone(&open.call));
+        let unsent_timeout = self.conf.limits.unsent.min(self.retry_window(now, open));
+        self.timers.schedule(until, Deadline::Attempt(key));
+        let options = Orders { wait: until - now, ..options };
+        let effect = Effect::SendAttempt { key, member, endpoint, client, call, options, unsent_timeout };
+        self.effects.push_back(effect);
+    }
+
+    /// Time left in which members still drop a duplicate of a keyed request that may have run, ms: an attempt that waits
+    /// longer to be written must not go out. Unbounded where nothing may have run or the class has no such window.
+    fn retry_window(&self, now: f64, open: &OpenRequest) -> f64 {
+        let class = self.classes.get(&open.call.class).map(|class| &self.conf.settings.classes[*class]);
+        let window =
+            class.filter(|class| class.idempotency == Idempotency::Keyed).map(|class| class.dedup_window);
+        open.may_have_run_since.zip(window).map_or(f64::MAX, |(first, window)| first + window - now)
+    }
+
+    /// An attempt or a health check was answered.
+    pub fn reply(&mut self, now: f64, key: AttemptKey, reply: Reply) {
+        let values = reply.report.iter().map(|(name, value)| (&**name, *value));
+        let load = deckproxy_settings::load(values);
+        if let Some(member) = self.health_checks.remove(&key) {
+            return self.health_checked(now, member, reply.word == Word::Alive(true), load);
+        }
+        let copy = reply.copy;
+        // That a copy is still current is believed only of the one that the client named.
+        let client_copy = self.requests.of_attempt(key).and_then(|open| open.call.have.as_ref());
+        let named = client_copy.is_some() && client_copy == copy.as_ref().map(|copy| &copy.tag);
+        let (ending, answer) = match reply.word {
+            Word::Ok => (AttemptEnding::Served, Some(Answer::Served(reply.body))),
+            Word::Unchanged if named => (AttemptEnding::Served, Some(Answer::Unchanged)),
+            Word::Miss => (AttemptEnding::Miss, None),
+            Word::Full => (AttemptEnding::Rejected, None),
+            Word::Over => (AttemptEnding::NotSent, None),
+            // A health check's status under an attempt's id, or a copy other than the client's, prove nothing.
+            Word::Error | Word::Alive(_) | Word::Unchanged => (AttemptEnding::Error, None),
+        };
+        let answer = answer.map(|answer| FinalAnswer { answer, copy });
+        self.end_attempt(now, key, AttemptResult { ending, answer, load });
+    }
+
+    /// The connection of an attempt or a health check failed.
+    pub fn connection_failed(&mut self, now: f64, key: AttemptKey, failure: ConnectionFailure) {
+        if let Some(member) = self.health_checks.remove(&key) {
+            return self.health_checked(now, member, false, None);
+        }
+        let ending = match failure {
+            ConnectionFailure::NotSent => AttemptEnding::ConnectFailed,
+            ConnectionFailure::Reset => AttemptEnding::Reset,
+        };
+        self.end_attempt(now, key, ending.into());
+    }
+
+    /// An attempt has ended: its answer goes to the client, and the decision module is notified.
+    pub(super) fn end_attempt(&mut self, now: f64, key: AttemptKey, result: AttemptResult) {
+        let AttemptResult { ending, answer, load } = result;
+        let request = request_of(key);
+        let Some(attempt) = self.requests.take_attempt(key) else { return };
+        let Some(open) = self.requests.get_mut(request) else { return };
+        if !never_ran(ending) {
+            open.may_have_run_since.get_or_insert(attempt.sent_at);
+        }
+        let unanswered = !open.finished;
+        self.counters.endings[counters::index_of(ending)] += 1;
+        if let Some(answer) = answer.filter(|_| unanswered) {
+            self.finish(request, answer);
+        }
+        let finished = !self.requests.is_unfinished(request);
+        self.requests.remove_if_done(request);
+        let outcome = Event::AttemptEnded {
+            request,
+            attempt: attempt.number,
+            member: attempt.member,
+            ending,
+            elapsed: now - attempt.sent_at,
+            finished,
+            note: FillNote::None,
+            load,
+        };
+        self.notify_control(now, outcome);
+    }
+
+    /// Whether an attempt is in flight and not being cancelled.
+    pub fn is_wanted(&self, key: AttemptKey) -> bool {
+        self.requests.attempt(key).is_some_and(|attempt| attempt.cancelled_as.is_none())
+    }
+
+    /// The client whose request an attempt belongs to, if that is open.
+    pub fn client_of(&self, key: AttemptKey) -> Option<ClientId> {
+        self.requests.of_attempt(key).map(|open| open.client)
+    }
+}
--- /dev/null
+++ b/crates/deckproxy/src/routing/cancellation.rs
@@ -0,0 +1,63 @@
+//! Cancellation: of requests by their clients, and of attempts.
+
+use crate::routing::attempt_key::{AttemptKey, attempt_key};
+use crate::routing::attempts::AttemptResult;
+use crate::routing::effect::{ClientId, Effect};
+use crate::routing::router::Router;
+use deckproxy_control::interface::{AttemptEnding, Event, RequestId};
+
+impl Router {
+    /// A client cancelled a request.
+    pub fn cancel(&mut self, now: f64, client: ClientId, id: u32) {
+        if let Some(request) = self.requests.of_client(client, id) {
+            self.counters.cancelled += 1;
+            self.abandon(now, request);
+        }
+    }
+
+    /// A client's connection has ended: its open requests are cancelled.
+    pub fn client_gone(&mut self, now: f64, client: ClientId) {
+        let open: Vec<u32> = self.requests.ids_of_client(client).collect();
+        for id in open {
+            self.cancel(now, client, id);
+        }
+    }
+
+    /// No answer is owed to a request any more: its attempts are cancelled, and the decision module is notified.
+    pub(super) fn abandon(&mut self, now: f64, request: RequestId) {
+        let Some(open) = self.requests.get_mut(request) else { return };
+        open.finished = true;
+        for attempt in open.in_flight.iter_mut().filter(|attempt| attempt.cancelled_as.is_none()) {
+            attempt.cancelled_as = Some(AttemptEnding::Cancelled);
+            let key = attempt_key(request, attempt.number);
+            self.effects.push_back(Effect::CancelAttempt { key, member: attempt.member });
+        }
+        let (client, id) = (open.client, open.client_id);
+        self.requests.settle(client, id);
+        self.notify_control(now, Event::ClientGone(request));
+        self.requests.remove_if_done(request);
+    }
+
+    /// Cancels an attempt, if it is in flight and not being cancelled already.
+    pub(super) fn cancel_attempt(&mut self, key: AttemptKey, ending: AttemptEnding) {
+        let attempt = self.requests.attempt_mut(key);
+        if let Some(attempt) = attempt.filter(|attempt| attempt.cancelled_as.is_none()) {
+            attempt.cancelled_as = Some(ending);
+            self.effects.push_back(Effect::CancelAttempt { key, member: attempt.member });
+        }
+    }
+
+    /// A cancelled attempt is off its connection; `sent`: some of it had been written.
+    pub fn attempt_cancelled(&mut self, now: f64, key: AttemptKey, sent: bool) {
+        let cancelled_as = self.requests.attempt(key).and_then(|attempt| attempt.cancelled_as);
+        if let Some(ending) = cancelled_as {
+            self.end_attempt(now, key, if sent { ending } else { AttemptEnding::NotSent }.into());
+        }
+    }
+}
+
+impl From<AttemptEnding> for AttemptResult {
+    fn from(ending: AttemptEnding) -> Self {
+        AttemptResult { ending, answer: None, load: None }
+    }
+}
--- /dev/null
+++ b/crates/deckproxy/src/routing/health_checks.rs
@@ -0,0 +1,45 @@
+//! Health checks of members.
+
+use crate::protocol::limits;
+use crate::routing::attempt_key::{AttemptKey, health_check_key};
+use crate::routing::deadline::Deadline;
+use crate::routing::effect::{ConnectionFailure, Effect};
+use crate::routing::router::Router;
+use deckproxy_control::interface::{Event, LoadReport, MemberId};
+
+impl Router {
+    /// Sends a member a health check.
+    pub fn health_check(&mut self, now: f64, member: MemberId) {
+        let allowed = self.conf.limits.probes;
+        self.check_invariant(allowed, "probes are allowed");
+        self.health_checks_sent += 1;
+        let key = health_check_key(self.health_checks_sent);
+        let Some(endpoint) = self.members.endpoint(member).filter(|_| allowed) else {
+            return self.health_checked(now, member, false, None);
+        };
+        self.counters.health_checks += 1;
+        self.health_checks.insert(key, member);
+        self.timers.schedule(now + limits::PROBE, Deadline::HealthCheck(key));
+        self.effects.push_back(Effect::SendHealthCheck { key, member, endpoint });
+    }
+
+    /// A health check ended: the owner and the decision module are notified.
+    pub(super) fn health_checked(
+        &mut self,
+        now: f64,
+        member: MemberId,
+        healthy: bool,
+        load: Option<LoadReport>,
+    ) {
+        self.effects.push_back(Effect::HealthChecked { member, healthy });
+        self.notify_control(now, Event::HealthChecked { member, ok: healthy, load });
+    }
+
+    /// A health check timed out, if it is still in flight.
+    pub(super) fn health_check_timed_out(&mut self, now: f64, key: AttemptKey) {
+        if let Some(member) = self.health_checks.get(&key).copied() {
+            self.effects.push_back(Effect::CancelAttempt { key, member });
+            self.connection_failed(now, key, ConnectionFailure::Reset);
+        }
+    }
+}
--- a/crates/deckproxy/src/routing/members.rs
+++ b/crates/deckproxy/src/routing/members.rs
@@ -1,33 +1,35 @@
-//! The list of members as the feed tells it, and the numbers by which the module knows them.
+//! The list of members as the feed sends it, and the numbers by which the decision module knows them.
 
 use crate::protocol::feed::{Entry, Phase};
 use deckproxy_control::interface::{Lifecycle, Member, MemberId};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Where a member is reached: a new process or address makes it another place.
+/// Where a member is reached: a new process or a new address makes another endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Place {
+pub struct Endpoint {
     /// Its address.
     pub address: SocketAddr,
-    /// When its process started, if told.
+    /// When its process started, Unix ms, where the list says so.
     pub started: Option<f64>,
 }
 
-struct Known {
+struct ListedMember {
+    /// Its name on the wire.
     name: Box<str>,
-    place: Option<Place>,
+    /// Where it is reached, if the list gave an address.
+    endpoint: Option<Endpoint>,
     /// As the list has it.
     listed: Member,
     /// It gets nothing new, whatever the list says.
-    held_back: bool,
+    ejected: bool,
 }
 
-impl Known {
-    /// As the module is told of it.
-    fn told(&self) -> Member {
+impl ListedMember {
+    /// As the decision module gets it.
+    fn effective(&self) -> Member {
         match self.listed.lifecycle {
-            Lifecycle::Ready if self.held_back => Member { lifecycle: Lifecycle::Draining, ..self.listed },
+            Lifecycle::Ready if self.ejected => Member { lifecycle: Lifecycle::Draining, ..self.listed },
             _ => self.listed,
         }
     }
@@ -36,72 +38,81 @@
 /// All members that are listed, by number.
 #[derive(Default)]
 pub struct Members {
-    known: HashMap<MemberId, Known>,
-    numbers: HashMap<Box<str>, MemberId>,
+    by_id: HashMap<MemberId, ListedMember>,
+    ids: HashMap<Box<str>, MemberId>,
 }
 
-/// FNV-1a: the same number at every gateway, whatever it heard before, as the shared hash needs.
-fn number(name: &str) -> MemberId {
-    name.bytes().fold(0x811c_9dc5, |h: u32, b| (h ^ u32::from(b)).wrapping_mul(0x0100_0193))
+/// FNV-1a: the same number at every gateway, whatever it received before, as the shared hash needs.
+fn hash(name: &str) -> MemberId {
+    const OFFSET_BASIS: u32 = 0x811c_9dc5;
+    const PRIME: u32 = 0x0100_0193;
+    name.bytes().fold(OFFSET_BASIS, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(PRIME))
 }
 
+/// The position of a name in a list of the settings.
 fn position(names: &[String], name: &str) -> Option<u32> {
     // Lists of names reach the settings with blanks and commas replaced.
     let name = name.replace([' ', ','], "_");
-    names.iter().position(|n| *n == name).and_then(|i| u32::try_from(i).ok())
+    names.iter().position(|other| *other == name).and_then(|i| u32::try_from(i).ok())
+}
+
+fn lifecycle(phase: Phase) -> Lifecycle {
+    match phase {
+        Phase::Ready => Lifecycle::Ready,
+        Phase::Terminating => Lifecycle::Draining,
+        Phase::Gone => Lifecycle::Gone,
+    }
 }
 
 impl Members {
-    /// Takes one entry; none if its zone or kind is not in the settings.
+    /// Takes one entry of the list; none if its zone or kind is not in the settings.
     pub fn take(&mut self, entry: &Entry, zones: &[String], kinds: &[String]) -> Option<Member> {
         let (zone, kind) = (position(zones, &entry.zone)?, position(kinds, &entry.kind)?);
-        let id = match self.numbers.get(&entry.id) {
-            Some(id) => *id,
-            None => {
-                let mut id = number(&entry.id);
-                while self.known.contains_key(&id) {
-                    id = id.wrapping_add(1);
-                }
-                self.numbers.insert(entry.id.clone(), id);
-                let listed = Member { id, lifecycle: Lifecycle::Gone, ..Member::default() };
-                let known = Known { name: entry.id.clone(), place: None, listed, held_back: false };
-                self.known.insert(id, known);
-                id
-            }
-        };
-        let place = entry.address.map(|address| Place { address, started: entry.started });
-        let known = self.known.get_mut(&id)?;
-        if entry.phase != Phase::Gone || place.is_some() {
-            known.place = place;
+        let id = self.id_of(&entry.id);
+        let endpoint = entry.address.map(|address| Endpoint { address, started: entry.started });
+        let member = self.by_id.get_mut(&id)?;
+        if entry.phase != Phase::Gone || endpoint.is_some() {
+            member.endpoint = endpoint;
         }
-        known.listed = Member {
+        member.listed = Member {
             id,
-            lifecycle: match entry.phase {
-                Phase::Ready => Lifecycle::Ready,
-                Phase::Terminating => Lifecycle::Draining,
-                Phase::Gone => Lifecycle::Gone,
-            },
+            lifecycle: lifecycle(entry.phase),
             started: entry.started,
             weight: entry.size,
             kind,
             zone,
             cell: entry.cell,
         };
-        Some(known.told())
+        Some(member.effective())
+    }
+
+    /// The number of a name, which is entered where it is new.
+    fn id_of(&mut self, name: &str) -> MemberId {
+        if let Some(id) = self.ids.get(name) {
+            return *id;
+        }
+        let mut id = hash(name);
+        while self.by_id.contains_key(&id) {
+            id = id.wrapping_add(1);
+        }
+        let listed = Member { id, lifecycle: Lifecycle::Gone, ..Member::default() };
+        self.ids.insert(name.into(), id);
+        self.by_id.insert(id, ListedMember { name: name.into(), endpoint: None, listed, ejected: false });
+        id
     }
 
     /// All as the list has them, with their names.
     pub fn listed(&self) -> impl Iterator<Item = (&Member, &str)> {
-        self.known.values().map(|k| (&k.listed, &*k.name))
+        self.by_id.values().map(|member| (&member.listed, &*member.name))
     }
 
-    /// Holds these back from now on, and no others. Gives those of which the module is to be told something else.
-    pub fn hold_back(&mut self, members: &[MemberId]) -> Vec<Member> {
+    /// Ejects these members from now on, and no others. Returns those whose effective state changed.
+    pub fn set_ejected(&mut self, ejected: &[MemberId]) -> Vec<Member> {
         let mut changed = Vec::new();
-        for (id, known) in &mut self.known {
-            let before = known.told();
-            known.held_back = members.contains(id);
-            let now = known.told();
+        for (id, member) in &mut self.by_id {
+            let before = member.effective();
+            member.ejected = ejected.contains(id);
+            let now = member.effective();
             if now != before {
                 changed.push(now);
             }
@@ -113,33 +124,33 @@
 
     /// Drops one that has left the list.
     pub fn forget(&mut self, id: MemberId) {
-        if let Some(known) = self.known.remove(&id) {
-            self.numbers.remove(&known.name);
+        if let Some(member) = self.by_id.remove(&id) {
+            self.ids.remove(&member.name);
         }
     }
 
     /// How many are listed.
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.by_id.len()
     }
 
     /// Whether none is listed.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.by_id.is_empty()
     }
 
-    /// All that are listed.
+    /// The numbers of all that are listed, in no order.
     pub fn ids(&self) -> impl Iterator<Item = MemberId> {
-        self.known.keys().copied()
+        self.by_id.keys().copied()
     }
 
     /// Where a member is reached.
-    pub fn place(&self, id: MemberId) -> Option<Place> {
-        self.known.get(&id).and_then(|k| k.place)
+    pub fn endpoint(&self, id: MemberId) -> Option<Endpoint> {
+        self.by_id.get(&id).and_then(|member| member.endpoint)
     }
 
     /// Its name on the wire.
     pub fn name(&self, id: MemberId) -> Option<&str> {
-        self.known.get(&id).map(|k| &*k.name)
+        self.by_id.get(&id).map(|member| &*member.name)
     }
 }
--- a/crates/deckproxy/src/routing/timers.rs
+++ b/crates/deckproxy/src/routing/timers.rs
@@ -1,12 +1,13 @@
-//! The timer heap.
+//! A heap of timers.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
 struct Entry<T> {
     at: f64,
-    order: u64,
-    what: T,
+    /// Counts the timers in the order in which they were scheduled.
+    sequence: u64,
+    payload: T,
 }
 
 impl<T> PartialEq for Entry<T> {
@@ -24,49 +25,50 @@
 }
 
 impl<T> Ord for Entry<T> {
-    /// The earliest is the greatest, as the heap gives that first; of two at one time the one set first.
+    /// The earliest is the greatest, as the heap gives the greatest first; of two at one time the one scheduled first.
     fn cmp(&self, other: &Self) -> Ordering {
-        other.at.total_cmp(&self.at).then(other.order.cmp(&self.order))
+        other.at.total_cmp(&self.at).then(other.sequence.cmp(&self.sequence))
     }
 }
 
-/// Timers by time. They can't be taken back; who set one ignores it when it is needed no more.
+/// Timers by time, in the unit and from the origin that their owner uses. They can't be cancelled: the owner ignores
+/// one that fires when it is not needed any more.
 pub struct Timers<T> {
     heap: BinaryHeap<Entry<T>>,
-    order: u64,
+    sequence: u64,
 }
 
 impl<T> Default for Timers<T> {
     fn default() -> Self {
-        Timers { heap: BinaryHeap::new(), order: 0 }
+        Timers { heap: BinaryHeap::new(), sequence: 0 }
     }
 }
 
 impl<T> Timers<T> {
-    /// Sets a timer.
-    pub fn set(&mut self, at: f64, what: T) {
-        self.order += 1;
-        self.heap.push(Entry { at, order: self.order, what });
+    /// Schedules a timer.
+    pub fn schedule(&mut self, at: f64, payload: T) {
+        self.sequence += 1;
+        self.heap.push(Entry { at, sequence: self.sequence, payload });
     }
 
-    /// Timers that are set.
+    /// Timers that have not fired.
     pub fn len(&self) -> usize {
         self.heap.len()
     }
 
-    /// Whether none is set.
+    /// Whether all timers have fired.
     pub fn is_empty(&self) -> bool {
         self.heap.is_empty()
     }
 
-    /// When the next one is due.
-    pub fn next(&self) -> Option<f64> {
-        self.heap.peek().map(|e| e.at)
+    /// When the next timer is due.
+    pub fn next_deadline(&self) -> Option<f64> {
+        self.heap.peek().map(|entry| entry.at)
     }
 
-    /// Takes the next one that is due, with the time it was set for.
-    pub fn due(&mut self, now: f64) -> Option<(f64, T)> {
-        self.next().filter(|at| *at <= now)?;
-        self.heap.pop().map(|e| (e.at, e.what))
+    /// Takes the next timer that is due, with the time that it was scheduled for.
+    pub fn pop_due(&mut self, now: f64) -> Option<(f64, T)> {
+        self.next_deadline().filter(|at| *at <= now)?;
+        self.heap.pop().map(|entry| (entry.at, entry.payload))
     }
 }
--- a/crates/deckproxy/tests/endings.rs
+++ b/crates/deckproxy/tests/endings.rs
@@ -5,7 +5,7 @@
 use deckproxy::protocol::downstream::{Answer, Call};
 use deckproxy::protocol::upstream::{Reply, Word};
 use deckproxy::routing::counters::ENDINGS;
-use deckproxy::routing::router::{AttemptKey, Broke, Effect, Router};
+use deckproxy::routing::{AttemptKey, ConnectionFailure, Effect, Router};
 use serde_json::json;
 
 const NOW: f64 = 1_764_576_000_000.0;
@@ -56,15 +56,15 @@
 
 /// What is to be done for requests.
 fn effects(router: &mut Router) -> Vec<Effect> {
-    let others = |e: &Effect| matches!(e, Effect::Log(_) | Effect::Listed);
-    std::iter::from_fn(|| router.effect()).filter(|e| !others(e)).collect()
+    let others = |e: &Effect| matches!(e, Effect::Log(_) | Effect::MembersChanged);
+    std::iter::from_fn(|| router.next_effect()).filter(|e| !others(e)).collect()
 }
 
 /// Begins a request that must not run twice; gives the key of its attempt.
 fn begin(router: &mut Router) -> AttemptKey {
     router.request(NOW, 1, 7, call("once", 1));
     match &effects(router)[..] {
-        [Effect::Ask { key, .. }] => *key,
+        [Effect::SendAttempt { key, .. }] => *key,
         other => panic!("{other:?}"),
     }
 }
@@ -91,20 +91,22 @@
     assert_eq!(count(&router, ending), 1, "{what}: {:?}", router.counters);
     assert_eq!(router.counters.endings.iter().sum::<u64>(), 1, "{what}");
     let after = effects(&mut router);
-    let again = after.iter().any(|e| matches!(e, Effect::Ask { .. }));
+    let again = after.iter().any(|e| matches!(e, Effect::SendAttempt { .. }));
     let refused = after.iter().any(|e| matches!(e, Effect::Answer { answer: Answer::Refused(_), .. }));
     let failed = after.iter().any(|e| matches!(e, Effect::Answer { answer: Answer::Failed, .. }));
     assert_eq!(again || refused, never_ran, "{what}: {after:?}");
     assert_eq!(failed, !never_ran, "{what}: {after:?}");
-    assert_eq!(router.counters.broken, 0);
+    assert_eq!(router.counters.broken_invariants, 0);
 }
 
 #[test]
 fn every_ending_is_told_as_what_it_proves() {
     row("no connection, or not written whole", "connect_failed", true, |r, k| {
-        r.broke(NOW, k, Broke::NeverSent)
+        r.connection_failed(NOW, k, ConnectionFailure::NotSent)
+    });
+    row("broke after it was written whole", "reset", false, |r, k| {
+        r.connection_failed(NOW, k, ConnectionFailure::Reset)
     });
-    row("broke after it was written whole", "reset", false, |r, k| r.broke(NOW, k, Broke::Reset));
     row("a miss", "miss", true, |r, k| r.reply(NOW, k, reply(Word::Miss)));
     row("full", "full", true, |r, k| r.reply(NOW, k, reply(Word::Full)));
     row("over already", "moot", true, |r, k| r.reply(NOW, k, reply(Word::Over)));
@@ -113,14 +115,14 @@
     row("a probe's word", "error", false, |r, k| r.reply(NOW, k, reply(Word::Alive(true))));
     row("silence until its time was over", "timeout", false, |r, k| {
         r.tick(NOW + 1000.0);
-        let withdraw = r.effect();
-        assert!(matches!(withdraw, Some(Effect::Withdraw { key, .. }) if key == k), "{withdraw:?}");
-        r.withdrawn(NOW + 1000.0, k, true);
+        let withdraw = r.next_effect();
+        assert!(matches!(withdraw, Some(Effect::CancelAttempt { key, .. }) if key == k), "{withdraw:?}");
+        r.attempt_cancelled(NOW + 1000.0, k, true);
     });
     row("its time was over while it waited to be written", "moot", true, |r, k| {
         r.tick(NOW + 1000.0);
-        assert!(matches!(r.effect(), Some(Effect::Withdraw { .. })));
-        r.withdrawn(NOW + 1000.0, k, false);
+        assert!(matches!(r.next_effect(), Some(Effect::CancelAttempt { .. })));
+        r.attempt_cancelled(NOW + 1000.0, k, false);
     });
 }
 
@@ -139,9 +141,9 @@
     for (sent, ending) in [(true, "cancelled"), (false, "moot")] {
         let mut router = router();
         let key = begin(&mut router);
-        router.abort(NOW + 5.0, 1, 7);
-        assert!(matches!(&effects(&mut router)[..], [Effect::Withdraw { key: k, .. }] if *k == key));
-        router.withdrawn(NOW + 5.0, key, sent);
+        router.cancel(NOW + 5.0, 1, 7);
+        assert!(matches!(&effects(&mut router)[..], [Effect::CancelAttempt { key: k, .. }] if *k == key));
+        router.attempt_cancelled(NOW + 5.0, key, sent);
         assert_eq!((count(&router, ending), router.counters.endings.iter().sum::<u64>()), (1, 1));
         assert!(effects(&mut router).is_empty(), "nobody is owed anything");
     }
@@ -155,27 +157,27 @@
     router.reply(NOW + 6.0, key, reply(Word::Ok));
     let answer = Answer::Served(Bytes::from_static(b"body"));
     assert_eq!(effects(&mut router), [Effect::Answer { client: 1, id: 7, answer, copy: None }]);
-    assert_eq!((count(&router, "ok"), router.owed()), (1, 0));
+    assert_eq!((count(&router, "ok"), router.unanswered()), (1, 0));
     // Nothing is left that a timer could find.
     router.tick(NOW + 100_000.0);
     assert!(effects(&mut router).is_empty());
-    assert_eq!((router.counters.overdue, router.counters.broken), (0, 0));
+    assert_eq!((router.counters.overdue, router.counters.broken_invariants), (0, 0));
 }
 
 #[test]
 fn a_client_that_left_is_owed_nothing_and_its_attempt_is_given_up() {
     let mut router = router();
     let key = begin(&mut router);
-    router.abort(NOW + 5.0, 1, 7);
-    assert!(matches!(&effects(&mut router)[..], [Effect::Withdraw { key: k, .. }] if *k == key));
+    router.cancel(NOW + 5.0, 1, 7);
+    assert!(matches!(&effects(&mut router)[..], [Effect::CancelAttempt { key: k, .. }] if *k == key));
     // Its answer crosses: it counts as the ending, and reaches nobody.
     router.reply(NOW + 6.0, key, reply(Word::Ok));
-    router.withdrawn(NOW + 6.0, key, true);
+    router.attempt_cancelled(NOW + 6.0, key, true);
     assert!(effects(&mut router).is_empty());
-    assert_eq!((router.counters.gone, count(&router, "ok"), count(&router, "cancelled")), (1, 1, 0));
+    assert_eq!((router.counters.cancelled, count(&router, "ok"), count(&router, "cancelled")), (1, 1, 0));
     // The name is free again once nothing is out under it.
     router.request(NOW + 7.0, 1, 8, call("once", 1));
-    assert!(matches!(&effects(&mut router)[..], [Effect::Ask { .. }]));
+    assert!(matches!(&effects(&mut router)[..], [Effect::SendAttempt { .. }]));
 }
 
 #[test]
@@ -193,11 +195,11 @@
     begin(&mut router);
     // The withdrawal is never confirmed: a connection that lost track of it must not cost the answer.
     router.tick(NOW + 1000.0);
-    assert!(matches!(&effects(&mut router)[..], [Effect::Withdraw { .. }]));
+    assert!(matches!(&effects(&mut router)[..], [Effect::CancelAttempt { .. }]));
     router.tick(NOW + 1058.0);
     let after = effects(&mut router);
     assert_eq!(after, [Effect::Answer { client: 1, id: 7, answer: Answer::Failed, copy: None }]);
-    assert_eq!((router.counters.overdue, router.owed()), (1, 0));
+    assert_eq!((router.counters.overdue, router.unanswered()), (1, 0));
 }
 
 #[test]
@@ -206,12 +208,12 @@
     let key = begin(&mut router);
     router.request(NOW, 1, 8, call("page", 2));
     effects(&mut router);
-    router.end_all(NOW + 1.0);
+    router.fail_all(NOW + 1.0);
     let after = effects(&mut router);
     let failed = |e: &&Effect| matches!(e, Effect::Answer { answer: Answer::Failed, .. });
     assert_eq!(after.iter().filter(failed).count(), 2, "{after:?}");
-    assert!(after.iter().any(|e| matches!(e, Effect::Withdraw { key: k, .. } if *k == key)));
-    assert_eq!(router.owed(), 0);
+    assert!(after.iter().any(|e| matches!(e, Effect::CancelAttempt { key: k, .. } if *k == key)));
+    assert_eq!(router.unanswered(), 0);
 }
 
 #[test]
--- a/crates/deckproxy/tests/parts.rs
+++ b/crates/deckproxy/tests/parts.rs
@@ -118,13 +118,13 @@
 fn timers_ring_in_order_of_time_and_of_setting() {
     let mut timers = Timers::default();
     for (at, what) in [(5.0, "c"), (1.0, "a"), (5.0, "d"), (3.0, "b")] {
-        timers.set(at, what);
+        timers.schedule(at, what);
     }
-    assert_eq!(timers.due(0.5), None);
-    assert_eq!(timers.next(), Some(1.0));
-    let rung: Vec<_> = std::iter::from_fn(|| timers.due(5.0)).collect();
+    assert_eq!(timers.pop_due(0.5), None);
+    assert_eq!(timers.next_deadline(), Some(1.0));
+    let rung: Vec<_> = std::iter::from_fn(|| timers.pop_due(5.0)).collect();
     assert_eq!(rung, [(1.0, "a"), (3.0, "b"), (5.0, "c"), (5.0, "d")]);
-    assert_eq!(timers.next(), None);
+    assert_eq!(timers.next_deadline(), None);
 }
 
 fn line(id: &str, address: Option<&str>, phase: Phase) -> Entry {
@@ -162,11 +162,11 @@
     let m = members.take(&line("s-1", Some("127.0.0.1:9"), Phase::Ready), &zones, &kinds).unwrap();
     assert_eq!((m.zone, m.kind, m.cell, m.weight, m.lifecycle), (1, 0, 2, 4.0, Lifecycle::Ready));
     assert_eq!(members.name(m.id), Some("s-1"));
-    assert!(members.place(m.id).is_some());
+    assert!(members.endpoint(m.id).is_some());
     // A line that tells only that it has gone keeps where it was, for what is still out there.
     let gone = members.take(&line("s-1", None, Phase::Gone), &zones, &kinds).unwrap();
     assert_eq!((gone.id, gone.lifecycle), (m.id, Lifecycle::Gone));
-    assert!(members.place(m.id).is_some());
+    assert!(members.endpoint(m.id).is_some());
     let mut other = line("s-2", Some("127.0.0.1:9"), Phase::Ready);
     other.zone = "nowhere".into();
     assert_eq!(members.take(&other, &zones, &kinds), None);
--- a/crates/deckproxy/tests/routing.rs
+++ b/crates/deckproxy/tests/routing.rs
@@ -6,7 +6,7 @@
 use deckproxy::protocol::downstream::{Answer, Call};
 use deckproxy::protocol::feed::{Entry, News, Phase};
 use deckproxy::protocol::upstream::{Reply, Word};
-use deckproxy::routing::router::{AttemptKey, Broke, Effect, Router};
+use deckproxy::routing::{AttemptKey, ConnectionFailure, Effect, Router};
 use proptest::prelude::*;
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -22,7 +22,7 @@
     Abort(usize),
     ClientGone(u64),
     Reply(usize, u8),
-    Broke(usize, bool),
+    ConnectionFailure(usize, bool),
     Wait(u16),
     Purge(u64),
     Member(usize, u8),
@@ -35,7 +35,7 @@
         1 => any::<usize>().prop_map(Step::Abort),
         1 => (0u64..3).prop_map(Step::ClientGone),
         8 => (any::<usize>(), 0u8..7).prop_map(|(at, word)| Step::Reply(at, word)),
-        2 => (any::<usize>(), any::<bool>()).prop_map(|(at, sent)| Step::Broke(at, sent)),
+        2 => (any::<usize>(), any::<bool>()).prop_map(|(at, sent)| Step::ConnectionFailure(at, sent)),
         4 => (0u16..600).prop_map(Step::Wait),
         1 => (0u64..4).prop_map(Step::Purge),
         1 => (0usize..5, 0u8..4).prop_map(|(at, phase)| Step::Member(at, phase)),
@@ -114,9 +114,9 @@
 
 impl Model {
     fn settle(&mut self) {
-        while let Some(effect) = self.router.effect() {
+        while let Some(effect) = self.router.next_effect() {
             match effect {
-                Effect::Ask { key, call, .. } => {
+                Effect::SendAttempt { key, call, .. } => {
                     let id = self.names[&call.name];
                     let seen = self.requests.get_mut(&id).unwrap();
                     assert!(!seen.over, "an attempt for a request that has ended");
@@ -129,10 +129,10 @@
                     );
                     assert!(self.out.insert(key, id).is_none(), "a key used twice");
                 }
-                Effect::Withdraw { key, .. } => {
+                Effect::CancelAttempt { key, .. } => {
                     let Some(id) = self.out.remove(&key) else { continue };
                     self.requests.get_mut(&id).unwrap().may_have_run = true;
-                    self.router.withdrawn(self.now, key, true);
+                    self.router.attempt_cancelled(self.now, key, true);
                 }
                 Effect::Answer { client, id, answer, .. } => {
                     let seen = self.requests.get_mut(&(client, id)).unwrap();
@@ -142,10 +142,10 @@
                     assert!(!(refused && seen.class == 2 && seen.may_have_run), "a refusal that may do harm");
                     seen.over = true;
                 }
-                Effect::Probe { .. }
-                | Effect::Probed { .. }
-                | Effect::Listed
-                | Effect::Close(_)
+                Effect::SendHealthCheck { .. }
+                | Effect::HealthChecked { .. }
+                | Effect::MembersChanged
+                | Effect::CloseIdle(_)
                 | Effect::Purged { .. }
                 | Effect::Log(_) => {}
             }
@@ -182,7 +182,7 @@
                 let open: Vec<_> = self.requests.iter().filter(|(_, s)| !s.over).map(|(id, _)| *id).collect();
                 let Some(at) = pick(at, open.len()) else { return };
                 self.requests.get_mut(&open[at]).unwrap().over = true;
-                self.router.abort(self.now, open[at].0, open[at].1);
+                self.router.cancel(self.now, open[at].0, open[at].1);
             }
             Step::ClientGone(client) => {
                 self.requests.iter_mut().filter(|(id, _)| id.0 == client).for_each(|(_, s)| s.over = true);
@@ -199,16 +199,20 @@
                 let reply = Reply { id: "".into(), word, report: Vec::new(), copy: None, body: Bytes::new() };
                 self.router.reply(self.now, key, reply);
             }
-            Step::Broke(at, sent) => {
+            Step::ConnectionFailure(at, sent) => {
                 let Some(at) = pick(at, self.out.len()) else { return };
                 let (key, id) = self.out.pop_nth(at);
                 self.requests.get_mut(&id).unwrap().may_have_run |= sent;
-                self.router.broke(self.now, key, if sent { Broke::Reset } else { Broke::NeverSent });
+                self.router.connection_failed(
+                    self.now,
+                    key,
+                    if sent { ConnectionFailure::Reset } else { ConnectionFailure::NotSent },
+                );
             }
             Step::Wait(span) => self.wait(f64::from(span)),
             Step::Purge(object) => {
                 self.event += 1;
-                assert!(self.router.feed(
+                assert!(self.router.feed_event(
                     self.now,
                     self.event,
                     News::PurgeObject(object, self.now - 50.0),
@@ -225,7 +229,7 @@
                 };
                 let entries = vec![entry(at, phase, started)];
                 let news = News::Members { whole: false, entries, dropped: 0 };
-                assert!(self.router.feed(self.now, self.event, news, false));
+                assert!(self.router.feed_event(self.now, self.event, news, false));
             }
         }
         self.settle();
@@ -234,7 +238,7 @@
     /// Lets time pass as the loop would: from one due time to the next.
     fn wait(&mut self, span: f64) {
         let end = self.now + span;
-        while let Some(due) = self.router.next_due().filter(|due| *due <= end) {
+        while let Some(due) = self.router.next_deadline().filter(|due| *due <= end) {
             self.now = self.now.max(due);
             self.router.tick(self.now);
             self.settle();
@@ -275,11 +279,11 @@
         steps.into_iter().for_each(|s| model.take(s));
         model.wait(3000.0);
         prop_assert!(model.requests.values().all(|s| s.over), "a request without its answer");
-        prop_assert_eq!(model.router.owed(), 0);
+        prop_assert_eq!(model.router.unanswered(), 0);
         prop_assert!(model.out.is_empty(), "an attempt that outlives its request");
         let c = model.router.counters;
-        prop_assert_eq!((c.broken, c.overdue), (0, 0));
-        prop_assert_eq!(c.taken, c.served + c.refused + c.failed + c.gone);
+        prop_assert_eq!((c.broken_invariants, c.overdue), (0, 0));
+        prop_assert_eq!(c.accepted, c.served + c.rejected + c.failed + c.cancelled);
     }
 }
 
@@ -298,9 +302,9 @@
         now += 250.0;
         event += 1;
         let entries = vec![listed(generation, Phase::Ready, now), listed(generation - 1, Phase::Gone, now)];
-        assert!(router.feed(now, event, News::Members { whole: false, entries, dropped: 0 }, false));
+        assert!(router.feed_event(now, event, News::Members { whole: false, entries, dropped: 0 }, false));
         event += 1;
-        assert!(router.feed(now, event, News::PurgeObject(generation, now), false));
+        assert!(router.feed_event(now, event, News::PurgeObject(generation, now), false));
         for n in 0..20u32 {
             let object = generation * 20 + u64::from(n);
             let call = Call {
@@ -318,12 +322,12 @@
             };
             router.request(now, generation, n, call);
         }
-        while let Some(effect) = router.effect() {
-            let Effect::Ask { key, call, .. } = effect else { continue };
+        while let Some(effect) = router.next_effect() {
+            let Effect::SendAttempt { key, call, .. } = effect else { continue };
             // One in seven is never answered, one in five breaks.
             match call.object.1 % 35 {
                 n if n % 7 == 0 => {}
-                n if n % 5 == 0 => router.broke(now, key, Broke::Reset),
+                n if n % 5 == 0 => router.connection_failed(now, key, ConnectionFailure::Reset),
                 _ => {
                     let (id, word, body) = (call.name.clone(), Word::Ok, Bytes::new());
                     router.reply(now, key, Reply { id, word, report: Vec::new(), copy: None, body });
@@ -334,12 +338,12 @@
             router.client_gone(now, generation);
         }
         router.tick(now);
-        while let Some(effect) = router.effect() {
-            if let Effect::Withdraw { key, .. } = effect {
-                router.withdrawn(now, key, true);
+        while let Some(effect) = router.next_effect() {
+            if let Effect::CancelAttempt { key, .. } = effect {
+                router.attempt_cancelled(now, key, true);
             }
         }
-        for (name, size) in router.sizes() {
+        for (name, size) in router.table_sizes() {
             let seen = most.entry(name).or_insert(0);
             *seen = size.max(*seen);
         }
@@ -351,8 +355,8 @@
         _ => 64,
     };
     assert!(most.iter().all(|(name, size)| *size <= bound(name)), "{most:?}");
-    assert_eq!(router.held(), 4 * router.sizes().find(|s| s.0 == "requests").unwrap().1);
-    assert_eq!(router.counters.broken, 0);
+    assert_eq!(router.body_bytes(), 4 * router.table_sizes().find(|s| s.0 == "requests").unwrap().1);
+    assert_eq!(router.counters.broken_invariants, 0);
 }
 
 /// Where the router sends requests for many objects.
@@ -374,8 +378,8 @@
             body: Bytes::new(),
         };
         router.request(now, 1, from + n, call);
-        while let Some(effect) = router.effect() {
-            if let Effect::Ask { key, member, .. } = effect {
+        while let Some(effect) = router.next_effect() {
+            if let Effect::SendAttempt { key, member, .. } = effect {
                 out.push(router.member_name(member).to_string());
                 let reply = Reply {
                     id: "".into(),
@@ -392,7 +396,7 @@
 }
 
 fn number(router: &Router, name: &str) -> u32 {
-    router.listed().find(|(_, other)| *other == name).map(|(m, _)| m.id).expect("it is listed")
+    router.listed_members().find(|(_, other)| *other == name).map(|(m, _)| m.id).expect("it is listed")
 }
 
 #[test]
@@ -402,28 +406,28 @@
     let two = number(&router, "s-2");
     let both = asked(&mut router, NOW + 10.0, 0);
     assert!(both.iter().any(|m| m == "s-1") && both.iter().any(|m| m == "s-2"), "{both:?}");
-    router.hold_back(NOW + 20.0, &[one]);
+    router.set_ejected(NOW + 20.0, &[one]);
     let held = asked(&mut router, NOW + 30.0, 100);
     assert!(held.iter().all(|m| m == "s-2"), "{held:?}");
     // The list has it drain; that it is held back no more does not bring it back.
     let drains =
         News::Members { whole: false, entries: vec![entry(0, Phase::Terminating, None)], dropped: 0 };
-    assert!(router.feed(NOW + 40.0, 2, drains, false));
-    router.hold_back(NOW + 50.0, &[]);
+    assert!(router.feed_event(NOW + 40.0, 2, drains, false));
+    router.set_ejected(NOW + 50.0, &[]);
     let drained = asked(&mut router, NOW + 60.0, 200);
     assert!(drained.iter().all(|m| m == "s-2"), "{drained:?}");
     // What the list tells while it is held back holds it back no less.
-    router.hold_back(NOW + 70.0, &[one, two]);
+    router.set_ejected(NOW + 70.0, &[one, two]);
     let ready = News::Members {
         whole: true,
         entries: (0..MEMBERS.len()).map(|at| entry(at, Phase::Ready, None)).collect(),
         dropped: 0,
     };
-    assert!(router.feed(NOW + 80.0, 3, ready, false));
-    router.hold_back(NOW + 90.0, &[one]);
+    assert!(router.feed_event(NOW + 80.0, 3, ready, false));
+    router.set_ejected(NOW + 90.0, &[one]);
     let again = asked(&mut router, NOW + 100.0, 300);
     assert!(again.iter().all(|m| m == "s-2"), "{again:?}");
-    router.hold_back(NOW + 110.0, &[]);
+    router.set_ejected(NOW + 110.0, &[]);
     let both = asked(&mut router, NOW + 120.0, 400);
     assert!(both.iter().any(|m| m == "s-1"), "{both:?}");
 }
