--- a/crates/deckproxy-control/tests/cold_sums.rs
+++ b/crates/deckproxy-control/tests/cold_sums.rs
@@ -4,19 +4,19 @@
 mod common;
 use common::*;
 use deckproxy_control::interface::*;
-use deckproxy_standins::bounds::{ColdCalls, ColdMember};
+use deckproxy_standins::limit_checkers::{SlowStartChecker, SlowStartLimits};
 
 const STARTED: Millis = 900.0;
 
 /// What a member bears by these settings.
-fn bears(member: &Member, rule: SlowStart) -> ColdMember {
-    ColdMember {
-        started: STARTED,
-        weight: member.weight,
-        from: rule.initial_share,
-        ramp: rule.duration,
+fn bears(member: &Member, rule: SlowStart) -> SlowStartLimits {
+    SlowStartLimits {
+        started_ms: STARTED,
+        capacity: member.weight,
+        initial_share: rule.initial_share,
+        ramp_ms: rule.duration,
         multiple: rule.overload_multiple,
-        window: rule.overload_window,
+        window_ms: rule.overload_window,
     }
 }
 
@@ -25,7 +25,7 @@
     rigs: Vec<Rig>,
     told: Settings,
     cold: Member,
-    judge: ColdCalls,
+    judge: SlowStartChecker,
     object: u64,
 }
 
@@ -43,7 +43,7 @@
         let rigs = (0..routers)
             .map(|position| Rig::with(Settings { position, ..told.clone() }, Self::others(&cold)))
             .collect();
-        Fleet { rigs, told, cold, judge: ColdCalls::default(), object: 10_000 }
+        Fleet { rigs, told, cold, judge: SlowStartChecker::default(), object: 10_000 }
     }
 
     /// Where the member is a cache, another takes what it does not; its parents are warm, or it is the only one.
@@ -81,7 +81,7 @@
         let mut attempt = 0;
         while let Some((_, to, source)) = self.rigs[i].sends().first().copied() {
             if to == self.cold.id || source == Some(self.cold.id) {
-                self.judge.came(self.rigs[i].now, SIZES[class]);
+                self.judge.record_call(self.rigs[i].now, SIZES[class]);
             }
             let fills = source.is_some_and(|s| s != to);
             self.rigs[i].end(
@@ -133,10 +133,10 @@
                 }
             }
         }
-        assert_eq!(fleet.judge.fall(bears(&cold, rule)), None, "{}", cold.id);
+        assert_eq!(fleet.judge.first_overload(bears(&cold, rule)), None, "{}", cold.id);
         // It is used: a tenth at least of what it bears at its slowest, but for the lulls.
         let least = 0.1 * rule.overload_multiple * rule.initial_share * cold.weight * 42_000.0;
-        assert!(fleet.judge.work() > least, "{}: {}", cold.id, fleet.judge.work());
+        assert!(fleet.judge.total_work_ms() > least, "{}: {}", cold.id, fleet.judge.total_work_ms());
     }
 }
 
@@ -151,7 +151,7 @@
         for _ in 0..40 {
             (0..24).for_each(|i| fleet.ask(i));
         }
-        assert_eq!(fleet.judge.fall(bears(&cold, rule)), None, "{}", cold.id);
+        assert_eq!(fleet.judge.first_overload(bears(&cold, rule)), None, "{}", cold.id);
     }
 }
 
@@ -169,6 +169,6 @@
             }
             (0..24).for_each(|i| fleet.ask(i));
         }
-        assert_eq!(fleet.judge.fall(bears(&cold, rule)), None, "{}", cold.id);
+        assert_eq!(fleet.judge.first_overload(bears(&cold, rule)), None, "{}", cold.id);
     }
 }
--- a/crates/deckproxy-lab/src/demo.rs
+++ b/crates/deckproxy-lab/src/demo.rs
@@ -6,11 +6,11 @@
 use deckproxy_rig::judge::judge;
 use deckproxy_rig::plan::{Fault, Plan, What};
 use deckproxy_rig::play::play;
-use deckproxy_standins::caller::{Callers, Load};
-use deckproxy_standins::fleet::{Site, Terms};
 use deckproxy_standins::free_address;
+use deckproxy_standins::load_client::{Load, LoadClients};
 use deckproxy_standins::record::{Fact, Outcome, Record};
 use deckproxy_standins::rules;
+use deckproxy_standins::site::{Site, SiteConfig};
 use hdrhistogram::Histogram;
 use indicatif::{ProgressBar, ProgressStyle};
 use std::process::ExitCode;
@@ -68,11 +68,11 @@
     let rows = [
         ("wanted by clients", wanted.to_string()),
         ("got at last, wherever", format!("{got} ({:.1}%)", 100.0 * got as f64 / wanted as f64)),
-        ("requests / refused / failed", format!("{} / {} / {}", v.requests, v.refused, v.failed)),
+        ("requests / refused / failed", format!("{} / {} / {}", v.requests, v.rejected, v.failed)),
         ("probes of a member beside those meant for one fleet", format!("{:.2}", figures.probe_ratio)),
         ("bytes a second that a gateway spends on its fellows", format!("{:.0}", figures.bytes)),
         ("p50 / p99, ms", format!("{:.1} / {:.1}", v.quantile(0, 0.5), v.quantile(0, 0.99))),
-        ("rules broken", if v.holds() { "none".to_string() } else { v.breaches.join("; ") }),
+        ("rules broken", if v.holds() { "none".to_string() } else { v.violations.join("; ") }),
     ];
     for (name, value) in rows {
         table.add_row([name.to_string(), value]);
@@ -100,7 +100,7 @@
         return ExitCode::from(2);
     }
     let record = Record::default();
-    let site = Site::start(0, Terms::default(), &record);
+    let site = Site::start(0, SiteConfig::default(), &record);
     let at = free_address();
     println!(
         "3 caches, a parent, an origin and the control feed run on loopback; the gateway listens on {at}"
@@ -109,7 +109,7 @@
     let draw = traffic::draw(0, 1, 2000, 0.0, 0.04);
     let rate = f64::from(options.rate);
     let load = Load::new(0, at, options.clients as usize, rate, options.seed, &draw);
-    let callers = Callers::start(load, &record);
+    let callers = LoadClients::start(load, &record);
     let bar = ProgressBar::new(options.seconds * 10);
     if let Ok(style) = ProgressStyle::with_template("{bar:30} {msg}") {
         bar.set_style(style);
@@ -119,26 +119,28 @@
         thread::sleep(Duration::from_millis(100));
         bar.set_position((start.elapsed().as_millis() / 100) as u64);
         let served = record.count(|f| matches!(f, Fact::Answered { outcome: Outcome::Served(_), .. }));
-        let hits = record.count(|f| matches!(f, Fact::Hit { .. }));
+        let hits = record.count(|f| matches!(f, Fact::CacheHit { .. }));
         let fills = record.count(|f| matches!(f, Fact::Filled { .. }));
         bar.set_message(format!("{served} served, {hits} hits in caches, {fills} fills"));
     }
     bar.finish_and_clear();
     callers.finish();
     gateway.signal("TERM");
-    let code = gateway.ended();
+    let code = gateway.wait_for_exit();
     let end = record.now();
     let facts = record.take();
-    let verdict = rules::judge(&facts, rules::Terms::default(), end);
+    let verdict = rules::judge(&facts, rules::RuleLimits::default(), end);
     let mut took = Histogram::<u64>::new(3).expect("three digits are allowed");
-    for ms in verdict.took.iter().flatten() {
+    for ms in verdict.latencies_ms.iter().flatten() {
         let _ = took.record((ms * 1000.0) as u64);
     }
     let reads = verdict.served.max(1);
     let caches = site.caches();
     let in_caches = |member: &String| caches.contains(member);
-    let hits =
-        facts.iter().filter(|s| matches!(&s.fact, Fact::Hit { member, .. } if in_caches(member))).count();
+    let hits = facts
+        .iter()
+        .filter(|s| matches!(&s.fact, Fact::CacheHit { member, .. } if in_caches(member)))
+        .count();
     let led =
         facts.iter().filter(|s| matches!(&s.fact, Fact::Filled { member, .. } if in_caches(member))).count();
     let at_origin = verdict.fills - led;
@@ -155,7 +157,7 @@
                 100.0 * verdict.served as f64 / verdict.requests.max(1) as f64
             ),
         ),
-        ("refused / failed", format!("{} / {}", verdict.refused, verdict.failed)),
+        ("refused / failed", format!("{} / {}", verdict.rejected, verdict.failed)),
         ("served from a copy in a cache", format!("{hits} ({:.1}%)", 100.0 * hits as f64 / reads as f64)),
         ("fills of caches for the other requests", format!("{led} for {misses}")),
         ("fills of the parent from the origin", at_origin.to_string()),
@@ -167,7 +169,7 @@
                 took.value_at_quantile(0.99) as f64 / 1000.0
             ),
         ),
-        ("rules broken", if verdict.holds() { "none".to_string() } else { verdict.breaches.join("; ") }),
+        ("rules broken", if verdict.holds() { "none".to_string() } else { verdict.violations.join("; ") }),
     ];
     for (name, value) in rows {
         table.add_row([name.to_string(), value]);
--- a/crates/deckproxy-lab/src/drills/fleet.rs
+++ b/crates/deckproxy-lab/src/drills/fleet.rs
@@ -89,14 +89,15 @@
             // As many as if each of five observed it.
             let probed = |i: usize| Seen {
                 at: middle + i as f64 * 200.0,
-                fact: Fact::Probed { member: member.clone() },
+                fact: Fact::HealthChecked { member: member.clone() },
             };
             facts.extend((0..10).map(probed));
         }
         Spoil::Coverage => {
             let hole = middle..middle + 4500.0;
             facts.retain(|s| {
-                !(matches!(&s.fact, Fact::Probed { member: m } if *m == member) && hole.contains(&s.at))
+                !(matches!(&s.fact, Fact::HealthChecked { member: m } if *m == member)
+                    && hole.contains(&s.at))
             });
         }
         Spoil::Board => {
@@ -106,13 +107,13 @@
         }
         Spoil::Answer => {
             let name = facts.iter().find_map(|s| match &s.fact {
-                Fact::Asked { name, .. } => Some(name.clone()),
+                Fact::RequestSent { name, .. } => Some(name.clone()),
                 _ => None,
             });
-            facts.retain(|s| !matches!(&s.fact, Fact::Answered { name: n, .. } | Fact::Recalled { name: n } if Some(n) == name.as_ref()));
+            facts.retain(|s| !matches!(&s.fact, Fact::Answered { name: n, .. } | Fact::Withdrawn { name: n } if Some(n) == name.as_ref()));
         }
         Spoil::Effect => {
-            let ran = facts.iter().find(|s| matches!(s.fact, Fact::Ran { .. })).cloned();
+            let ran = facts.iter().find(|s| matches!(s.fact, Fact::EffectApplied { .. })).cloned();
             facts.extend(ran.map(|s| Seen { at: s.at + 1.0, ..s }));
         }
         Spoil::Stale | Spoil::Attempt | Spoil::Record => panic!("the drill of a fleet has no such judge"),
--- a/crates/deckproxy-lab/src/drills/flows.rs
+++ b/crates/deckproxy-lab/src/drills/flows.rs
@@ -3,11 +3,11 @@
 
 use super::{Options, Report, Spoil};
 use crate::traffic;
-use deckproxy_standins::caller::{Callers, Load};
 use deckproxy_standins::collector::{Collection, Collector};
-use deckproxy_standins::fleet::{Site, Terms};
-use deckproxy_standins::record::{Fact, Passed, Record, Seen};
+use deckproxy_standins::load_client::{Load, LoadClients};
+use deckproxy_standins::record::{Fact, Record, Seen, Traffic};
 use deckproxy_standins::rules;
+use deckproxy_standins::site::{Site, SiteConfig};
 use deckproxy_standins::{Gateway, free_address, until};
 use hdrhistogram::Histogram;
 use rand::{RngExt, SeedableRng};
@@ -51,48 +51,55 @@
 }
 
 /// The same as the clients saw it themselves.
-fn passed(record: &Record, net: Ipv4Addr) -> Passed {
-    let own = record.passed().into_iter().filter(|(client, _)| of(net, *client));
-    own.fold(Passed::default(), |sum, (_, p)| Passed {
+fn passed(record: &Record, net: Ipv4Addr) -> Traffic {
+    let own = record.traffic().into_iter().filter(|(client, _)| of(net, *client));
+    own.fold(Traffic::default(), |sum, (_, p)| Traffic {
         read: sum.read + p.read,
-        wrote: sum.wrote + p.wrote,
-        asked: sum.asked + p.asked,
+        written: sum.written + p.written,
+        requests: sum.requests + p.requests,
     })
 }
 
 /// Runs it.
 pub fn run(options: &Options) -> Report {
     let record = Record::default();
-    let site = Site::start(0, Terms::default(), &record);
+    let site = Site::start(0, SiteConfig::default(), &record);
     let mut flaky = Collector::tcp();
     let (first, second) = (Collector::tcp(), Collector::tcp());
     let at = free_address();
-    let mut gateway =
-        Gateway::spawn_operated(&site.config("n1", at).to_string(), at, "true", &operator(&[&flaky, &first]));
+    let mut gateway = Gateway::spawn_with_operator(
+        &site.config("n1", at).to_string(),
+        at,
+        "true",
+        &operator(&[&flaky, &first]),
+    );
     until("the gateway serves", || std::net::TcpStream::connect(at).is_ok());
     let draw = traffic::draw(0, 1, 400, 0.0, 0.1);
-    let steady = Load { from: Some(STEADY), ..Load::new(0, at, 10, RATE, options.seed, &draw) };
-    let hasty =
-        Load { from: Some(HASTY), hangs_up: 0.7, ..Load::new(0, at, 3, HASTY_RATE, !options.seed, &draw) };
-    let callers = [steady, hasty].map(|load| Callers::start(load, &record));
+    let steady = Load { first_address: Some(STEADY), ..Load::new(0, at, 10, RATE, options.seed, &draw) };
+    let hasty = Load {
+        first_address: Some(HASTY),
+        disconnect_share: 0.7,
+        ..Load::new(0, at, 3, HASTY_RATE, !options.seed, &draw)
+    };
+    let callers = [steady, hasty].map(|load| LoadClients::start(load, &record));
     let slices = faults(options, &record, &gateway, &mut flaky, &[&first, &second]);
-    callers.into_iter().for_each(Callers::finish);
-    let memory = gateway.usage().0;
+    callers.into_iter().for_each(LoadClients::finish);
+    let memory = gateway.usage().peak_memory_kb;
     gateway.signal("TERM");
-    let code = gateway.ended();
+    let code = gateway.wait_for_exit();
     let (mine, hasty) = (passed(&record, STEADY), passed(&record, HASTY));
     let kept = |flaky: &Collector| [first.collection(), second.collection(), flaky.collection()];
     // What the gateway has written is in the kernel when it ends; a collector reads it in a moment.
     let end = Instant::now() + Duration::from_secs(2);
     while Instant::now() < end
-        && kept(&flaky)[..2].iter().map(|c| told(c, STEADY)[2]).sum::<u64>() < mine.asked
+        && kept(&flaky)[..2].iter().map(|c| told(c, STEADY)[2]).sum::<u64>() < mine.requests
     {
         thread::sleep(Duration::from_millis(5));
     }
     let [mut first, second, flaky] = kept(&flaky);
     if options.spoil == Some(Spoil::Record) {
         let largest = first.flows.iter().enumerate().filter(|(_, f)| f.client.is_some_and(|c| of(STEADY, c)));
-        let largest = largest.max_by_key(|(_, f)| f.out).map(|(i, _)| i);
+        let largest = largest.max_by_key(|(_, f)| f.bytes_out).map(|(i, _)| i);
         largest.map(|i| first.flows.swap_remove(i));
     }
     let add = |a: [u64; 3], b: [u64; 3]| [a[0] + b[0], a[1] + b[1], a[2] + b[2]];
@@ -108,12 +115,12 @@
     };
     must(code == Some(0), format!("the gateway ended with {code:?}: {}", gateway.log()));
     must(
-        sure == [mine.read, mine.wrote, mine.asked],
+        sure == [mine.read, mine.written, mine.requests],
         format!("the collector that stayed was told {sure:?}, clients saw {mine:?}"),
     );
     must(
-        (hasty.read..=hasty.read + hasty.asked * IN_KERNEL).contains(&sure_hasty[0])
-            && sure_hasty[2] <= hasty.asked,
+        (hasty.read..=hasty.read + hasty.requests * IN_KERNEL).contains(&sure_hasty[0])
+            && sure_hasty[2] <= hasty.requests,
         format!("of clients that hang up it was told {sure_hasty:?}; they saw {hasty:?}"),
     );
     must(
@@ -121,11 +128,14 @@
         format!("the collector that came and went was told {} of {} bytes", got[0], mine.read),
     );
     must(
-        got[2] + flaky.lost_requests <= mine.asked,
+        got[2] + flaky.lost_requests <= mine.requests,
         format!("it was told more requests than there were: {got:?}, {mine:?}"),
     );
     must(memory < MEMORY, format!("{memory} KB of memory; {MEMORY} are promised"));
-    must(first.unread + second.unread + flaky.unread == 0, "a collector met sets without a template".into());
+    must(
+        first.undecoded + second.undecoded + flaky.undecoded == 0,
+        "a collector met sets without a template".into(),
+    );
     must(first.missing + second.missing == 0, "records are missing where no connection broke".into());
     let end = record.now();
     let facts = record.take();
@@ -144,15 +154,15 @@
     );
     Report {
         figures: json!({
-            "requests": mine.asked, "bytes_served": mine.read, "bytes_exported": got[0],
+            "requests": mine.requests, "bytes_served": mine.read, "bytes_exported": got[0],
             "byte_error": (error(got[0]) * 1e6).round() / 1e6, "requests_exported": got[2],
             "byte_error_kept": (error(sure[0]) * 1e6).round() / 1e6, "requests_exported_kept": sure[2],
             "records": flaky.flows.len(), "missing": flaky.missing, "dropped": flaky.lost_flows,
             "p50_ms": ms(&up, 0.5), "p99_ms": ms(&up, 0.99), "p50_ms_down": ms(&down, 0.5), "p99_ms_down": ms(&down, 0.99),
             "asked_up": up.len(), "asked_down": down.len(), "memory_kb": memory,
-            "hung_up_requests": hasty.asked, "hung_up_read": hasty.read, "hung_up_exported": sure_hasty[0],
+            "hung_up_requests": hasty.requests, "hung_up_read": hasty.read, "hung_up_exported": sure_hasty[0],
         }),
-        verdict: rules::judge(&facts, rules::Terms::default(), end),
+        verdict: rules::judge(&facts, rules::RuleLimits::default(), end),
         broken,
     }
 }
@@ -176,21 +186,21 @@
         if down && killed {
             flaky.stop();
         }
-        flaky.hold(down && !killed);
+        flaky.set_paused(down && !killed);
         slices.push((record.now(), down));
         thread::sleep(Duration::from_secs_f64(slice * rng.random_range(0.8..1.2)));
         if !swapped && start.elapsed() > length / 2 {
             swapped = true;
-            gateway.operate(&operator(&[flaky, others[1]]));
+            gateway.reload_operator(&operator(&[flaky, others[1]]));
         }
         // One that stalled reads on. (Killed as well, it would lose all that its kernel had taken and nobody read: there
         // is no word in the protocol by which an exporter could know.)
         if down && killed {
-            flaky.again();
+            flaky.restart();
         }
         down = !down;
     }
-    flaky.hold(false);
+    flaky.set_paused(false);
     slices
 }
 
@@ -200,7 +210,7 @@
     let mut asked = HashMap::new();
     for seen in facts {
         match &seen.fact {
-            Fact::Asked { name, .. } => drop(asked.insert(name, seen.at)),
+            Fact::RequestSent { name, .. } => drop(asked.insert(name, seen.at)),
             Fact::Answered { name, .. } => {
                 let Some(at) = asked.remove(name) else { continue };
                 let down = slices.iter().rev().find(|(from, _)| *from <= at).is_some_and(|(_, down)| *down);
--- a/crates/deckproxy-lab/src/drills/mod.rs
+++ b/crates/deckproxy-lab/src/drills/mod.rs
@@ -92,17 +92,17 @@
     };
     let v = &report.verdict;
     let ok = v.holds() && report.broken.is_empty();
-    for breach in v.breaches.iter().chain(&report.broken) {
+    for breach in v.violations.iter().chain(&report.broken) {
         eprintln!("broken: {breach}");
     }
     let mut all = json!({
         "drill": format!("{:?}", options.name).to_lowercase(), "seed": options.seed, "seconds": options.seconds,
-        "requests": v.requests, "crossed": v.crossed, "served": v.served, "refused": v.refused, "failed": v.failed,
+        "requests": v.requests, "crossed": v.cross_site, "served": v.served, "refused": v.rejected, "failed": v.failed,
         "killed": v.killed, "unanswered": v.unanswered, "double_answers": v.double_answers,
         "double_attempts": v.double_attempts, "double_effects": v.double_effects,
         "stale_after_purge": v.stale_after_purge, "sends_after_drain": v.sends_after_drain,
-        "wrong_bodies": v.wrong_bodies, "late": v.late, "cuts": v.cuts, "purges": v.purges,
-        "home_share": round(v.home_share), "crossed_share": round(v.crossed_share),
+        "wrong_bodies": v.wrong_bodies, "late": v.late_answers, "cuts": v.link_cuts, "purges": v.purges,
+        "home_share": round(v.home_served_share), "crossed_share": round(v.cross_site_served_share),
         "home_p50_ms": round(v.quantile(0, 0.5)), "home_p99_ms": round(v.quantile(0, 0.99)),
         "crossed_p50_ms": round(v.quantile(1, 0.5)), "crossed_p99_ms": round(v.quantile(1, 0.99)),
     });
--- a/crates/deckproxy-lab/src/drills/overload.rs
+++ b/crates/deckproxy-lab/src/drills/overload.rs
@@ -150,8 +150,8 @@
         "seconds_to_recover": f.seconds.map(round), "stuck": f.seconds.is_none(),
         "seconds_to_recover_off": off.seconds.map(round),
         "splits": is(|w| matches!(w, What::Split(_))), "kills": is(|w| matches!(w, What::Kill(_))),
-        "rule_breaks": breaks, "rule_breaks_door": door.verdict.breaches.len(),
-        "rule_breaks_off": off.verdict.breaches.len(), "worth_served": round(f.worth),
+        "rule_breaks": breaks, "rule_breaks_door": door.verdict.violations.len(),
+        "rule_breaks_off": off.verdict.violations.len(), "worth_served": round(f.worth),
         "worth_served_door": round(door.worth), "worth_served_off": round(off.worth),
     });
     Report { verdict: f.verdict, figures, broken }
@@ -166,7 +166,8 @@
                 .facts
                 .iter()
                 .filter(|s| {
-                    matches!(s.fact, Fact::Came { .. } | Fact::Over { .. }) && s.at > played.from + 8000.0
+                    matches!(s.fact, Fact::AttemptReceived { .. } | Fact::AttemptEnded { .. })
+                        && s.at > played.from + 8000.0
                 })
                 .flat_map(|s| std::iter::repeat_n(s.clone(), 5))
                 .collect();
@@ -176,7 +177,7 @@
         Spoil::Answer => {
             // As if nobody who came to his time had been served.
             for t in played.tries.iter_mut().filter(|t| t.told) {
-                t.end = t.end.map(|(at, _)| (at, Outcome::Refused(None)));
+                t.end = t.end.map(|(at, _)| (at, Outcome::Rejected(None)));
             }
         }
         _ => panic!("the drill of overload has no such judge"),
--- a/crates/deckproxy-lab/src/drills/recovery.rs
+++ b/crates/deckproxy-lab/src/drills/recovery.rs
@@ -2,11 +2,11 @@
 
 use super::{Options, Report, Spoil};
 use crate::traffic;
-use deckproxy_standins::caller::{Callers, Load, Patience};
-use deckproxy_standins::fleet::{Site, Terms};
 use deckproxy_standins::free_address;
+use deckproxy_standins::load_client::{Load, LoadClients, RetryPolicy};
 use deckproxy_standins::record::{Fact, Outcome, Record, Seen};
 use deckproxy_standins::rules::{self, Verdict};
+use deckproxy_standins::site::{Site, SiteConfig};
 use serde_json::{Value, json};
 use std::collections::HashMap;
 use std::thread;
@@ -49,9 +49,9 @@
 
 /// Runs it three times: with recovery, without, and without while clients come again at once.
 pub fn run(options: &Options) -> Report {
-    let on = play(options, Some(DOOR), Patience::Advised);
-    let off = play(options, None, Patience::Advised);
-    let hasty = play(options, None, Patience::Hasty);
+    let on = play(options, Some(DOOR), RetryPolicy::AfterAdvice);
+    let off = play(options, None, RetryPolicy::AfterAdvice);
+    let hasty = play(options, None, RetryPolicy::Immediate);
     let mut broken = on.broken.clone();
     let mut must = |holds: bool, what: String| {
         if !holds {
@@ -72,7 +72,7 @@
         on.before > 0.9,
         format!("{:.3} served before anything was wrong: the machine is too slow", on.before),
     );
-    let breaks = |run: &Run| run.verdict.breaches.len();
+    let breaks = |run: &Run| run.verdict.violations.len();
     let mut figures = on.figures();
     figures["off"] = off.figures();
     figures["at_once"] = hasty.figures();
@@ -81,15 +81,15 @@
     Report { figures, verdict: on.verdict, broken }
 }
 
-fn play(options: &Options, operator: Option<&str>, patience: Patience) -> Run {
+fn play(options: &Options, operator: Option<&str>, patience: RetryPolicy) -> Run {
     let record = Record::default();
-    let site = Site::start(0, Terms { room: ROOM, ..Terms::default() }, &record);
+    let site = Site::start(0, SiteConfig { origin_concurrency: ROOM, ..SiteConfig::default() }, &record);
     let at = free_address();
     let mut gateway = site.gateway("n1", at, operator);
     // So many objects that most are asked for once.
     let draw = traffic::draw(0, 1, 200_000, 0.0, 0.02);
-    let load = Load { patience, ..Load::new(0, at, CLIENTS, RATE, options.seed, &draw) };
-    let callers = Callers::start(load, &record);
+    let load = Load { retry_policy: patience, ..Load::new(0, at, CLIENTS, RATE, options.seed, &draw) };
+    let callers = LoadClients::start(load, &record);
     let start = Instant::now();
     let part = Duration::from_secs_f64(options.seconds as f64 / 4.0);
     thread::sleep(part);
@@ -102,7 +102,7 @@
     let asked_until = record.now();
     callers.finish();
     gateway.signal("TERM");
-    let code = gateway.ended();
+    let code = gateway.wait_for_exit();
     let mut broken = Vec::new();
     if code != Some(0) {
         broken.push(format!("the gateway ended with {code:?}: {}", gateway.log()));
@@ -116,13 +116,15 @@
         // As if each attempt in the trouble had been made twice, one after the other.
         let twice: Vec<Seen> = facts
             .iter()
-            .filter(|s| matches!(s.fact, Fact::Came { .. } | Fact::Over { .. }) && s.at > from)
+            .filter(|s| {
+                matches!(s.fact, Fact::AttemptReceived { .. } | Fact::AttemptEnded { .. }) && s.at > from
+            })
             .cloned()
             .collect();
         facts.extend(twice);
         facts.sort_by(|a, b| a.at.total_cmp(&b.at));
     }
-    let verdict = rules::judge(&facts, rules::Terms::default(), end);
+    let verdict = rules::judge(&facts, rules::RuleLimits::default(), end);
     judge(&facts, [from, to, asked_until], verdict, broken)
 }
 
@@ -135,7 +137,7 @@
         let second = ((seen.at / 1000.0) as usize).min(seconds - 1);
         match &seen.fact {
             // A repeat has less time left than a first try.
-            Fact::Asked { name, allow, .. } => {
+            Fact::RequestSent { name, timeout_ms: allow, .. } => {
                 firsts[second] += f64::from(u8::from(*allow >= ALLOW - 0.5));
                 // What is served counts for the second in which it was first asked for.
                 asked.insert(name, ((seen.at - (ALLOW - allow)).max(0.0) / 1000.0) as usize);
@@ -145,7 +147,7 @@
                     served[(*at).min(seconds - 1)] += 1.0;
                 }
             }
-            Fact::Came { .. } => came[second] += 1.0,
+            Fact::AttemptReceived { .. } => came[second] += 1.0,
             _ => {}
         }
     }
--- a/crates/deckproxy-lab/src/drills/sites.rs
+++ b/crates/deckproxy-lab/src/drills/sites.rs
@@ -2,11 +2,11 @@
 
 use super::{Options, Report, Spoil};
 use crate::traffic;
-use deckproxy_standins::caller::{Callers, Load};
-use deckproxy_standins::fleet::{Site, Terms};
+use deckproxy_standins::link_relay::{LinkRelay, LinkState};
+use deckproxy_standins::load_client::{Load, LoadClients};
 use deckproxy_standins::record::{Fact, Outcome, Record, Seen, Stamp};
 use deckproxy_standins::rules;
-use deckproxy_standins::shim::{Shim, State};
+use deckproxy_standins::site::{Site, SiteConfig};
 use deckproxy_standins::{Gateway, free_address, until};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -67,29 +67,31 @@
 pub fn run(options: &Options) -> Report {
     let record = Record::default();
     let sites: Vec<Arc<Site>> = (0..2)
-        .map(|n| Arc::new(Site::start(n, Terms { lingers: 2000, ..Terms::default() }, &record)))
+        .map(|n| {
+            Arc::new(Site::start(n, SiteConfig { purge_delay_ms: 2000, ..SiteConfig::default() }, &record))
+        })
         .collect();
     let links = [free_address(), free_address()];
     // The link that a site opens goes through a shim to the other's gateway.
-    let shims = [Shim::to(links[1]), Shim::to(links[0])];
-    shims.iter().for_each(|shim| shim.delay(Duration::from_millis(4)));
+    let shims = [LinkRelay::to(links[1]), LinkRelay::to(links[0])];
+    shims.iter().for_each(|shim| shim.set_delay(Duration::from_millis(4)));
     let mut posts: Vec<Post> = (0..2)
         .map(|n| Post::start(&sites[n], free_address(), operator(n, links[n], shims[n].address)))
         .collect();
     until("the links are up", || posts.iter().all(|p| p.gateway.log().contains(": up;")));
-    let callers: Vec<Callers> = (0..2)
+    let callers: Vec<LoadClients> = (0..2)
         .map(|n| {
             let draw = traffic::draw(n, 2, OBJECTS, 0.5, 0.1);
             let seed = options.seed ^ u64::from(n) << 32;
-            Callers::start(Load::new(n, posts[n as usize].listen, 6, RATE, seed, &draw), &record)
+            LoadClients::start(Load::new(n, posts[n as usize].listen, 6, RATE, seed, &draw), &record)
         })
         .collect();
     let restarts = faults(options, &record, &sites, &shims, &mut posts);
-    callers.into_iter().for_each(Callers::finish);
+    callers.into_iter().for_each(LoadClients::finish);
     let mut broken = Vec::new();
     for post in &mut posts {
         post.gateway.signal("TERM");
-        let code = post.gateway.ended();
+        let code = post.gateway.wait_for_exit();
         let log = post.gateway.log();
         if std::env::var_os("DECKLAB_LOGS").is_some() {
             eprintln!("{log}");
@@ -106,17 +108,17 @@
     if let Some(spoil) = options.spoil {
         put_wrong(&mut facts, spoil);
     }
-    let verdict = rules::judge(&facts, rules::Terms::default(), end);
-    if verdict.home_share < 0.95 {
+    let verdict = rules::judge(&facts, rules::RuleLimits::default(), end);
+    if verdict.home_served_share < 0.95 {
         broken.push(format!(
             "{:.3} of the requests for own objects were served; 0.95 are promised",
-            verdict.home_share
+            verdict.home_served_share
         ));
     }
-    if verdict.crossed_share < 0.75 {
+    if verdict.cross_site_served_share < 0.75 {
         broken.push(format!(
             "{:.3} of the crossing requests were served; 0.75 are promised",
-            verdict.crossed_share
+            verdict.cross_site_served_share
         ));
     }
     let cut: f64 = cut_time(&facts, end);
@@ -136,13 +138,14 @@
     options: &Options,
     record: &Record,
     sites: &[Arc<Site>],
-    shims: &[Shim; 2],
+    shims: &[LinkRelay; 2],
     posts: &mut [Post],
 ) -> usize {
     let mut rng = Pcg64Mcg::seed_from_u64(options.seed.wrapping_mul(0x2545_f491_4f6c_dd1d) ^ 0xd111);
     let start = Instant::now();
     let length = Duration::from_secs(options.seconds);
-    let kinds = [(State::Reset, "reset"), (State::Silent, "silent"), (State::HalfOpen, "half open")];
+    let kinds =
+        [(LinkState::Reset, "reset"), (LinkState::Silent, "silent"), (LinkState::HalfOpen, "half open")];
     let mut cut: Option<(Instant, [bool; 2])> = None;
     let mut cut_sum = 0.0;
     let mut next_cut = start + Duration::from_millis(1500);
@@ -156,8 +159,12 @@
         let now = Instant::now();
         if let Some((until, which)) = cut.filter(|(until, _)| now >= *until) {
             let _ = until;
-            which.iter().zip(shims).filter(|(hit, _)| **hit).for_each(|(_, shim)| shim.set(State::Whole));
-            record.note(Fact::Cut { kind: "whole", on: false });
+            which
+                .iter()
+                .zip(shims)
+                .filter(|(hit, _)| **hit)
+                .for_each(|(_, shim)| shim.set_state(LinkState::Up));
+            record.note(Fact::LinkChanged { kind: "whole", is_cut: false });
             cut = None;
         }
         if cut.is_none() && now >= next_cut {
@@ -165,8 +172,8 @@
             let lasts = rng.random_range(200..700u64);
             // Half of the cuts take both ways, the others one.
             let which = [[true, true], [true, true], [true, false], [false, true]][rng.random_range(0..4)];
-            which.iter().zip(shims).filter(|(hit, _)| **hit).for_each(|(_, shim)| shim.set(state));
-            record.note(Fact::Cut { kind, on: true });
+            which.iter().zip(shims).filter(|(hit, _)| **hit).for_each(|(_, shim)| shim.set_state(state));
+            record.note(Fact::LinkChanged { kind, is_cut: true });
             cut = Some((now + Duration::from_millis(lasts), which));
             // The next one comes when all of them together are that share of the time again.
             cut_sum += lasts as f64;
@@ -179,11 +186,11 @@
             let home = rng.random_range(0..2usize);
             let object = traffic::object(home as u32, rng.random_range(0..40));
             for site in sites {
-                site.change(object);
+                site.change_object(object);
             }
             let at = deckproxy_standins::unix_ms();
             let teller = rng.random_range(0..2usize);
-            sites[teller].tell_purge(object, traffic::group(object), at);
+            sites[teller].publish_purge(object, traffic::group(object), at);
         }
         if now >= next_drain {
             next_drain = now + Duration::from_millis(2500);
@@ -205,7 +212,7 @@
             restarts += 1;
             posts[1].gateway.child.kill().expect("a process of our own");
             let _ = posts[1].gateway.child.wait();
-            record.note(Fact::Killed { site: 1 });
+            record.note(Fact::GatewayKilled { site: 1 });
             posts[1].again();
         }
         if !told && now >= term_at {
@@ -217,18 +224,18 @@
         // was held until the end was over, which waits for what crosses, lasted for seconds.
         if told && !ended && !matches!(posts[0].gateway.child.try_wait(), Ok(None)) {
             ended = true;
-            let _ = posts[0].gateway.ended();
+            let _ = posts[0].gateway.wait_for_exit();
             posts[0].again();
         }
         thread::sleep(Duration::from_millis(5));
     }
-    shims.iter().for_each(|shim| shim.set(State::Whole));
+    shims.iter().for_each(|shim| shim.set_state(LinkState::Up));
     if told && !ended {
-        let _ = posts[0].gateway.ended();
+        let _ = posts[0].gateway.wait_for_exit();
         posts[0].again();
     }
     if cut.is_some() {
-        record.note(Fact::Cut { kind: "whole", on: false });
+        record.note(Fact::LinkChanged { kind: "whole", is_cut: false });
     }
     // Links that were cut to the last come back, so that what waits is answered.
     let _ = TcpStream::connect(posts[0].listen);
@@ -241,17 +248,21 @@
     let mut rows = vec![[0usize; 6]; (end / 500.0) as usize + 1];
     for seen in facts {
         match &seen.fact {
-            Fact::Asked { name, site, home, .. } => drop(asked.insert(name, (seen.at, site != home))),
+            Fact::RequestSent { name, site, home_site: home, .. } => {
+                asked.insert(name, (seen.at, site != home));
+            }
             Fact::Answered { name, outcome } => {
                 let Some((at, crosses)) = asked.get(name) else { continue };
                 let kind = match outcome {
                     Outcome::Served(_) | Outcome::Unchanged => 0,
-                    Outcome::Refused(_) => 1,
+                    Outcome::Rejected(_) => 1,
                     Outcome::Failed => 2,
                 };
                 rows[(*at / 500.0) as usize][kind + 3 * usize::from(*crosses)] += 1;
             }
-            Fact::Cut { .. } | Fact::Killed { .. } => eprintln!("{:.0} {:?}", seen.at, seen.fact),
+            Fact::LinkChanged { .. } | Fact::GatewayKilled { .. } => {
+                eprintln!("{:.0} {:?}", seen.at, seen.fact)
+            }
             _ => {}
         }
     }
@@ -266,8 +277,8 @@
     let mut sum = 0.0;
     for seen in facts {
         match seen.fact {
-            Fact::Cut { on: true, .. } => since = Some(seen.at),
-            Fact::Cut { on: false, .. } => sum += seen.at - since.take().unwrap_or(seen.at),
+            Fact::LinkChanged { is_cut: true, .. } => since = Some(seen.at),
+            Fact::LinkChanged { is_cut: false, .. } => sum += seen.at - since.take().unwrap_or(seen.at),
             _ => {}
         }
     }
@@ -279,20 +290,20 @@
     match spoil {
         Spoil::Stale => {
             let purge = facts.iter().find_map(|s| match &s.fact {
-                Fact::Purged { object: Some(object), at, .. } => Some((s.at, *object, *at)),
+                Fact::PurgeAnnounced { object: Some(object), at, .. } => Some((s.at, *object, *at)),
                 _ => None,
             });
             let Some((told, object, at)) = purge else { return };
             let late = told + 1500.0;
             let name = "spoilt".to_string();
-            let asked = Fact::Asked {
+            let asked = Fact::RequestSent {
                 name: name.clone(),
                 site: 0,
-                home: 1,
+                home_site: 1,
                 class: "page",
                 object,
                 group: 0,
-                allow: 1400.0,
+                timeout_ms: 1400.0,
             };
             let stamp = Stamp { object, part: 0, issued: at - 1, site: 1 };
             facts.push(Seen { at: late - 20.0, fact: asked });
@@ -302,30 +313,32 @@
             });
         }
         Spoil::Attempt => {
-            let came = facts.iter().find(|s| matches!(s.fact, Fact::Came { .. })).cloned();
-            let Some(Seen { at, fact: Fact::Came { name, site, lane, .. } }) = came else { return };
-            let beside = |member: &str| Fact::Came {
+            let came = facts.iter().find(|s| matches!(s.fact, Fact::AttemptReceived { .. })).cloned();
+            let Some(Seen { at, fact: Fact::AttemptReceived { name, site, class: lane, .. } }) = came else {
+                return;
+            };
+            let beside = |member: &str| Fact::AttemptReceived {
                 name: name.clone(),
                 site,
                 member: member.into(),
-                lane: lane.clone(),
+                class: lane.clone(),
             };
             facts.push(Seen { at, fact: beside("spoilt-1") });
             facts.push(Seen { at, fact: beside("spoilt-2") });
             facts.push(Seen {
                 at: at + 200.0,
-                fact: Fact::Over { name: name.clone(), member: "spoilt-1".into() },
+                fact: Fact::AttemptEnded { name: name.clone(), member: "spoilt-1".into() },
             });
-            facts.push(Seen { at: at + 210.0, fact: Fact::Over { name, member: "spoilt-2".into() } });
+            facts.push(Seen { at: at + 210.0, fact: Fact::AttemptEnded { name, member: "spoilt-2".into() } });
         }
         Spoil::Effect => {
-            let ran = facts.iter().find(|s| matches!(s.fact, Fact::Ran { .. })).cloned();
+            let ran = facts.iter().find(|s| matches!(s.fact, Fact::EffectApplied { .. })).cloned();
             facts.extend(ran.map(|s| Seen { at: s.at + 1.0, ..s }));
         }
         Spoil::Answer => {
             // Of the north, whose gateway is not killed: what a killed one owed is excused.
             let northern = facts.iter().find_map(|s| match &s.fact {
-                Fact::Asked { name, site: 0, .. } => Some(name.clone()),
+                Fact::RequestSent { name, site: 0, .. } => Some(name.clone()),
                 _ => None,
             });
             let answers =
--- a/crates/deckproxy-lab/src/measure/cpu.rs
+++ b/crates/deckproxy-lab/src/measure/cpu.rs
@@ -3,10 +3,10 @@
 use super::{Options, show};
 use crate::traffic;
 use deckproxy_standins::Gateway;
-use deckproxy_standins::caller::{Callers, Load};
-use deckproxy_standins::fleet::{Site, Terms};
 use deckproxy_standins::free_address;
+use deckproxy_standins::load_client::{Load, LoadClients};
 use deckproxy_standins::record::{Fact, Record};
+use deckproxy_standins::site::{Site, SiteConfig};
 use std::path::Path;
 use std::thread;
 use std::time::Duration;
@@ -25,10 +25,11 @@
         let seed = seed + round as u64;
         let records = [Record::default(), Record::default()];
         let before = gateways.each_ref().map(|g| g.cpu_ns());
-        let loads = [0, 1]
-            .map(|i| Callers::start(Load::new(0, gateways[i].address, 40, RATE, seed, &draw), &records[i]));
+        let loads = [0, 1].map(|i| {
+            LoadClients::start(Load::new(0, gateways[i].address, 40, RATE, seed, &draw), &records[i])
+        });
         thread::sleep(Duration::from_secs(seconds));
-        loads.into_iter().for_each(Callers::finish);
+        loads.into_iter().for_each(LoadClients::finish);
         for (i, gateway) in gateways.iter().enumerate() {
             let answered = records[i].count(|f| matches!(f, Fact::Answered { .. })).max(1);
             if round > 0 {
@@ -66,12 +67,20 @@
         other.display()
     );
     let record = Record::default();
-    let site = Site::start(0, Terms::default(), &record);
+    let site = Site::start(0, SiteConfig::default(), &record);
     let gateways = [
-        site.gateway_by(Some(other), "other", free_address(), None),
+        site.gateway_with_program(Some(other), "other", free_address(), None),
         site.gateway("this", free_address(), None),
     ];
     beside(["other", "this"], &gateways, options.seconds, options.seed, &record);
-    println!("resident KB, other and this: {} and {}", gateways[0].usage().0, gateways[1].usage().0);
-    println!("descriptors, other and this: {} and {}", gateways[0].usage().1, gateways[1].usage().1);
+    println!(
+        "resident KB, other and this: {} and {}",
+        gateways[0].usage().peak_memory_kb,
+        gateways[1].usage().peak_memory_kb
+    );
+    println!(
+        "descriptors, other and this: {} and {}",
+        gateways[0].usage().descriptors,
+        gateways[1].usage().descriptors
+    );
 }
--- a/crates/deckproxy-lab/src/measure/fleet.rs
+++ b/crates/deckproxy-lab/src/measure/fleet.rs
@@ -6,9 +6,9 @@
 use deckproxy_rig::plan::Plan;
 use deckproxy_rig::play::Rig;
 use deckproxy_rig::simulated::{Net, Sim, name};
-use deckproxy_standins::fleet::{Site, Terms};
 use deckproxy_standins::free_address;
 use deckproxy_standins::record::Record;
+use deckproxy_standins::site::{Site, SiteConfig};
 use std::net::SocketAddr;
 use std::thread;
 use std::time::Duration;
@@ -156,7 +156,7 @@
         "\nCPU of the gateway's loop per request, alone and as one of a fleet of five; 1,000 requests a second each"
     );
     let record = Record::default();
-    let site = Site::start(0, Terms::default(), &record);
+    let site = Site::start(0, SiteConfig::default(), &record);
     let at: Vec<SocketAddr> = (0..5).map(|_| free_address()).collect();
     let others: Vec<_> =
         (1..5).map(|i| site.gateway(&format!("n{i}"), free_address(), Some(&operator(&at, i)))).collect();
@@ -165,6 +165,10 @@
         site.gateway("on", free_address(), Some(&operator(&at, 0))),
     ];
     cpu::beside(["off", "on"], &gateways, options.seconds, options.seed, &record);
-    println!("resident KB, off and on: {} and {}", gateways[0].usage().0, gateways[1].usage().0);
+    println!(
+        "resident KB, off and on: {} and {}",
+        gateways[0].usage().peak_memory_kb,
+        gateways[1].usage().peak_memory_kb
+    );
     drop(others);
 }
--- a/crates/deckproxy-lab/src/measure/flows.rs
+++ b/crates/deckproxy-lab/src/measure/flows.rs
@@ -8,9 +8,9 @@
 use deckproxy_flow::export::{Effect, Exporter, Settings, Transport};
 use deckproxy_flow::meter::{Key, Leg, Limits, Meter, Outcome, Top, Update};
 use deckproxy_standins::collector::Collector;
-use deckproxy_standins::fleet::{Site, Terms};
 use deckproxy_standins::free_address;
 use deckproxy_standins::record::Record;
+use deckproxy_standins::site::{Site, SiteConfig};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::collections::HashMap;
@@ -33,7 +33,7 @@
         "\nCPU of the gateway's loop per request, metered and exported or not, side by side; 1,000 requests a second each"
     );
     let record = Record::default();
-    let site = Site::start(0, Terms::default(), &record);
+    let site = Site::start(0, SiteConfig::default(), &record);
     let collector = Collector::tcp();
     let text = format!(
         "flows {{ collectors {{ address: \"{}\" transport: TCP }} meter {{ active_ms: 1000 idle_ms: 500 }} }}",
@@ -42,7 +42,11 @@
     let gateways =
         [site.gateway("off", free_address(), None), site.gateway("on", free_address(), Some(&text))];
     cpu::beside(["off", "on"], &gateways, options.seconds, options.seed, &record);
-    println!("resident KB, off and on: {} and {}", gateways[0].usage().0, gateways[1].usage().0);
+    println!(
+        "resident KB, off and on: {} and {}",
+        gateways[0].usage().peak_memory_kb,
+        gateways[1].usage().peak_memory_kb
+    );
 }
 
 /// Resident bytes of this process.
--- a/crates/deckproxy-lab/src/measure/sites.rs
+++ b/crates/deckproxy-lab/src/measure/sites.rs
@@ -5,11 +5,11 @@
 use bytes::BytesMut;
 use deckproxy::protocol::link;
 use deckproxy_sites::frame::{Beat, Hello, Say, VERSION};
-use deckproxy_standins::caller::{Callers, Draw, Load, Patience, Wish};
-use deckproxy_standins::fleet::{Site, Terms, size_of_object};
+use deckproxy_standins::link_relay::{LinkRelay, LinkState};
+use deckproxy_standins::load_client::{Load, LoadClients, RequestGenerator, RequestSpec, RetryPolicy};
 use deckproxy_standins::record::{Fact, Outcome, Record, Seen};
 use deckproxy_standins::rules::{self, Verdict};
-use deckproxy_standins::shim::{Shim, State};
+use deckproxy_standins::site::{Site, SiteConfig, object_size};
 use deckproxy_standins::{Client, Gateway, free_address, until};
 use rand::RngExt;
 use std::io::{Read, Write};
@@ -23,17 +23,17 @@
     sites: [Arc<Site>; 2],
     gateways: [Gateway; 2],
     at: [SocketAddr; 2],
-    shim: Shim,
+    shim: LinkRelay,
 }
 
 impl Pair {
     /// A northern and a southern site; the north's link goes through a shim or straight.
     fn start(link: &str, straight: bool) -> Self {
         let record = Record::default();
-        let sites = [0, 1].map(|n| Arc::new(Site::start(n, Terms::default(), &record)));
+        let sites = [0, 1].map(|n| Arc::new(Site::start(n, SiteConfig::default(), &record)));
         let at = [free_address(), free_address()];
         let [north, south] = [free_address(), free_address()];
-        let shim = Shim::to(south);
+        let shim = LinkRelay::to(south);
         let way = if straight { south } else { shim.address };
         let texts = [
             format!(
@@ -49,27 +49,34 @@
     }
 
     /// Clients of the north for a while; what was seen, and how much CPU the two gateways took, ms.
-    fn load(&self, options: &Options, rate: f64, draw: &Draw) -> (Verdict, Vec<Seen>, [u64; 2]) {
-        let before = [self.gateways[0].cpu(), self.gateways[1].cpu()];
-        let callers = Callers::start(Load::new(0, self.at[0], 16, rate, options.seed, draw), &self.record);
+    fn load(&self, options: &Options, rate: f64, draw: &RequestGenerator) -> (Verdict, Vec<Seen>, [u64; 2]) {
+        let before = [self.gateways[0].cpu_ms(), self.gateways[1].cpu_ms()];
+        let callers =
+            LoadClients::start(Load::new(0, self.at[0], 16, rate, options.seed, draw), &self.record);
         thread::sleep(Duration::from_secs(options.seconds));
         callers.finish();
-        let took = [self.gateways[0].cpu() - before[0], self.gateways[1].cpu() - before[1]];
+        let took = [self.gateways[0].cpu_ms() - before[0], self.gateways[1].cpu_ms() - before[1]];
         let facts = self.record.take();
-        (rules::judge(&facts, rules::Terms::default(), self.record.now()), facts, took)
+        (rules::judge(&facts, rules::RuleLimits::default(), self.record.now()), facts, took)
     }
 }
 
-fn small(site: u32, count: usize) -> Draw {
+fn small(site: u32, count: usize) -> RequestGenerator {
     Arc::new(move |rng| {
         // Of those sizes that are small.
         let object = loop {
             let object = traffic::object(site, rng.random_range(0..count));
-            if size_of_object(object) < 8000 {
+            if object_size(object) < 8000 {
                 break object;
             }
         };
-        Wish { class: "page", object, group: traffic::group(object), home: site, allow: 1400 }
+        RequestSpec {
+            class: "page",
+            object,
+            group: traffic::group(object),
+            home_site: site,
+            timeout_ms: 1400,
+        }
     })
 }
 
@@ -112,16 +119,16 @@
     println!(
         "\nSmall answers beside large ones (180 KB), link of 2 MB a second each connection, one connection"
     );
-    let mixed: Draw = Arc::new(|rng| {
+    let mixed: RequestGenerator = Arc::new(|rng| {
         let large = rng.random_range(0..20) == 0;
         let object = loop {
             let object = traffic::object(1, rng.random_range(0..400));
-            let size = size_of_object(object);
+            let size = object_size(object);
             if large && size == 180_000 || !large && size < 8000 {
                 break object;
             }
         };
-        Wish { class: "page", object, group: traffic::group(object), home: 1, allow: 1400 }
+        RequestSpec { class: "page", object, group: traffic::group(object), home_site: 1, timeout_ms: 1400 }
     });
     let mut rows = Vec::new();
     for (name, link) in [
@@ -152,10 +159,10 @@
     let (mut small, mut large) = (Vec::new(), Vec::new());
     for seen in facts {
         match &seen.fact {
-            Fact::Asked { name, object, .. } => drop(asked.insert(name, (seen.at, *object))),
+            Fact::RequestSent { name, object, .. } => drop(asked.insert(name, (seen.at, *object))),
             Fact::Answered { name, outcome: Outcome::Served(_) } => {
                 if let Some((at, object)) = asked.get(name) {
-                    if size_of_object(*object) < 8000 { &mut small } else { &mut large }.push(seen.at - at);
+                    if object_size(*object) < 8000 { &mut small } else { &mut large }.push(seen.at - at);
                 }
             }
             _ => {}
@@ -174,20 +181,20 @@
     let mut clients: Vec<Client> = (0..40).map(|_| Client::connect(pair.at[0])).collect();
     for client in &mut clients {
         for _ in 0..25 {
-            client.call("page", &[("lookup", &object), ("allow", "1400")], b"");
+            client.send_request("page", &[("lookup", &object), ("allow", "1400")], b"");
         }
     }
     let mut served = 0;
     for client in &mut clients {
         for _ in 0..25 {
-            served += usize::from(matches!(client.answer().1, deckproxy_standins::Answer::Served(..)));
+            served += usize::from(matches!(client.next_answer().1, deckproxy_standins::Answer::Served(..)));
         }
     }
     let facts = pair.record.take();
-    let came = facts.iter().filter(|s| matches!(s.fact, Fact::Came { .. }));
+    let came = facts.iter().filter(|s| matches!(s.fact, Fact::AttemptReceived { .. }));
     let names: std::collections::HashSet<&String> = came
         .filter_map(|s| match &s.fact {
-            Fact::Came { name, .. } => Some(name),
+            Fact::AttemptReceived { name, .. } => Some(name),
             _ => None,
         })
         .collect();
@@ -203,21 +210,21 @@
     );
     let mut rows = Vec::new();
     for (name, link, patience) in [
-        ("as it is", "", Patience::Advised),
-        ("plain: no ramp, no waiting, retry at once", "ramp_ms: 0 hold_ms: 0", Patience::Hasty),
+        ("as it is", "", RetryPolicy::AfterAdvice),
+        ("plain: no ramp, no waiting, retry at once", "ramp_ms: 0 hold_ms: 0", RetryPolicy::Immediate),
     ] {
         let pair = Pair::start(link, false);
         let draw = traffic::draw(1, 1, 300, 0.0, 0.0);
-        let callers = Callers::start(
-            Load { patience, ..Load::new(0, pair.at[0], 24, 400.0, options.seed, &draw) },
+        let callers = LoadClients::start(
+            Load { retry_policy: patience, ..Load::new(0, pair.at[0], 24, 400.0, options.seed, &draw) },
             &pair.record,
         );
         thread::sleep(Duration::from_secs(4));
         let cut = pair.record.now();
-        pair.shim.set(State::Reset);
+        pair.shim.set_state(LinkState::Reset);
         thread::sleep(Duration::from_secs(2));
         let back = pair.record.now();
-        pair.shim.set(State::Whole);
+        pair.shim.set_state(LinkState::Up);
         thread::sleep(Duration::from_secs(4));
         callers.finish();
         let facts = pair.record.take();
@@ -231,7 +238,7 @@
             (0..80).map(|i| back + f64::from(i) * 50.0).find(|at| served(*at, at + 100.0) >= 0.9 * calm);
         // The far side's load: attempts that came to its members, in the fullest 50 ms.
         let came: Vec<f64> =
-            facts.iter().filter(|s| matches!(s.fact, Fact::Came { .. })).map(|s| s.at).collect();
+            facts.iter().filter(|s| matches!(s.fact, Fact::AttemptReceived { .. })).map(|s| s.at).collect();
         let fullest = |from: f64, to: f64| {
             let count = |at: f64| came.iter().filter(|c| **c >= at && **c < at + 50.0).count();
             let steps = ((to - from) / 25.0) as usize;
@@ -239,7 +246,7 @@
         };
         let asked = |from: f64, to: f64| {
             let all = facts.iter().filter(|s| s.at >= from && s.at < to);
-            all.filter(|s| matches!(s.fact, Fact::Asked { .. })).count() as f64
+            all.filter(|s| matches!(s.fact, Fact::RequestSent { .. })).count() as f64
         };
         let mean = came.iter().filter(|c| **c >= cut - 2000.0 && **c < cut).count() as f64 / 40.0;
         rows.push(vec![
@@ -300,7 +307,7 @@
 fn memory() {
     println!("\nMemory of the near gateway with crossing requests open (for a far end that never answers)");
     let record = Record::default();
-    let site = Site::start(0, Terms::default(), &record);
+    let site = Site::start(0, SiteConfig::default(), &record);
     let (at, far) = (free_address(), mute());
     let mut config = site.config("north", at);
     config["limits"]["sockets"] = 4096.into();
@@ -311,7 +318,7 @@
         "sites {{ name: \"north\" peers {{ site: \"south\" addresses: \"{far}\" }} routes {{ prefix: \"1\" home: \"south\" }} \
          link {{ ramp_ms: 0 }} }}"
     );
-    let gateway = site.gateway_of(&config, "north", at, Some(&operator));
+    let gateway = site.gateway_with_config(&config, "north", at, Some(&operator));
     until("the link is up", || gateway.log().contains("link to south (0): up"));
     let resident = || {
         let text =
@@ -328,7 +335,7 @@
         while open < goal {
             let n = clients.len();
             let object = format!("{:016x}", traffic::object(1, open));
-            clients[open % n].call("page", &[("lookup", &object), ("allow", "25000")], b"");
+            clients[open % n].send_request("page", &[("lookup", &object), ("allow", "25000")], b"");
             open += 1;
         }
         thread::sleep(Duration::from_millis(500));
--- a/crates/deckproxy-lab/src/rig.rs
+++ b/crates/deckproxy-lab/src/rig.rs
@@ -35,7 +35,7 @@
 /// Promises that a run of any plan keeps.
 fn broken(played: &Played, f: &Figures) -> Vec<String> {
     let mut out = played.wrongs.clone();
-    out.extend(f.verdict.breaches.iter().filter(|_| !f.verdict.holds()).cloned());
+    out.extend(f.verdict.violations.iter().filter(|_| !f.verdict.holds()).cloned());
     if played.plan.fleet && f.probe_ratio_max >= 2.0 {
         out.push(format!("{:.2} times the intended probes of a member in 2 s", f.probe_ratio_max));
     }
@@ -128,7 +128,7 @@
     table.set_header(["", ""]);
     let rows = [
         ("requests", v.requests.to_string()),
-        ("served / refused / failed", format!("{} / {} / {}", v.served, v.refused, v.failed)),
+        ("served / refused / failed", format!("{} / {} / {}", v.served, v.rejected, v.failed)),
         ("rules broken", if v.holds() { "none".to_string() } else { "see below".to_string() }),
         ("probes beside those intended", format!("{:.2}", f.probe_ratio)),
         ("the same, worst 2 s of a member", format!("{:.2}", f.probe_ratio_max)),
--- a/crates/deckproxy-lab/src/traffic.rs
+++ b/crates/deckproxy-lab/src/traffic.rs
@@ -1,6 +1,6 @@
 //! What clients ask for: popular objects far more often than others, pages far more often than writes.
 
-use deckproxy_standins::caller::{Draw, Wish};
+use deckproxy_standins::load_client::{RequestGenerator, RequestSpec};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use std::sync::Arc;
@@ -43,7 +43,7 @@
 }
 
 /// Requests of clients of a site: `away` of them for objects of the other sites, `writes` of them with an effect.
-pub fn draw(site: u32, sites: u32, objects: usize, away: f64, writes: f64) -> Draw {
+pub fn draw(site: u32, sites: u32, objects: usize, away: f64, writes: f64) -> RequestGenerator {
     let zipf = Zipf::new(objects, 0.9);
     Arc::new(move |rng| {
         let mut home = site;
@@ -56,6 +56,6 @@
             x if x < writes => "once",
             _ => "page",
         };
-        Wish { class, object, group: group(object), home, allow: 1400 }
+        RequestSpec { class, object, group: group(object), home_site: home, timeout_ms: 1400 }
     })
 }
--- a/crates/deckproxy-rig/src/client_population.rs
+++ b/crates/deckproxy-rig/src/client_population.rs
@@ -2,8 +2,8 @@
 //! left. What may not run twice is not asked again once it may have run.
 
 use crate::processes::Absences;
-use deckproxy_standins::caller::{Draw, Wish, encode, outcome};
 use deckproxy_standins::client::fresh_name;
+use deckproxy_standins::load_client::{RequestGenerator, RequestSpec, encode_request, read_outcome};
 use deckproxy_standins::record::{Fact, Outcome, Record};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -60,7 +60,7 @@
     /// Seed of the traffic.
     pub seed: u64,
     /// What they ask for.
-    pub draw: Draw,
+    pub draw: RequestGenerator,
 }
 
 impl ClientPopulation {
@@ -152,16 +152,16 @@
         let _ = self.hear(Duration::from_millis(1));
     }
 
-    fn want(&mut self, wish: Wish) {
+    fn want(&mut self, wish: RequestSpec) {
         self.counts.wanted.fetch_add(1, Ordering::SeqCst);
-        let until = Instant::now() + Duration::from_millis(u64::from(wish.allow));
+        let until = Instant::now() + Duration::from_millis(u64::from(wish.timeout_ms));
         let mut again = false;
         loop {
             let left = until.saturating_duration_since(Instant::now()).as_millis();
             if left < 20 {
                 return;
             }
-            let became = self.ask(Wish { allow: left as u32, ..wish }, again);
+            let became = self.ask(RequestSpec { timeout_ms: left as u32, ..wish }, again);
             again = true;
             match became {
                 Became::Served => {
@@ -191,7 +191,7 @@
         }
     }
 
-    fn ask(&mut self, wish: Wish, again: bool) -> Became {
+    fn ask(&mut self, wish: RequestSpec, again: bool) -> Became {
         if self.line.is_none() {
             let made = TcpStream::connect_timeout(&self.doors[self.door].at, Duration::from_millis(300));
             let Ok(stream) = made else { return Became::Nobody };
@@ -202,13 +202,21 @@
         let (id, name) = (line.next, fresh_name());
         line.next += 1;
         let (began, at) = (Instant::now(), self.record.now());
-        let allow = f64::from(wish.allow);
+        let allow = f64::from(wish.timeout_ms);
         line.asked.insert(id, Asked { name: name.clone(), at, allow });
         let (class, object, group) = (wish.class, wish.object, wish.group);
-        self.record.note(Fact::Asked { name: name.clone(), site: 0, home: 0, class, object, group, allow });
+        self.record.note(Fact::RequestSent {
+            name: name.clone(),
+            site: 0,
+            home_site: 0,
+            class,
+            object,
+            group,
+            timeout_ms: allow,
+        });
         self.counts.by_instance.lock().unwrap().entry(self.door).or_default()[0] += 1;
-        let end = began + Duration::from_millis(u64::from(wish.allow)) + PATIENCE;
-        if line.stream.write_all(&encode(id, &name, &wish, again)).is_err() {
+        let end = began + Duration::from_millis(u64::from(wish.timeout_ms)) + PATIENCE;
+        if line.stream.write_all(&encode_request(id, &name, &wish, again)).is_err() {
             return self.gone(name, began, at);
         }
         loop {
@@ -223,7 +231,7 @@
                                 self.counts.by_instance.lock().unwrap().entry(self.door).or_default()[1] += 1;
                                 Became::Served
                             }
-                            Outcome::Refused(_) => Became::Refused,
+                            Outcome::Rejected(_) => Became::Refused,
                             Outcome::Failed => Became::Failed,
                         };
                     }
@@ -243,9 +251,9 @@
         let crossed = began.elapsed() < CROSSED;
         if absent || crossed {
             self.counts.excused.fetch_add(1, Ordering::SeqCst);
-            self.record.note(Fact::Recalled { name });
+            self.record.note(Fact::Withdrawn { name });
         } else {
-            self.record.note(Fact::Lost { name });
+            self.record.note(Fact::ConnectionLost { name });
         }
         Became::Gone
     }
@@ -270,13 +278,13 @@
             let mut rest = &line.buffer[used..];
             let Ok(value) = rmpv::decode::read_value(&mut rest) else { break };
             used = line.buffer.len() - rest.len();
-            let Some((id, outcome)) = outcome(&value) else { return Err(()) };
+            let Some((id, outcome)) = read_outcome(&value) else { return Err(()) };
             if let Some(Asked { name, at, allow }) = line.asked.get(&id) {
                 // What came late of an instance that was stopped meanwhile is nobody's fault.
                 let now = self.record.now();
                 if now > at + allow && self.doors[self.door].absent.touch(*at, now) {
                     self.counts.excused.fetch_add(1, Ordering::SeqCst);
-                    self.record.note(Fact::Recalled { name: name.clone() });
+                    self.record.note(Fact::Withdrawn { name: name.clone() });
                 } else {
                     self.record.note(Fact::Answered { name: name.clone(), outcome });
                 }
--- a/crates/deckproxy-rig/src/judge.rs
+++ b/crates/deckproxy-rig/src/judge.rs
@@ -47,7 +47,7 @@
 /// Judges a run.
 pub fn judge(played: &Played) -> Figures {
     let plan = &played.plan;
-    let verdict = rules::judge(&played.facts, rules::Terms::default(), played.end);
+    let verdict = rules::judge(&played.facts, rules::RuleLimits::default(), played.end);
     let touched: BTreeSet<&str> = plan
         .faults
         .iter()
@@ -66,7 +66,7 @@
         .iter()
         .map(|name| {
             let probed = played.facts.iter().filter(|s| {
-                matches!(&s.fact, Fact::Probed { member } if member == name)
+                matches!(&s.fact, Fact::HealthChecked { member } if member == name)
                     && s.at >= played.from
                     && s.at <= played.to
             });
--- a/crates/deckproxy-rig/src/load_generator.rs
+++ b/crates/deckproxy-rig/src/load_generator.rs
@@ -3,8 +3,8 @@
 //! again.
 
 use crate::client_population::Endpoint;
-use deckproxy_standins::caller::{Draw, Wish, encode, outcome};
 use deckproxy_standins::client::fresh_name;
+use deckproxy_standins::load_client::{RequestGenerator, RequestSpec, encode_request, read_outcome};
 use deckproxy_standins::record::{Fact, Outcome, Record};
 use mio::net::TcpStream;
 use mio::{Events, Interest, Poll, Token};
@@ -80,7 +80,7 @@
     /// Seed of the traffic.
     pub seed: u64,
     /// What they ask for.
-    pub draw: Draw,
+    pub draw: RequestGenerator,
     /// How they take a refusal.
     pub manners: Manners,
     /// Clients of the first instance beside each other's.
@@ -181,7 +181,7 @@
 #[derive(Clone, Copy)]
 struct Wanted {
     client: usize,
-    wish: Wish,
+    wish: RequestSpec,
     number: u64,
     since: f64,
     tries: u32,
@@ -282,7 +282,7 @@
     }
 
     fn later(&mut self, at: f64, wanted: Wanted) {
-        if at + LEAST < wanted.since + f64::from(wanted.wish.allow) {
+        if at + LEAST < wanted.since + f64::from(wanted.wish.timeout_ms) {
             self.order += 1;
             self.due.push(Reverse(((at * 1000.0) as u64, self.order)));
             self.waiting.insert(self.order, wanted);
@@ -302,7 +302,7 @@
             }
             wanted.door = (wanted.door + 1) % self.doors.len();
         }
-        let left = wanted.since + f64::from(wanted.wish.allow) - now;
+        let left = wanted.since + f64::from(wanted.wish.timeout_ms) - now;
         if left < LEAST {
             return;
         }
@@ -317,15 +317,15 @@
         }
         let (id, name) = (line.next, fresh_name());
         line.next += 1;
-        let wish = Wish { allow: left as u32, ..wanted.wish };
-        line.write.extend(encode(id, &name, &wish, wanted.tries > 0));
+        let wish = RequestSpec { timeout_ms: left as u32, ..wanted.wish };
+        line.write.extend(encode_request(id, &name, &wish, wanted.tries > 0));
         let tried = Try {
             name: name.clone(),
             wish: wanted.number,
             before: wanted.tries,
             at: now,
             since: wanted.since,
-            allow: f64::from(wish.allow),
+            allow: f64::from(wish.timeout_ms),
             door: wanted.door,
             class: wish.class,
             object: wish.object,
@@ -335,8 +335,16 @@
         let asked = Wanted { tries: wanted.tries + 1, ..wanted };
         line.open.insert(id, Open { asked, tried });
         let (class, object, group) = (wish.class, wish.object, wish.group);
-        let allow = f64::from(wish.allow);
-        self.record.note(Fact::Asked { name, site: 0, home: 0, class, object, group, allow });
+        let allow = f64::from(wish.timeout_ms);
+        self.record.note(Fact::RequestSent {
+            name,
+            site: 0,
+            home_site: 0,
+            class,
+            object,
+            group,
+            timeout_ms: allow,
+        });
         self.flush(wanted.client, wanted.door);
     }
 
@@ -413,7 +421,7 @@
             let mut rest = &line.read[used..];
             let Ok(value) = rmpv::decode::read_value(&mut rest) else { break };
             used = line.read.len() - rest.len();
-            let Some((id, outcome)) = outcome(&value) else {
+            let Some((id, outcome)) = read_outcome(&value) else {
                 ended = true;
                 break;
             };
@@ -439,13 +447,13 @@
         let Open { asked, mut tried } = open;
         // What came late of an instance that was stopped meanwhile is nobody's fault.
         if now > tried.at + tried.allow && self.doors[tried.door].absent.touch(tried.at, now) {
-            self.record.note(Fact::Recalled { name: tried.name.clone() });
+            self.record.note(Fact::Withdrawn { name: tried.name.clone() });
         } else {
             self.record.note(Fact::Answered { name: tried.name.clone(), outcome });
         }
         tried.end = Some((now, outcome));
         self.done.push(tried);
-        if let Outcome::Refused(back) = outcome {
+        if let Outcome::Rejected(back) = outcome {
             match self.coming.manners {
                 Manners::Hasty => self.later(now + 20.0, self.elsewhere(asked)),
                 Manners::Moves if asked.tries == 1 => self.later(now + 5.0, self.elsewhere(asked)),
@@ -482,7 +490,11 @@
             let absent = self.doors[door].absent.touch(tried.at - 5.0, now);
             let crossed = now - tried.at < CROSSED;
             let name = tried.name.clone();
-            self.record.note(if absent || crossed { Fact::Recalled { name } } else { Fact::Lost { name } });
+            self.record.note(if absent || crossed {
+                Fact::Withdrawn { name }
+            } else {
+                Fact::ConnectionLost { name }
+            });
             self.done.push(tried);
             if asked.wish.class == "page" {
                 self.later(now + 5.0, self.elsewhere(asked));
--- a/crates/deckproxy-rig/src/overloaded.rs
+++ b/crates/deckproxy-rig/src/overloaded.rs
@@ -3,7 +3,7 @@
 use crate::load_generator::Try;
 use crate::plan::{Plan, What};
 use crate::play::Played;
-use deckproxy_standins::caller::{Draw, Wish};
+use deckproxy_standins::load_client::{RequestGenerator, RequestSpec};
 use deckproxy_standins::record::{Fact, Outcome};
 use deckproxy_standins::rules::{self, Verdict};
 use rand::RngExt;
@@ -42,7 +42,7 @@
 }
 
 /// What clients ask for: some objects again and again, most but once.
-pub fn draw() -> Draw {
+pub fn draw() -> RequestGenerator {
     Arc::new(|rng| {
         let object = match rng.random::<f64>() < POPULAR_SHARE {
             true => rng.random_range(0..POPULAR) << 32 | 7,
@@ -54,7 +54,7 @@
             x if x < WRITES => "once",
             _ => "page",
         };
-        Wish { class, object, group: 3, home: 0, allow: 1400 }
+        RequestSpec { class, object, group: 3, home_site: 0, timeout_ms: 1400 }
     })
 }
 
@@ -120,7 +120,7 @@
 
 fn back(t: &Try) -> Option<f64> {
     match t.end {
-        Some((at, Outcome::Refused(Some(ms)))) if ms > 0.0 => Some(at + ms),
+        Some((at, Outcome::Rejected(Some(ms)))) if ms > 0.0 => Some(at + ms),
         _ => None,
     }
 }
@@ -128,7 +128,7 @@
 /// Judges a run whose first fault begins after a calm time.
 pub fn judge(played: &Played, terms: Terms) -> Figures {
     let plan = &played.plan;
-    let verdict = rules::judge(&played.facts, rules::Terms::default(), played.end);
+    let verdict = rules::judge(&played.facts, rules::RuleLimits::default(), played.end);
     let tries = &played.tries;
     let begin = plan.faults.iter().map(|f| f.at).fold(plan.seconds, f64::min) * 1000.0 + played.from;
     let over = plan.faults.iter().map(|f| f.at + f.lasts).fold(0.0, f64::max) * 1000.0 + played.from;
@@ -178,7 +178,7 @@
         firsts: wishes.len(),
         tries: tries.len(),
         served: count(|o| matches!(o, Outcome::Served(_) | Outcome::Unchanged)),
-        refused: count(|o| matches!(o, Outcome::Refused(_))),
+        refused: count(|o| matches!(o, Outcome::Rejected(_))),
         failed: count(|o| matches!(o, Outcome::Failed)),
         worth: wishes.values().filter(|w| w.1).map(|w| (terms.worth)(w.2)).sum(),
         amplification: most(&work) / work(calm.0, calm.1).max(1e-9),
@@ -201,7 +201,7 @@
 fn came(played: &Played) -> HashMap<&str, Vec<f64>> {
     let mut out: HashMap<&str, Vec<f64>> = HashMap::new();
     for seen in &played.facts {
-        if let Fact::Came { name, .. } = &seen.fact {
+        if let Fact::AttemptReceived { name, .. } = &seen.fact {
             out.entry(name.as_str()).or_default().push(seen.at);
         }
     }
@@ -254,7 +254,7 @@
         served.entry(key).or_default().push(((terms.worth)(t.class), t.at - t.since));
     }
     let refused: Vec<&Try> =
-        tries.iter().filter(|t| matches!(t.end, Some((_, Outcome::Refused(_))))).collect();
+        tries.iter().filter(|t| matches!(t.end, Some((_, Outcome::Rejected(_))))).collect();
     let inverted = refused.iter().filter(|t| {
         let key = (slot(t.at), (terms.popular)(t.object) && t.class == "page");
         let (worth, age) = ((terms.worth)(t.class), t.at - t.since);
--- a/crates/deckproxy-rig/src/play.rs
+++ b/crates/deckproxy-rig/src/play.rs
@@ -6,10 +6,10 @@
 use crate::plan::{Plan, Trouble, What};
 use crate::processes::{Absences, InstanceProcess, Shims, sockets};
 use crate::relay::{Fate, Relays};
-use deckproxy_standins::caller::Draw;
-use deckproxy_standins::fleet::{self, Site, Terms, zone_name};
+use deckproxy_standins::link_relay::{LinkRelay, LinkState};
+use deckproxy_standins::load_client::RequestGenerator;
 use deckproxy_standins::record::{Fact, Record, Seen};
-use deckproxy_standins::shim::{Shim, State};
+use deckproxy_standins::site::{NodeFault, Site, SiteConfig, zone_name};
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex};
 use std::thread::{self, JoinHandle};
@@ -67,7 +67,7 @@
 }
 
 /// Plays a plan. `tell` hears of each fault as it begins and ends.
-pub fn play(plan: &Plan, draw: &Draw, mut tell: impl FnMut(f64, &str)) -> Played {
+pub fn play(plan: &Plan, draw: &RequestGenerator, mut tell: impl FnMut(f64, &str)) -> Played {
     let mut rig = Rig::start(plan, draw);
     let start = Instant::now();
     let mut moments: Vec<(f64, bool, usize)> = Vec::new();
@@ -89,20 +89,20 @@
 
 impl Rig {
     /// Starts all, waits until the instances have met, and lets the clients come.
-    pub fn start(plan: &Plan, draw: &Draw) -> Self {
+    pub fn start(plan: &Plan, draw: &RequestGenerator) -> Self {
         let record = Record::default();
-        let terms = Terms {
+        let terms = SiteConfig {
             caches: plan.caches,
             zones: plan.zones,
-            lingers: 2000,
-            room: plan.room,
-            ..Terms::default()
+            purge_delay_ms: 2000,
+            origin_concurrency: plan.room,
+            ..SiteConfig::default()
         };
         let site = Site::start(0, terms, &record);
         let at = sockets(plan);
         let relays = Relays::to(&at, plan.seed);
         let zones = (0..plan.zones).map(|z| zone_name(plan.zones, z));
-        let caches: Vec<String> = zones.flat_map(|zone| site.caches_of(&zone)).collect();
+        let caches: Vec<String> = zones.flat_map(|zone| site.caches_in_zone(&zone)).collect();
         let shims = shims(plan, &site);
         let post =
             |i| Arc::new(Mutex::new(InstanceProcess::new(plan, i, &site, &relays, at[i], &shims, &record)));
@@ -190,12 +190,12 @@
 
     /// Probes that came to a member so far.
     pub fn probes(&self, member: &str) -> usize {
-        self.record.count(|fact| matches!(fact, Fact::Probed { member: m } if m == member))
+        self.record.count(|fact| matches!(fact, Fact::HealthChecked { member: m } if m == member))
     }
 
     /// Requests that came to a member so far.
     pub fn came(&self, member: &str) -> usize {
-        self.record.count(|fact| matches!(fact, Fact::Came { member: m, .. } if m == member))
+        self.record.count(|fact| matches!(fact, Fact::AttemptReceived { member: m, .. } if m == member))
     }
 
     /// Where an instance's datagrams are taken, as others know it.
@@ -256,7 +256,7 @@
         let posts = || self.posts.iter().map(|p| p.lock().unwrap());
         Played {
             plan: self.plan.clone(),
-            unix: self.record.unix(),
+            unix: self.record.start_unix_ms(),
             from: self.from,
             to,
             end,
@@ -279,9 +279,9 @@
     for fault in &plan.faults {
         let What::Cut(instances, zone, _) = &fault.what else { continue };
         for i in (0..plan.instances).filter(|i| instances.is_empty() || instances.contains(i)) {
-            for name in site.caches_of(&zone_name(plan.zones, *zone)) {
+            for name in site.caches_in_zone(&zone_name(plan.zones, *zone)) {
                 let Some((_, at)) = members.iter().find(|(other, _)| *other == name) else { continue };
-                shims.entry((i, name)).or_insert_with(|| Shim::to(*at));
+                shims.entry((i, name)).or_insert_with(|| LinkRelay::to(*at));
             }
         }
     }
@@ -334,32 +334,32 @@
                 self.relays.fate(if begins { fate } else { Fate::default() });
             }
             What::Cache(n, Trouble::Crashes) if begins => self.site.crash(&self.caches[*n]),
-            What::Cache(n, Trouble::Crashes) => self.site.revive(&self.caches[*n]),
+            What::Cache(n, Trouble::Crashes) => self.site.restart(&self.caches[*n]),
             What::Cache(n, trouble) => {
                 let trouble = match trouble {
-                    _ if !begins => fleet::Trouble::None,
-                    Trouble::Hangs => fleet::Trouble::Hangs,
-                    Trouble::Fails(share) => fleet::Trouble::Fails(*share),
-                    Trouble::Slow(ms) => fleet::Trouble::Slow(*ms),
+                    _ if !begins => NodeFault::None,
+                    Trouble::Hangs => NodeFault::Hangs,
+                    Trouble::Fails(share) => NodeFault::Fails(*share),
+                    Trouble::Slow(ms) => NodeFault::Slow(*ms),
                     Trouble::Crashes => return,
                 };
-                self.site.trouble(&self.caches[*n], trouble);
+                self.site.set_fault(&self.caches[*n], trouble);
             }
             What::Cut(instances, zone, silent) => {
-                let cut = if *silent { State::Silent } else { State::Reset };
-                let of = self.site.caches_of(&zone_name(self.plan.zones, *zone));
+                let cut = if *silent { LinkState::Silent } else { LinkState::Reset };
+                let of = self.site.caches_in_zone(&zone_name(self.plan.zones, *zone));
                 for ((i, member), shim) in &self.shims {
                     if (instances.is_empty() || instances.contains(i)) && of.contains(member) {
-                        shim.set(if begins { cut } else { State::Whole });
+                        shim.set_state(if begins { cut } else { LinkState::Up });
                     }
                 }
             }
             What::Load(times) => self.rate.set(self.plan.rate * if begins { *times } else { 1.0 }),
             What::Origin(ms) => self.site.slow_origin(if begins { *ms } else { 0 }),
             What::Cold(zone) => {
-                let of = self.site.caches_of(&zone_name(self.plan.zones, *zone));
+                let of = self.site.caches_in_zone(&zone_name(self.plan.zones, *zone));
                 for name in of {
-                    if begins { self.site.crash(&name) } else { self.site.revive(&name) }
+                    if begins { self.site.crash(&name) } else { self.site.restart(&name) }
                 }
             }
             What::Feed(instances, late) => {
@@ -367,8 +367,8 @@
                 for i in all.collect::<Vec<_>>() {
                     let late = *late;
                     self.at(i, move |post| {
-                        post.feed.silent(begins && late == 0);
-                        post.feed.late(if begins { late } else { 0 });
+                        post.feed.set_silent(begins && late == 0);
+                        post.feed.set_delay(if begins { late } else { 0 });
                     });
                 }
             }
--- a/crates/deckproxy-rig/src/processes.rs
+++ b/crates/deckproxy-rig/src/processes.rs
@@ -3,10 +3,10 @@
 
 use crate::plan::{Plan, Shed};
 use crate::relay::Relays;
-use deckproxy_standins::fleet::{Site, zone_name};
-use deckproxy_standins::live::View;
+use deckproxy_standins::link_relay::LinkRelay;
+use deckproxy_standins::live_feed::FeedView;
 use deckproxy_standins::record::Record;
-use deckproxy_standins::shim::Shim;
+use deckproxy_standins::site::{Site, zone_name};
 use deckproxy_standins::wait::next_number;
 use deckproxy_standins::{Gateway, free_address, until};
 use serde_json::{Value, json};
@@ -40,7 +40,7 @@
 }
 
 /// Shims between instances and members, by instance and member's name; only where a plan cuts those.
-pub type Shims = HashMap<(usize, String), Shim>;
+pub type Shims = HashMap<(usize, String), LinkRelay>;
 
 /// One instance.
 pub struct InstanceProcess {
@@ -55,7 +55,7 @@
     /// When it could not answer.
     pub absent: Absences,
     /// The feed as it sees it.
-    pub feed: View,
+    pub feed: FeedView,
     config: Value,
     operator: String,
     folder: std::path::PathBuf,
@@ -227,7 +227,7 @@
         let Some(mut gateway) = self.gateway.take() else { return };
         self.absent.begin(self.record.now());
         gateway.signal("TERM");
-        let code = gateway.ended();
+        let code = gateway.wait_for_exit();
         self.keep(&gateway);
         if code != Some(0) {
             self.wrongs.push(format!("{} ended with {code:?} on SIGTERM", self.name));
@@ -250,7 +250,7 @@
 
     /// CPU time of its event loop, ms; 0 where it does not run.
     pub fn cpu(&self) -> u64 {
-        self.gateway.as_ref().map_or(0, Gateway::cpu)
+        self.gateway.as_ref().map_or(0, Gateway::cpu_ms)
     }
 }
 
--- a/crates/deckproxy-rig/src/timeline.rs
+++ b/crates/deckproxy-rig/src/timeline.rs
@@ -35,8 +35,8 @@
     let v = &figures.verdict;
     let rows = [
         ("requests", v.requests.to_string()),
-        ("served / refused / failed", format!("{} / {} / {}", v.served, v.refused, v.failed)),
-        ("rules broken", if v.holds() { "none".to_string() } else { v.breaches.join("; ") }),
+        ("served / refused / failed", format!("{} / {} / {}", v.served, v.rejected, v.failed)),
+        ("rules broken", if v.holds() { "none".to_string() } else { v.violations.join("; ") }),
         ("probes beside those intended, over the run", format!("{:.2}", figures.probe_ratio)),
         ("the same, the worst 2 s of a member", format!("{:.2}", figures.probe_ratio_max)),
         ("longest time without a probe, ms", format!("{:.0}", figures.coverage_gap)),
@@ -147,7 +147,10 @@
     let root = SVGBackend::with_string(svg, (WIDTH, ROW * n as u32)).into_drawing_area();
     root.fill(&WHITE)?;
     for (name, area) in played.members.iter().zip(root.split_evenly((n, 1))) {
-        let of = played.facts.iter().filter(|s| matches!(&s.fact, Fact::Probed { member } if member == name));
+        let of = played
+            .facts
+            .iter()
+            .filter(|s| matches!(&s.fact, Fact::HealthChecked { member } if member == name));
         let points = counts(played, of.map(|s| s.at));
         let top = points.iter().map(|p| p.1).fold(4.0, f64::max);
         let mut chart = chart!(&area, played, name.clone(), top);
@@ -162,7 +165,7 @@
     root.fill(&WHITE)?;
     let kind = |outcome: &Outcome| match outcome {
         Outcome::Served(_) | Outcome::Unchanged => 0,
-        Outcome::Refused(_) => 1,
+        Outcome::Rejected(_) => 1,
         Outcome::Failed => 2,
     };
     let of = |wanted: usize| {
--- a/crates/deckproxy-standins/src/client.rs
+++ b/crates/deckproxy-standins/src/client.rs
@@ -1,123 +1,226 @@
-//! A client that asks one thing at a time and expects what is said.
+//! A client that a test drives by hand: it sends requests one by one and checks the answers.
 
 use crate::wait::{PATIENCE, QUIET, next_number};
 use rmpv::Value;
 use std::collections::BTreeMap;
-use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpStream};
+use std::io::{ErrorKind, Read, Write};
+use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
+/// The fields of an answer.
+pub type Fields = BTreeMap<String, String>;
+
 /// How a request was answered.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    Served(Vec<u8>, BTreeMap<String, String>),
-    Error(String, BTreeMap<String, String>),
+    /// With a body and fields.
+    Served(Vec<u8>, Fields),
+    /// With an error's word (such as `Shed`) and fields.
+    Error(String, Fields),
+    /// A ping, with whether the gateway is ready.
     Ready(bool),
 }
 
-/// A stand-in for a client.
+/// A connection of a client. Its methods panic when the connection fails, unless they return the error.
 pub struct Client {
     stream: TcpStream,
     buffer: Vec<u8>,
-    next: u64,
-    /// Bytes written and read so far.
-    pub wrote: u64,
-    pub read: u64,
-}
-
-fn fields_of(value: &Value) -> BTreeMap<String, String> {
-    let text = |v: &Value| v.as_str().unwrap().to_string();
-    value.as_map().unwrap().iter().map(|(n, v)| (text(n), text(v))).collect()
+    next_id: u64,
+    /// Bytes written so far.
+    pub bytes_written: u64,
+    /// Bytes read so far.
+    pub bytes_read: u64,
 }
 
-/// A name that no other request has.
+/// A request name that no other request has.
 pub fn fresh_name() -> String {
     format!("{:016x}", 0xabc0_0000_0000_0000 + next_number())
 }
 
+/// What it sends.
 impl Client {
-    pub fn connect(to: SocketAddr) -> Self {
-        let stream = TcpStream::connect(to).unwrap();
+    /// Connects to a gateway.
+    ///
+    /// # Panics
+    /// If it can't connect.
+    pub fn connect(gateway: SocketAddr) -> Self {
+        let stream = TcpStream::connect(gateway).unwrap();
         stream.set_nodelay(true).unwrap();
-        Client { stream, buffer: Vec::new(), next: 1, wrote: 0, read: 0 }
+        Client { stream, buffer: Vec::new(), next_id: 1, bytes_written: 0, bytes_read: 0 }
     }
 
+    /// Sends bytes.
     pub fn send(&mut self, bytes: &[u8]) {
-        self.wrote += bytes.len() as u64;
+        self.bytes_written += bytes.len() as u64;
         self.stream.write_all(bytes).unwrap();
     }
 
+    /// Sends bytes on a connection that may have been closed; they are not counted.
+    ///
+    /// # Errors
+    /// If they can't be written.
     pub fn try_send(&mut self, bytes: &[u8]) -> std::io::Result<()> {
         self.stream.write_all(bytes)
     }
 
-    pub fn try_abort(&mut self, id: u64) -> std::io::Result<()> {
-        let mut bytes = Vec::new();
-        let ids = Value::Array(vec![2.into(), "abort".into(), Value::Array(vec![id.into()])]);
-        rmpv::encode::write_value(&mut bytes, &ids).unwrap();
-        self.try_send(&bytes)
+    /// Sends any message.
+    pub fn send_value(&mut self, value: &Value) {
+        self.send(&encode(value));
     }
 
-    /// Encodes a request of its own next id; gives the id too.
-    pub fn encode(&mut self, class: &str, fields: &[(&str, &str)], body: &[u8]) -> (u64, Vec<u8>) {
-        let id = self.next;
-        self.next += 1;
+    /// Encodes a request with the next id; returns the id and the bytes.
+    pub fn encode_request(&mut self, class: &str, fields: &[(&str, &str)], body: &[u8]) -> (u64, Vec<u8>) {
+        let id = self.take_id();
         let mut all: Vec<(String, String)> =
             vec![("ref".into(), fresh_name()), ("allow".into(), "1200".into()), ("room".into(), "10".into())];
-        all.extend(fields.iter().map(|(n, v)| ((*n).to_string(), (*v).to_string())));
-        let map = all.into_iter().map(|(n, v)| (Value::from(n), Value::from(v))).collect();
-        let message = Value::Array(vec![
-            0.into(),
-            id.into(),
-            class.into(),
-            Value::Array(vec![Value::Map(map), Value::Binary(body.to_vec())]),
-        ]);
-        let mut bytes = Vec::new();
-        rmpv::encode::write_value(&mut bytes, &message).unwrap();
-        (id, bytes)
-    }
-
-    /// Sends a request.
-    pub fn call(&mut self, class: &str, fields: &[(&str, &str)], body: &[u8]) -> u64 {
-        let (id, bytes) = self.encode(class, fields, body);
+        all.extend(fields.iter().map(|(name, value)| ((*name).to_string(), (*value).to_string())));
+        let map = all.into_iter().map(|(name, value)| (Value::from(name), Value::from(value))).collect();
+        let parameters = Value::Array(vec![Value::Map(map), Value::Binary(body.to_vec())]);
+        (id, encode(&Value::Array(vec![0.into(), id.into(), class.into(), parameters])))
+    }
+
+    /// Sends a request; returns its id.
+    pub fn send_request(&mut self, class: &str, fields: &[(&str, &str)], body: &[u8]) -> u64 {
+        let (id, bytes) = self.encode_request(class, fields, body);
         self.send(&bytes);
         id
     }
 
-    /// Asks for an object.
-    pub fn get(&mut self, object: &str) -> u64 {
-        self.call("page", &[("lookup", object)], &[])
+    /// Requests an object; returns the request's id.
+    pub fn request_object(&mut self, object: &str) -> u64 {
+        self.send_request("page", &[("lookup", object)], &[])
     }
 
+    /// Sends a ping; returns its id.
     pub fn ping(&mut self) -> u64 {
-        let id = self.next;
-        self.next += 1;
-        let params = Value::Array(vec![Value::Map(Vec::new())]);
-        self.send_value(&Value::Array(vec![0.into(), id.into(), "ping".into(), params]));
+        let id = self.take_id();
+        let parameters = Value::Array(vec![Value::Map(Vec::new())]);
+        self.send_value(&Value::Array(vec![0.into(), id.into(), "ping".into(), parameters]));
         id
     }
 
-    pub fn abort(&mut self, id: u64) {
-        let ids = Value::Array(vec![id.into()]);
-        self.send_value(&Value::Array(vec![2.into(), "abort".into(), ids]));
+    /// Cancels a request.
+    pub fn cancel(&mut self, id: u64) {
+        self.send_value(&cancellation(id));
     }
 
-    pub fn send_value(&mut self, value: &Value) {
-        let mut bytes = Vec::new();
-        rmpv::encode::write_value(&mut bytes, value).unwrap();
-        self.send(&bytes);
+    /// Cancels a request on a connection that may have been closed.
+    ///
+    /// # Errors
+    /// If the message can't be written.
+    pub fn try_cancel(&mut self, id: u64) -> std::io::Result<()> {
+        self.try_send(&encode(&cancellation(id)))
+    }
+
+    /// Closes its sending side.
+    pub fn half_close(&self) {
+        self.stream.shutdown(Shutdown::Write).unwrap();
+    }
+
+    /// Another handle of its connection, for another thread.
+    pub fn stream_handle(&self) -> TcpStream {
+        self.stream.try_clone().unwrap()
+    }
+
+    fn take_id(&mut self) -> u64 {
+        let id = self.next_id;
+        self.next_id += 1;
+        id
+    }
+}
+
+/// What it expects.
+impl Client {
+    /// The next answer, with the id of the request that it answers.
+    ///
+    /// # Panics
+    /// If none comes in time.
+    pub fn next_answer(&mut self) -> (u64, Answer) {
+        let end = Instant::now() + PATIENCE;
+        loop {
+            if let Some(answer) = self.take_answer() {
+                return answer;
+            }
+            let left = end.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
+            let n = self.read_some(left);
+            assert!(n.is_some_and(|n| n > 0), "no answer came: {n:?}");
+        }
+    }
+
+    /// Expects that the next answer serves this request with this body.
+    ///
+    /// # Panics
+    /// If it does not.
+    pub fn expect_served(&mut self, id: u64, body: &[u8]) {
+        let (answered, answer) = self.next_answer();
+        assert_eq!(answered, id);
+        assert!(matches!(&answer, Answer::Served(served, _) if served == body), "{answer:?}");
+    }
+
+    /// Expects that the next answer is an error of that word to this request; returns its fields.
+    ///
+    /// # Panics
+    /// If it is not.
+    pub fn expect_error(&mut self, id: u64, word: &str) -> Fields {
+        match self.next_answer() {
+            (answered, Answer::Error(received, fields)) if answered == id && received == word => fields,
+            other => panic!("expected {word} to {id}, got {other:?}"),
+        }
+    }
+
+    /// Sends a ping and expects that the gateway answers that it is ready. All that was sent before has been read then.
+    ///
+    /// # Panics
+    /// If it does not.
+    pub fn expect_ready(&mut self) {
+        let id = self.ping();
+        assert_eq!(self.next_answer(), (id, Answer::Ready(true)));
+    }
+
+    /// Expects that nothing comes for a short while, and that the connection stays open.
+    ///
+    /// # Panics
+    /// If anything comes.
+    pub fn expect_silence(&mut self) {
+        assert_eq!(self.read_some(QUIET), None, "something came, or the connection ended");
     }
 
-    fn read_some(&mut self, patience: Duration) -> Option<usize> {
-        self.stream.set_read_timeout(Some(patience)).unwrap();
+    /// Expects that the gateway closes the connection without a reset, which could discard what it wrote.
+    ///
+    /// # Panics
+    /// If it does not, in time.
+    pub fn expect_clean_close(&mut self) {
+        let ended = self.read_to_end();
+        assert!(ended.is_ok(), "{ended:?}");
+    }
+
+    /// Expects that the gateway closes or resets the connection.
+    ///
+    /// # Panics
+    /// If it does not, in time.
+    pub fn expect_closed(&mut self) {
+        if let Err(error) = self.read_to_end() {
+            assert_eq!(error.kind(), ErrorKind::ConnectionReset);
+        }
+    }
+
+    fn read_to_end(&mut self) -> std::io::Result<usize> {
+        self.stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        self.stream.read_to_end(&mut Vec::new())
+    }
+
+    /// Reads once; returns the bytes read, 0 at the connection's end, `None` at an error or when none come in time.
+    fn read_some(&mut self, timeout: Duration) -> Option<usize> {
+        self.stream.set_read_timeout(Some(timeout)).unwrap();
         let mut chunk = [0; 65536];
         let n = self.stream.read(&mut chunk).ok()?;
         self.buffer.extend_from_slice(&chunk[..n]);
-        self.read += n as u64;
+        self.bytes_read += n as u64;
         Some(n)
     }
 
-    fn take(&mut self) -> Option<(u64, Answer)> {
+    /// Takes a complete answer off the buffer.
+    fn take_answer(&mut self) -> Option<(u64, Answer)> {
         let mut rest = &self.buffer[..];
         let value = rmpv::decode::read_value(&mut rest).ok()?;
         let used = self.buffer.len() - rest.len();
@@ -137,65 +240,19 @@
         };
         Some((id, answer))
     }
+}
 
-    /// The next answer and what it answers.
-    pub fn answer(&mut self) -> (u64, Answer) {
-        let end = Instant::now() + PATIENCE;
-        loop {
-            if let Some(got) = self.take() {
-                return got;
-            }
-            let n =
-                self.read_some(end.saturating_duration_since(Instant::now()).max(Duration::from_millis(1)));
-            assert!(n.is_some_and(|n| n > 0), "no answer came: {n:?}");
-        }
-    }
-
-    /// Expects that the next answer is served with this body.
-    pub fn served(&mut self, id: u64, body: &[u8]) {
-        let (got, answer) = self.answer();
-        assert_eq!(got, id);
-        assert!(matches!(&answer, Answer::Served(b, _) if b == body), "{answer:?}");
-    }
-
-    /// Expects an error of that word.
-    pub fn error(&mut self, id: u64, word: &str) -> BTreeMap<String, String> {
-        match self.answer() {
-            (got, Answer::Error(w, fields)) if got == id && w == word => fields,
-            other => panic!("in place of {word} to {id}: {other:?}"),
-        }
-    }
-
-    /// Expects that nothing comes for a short while.
-    pub fn quiet(&mut self) {
-        assert_eq!(self.read_some(QUIET), None, "something came, or the connection ended");
-    }
-
-    /// Tells the gateway that nothing more comes.
-    pub fn shut(&self) {
-        self.stream.shutdown(std::net::Shutdown::Write).unwrap();
-    }
-
-    /// Another handle of its connection, for what another thread writes.
-    pub fn handle(&self) -> TcpStream {
-        self.stream.try_clone().unwrap()
-    }
+fn encode(value: &Value) -> Vec<u8> {
+    let mut bytes = Vec::new();
+    rmpv::encode::write_value(&mut bytes, value).unwrap();
+    bytes
+}
 
-    /// Expects that the gateway closes the connection without a reset, which could take back what it wrote.
-    pub fn closed_cleanly(&mut self) {
-        self.stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        let mut rest = Vec::new();
-        let got = self.stream.read_to_end(&mut rest);
-        assert!(got.is_ok(), "{got:?}");
-    }
+fn cancellation(id: u64) -> Value {
+    Value::Array(vec![2.into(), "abort".into(), Value::Array(vec![id.into()])])
+}
 
-    /// Expects that the gateway closes the connection.
-    pub fn closed(&mut self) {
-        self.stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        let mut rest = Vec::new();
-        match self.stream.read_to_end(&mut rest) {
-            Ok(_) => {}
-            Err(e) => assert_eq!(e.kind(), std::io::ErrorKind::ConnectionReset),
-        }
-    }
+fn fields_of(value: &Value) -> Fields {
+    let text = |value: &Value| value.as_str().unwrap().to_string();
+    value.as_map().unwrap().iter().map(|(name, value)| (text(name), text(value))).collect()
 }
--- a/crates/deckproxy-standins/src/collector.rs
+++ b/crates/deckproxy-standins/src/collector.rs
@@ -1,5 +1,5 @@
-//! A collector of flows that is not this project's: another crate decodes what comes. It can end like one that was
-//! killed, come back with nothing remembered, and stop reading.
+//! A collector of IPFIX flow records that shares no code with the exporter: another crate decodes what comes. It can be
+//! stopped as if killed, restarted without its templates, and paused.
 
 use crate::wait::free_address;
 use netflow_parser::variable_versions::ipfix::FlowSetBody;
@@ -12,62 +12,80 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// A flow as it was told.
+/// A flow record as it was exported; texts are empty where the exporter has none.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Told {
+pub struct FlowRecord {
+    /// The leg (client, member or site) that the flow belongs to.
     pub leg: String,
+    /// The client's network.
     pub client: Option<IpAddr>,
-    pub bits: u64,
+    /// Prefix length of the client's network.
+    pub prefix_length: u64,
+    /// Class of the requests.
     pub class: String,
+    /// The member.
     pub member: String,
+    /// The site.
     pub site: String,
+    /// How the requests ended.
     pub result: String,
-    pub out: u64,
-    pub back: u64,
+    /// Bytes out.
+    pub bytes_out: u64,
+    /// Bytes back.
+    pub bytes_back: u64,
+    /// Requests.
     pub requests: u64,
+    /// 99th percentile of the latency, in the exporter's unit.
     pub p99: u64,
+    /// Flows that were folded into this one.
     pub folded: u64,
 }
 
-/// All that came.
+/// All that a collector received.
 #[derive(Clone, Debug, Default)]
 pub struct Collection {
-    pub flows: Vec<Told>,
+    /// The flow records.
+    pub flows: Vec<FlowRecord>,
+    /// Messages.
     pub messages: u64,
     /// Records that are missing by the sequence numbers, over all connections.
     pub missing: u64,
-    /// Requests in losses that the exporter told of.
+    /// Requests in the losses that the exporter reported.
     pub lost_requests: u64,
+    /// Flows in the losses that the exporter reported.
     pub lost_flows: u64,
-    /// Sets without a template, and what could not be read.
-    pub unread: u64,
+    /// Sets without a template, and what could not be decoded.
+    pub undecoded: u64,
     /// Names of the elements that the exporter described.
     pub described: Vec<String>,
-    next: HashMap<u32, u32>,
+    /// The next sequence number by observation domain.
+    next_sequence: HashMap<u32, u32>,
 }
 
 impl Collection {
-    /// Bytes out, bytes back and requests of the flows that fit.
-    pub fn sums(&self, fits: impl Fn(&Told) -> bool) -> [u64; 3] {
-        let add = |s: [u64; 3], f: &Told| [s[0] + f.out, s[1] + f.back, s[2] + f.requests];
-        self.flows.iter().filter(|f| fits(f)).fold([0; 3], add)
+    /// Bytes out, bytes back and requests of the flows that match.
+    pub fn sums(&self, matches: impl Fn(&FlowRecord) -> bool) -> [u64; 3] {
+        let add = |sums: [u64; 3], flow: &FlowRecord| {
+            [sums[0] + flow.bytes_out, sums[1] + flow.bytes_back, sums[2] + flow.requests]
+        };
+        self.flows.iter().filter(|flow| matches(flow)).fold([0; 3], add)
     }
 
-    /// Those of a leg.
-    pub fn leg(&self, leg: &str) -> [u64; 3] {
-        self.sums(|f| f.leg == leg)
+    /// The same of the flows of a leg.
+    pub fn leg_sums(&self, leg: &str) -> [u64; 3] {
+        self.sums(|flow| flow.leg == leg)
     }
 
-    /// Takes one message.
-    fn message(&mut self, parser: &mut NetflowParser, bytes: &[u8]) {
+    /// Decodes one message.
+    fn add_message(&mut self, parser: &mut NetflowParser, bytes: &[u8]) {
         self.messages += 1;
         let packets = parser.parse_bytes(bytes).packets;
         if packets.is_empty() {
-            self.unread += 1;
+            self.undecoded += 1;
         }
         for packet in packets {
             let NetflowPacket::IPFix(packet) = packet else {
-                self.unread += 1;
+                self.undecoded += 1;
                 continue;
             };
             let (domain, number) = (packet.header.observation_domain_id, packet.header.sequence_number);
@@ -76,24 +94,24 @@
                 match set.body {
                     FlowSetBody::Data(data) => {
                         records += data.fields.len() as u32;
-                        self.flows.extend(data.fields.iter().map(|f| flow(f)));
+                        self.flows.extend(data.fields.iter().map(|fields| read_flow(fields)));
                     }
                     FlowSetBody::OptionsData(data) => {
                         records += data.fields.len() as u32;
-                        data.fields.iter().for_each(|f| self.option(f));
+                        data.fields.iter().for_each(|fields| self.add_option(fields));
                     }
-                    FlowSetBody::NoTemplate(_) => self.unread += 1,
+                    FlowSetBody::NoTemplate(_) => self.undecoded += 1,
                     _ => {}
                 }
             }
-            let gap = self.next.get(&domain).map_or(0, |next| number.wrapping_sub(*next));
-            // What seems to come from before is a new beginning.
+            let gap = self.next_sequence.get(&domain).map_or(0, |next| number.wrapping_sub(*next));
+            // A number from before means that the exporter restarted.
             self.missing += u64::from(if gap < 1 << 31 { gap } else { 0 });
-            self.next.insert(domain, number.wrapping_add(records));
+            self.next_sequence.insert(domain, number.wrapping_add(records));
         }
     }
 
-    fn option<F: std::fmt::Debug>(&mut self, fields: &[(F, FieldValue)]) {
+    fn add_option<F: std::fmt::Debug>(&mut self, fields: &[(F, FieldValue)]) {
         let named = named(fields);
         if let Some(name) = named.get("IANA(InformationElementName)") {
             self.described.push(text(name));
@@ -126,11 +144,11 @@
         FieldValue::Vec(bytes) => String::from_utf8(bytes.clone()).expect("a text"),
         other => panic!("no text: {other:?}"),
     };
-    // The exporter's word for none.
+    // The exporter's notation for none.
     if text == "-" { String::new() } else { text }
 }
 
-fn flow<F: std::fmt::Debug>(fields: &[(F, FieldValue)]) -> Told {
+fn read_flow<F: std::fmt::Debug>(fields: &[(F, FieldValue)]) -> FlowRecord {
     let named = named(fields);
     let iana = |name: &str| named.get(&format!("IANA({name})")).copied();
     let own = |id: u16| {
@@ -138,14 +156,14 @@
         *named.get(&name).unwrap_or_else(|| panic!("{name} is not among {named:?}"))
     };
     let back = named.get("ReverseInformationElement(ReverseOctetDeltaCount)").copied();
-    let (client, bits) = match (iana("SourceIpv4address"), iana("SourceIpv6address")) {
+    let (client, prefix_length) = match (iana("SourceIpv4address"), iana("SourceIpv6address")) {
         (Some(FieldValue::Ip4Addr(v4)), _) => (Some(IpAddr::from(*v4)), iana("SourceIpv4prefixLength")),
         (_, Some(FieldValue::Ip6Addr(v6))) => (Some(IpAddr::from(*v6)), iana("SourceIpv6prefixLength")),
         _ => (None, None),
     };
-    Told {
+    FlowRecord {
         client,
-        bits: bits.map_or(0, number),
+        prefix_length: prefix_length.map_or(0, number),
         class: iana("ApplicationName").map_or(String::new(), text),
         member: text(own(1)),
         site: text(own(2)),
@@ -153,8 +171,8 @@
         p99: number(own(4)),
         folded: number(own(5)),
         leg: text(own(6)),
-        out: iana("OctetDeltaCount").map_or(0, number),
-        back: back.map_or(0, number),
+        bytes_out: iana("OctetDeltaCount").map_or(0, number),
+        bytes_back: back.map_or(0, number),
         requests: iana("DeltaFlowCount").map_or(0, number),
     }
 }
@@ -162,12 +180,13 @@
 #[derive(Default)]
 struct Shared {
     collection: Mutex<Collection>,
-    conns: Mutex<Vec<TcpStream>>,
-    held: AtomicBool,
+    connections: Mutex<Vec<TcpStream>>,
+    paused: AtomicBool,
 }
 
 /// A collector at one address.
 pub struct Collector {
+    /// Where it listens.
     pub address: SocketAddr,
     udp: bool,
     shared: Arc<Shared>,
@@ -176,12 +195,18 @@
 }
 
 impl Collector {
-    /// One that takes connections.
+    /// Starts a collector of TCP connections.
+    ///
+    /// # Panics
+    /// If it can't listen.
     pub fn tcp() -> Self {
         Self::at(free_address(), false)
     }
 
-    /// One that takes datagrams.
+    /// Starts a collector of UDP datagrams.
+    ///
+    /// # Panics
+    /// If it can't listen.
     pub fn udp() -> Self {
         Self::at(free_address(), true)
     }
@@ -189,60 +214,63 @@
     fn at(address: SocketAddr, udp: bool) -> Self {
         let mut collector =
             Collector { address, udp, shared: Arc::default(), running: Arc::default(), thread: None };
-        collector.again();
+        collector.restart();
         collector
     }
 
-    /// Ends it like a process that is killed: what it did not read is gone.
+    /// Stops it like a process that is killed: what it did not read is lost.
     pub fn stop(&mut self) {
         self.running.store(false, Ordering::SeqCst);
-        for conn in std::mem::take(&mut *self.shared.conns.lock().unwrap()) {
+        for conn in std::mem::take(&mut *self.shared.connections.lock().unwrap()) {
             let _ = conn.shutdown(std::net::Shutdown::Both);
         }
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
-        // Those that were accepted while it ended.
-        for conn in std::mem::take(&mut *self.shared.conns.lock().unwrap()) {
+        // Connections that were accepted while it stopped.
+        for conn in std::mem::take(&mut *self.shared.connections.lock().unwrap()) {
             let _ = conn.shutdown(std::net::Shutdown::Both);
         }
     }
 
-    /// Starts it anew at its address: what it has collected stays, templates are forgotten.
-    pub fn again(&mut self) {
+    /// Restarts it at its address: its collection stays, templates are forgotten.
+    ///
+    /// # Panics
+    /// If its address does not become free in time.
+    pub fn restart(&mut self) {
         let (running, shared) = (Arc::new(AtomicBool::new(true)), self.shared.clone());
         self.running = running.clone();
         self.thread = Some(match self.udp {
             true => {
-                let socket = bound(|| UdpSocket::bind(self.address));
-                thread::spawn(move || datagrams(&socket, &shared, &running))
+                let socket = bind_when_free(|| UdpSocket::bind(self.address));
+                thread::spawn(move || read_datagrams(&socket, &shared, &running))
             }
             false => {
-                let listener = bound(|| TcpListener::bind(self.address));
-                thread::spawn(move || accept(&listener, &shared, &running))
+                let listener = bind_when_free(|| TcpListener::bind(self.address));
+                thread::spawn(move || accept_connections(&listener, &shared, &running))
             }
         });
     }
 
-    /// Stops reading, or reads on.
-    pub fn hold(&self, held: bool) {
-        self.shared.held.store(held, Ordering::SeqCst);
+    /// Stops reading from connections (`true`), or reads on.
+    pub fn set_paused(&self, paused: bool) {
+        self.shared.paused.store(paused, Ordering::SeqCst);
     }
 
-    /// What has come so far.
+    /// What it has received so far.
     pub fn collection(&self) -> Collection {
         self.shared.collection.lock().unwrap().clone()
     }
 }
 
-/// Binds; an address that somebody's passing connection holds is free again in a moment.
-fn bound<T>(bind: impl Fn() -> std::io::Result<T>) -> T {
-    let mut got = None;
+/// Binds to an address that another process's connection may use for a moment.
+fn bind_when_free<T>(bind: impl Fn() -> std::io::Result<T>) -> T {
+    let mut bound = None;
     crate::wait::until("the collector's address is free", || {
-        got = bind().ok();
-        got.is_some()
+        bound = bind().ok();
+        bound.is_some()
     });
-    got.expect("it was bound")
+    bound.expect("the wait ended with a socket")
 }
 
 impl Drop for Collector {
@@ -251,18 +279,18 @@
     }
 }
 
-fn datagrams(socket: &UdpSocket, shared: &Shared, running: &AtomicBool) {
+fn read_datagrams(socket: &UdpSocket, shared: &Shared, running: &AtomicBool) {
     let mut parser = NetflowParser::default();
     socket.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
     let mut buffer = vec![0; 65_536];
     while running.load(Ordering::SeqCst) {
         if let Ok(n) = socket.recv(&mut buffer) {
-            shared.collection.lock().unwrap().message(&mut parser, &buffer[..n]);
+            shared.collection.lock().unwrap().add_message(&mut parser, &buffer[..n]);
         }
     }
 }
 
-fn accept(listener: &TcpListener, shared: &Arc<Shared>, running: &Arc<AtomicBool>) {
+fn accept_connections(listener: &TcpListener, shared: &Arc<Shared>, running: &Arc<AtomicBool>) {
     listener.set_nonblocking(true).unwrap();
     let mut readers = Vec::new();
     while running.load(Ordering::SeqCst) {
@@ -271,21 +299,21 @@
             continue;
         };
         let _ = stream.set_nonblocking(false);
-        shared.conns.lock().unwrap().extend(stream.try_clone());
+        shared.connections.lock().unwrap().extend(stream.try_clone());
         let (shared, running) = (shared.clone(), running.clone());
-        readers.push(thread::spawn(move || connection(stream, &shared, &running)));
+        readers.push(thread::spawn(move || read_connection(stream, &shared, &running)));
     }
     for reader in readers {
         let _ = reader.join();
     }
 }
 
-fn connection(mut stream: TcpStream, shared: &Shared, running: &AtomicBool) {
+fn read_connection(mut stream: TcpStream, shared: &Shared, running: &AtomicBool) {
     let mut parser = NetflowParser::default();
     stream.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
     let (mut buffer, mut chunk) = (Vec::new(), vec![0; 16 * 1024]);
     while running.load(Ordering::SeqCst) {
-        if shared.held.load(Ordering::SeqCst) {
+        if shared.paused.load(Ordering::SeqCst) {
             thread::sleep(Duration::from_millis(2));
             continue;
         }
@@ -295,13 +323,13 @@
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
             Err(_) => return,
         }
-        // RFC 7011, 3.1: the message's length stands in its third and fourth byte.
+        // RFC 7011, 3.1: the message's length is in its third and fourth byte.
         while buffer.len() >= 4 {
             let length = usize::from(u16::from_be_bytes([buffer[2], buffer[3]]));
             if length < 16 || buffer.len() < length {
                 break;
             }
-            shared.collection.lock().unwrap().message(&mut parser, &buffer[..length]);
+            shared.collection.lock().unwrap().add_message(&mut parser, &buffer[..length]);
             buffer.drain(..length);
         }
     }
--- a/crates/deckproxy-standins/src/feed.rs
+++ b/crates/deckproxy-standins/src/feed.rs
@@ -1,4 +1,4 @@
-//! The control feed, told by hand.
+//! A control feed whose lines a test writes by hand.
 
 use crate::wait::PATIENCE;
 use std::io::{Read, Write};
@@ -8,40 +8,56 @@
 
 /// A stand-in for the control feed.
 pub struct Feed {
+    /// Where it listens.
     pub address: SocketAddr,
-    subs: Receiver<(u64, TcpStream)>,
+    subscriptions: Receiver<(u64, TcpStream)>,
 }
 
 impl Feed {
+    /// Starts a feed that reads subscriptions and sends nothing by itself.
+    ///
+    /// # Panics
+    /// If it can't listen.
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (send, subs) = channel();
+        let (send, subscriptions) = channel();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let mut line = Vec::new();
-                let mut byte = [0];
-                stream.set_read_timeout(Some(PATIENCE)).unwrap();
-                while matches!((&stream).read(&mut byte), Ok(1)) && byte[0] != b'\n' {
-                    line.push(byte[0]);
-                }
-                let line = String::from_utf8(line).unwrap();
-                let Some(number) = line.strip_prefix("SUB ").and_then(|n| n.parse().ok()) else { continue };
-                if send.send((number, stream)).is_err() {
+                let Some(first) = read_subscription(&stream) else { continue };
+                if send.send((first, stream)).is_err() {
                     return;
                 }
             }
         });
-        Feed { address, subs }
+        Feed { address, subscriptions }
+    }
+
+    /// The next subscription: the number of the first event that it asks for, and its connection.
+    ///
+    /// # Panics
+    /// If none comes in time.
+    pub fn accept(&self) -> (u64, TcpStream) {
+        self.subscriptions.recv_timeout(PATIENCE).expect("a subscription")
     }
+}
 
-    /// The next subscription: from which number, and its connection.
-    pub fn sub(&self) -> (u64, TcpStream) {
-        self.subs.recv_timeout(PATIENCE).expect("a subscription")
+/// Reads the line `SUB n` byte by byte, as the connection is handed on after it.
+fn read_subscription(mut stream: &TcpStream) -> Option<u64> {
+    let mut line = Vec::new();
+    let mut byte = [0];
+    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    while matches!(stream.read(&mut byte), Ok(1)) && byte[0] != b'\n' {
+        line.push(byte[0]);
     }
+    let line = String::from_utf8(line).unwrap();
+    line.strip_prefix("SUB ").and_then(|number| number.parse().ok())
 }
 
 /// Writes one line to a subscriber.
-pub fn tell(mut to: &TcpStream, line: &serde_json::Value) {
-    to.write_all(format!("{line}\n").as_bytes()).unwrap();
+///
+/// # Panics
+/// If it can't be written.
+pub fn send_line(mut subscriber: &TcpStream, line: &serde_json::Value) {
+    subscriber.write_all(format!("{line}\n").as_bytes()).unwrap();
 }
--- a/crates/deckproxy-standins/src/lib.rs
+++ b/crates/deckproxy-standins/src/lib.rs
@@ -1,31 +1,33 @@
-//! Stand-ins for all that a gateway talks to, and checkers of the rules on what passed on the sockets.
+//! Stand-ins for everything that a gateway talks to, and checkers of the rules on what passed on the sockets.
 //!
-//! Two kinds: those by hand ([`member`], [`feed`], [`client`], [`world`]), with which a test plays one case step by step,
-//! and those that run by themselves ([`fleet`], [`live`], [`caller`], [`shim`]), for the demo and the drills. What
-//! passes is noted in a [`record`], which [`rules`] judges afterwards. None of it shares code with the gateway.
+//! Those of one kind are driven by hand ([`member`], [`feed`], [`client`], [`test_site`]): a test plays one case with
+//! them step by step. Those of the other kind run by themselves ([`site`], [`live_feed`], [`load_client`],
+//! [`link_relay`]), for the demo and the drills. They write what passes to a [`record`], which [`rules`] judges
+//! afterwards. None of them shares code with the gateway.
 #![forbid(unsafe_code)]
-#![allow(clippy::missing_panics_doc, missing_docs)]
 
-pub mod bounds;
-pub mod caller;
 pub mod client;
 pub mod collector;
 pub mod feed;
-pub mod fleet;
 pub mod gateway;
-pub mod late;
-pub mod live;
+pub mod gateway_setup;
+pub mod limit_checkers;
+pub mod link_relay;
+pub mod live_feed;
+pub mod load_client;
 pub mod member;
 pub mod record;
 pub mod rules;
-pub mod shim;
+pub mod site;
+pub mod stalled_listener;
+pub mod test_site;
 pub mod wait;
-pub mod world;
 
 pub use client::{Answer, Client, fresh_name};
-pub use feed::{Feed, tell};
-pub use gateway::{Gateway, Setup, settings};
-pub use late::Late;
-pub use member::{Ask, Member, Seen, entry};
+pub use feed::{Feed, send_line};
+pub use gateway::{Gateway, Usage};
+pub use gateway_setup::{Setup, complete_member_list, settings};
+pub use member::{Member, MemberEvent, MemberRequest, entry};
+pub use stalled_listener::StalledListener;
+pub use test_site::{SubscribedGateway, TestSite};
 pub use wait::{PATIENCE, QUIET, free_address, unix_ms, until};
-pub use world::{Fed, World};
--- a/crates/deckproxy-standins/src/member.rs
+++ b/crates/deckproxy-standins/src/member.rs
@@ -1,10 +1,10 @@
-//! A member whose answers are given by hand.
+//! A cache, parent or origin whose answers a test gives by hand.
 
 use crate::wait::{PATIENCE, QUIET, next_number, until};
 use serde_json::json;
 use socket2::SockRef;
 use std::collections::{BTreeMap, HashMap};
-use std::io::{Read, Write};
+use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -12,203 +12,168 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A request that a member got.
+/// The receive buffer of a member's connections, bytes: what it does not read stays with the gateway.
+const RECEIVE_BUFFER: usize = 16 * 1024;
+/// How long a read waits until the state of the connection is looked at again.
+const READ_POLL: Duration = Duration::from_millis(5);
+
+/// A request that a member received.
 #[derive(Clone, Debug)]
-pub struct Ask {
-    pub conn: u64,
+pub struct MemberRequest {
+    /// The number of the connection.
+    pub connection: u64,
+    /// The request's name.
     pub id: String,
+    /// Its fields.
     pub fields: BTreeMap<String, String>,
+    /// Its body.
     pub body: Vec<u8>,
 }
 
-impl Ask {
+impl MemberRequest {
+    /// The value of a field.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields.get(name).map(String::as_str)
     }
 }
 
-/// What a member sees.
+/// What happens at a member, with the connection's number.
 #[derive(Clone, Debug)]
-pub enum Seen {
+pub enum MemberEvent {
+    /// A connection was opened.
     Opened(u64),
-    Ask(Ask),
-    Quit(u64, String),
-    Probe(u64, String),
+    /// A request came.
+    Request(MemberRequest),
+    /// The request of that name was cancelled.
+    Cancelled(u64, String),
+    /// A health check of that name came.
+    HealthCheck(u64, String),
+    /// A connection has ended.
     Closed(u64),
 }
 
-type Conns = Arc<Mutex<HashMap<u64, Arc<TcpStream>>>>;
+type Connections = Arc<Mutex<HashMap<u64, Arc<TcpStream>>>>;
 
-/// A stand-in for a cache, a parent or the origin. The test answers by hand.
+/// A stand-in for a cache, a parent or the origin. Its methods panic when a connection that they name is not open.
 pub struct Member {
+    /// Its name.
     pub id: String,
+    /// Where it listens.
     pub address: SocketAddr,
-    pub(crate) seen: Receiver<Seen>,
-    conns: Conns,
+    pub(crate) events: Receiver<MemberEvent>,
+    connections: Connections,
     listening: Arc<AtomicBool>,
-    stalled: Arc<AtomicBool>,
-}
-
-fn read_some(stream: &TcpStream, buffer: &mut Vec<u8>, stalled: &AtomicBool) -> Option<bool> {
-    if stalled.load(Ordering::SeqCst) {
-        thread::sleep(Duration::from_millis(2));
-        return Some(false);
-    }
-    let mut chunk = [0; 65536];
-    match (&mut &*stream).read(&mut chunk) {
-        Ok(0) => None,
-        Ok(n) => {
-            buffer.extend_from_slice(&chunk[..n]);
-            Some(true)
-        }
-        Err(e) if matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut) => {
-            Some(false)
-        }
-        Err(_) => None,
-    }
-}
-
-/// Takes one array of bulk strings off the buffer.
-pub(crate) fn command(buffer: &mut Vec<u8>) -> Option<Vec<Vec<u8>>> {
-    fn line(bytes: &[u8], at: &mut usize) -> Option<usize> {
-        let end = bytes[*at..].windows(2).position(|w| w == b"\r\n")? + *at;
-        let number = std::str::from_utf8(&bytes[*at + 1..end]).unwrap().parse().unwrap();
-        *at = end + 2;
-        Some(number)
-    }
-    let mut at = 0;
-    if buffer.is_empty() {
-        return None;
-    }
-    let count = line(buffer, &mut at)?;
-    let mut words = Vec::new();
-    for _ in 0..count {
-        if at >= buffer.len() {
-            return None;
-        }
-        let length = line(buffer, &mut at)?;
-        if buffer.len() < at + length + 2 {
-            return None;
-        }
-        words.push(buffer[at..at + length].to_vec());
-        at += length + 2;
-    }
-    buffer.drain(..at);
-    Some(words)
-}
-
-fn serve(conn: u64, stream: Arc<TcpStream>, conns: &Conns, stalled: &AtomicBool, seen: &Sender<Seen>) {
-    let mut buffer = Vec::new();
-    let _ = seen.send(Seen::Opened(conn));
-    while conns.lock().unwrap().contains_key(&conn) {
-        if read_some(&stream, &mut buffer, stalled).is_none() {
-            break;
-        }
-        while let Some(words) = command(&mut buffer) {
-            let text = |i: usize| String::from_utf8(words[i].clone()).unwrap();
-            let what = match text(0).as_str() {
-                "ASK" => {
-                    let fields = text(2);
-                    let fields = fields.split(',').filter_map(|f| f.split_once('='));
-                    let fields = fields.map(|(n, v)| (n.to_string(), v.to_string())).collect();
-                    Seen::Ask(Ask { conn, id: text(1), fields, body: words[3].clone() })
-                }
-                "QUIT" => Seen::Quit(conn, text(1)),
-                "INFO" | "NOOP" => Seen::Probe(conn, text(1)),
-                other => panic!("an unknown command {other}"),
-            };
-            let _ = seen.send(what);
-        }
-    }
-    conns.lock().unwrap().remove(&conn);
-    // It is told once the connection has ended.
-    drop(stream);
-    let _ = seen.send(Seen::Closed(conn));
+    paused: Arc<AtomicBool>,
 }
 
+/// How it is started and what it sees.
 impl Member {
+    /// Starts a member at a free address.
+    ///
+    /// # Panics
+    /// If it can't listen.
     pub fn start(id: &str) -> Self {
         Self::start_at(id, "127.0.0.1:0".parse().unwrap())
     }
 
-    pub fn start_at(id: &str, at: SocketAddr) -> Self {
-        let listener = TcpListener::bind(at).unwrap();
+    /// Starts a member at an address.
+    ///
+    /// # Panics
+    /// If it can't listen there.
+    pub fn start_at(id: &str, address: SocketAddr) -> Self {
+        let listener = TcpListener::bind(address).unwrap();
         let address = listener.local_addr().unwrap();
-        // What it does not read stays with the gateway.
-        socket2::SockRef::from(&listener).set_recv_buffer_size(16 * 1024).unwrap();
+        SockRef::from(&listener).set_recv_buffer_size(RECEIVE_BUFFER).unwrap();
         listener.set_nonblocking(true).unwrap();
-        let (send, seen) = channel();
-        let conns: Conns = Arc::default();
+        let (sender, events) = channel();
+        let connections = Connections::default();
         let listening = Arc::new(AtomicBool::new(true));
-        let stalled = Arc::new(AtomicBool::new(false));
-        let shared = (conns.clone(), listening.clone(), stalled.clone());
-        thread::spawn(move || {
-            let (conns, listening, stalled) = shared;
-            while listening.load(Ordering::SeqCst) {
-                let Ok((stream, _)) = listener.accept() else {
-                    thread::sleep(Duration::from_millis(1));
-                    continue;
-                };
-                stream.set_nonblocking(false).unwrap();
-                stream.set_nodelay(true).unwrap();
-                stream.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
-                let conn = next_number();
-                let stream = Arc::new(stream);
-                conns.lock().unwrap().insert(conn, stream.clone());
-                let (conns, stalled, send) = (conns.clone(), stalled.clone(), send.clone());
-                thread::spawn(move || serve(conn, stream, &conns, &stalled, &send));
-            }
-        });
-        Member { id: id.to_string(), address, seen, conns, listening, stalled }
+        let paused = Arc::new(AtomicBool::new(false));
+        let acceptor = Acceptor {
+            connections: connections.clone(),
+            listening: listening.clone(),
+            paused: paused.clone(),
+            events: sender,
+        };
+        thread::spawn(move || acceptor.run(&listener));
+        Member { id: id.to_string(), address, events, connections, listening, paused }
     }
 
-    /// The next thing it sees.
-    pub fn next(&self) -> Seen {
-        self.seen.recv_timeout(PATIENCE).unwrap_or_else(|_| panic!("{} saw nothing more", self.id))
+    /// The next event.
+    ///
+    /// # Panics
+    /// If none comes in time.
+    pub fn next_event(&self) -> MemberEvent {
+        self.events.recv_timeout(PATIENCE).unwrap_or_else(|_| panic!("no further event at {}", self.id))
     }
 
-    /// The next request; what comes before it is passed over.
-    pub fn ask(&self) -> Ask {
+    /// The next request; other events before it are skipped.
+    ///
+    /// # Panics
+    /// If none comes in time.
+    pub fn next_request(&self) -> MemberRequest {
         loop {
-            if let Seen::Ask(ask) = self.next() {
-                return ask;
+            if let MemberEvent::Request(request) = self.next_event() {
+                return request;
             }
         }
     }
 
     /// The next request, if one comes in a short while.
-    pub fn maybe_ask(&self) -> Option<Ask> {
+    pub fn request_if_any(&self) -> Option<MemberRequest> {
         let end = Instant::now() + QUIET;
-        while let Ok(seen) = self.seen.recv_timeout(end.saturating_duration_since(Instant::now())) {
-            if let Seen::Ask(ask) = seen {
-                return Some(ask);
+        while let Ok(event) = self.events.recv_timeout(end.saturating_duration_since(Instant::now())) {
+            if let MemberEvent::Request(request) = event {
+                return Some(request);
             }
         }
         None
     }
 
-    /// Waits until a request is given up.
-    pub fn quit(&self, id: &str) {
+    /// Waits until the request of that name is cancelled.
+    ///
+    /// # Panics
+    /// If it isn't in time.
+    pub fn expect_cancelled(&self, id: &str) {
         loop {
-            if matches!(self.next(), Seen::Quit(_, quit) if quit == id) {
+            if matches!(self.next_event(), MemberEvent::Cancelled(_, cancelled) if cancelled == id) {
                 return;
             }
         }
     }
 
     /// Waits until a connection has ended.
-    pub fn closed(&self) {
-        while !matches!(self.next(), Seen::Closed(_)) {}
+    ///
+    /// # Panics
+    /// If none does in time.
+    pub fn expect_closed(&self) {
+        while !matches!(self.next_event(), MemberEvent::Closed(_)) {}
     }
 
-    pub fn send(&self, conn: u64, bytes: &[u8]) {
-        let stream = self.conns.lock().unwrap().get(&conn).cloned().expect("the connection is open");
-        (&mut &*stream).write_all(bytes).unwrap();
+    /// Connections that are open now.
+    pub fn open_connections(&self) -> usize {
+        self.connections.lock().unwrap().len()
     }
 
-    pub fn encode(id: &str, word: &str, fields: &str, body: &[u8]) -> Vec<u8> {
+    /// Its entry in the member list.
+    pub fn entry(&self, zone: &str, kind: &str, phase: &str) -> serde_json::Value {
+        entry(&self.id, self.address, zone, kind, phase)
+    }
+}
+
+/// What it does.
+impl Member {
+    /// Writes bytes to a connection.
+    pub fn send(&self, connection: u64, bytes: &[u8]) {
+        let stream = self.connections.lock().unwrap().get(&connection).cloned();
+        let stream = stream.expect("the connection is open");
+        (&*stream).write_all(bytes).unwrap();
+    }
+
+    /// The bytes of an answer to the request of that name.
+    pub fn encode(id: &str, status: &str, fields: &str, body: &[u8]) -> Vec<u8> {
         let mut bytes = b"*4\r\n".to_vec();
-        for part in [id.as_bytes(), word.as_bytes(), fields.as_bytes(), body] {
+        for part in [id.as_bytes(), status.as_bytes(), fields.as_bytes(), body] {
             bytes.extend(format!("${}\r\n", part.len()).bytes());
             bytes.extend(part);
             bytes.extend(b"\r\n");
@@ -216,64 +181,176 @@
         bytes
     }
 
-    pub fn answer(&self, ask: &Ask, word: &str, body: &[u8]) {
-        let fields = if word == "200" { "entity=t1,issued=1" } else { "-" };
-        self.send(ask.conn, &Self::encode(&ask.id, word, fields, body));
+    /// Answers a request with a status (such as `200`) and a body.
+    pub fn answer(&self, request: &MemberRequest, status: &str, body: &[u8]) {
+        let fields = if status == "200" { "entity=t1,issued=1" } else { "-" };
+        self.send(request.connection, &Self::encode(&request.id, status, fields, body));
     }
 
-    /// Answers what may have been given up, its connection closed.
-    pub fn try_answer(&self, ask: &Ask, word: &str, body: &[u8]) {
-        let stream = self.conns.lock().unwrap().get(&ask.conn).cloned();
-        let bytes = Self::encode(&ask.id, word, "-", body);
-        let _ = stream.map(|s| (&mut &*s).write_all(&bytes));
+    /// Answers a request whose connection may have been closed.
+    pub fn try_answer(&self, request: &MemberRequest, status: &str, body: &[u8]) {
+        let stream = self.connections.lock().unwrap().get(&request.connection).cloned();
+        if let Some(stream) = stream {
+            let _ = (&*stream).write_all(&Self::encode(&request.id, status, "-", body));
+        }
     }
 
-    /// Breaks a connection with a reset.
-    pub fn reset(&self, conn: u64) {
-        let stream = self.conns.lock().unwrap().remove(&conn).expect("the connection is open");
+    /// Resets a connection.
+    pub fn reset(&self, connection: u64) {
+        let stream = self.connections.lock().unwrap().remove(&connection).expect("the connection is open");
         SockRef::from(&*stream).set_linger(Some(Duration::ZERO)).unwrap();
     }
 
     /// Closes a connection.
-    pub fn close(&self, conn: u64) {
-        self.conns.lock().unwrap().remove(&conn).expect("the connection is open");
-    }
-
-    /// Connections that are open now.
-    pub fn open(&self) -> usize {
-        self.conns.lock().unwrap().len()
+    pub fn close(&self, connection: u64) {
+        self.connections.lock().unwrap().remove(&connection).expect("the connection is open");
     }
 
-    /// Reads nothing more.
-    pub fn stall(&self) {
-        self.stalled.store(true, Ordering::SeqCst);
+    /// Stops reading.
+    pub fn stop_reading(&self) {
+        self.paused.store(true, Ordering::SeqCst);
     }
 
     /// Reads on.
-    pub fn resume(&self) {
-        self.stalled.store(false, Ordering::SeqCst);
+    pub fn resume_reading(&self) {
+        self.paused.store(false, Ordering::SeqCst);
     }
 
-    /// Takes no more connections: they are refused.
-    pub fn refuse(&self) {
+    /// Closes its listener, and waits until connections to it are refused.
+    ///
+    /// # Panics
+    /// If they aren't in time.
+    pub fn stop_listening(&self) {
         self.listening.store(false, Ordering::SeqCst);
         until("the listener closes", || TcpStream::connect(self.address).is_err());
     }
-
-    /// Its line in the list.
-    pub fn entry(&self, zone: &str, kind: &str, phase: &str) -> serde_json::Value {
-        entry(&self.id, self.address, zone, kind, phase)
-    }
 }
 
 impl Drop for Member {
     fn drop(&mut self) {
         self.listening.store(false, Ordering::SeqCst);
-        self.conns.lock().unwrap().clear();
+        self.connections.lock().unwrap().clear();
     }
 }
 
-pub fn entry(id: &str, at: SocketAddr, zone: &str, kind: &str, phase: &str) -> serde_json::Value {
-    json!({"id": id, "host_port": at.to_string(), "locality": zone, "flavor": kind, "cell": 0, "phase": phase,
+/// An entry of the member list, of a member that has run for ever.
+pub fn entry(id: &str, address: SocketAddr, zone: &str, kind: &str, phase: &str) -> serde_json::Value {
+    json!({"id": id, "host_port": address.to_string(), "locality": zone, "flavor": kind, "cell": 0, "phase": phase,
         "size": 100, "up_since_ms": 0})
 }
+
+/// The thread that accepts a member's connections.
+struct Acceptor {
+    connections: Connections,
+    listening: Arc<AtomicBool>,
+    paused: Arc<AtomicBool>,
+    events: Sender<MemberEvent>,
+}
+
+impl Acceptor {
+    fn run(&self, listener: &TcpListener) {
+        while self.listening.load(Ordering::SeqCst) {
+            let Ok((stream, _)) = listener.accept() else {
+                thread::sleep(Duration::from_millis(1));
+                continue;
+            };
+            stream.set_nonblocking(false).unwrap();
+            stream.set_nodelay(true).unwrap();
+            stream.set_read_timeout(Some(READ_POLL)).unwrap();
+            let number = next_number();
+            let stream = Arc::new(stream);
+            self.connections.lock().unwrap().insert(number, stream.clone());
+            let (connections, paused, events) =
+                (self.connections.clone(), self.paused.clone(), self.events.clone());
+            thread::spawn(move || read_connection(number, stream, &connections, &paused, &events));
+        }
+    }
+}
+
+/// Reports the commands of a connection until that ends.
+fn read_connection(
+    number: u64,
+    stream: Arc<TcpStream>,
+    connections: &Connections,
+    paused: &AtomicBool,
+    events: &Sender<MemberEvent>,
+) {
+    let mut buffer = Vec::new();
+    let _ = events.send(MemberEvent::Opened(number));
+    while connections.lock().unwrap().contains_key(&number) {
+        if paused.load(Ordering::SeqCst) {
+            thread::sleep(Duration::from_millis(2));
+        } else if read_some(&stream, &mut buffer).is_err() {
+            break;
+        }
+        while let Some(words) = take_command(&mut buffer) {
+            let _ = events.send(read_command(number, &words));
+        }
+    }
+    connections.lock().unwrap().remove(&number);
+    // Closed before that is reported.
+    drop(stream);
+    let _ = events.send(MemberEvent::Closed(number));
+}
+
+/// The connection has ended.
+struct Ended;
+
+fn read_some(mut stream: &TcpStream, buffer: &mut Vec<u8>) -> Result<(), Ended> {
+    let mut chunk = [0; 65536];
+    match stream.read(&mut chunk) {
+        Ok(0) => Err(Ended),
+        Ok(n) => {
+            buffer.extend_from_slice(&chunk[..n]);
+            Ok(())
+        }
+        Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => Ok(()),
+        Err(_) => Err(Ended),
+    }
+}
+
+fn read_command(connection: u64, words: &[Vec<u8>]) -> MemberEvent {
+    let word = |index: usize| String::from_utf8(words[index].clone()).unwrap();
+    match word(0).as_str() {
+        "ASK" => {
+            let text = word(2);
+            let fields = text.split(',').filter_map(|field| field.split_once('='));
+            let fields = fields.map(|(name, value)| (name.to_string(), value.to_string())).collect();
+            MemberEvent::Request(MemberRequest { connection, id: word(1), fields, body: words[3].clone() })
+        }
+        "QUIT" => MemberEvent::Cancelled(connection, word(1)),
+        "INFO" | "NOOP" => MemberEvent::HealthCheck(connection, word(1)),
+        other => panic!("an unknown command {other}"),
+    }
+}
+
+/// Takes one array of bulk strings off the buffer; `None` while it is incomplete.
+pub(crate) fn take_command(buffer: &mut Vec<u8>) -> Option<Vec<Vec<u8>>> {
+    if buffer.is_empty() {
+        return None;
+    }
+    let mut at = 0;
+    let count = take_length(buffer, &mut at)?;
+    let mut words = Vec::new();
+    for _ in 0..count {
+        if at >= buffer.len() {
+            return None;
+        }
+        let length = take_length(buffer, &mut at)?;
+        if buffer.len() < at + length + 2 {
+            return None;
+        }
+        words.push(buffer[at..at + length].to_vec());
+        at += length + 2;
+    }
+    buffer.drain(..at);
+    Some(words)
+}
+
+/// Reads a line with a type's byte and a number.
+fn take_length(bytes: &[u8], at: &mut usize) -> Option<usize> {
+    let end = bytes[*at..].windows(2).position(|pair| pair == b"\r\n")? + *at;
+    let number = std::str::from_utf8(&bytes[*at + 1..end]).unwrap().parse().unwrap();
+    *at = end + 2;
+    Some(number)
+}
--- a/crates/deckproxy-standins/src/record.rs
+++ b/crates/deckproxy-standins/src/record.rs
@@ -5,38 +5,39 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// What a body tells of the copy that it is from.
+/// The head of a body, which tells the copy that it is from.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Stamp {
-    /// The object and its part.
+    /// The object.
     pub object: u64,
+    /// The part of the object.
     pub part: u32,
-    /// The Unix millisecond at which the origin gave it out.
+    /// When the origin issued the copy, Unix ms.
     pub issued: u64,
-    /// The site whose origin that was.
+    /// The site of that origin.
     pub site: u32,
 }
 
 /// Bytes of a stamp.
-pub const STAMP: usize = 24;
+pub const STAMP_SIZE: usize = 24;
 
 impl Stamp {
-    /// A body of that size, the stamp first.
+    /// A body of that size in bytes (at least [`STAMP_SIZE`]) that begins with the stamp.
     pub fn body(&self, size: usize) -> Vec<u8> {
-        let mut body = Vec::with_capacity(size.max(STAMP));
+        let mut body = Vec::with_capacity(size.max(STAMP_SIZE));
         body.extend(self.object.to_be_bytes());
         body.extend(self.part.to_be_bytes());
         body.extend(self.issued.to_be_bytes());
         body.extend(self.site.to_be_bytes());
-        // What follows depends on the place, so that pieces in a wrong order are seen.
-        body.extend((STAMP..size).map(|i| filler(self.object, i)));
+        // The rest depends on the position, so that pieces in a wrong order are detected.
+        body.extend((STAMP_SIZE..size).map(|i| filler(self.object, i)));
         body
     }
 
-    /// The stamp of a body; none if it is not one that an origin made.
+    /// The stamp of a body; `None` if no origin made that body.
     pub fn read(body: &[u8]) -> Option<Stamp> {
         let number = |at: usize, n: usize| {
-            body.get(at..at + n).map(|b| b.iter().fold(0u64, |sum, b| sum << 8 | u64::from(*b)))
+            body.get(at..at + n).map(|bytes| bytes.iter().fold(0u64, |sum, byte| sum << 8 | u64::from(*byte)))
         };
         let stamp = Stamp {
             object: number(0, 8)?,
@@ -44,116 +45,208 @@
             issued: number(12, 8)?,
             site: number(20, 4)? as u32,
         };
-        let whole = body.iter().enumerate().skip(STAMP).all(|(i, b)| *b == filler(stamp.object, i));
-        whole.then_some(stamp)
+        let intact =
+            body.iter().enumerate().skip(STAMP_SIZE).all(|(i, byte)| *byte == filler(stamp.object, i));
+        intact.then_some(stamp)
     }
 }
 
-fn filler(object: u64, at: usize) -> u8 {
-    (at as u64).wrapping_mul(object | 1).to_be_bytes()[3]
+fn filler(object: u64, position: usize) -> u8 {
+    (position as u64).wrapping_mul(object | 1).to_be_bytes()[3]
 }
 
 /// How a client was answered.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
+    /// With a body; its stamp, or `None` if no origin made it.
     Served(Option<Stamp>),
+    /// The client's copy is still valid.
     Unchanged,
-    /// With the time to come back, ms.
-    Refused(Option<f64>),
+    /// Rejected, with the advised time until a retry (Retry-After), ms.
+    Rejected(Option<f64>),
+    /// With another error.
     Failed,
 }
 
-/// One thing that was seen.
+/// One thing that was observed.
 #[derive(Clone, Debug)]
 pub enum Fact {
-    /// A client at a site wrote a request's last byte.
-    Asked { name: String, site: u32, home: u32, class: &'static str, object: u64, group: u32, allow: f64 },
-    /// A client read an answer whole.
-    Answered { name: String, outcome: Outcome },
-    /// A request crossed the planned close of its connection: the protocol has it asked again.
-    Recalled { name: String },
-    /// A client's connection ended with this request open.
-    Lost { name: String },
-    /// An attempt came whole to a member.
-    Came { name: String, site: u32, member: String, lane: String },
-    /// It was answered, given up, or its connection ended.
-    Over { name: String, member: String },
-    /// A request with an effect ran: its name and key.
-    Ran { name: String, site: u32, key: Option<String> },
-    /// The feed of a site told that a member drains.
-    Drained { member: String },
-    /// The feed of a site told a purge.
-    Purged { site: u32, object: Option<u64>, group: u32, at: u64 },
-    /// A fill went to a source: for the figures.
-    Filled { site: u32, member: String, object: u64, from: String },
-    /// A lookup was a hit: for the figures.
-    Hit { site: u32, member: String, object: u64 },
-    /// A probe came to a member.
-    Probed { member: String },
-    /// A site's gateway was killed: what was open there is owed by nobody.
-    Killed { site: u32 },
-    /// A link was cut, or is whole again.
-    Cut { kind: &'static str, on: bool },
+    /// A client wrote a request's last byte.
+    RequestSent {
+        /// The request's name.
+        name: String,
+        /// The client's site.
+        site: u32,
+        /// The site whose origin has the object.
+        home_site: u32,
+        /// The request's class.
+        class: &'static str,
+        /// The object that it is for.
+        object: u64,
+        /// The object's purge group.
+        group: u32,
+        /// The time that the request has, ms.
+        timeout_ms: f64,
+    },
+    /// A client read a complete answer.
+    Answered {
+        /// The request's name.
+        name: String,
+        /// How it was answered.
+        outcome: Outcome,
+    },
+    /// A request needs no answer: its client left, or it crossed the planned close of its connection and is sent again.
+    Withdrawn {
+        /// The request's name.
+        name: String,
+    },
+    /// A client's connection ended with this request in flight.
+    ConnectionLost {
+        /// The request's name.
+        name: String,
+    },
+    /// A member received a complete attempt.
+    AttemptReceived {
+        /// The request's name.
+        name: String,
+        /// The member's site.
+        site: u32,
+        /// The member.
+        member: String,
+        /// The request's class.
+        class: String,
+    },
+    /// An attempt was answered, cancelled, or its connection ended.
+    AttemptEnded {
+        /// The request's name.
+        name: String,
+        /// The member.
+        member: String,
+    },
+    /// A request with an effect took effect.
+    EffectApplied {
+        /// The request's name.
+        name: String,
+        /// The member's site.
+        site: u32,
+        /// The request's idempotency key.
+        key: Option<String>,
+    },
+    /// A site's feed announced that a member drains.
+    DrainAnnounced {
+        /// The member.
+        member: String,
+    },
+    /// A site's feed announced a purge.
+    PurgeAnnounced {
+        /// The feed's site.
+        site: u32,
+        /// The purged object; `None` for a whole group.
+        object: Option<u64>,
+        /// The purged group, or the object's.
+        group: u32,
+        /// When the purge was made, Unix ms.
+        at: u64,
+    },
+    /// A member filled a copy from a source.
+    Filled {
+        /// The member's site.
+        site: u32,
+        /// The member.
+        member: String,
+        /// The object.
+        object: u64,
+        /// The source's name.
+        from: String,
+    },
+    /// A member answered from a copy.
+    CacheHit {
+        /// The member's site.
+        site: u32,
+        /// The member.
+        member: String,
+        /// The object.
+        object: u64,
+    },
+    /// A member received a health check.
+    HealthChecked {
+        /// The member.
+        member: String,
+    },
+    /// A site's gateway was killed: its requests in flight need no answer.
+    GatewayKilled {
+        /// The site.
+        site: u32,
+    },
+    /// A link was cut or restored.
+    LinkChanged {
+        /// The kind of the cut, in words.
+        kind: &'static str,
+        /// Whether it is cut now.
+        is_cut: bool,
+    },
 }
 
-/// A fact with its time, in ms since the record began.
+/// A fact with its time.
 #[derive(Clone, Debug)]
 pub struct Seen {
+    /// Milliseconds since the record began.
     pub at: f64,
+    /// What was observed.
     pub fact: Fact,
 }
 
-/// What clients of one address wrote and read, on the sockets.
+/// What clients of one address wrote and read on the sockets.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Passed {
+pub struct Traffic {
+    /// Bytes read.
     pub read: u64,
-    pub wrote: u64,
-    /// Requests that were written whole.
-    pub asked: u64,
+    /// Bytes written.
+    pub written: u64,
+    /// Requests that were written completely.
+    pub requests: u64,
 }
 
 /// A record that many threads write.
 #[derive(Clone, Debug)]
 pub struct Record {
     start: Instant,
-    unix: u64,
-    all: Arc<Mutex<Vec<Seen>>>,
-    passed: Arc<Mutex<HashMap<IpAddr, Passed>>>,
+    start_unix_ms: u64,
+    facts: Arc<Mutex<Vec<Seen>>>,
+    traffic: Arc<Mutex<HashMap<IpAddr, Traffic>>>,
 }
 
 impl Default for Record {
     fn default() -> Self {
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Record {
             start: Instant::now(),
-            unix: since.as_millis() as u64,
-            all: Arc::default(),
-            passed: Arc::default(),
+            start_unix_ms: since_epoch.as_millis() as u64,
+            facts: Arc::default(),
+            traffic: Arc::default(),
         }
     }
 }
 
 impl Record {
-    /// Notes a fact now.
+    /// Adds a fact at the present time.
     pub fn note(&self, fact: Fact) {
         let at = self.now();
-        self.all.lock().unwrap().push(Seen { at, fact });
+        self.facts.lock().unwrap().push(Seen { at, fact });
     }
 
-    /// Counts what clients of an address wrote and read.
-    pub fn pass(&self, client: IpAddr, more: Passed) {
-        let mut all = self.passed.lock().unwrap();
-        let sum = all.entry(client).or_default();
-        *sum = Passed {
-            read: sum.read + more.read,
-            wrote: sum.wrote + more.wrote,
-            asked: sum.asked + more.asked,
-        };
+    /// Adds to what clients of an address wrote and read.
+    pub fn count_traffic(&self, client: IpAddr, more: Traffic) {
+        let mut traffic = self.traffic.lock().unwrap();
+        let sum = traffic.entry(client).or_default();
+        sum.read += more.read;
+        sum.written += more.written;
+        sum.requests += more.requests;
     }
 
     /// What the clients of each address wrote and read.
-    pub fn passed(&self) -> HashMap<IpAddr, Passed> {
-        self.passed.lock().unwrap().clone()
+    pub fn traffic(&self) -> HashMap<IpAddr, Traffic> {
+        self.traffic.lock().unwrap().clone()
     }
 
     /// Milliseconds since the record began.
@@ -161,20 +254,20 @@
         self.start.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// The Unix millisecond at which it began.
-    pub fn unix(&self) -> u64 {
-        self.unix
+    /// When the record began, Unix ms.
+    pub fn start_unix_ms(&self) -> u64 {
+        self.start_unix_ms
     }
 
-    /// Hands over all that was noted, in the order of time.
+    /// Takes all facts so far out of the record, in the order of time.
     pub fn take(&self) -> Vec<Seen> {
-        let mut all = std::mem::take(&mut *self.all.lock().unwrap());
-        all.sort_by(|a, b| a.at.total_cmp(&b.at));
-        all
+        let mut facts = std::mem::take(&mut *self.facts.lock().unwrap());
+        facts.sort_by(|a, b| a.at.total_cmp(&b.at));
+        facts
     }
 
-    /// How many facts fit a question.
-    pub fn count(&self, fits: impl Fn(&Fact) -> bool) -> usize {
-        self.all.lock().unwrap().iter().filter(|seen| fits(&seen.fact)).count()
+    /// How many facts match.
+    pub fn count(&self, matches: impl Fn(&Fact) -> bool) -> usize {
+        self.facts.lock().unwrap().iter().filter(|seen| matches(&seen.fact)).count()
     }
 }
--- a/crates/deckproxy-standins/src/rules.rs
+++ b/crates/deckproxy-standins/src/rules.rs
@@ -1,302 +1,355 @@
-//! The five rules, judged on a record of what passed on the sockets. Nothing here asks the gateway.
+//! The five rules of the platform, judged on a record of what passed on the sockets. Nothing here asks the gateway.
 
-use crate::record::{Fact, Outcome, Seen};
+use crate::record::{Fact, Outcome, Seen, Stamp};
 use std::collections::{BTreeMap, HashMap};
 
-/// By how much time limits are longer on sockets, ms.
-pub const SLACK: f64 = 50.0;
-/// After its deadline, until a request counts as never answered, ms.
-const PATIENCE: f64 = 1000.0;
+/// Tolerance of time limits that are measured on sockets, ms.
+pub const SLACK_MS: f64 = 50.0;
+/// Time after its deadline from which a request counts as never answered, ms.
+const ANSWER_WAIT_MS: f64 = 1000.0;
+/// Time after which its clients must have noticed that a gateway was killed, ms.
+const KILL_NOTICE_MS: f64 = 300.0;
+/// Violations that a verdict describes.
+const DESCRIBED_VIOLATIONS: usize = 20;
 
-/// After a gateway was killed, until its clients must have seen that, ms.
-const KILLED: f64 = 300.0;
-
-/// What the judge goes by.
+/// The limits of the rules.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
-    /// After news of a drain, until nothing more may come, ms.
-    pub drain: f64,
-    /// After news of a purge, until no older copy may be asked for or given, ms.
-    pub purge: f64,
-    /// Attempts of one request that may be out at once.
-    pub out: usize,
+pub struct RuleLimits {
+    /// Time after a drain's announcement from which the member may receive nothing more, ms.
+    pub drain_ms: f64,
+    /// Time after a purge's announcement from which no older copy may be requested or served, ms.
+    pub purge_ms: f64,
+    /// Attempts of one request that may be in flight at once.
+    pub concurrent_attempts: usize,
 }
 
-impl Default for Terms {
+impl Default for RuleLimits {
     fn default() -> Self {
-        Terms { drain: 500.0, purge: 1000.0, out: 1 }
+        RuleLimits { drain_ms: 500.0, purge_ms: 1000.0, concurrent_attempts: 1 }
     }
 }
 
 /// What was counted.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Verdict {
+    /// All requests.
     pub requests: usize,
     /// Requests from one site for another's objects.
-    pub crossed: usize,
+    pub cross_site: usize,
+    /// Requests that were served.
     pub served: usize,
-    pub refused: usize,
+    /// Requests that were rejected.
+    pub rejected: usize,
+    /// Requests that failed otherwise.
     pub failed: usize,
-    /// Shares served, of requests for the own site's objects and of crossing ones.
-    pub home_share: f64,
-    pub crossed_share: f64,
+    /// Share of the requests for the own site's objects that were served.
+    pub home_served_share: f64,
+    /// Share of the cross-site requests that were served.
+    pub cross_site_served_share: f64,
+    /// Requests that were never answered.
     pub unanswered: usize,
-    /// Open at a gateway when that was killed, and owed by nobody.
+    /// Requests in flight at a gateway when that was killed: they need no answer.
     pub killed: usize,
+    /// Answers to a request that was answered before.
     pub double_answers: usize,
+    /// Attempts in flight beside as many others of their request as are allowed.
     pub double_attempts: usize,
+    /// Effects of a request, or of its idempotency key, beyond the first.
     pub double_effects: usize,
+    /// Copies served that a purge had made void.
     pub stale_after_purge: usize,
+    /// Attempts sent to a member after its drain.
     pub sends_after_drain: usize,
     /// Bodies that no origin made, or of another object.
     pub wrong_bodies: usize,
     /// Answers after the deadline and the slack.
-    pub late: usize,
-    pub cuts: usize,
+    pub late_answers: usize,
+    /// Cuts of links.
+    pub link_cuts: usize,
+    /// Purges announced.
     pub purges: usize,
-    /// Of all requests to members, fills and hits.
+    /// Attempts that members received.
     pub attempts: usize,
+    /// Cache hits.
     pub hits: usize,
+    /// Fills.
     pub fills: usize,
-    /// Milliseconds from a request to its being served, ascending, for own objects and for crossing ones.
-    pub took: [Vec<f64>; 2],
-    /// The first few breaches, in words.
-    pub breaches: Vec<String>,
+    /// Times from a request to its being served, ms, ascending: for own objects, and for cross-site requests.
+    pub latencies_ms: [Vec<f64>; 2],
+    /// The first few violations, in words.
+    pub violations: Vec<String>,
 }
 
 impl Verdict {
     /// Whether no rule was broken.
     pub fn holds(&self) -> bool {
-        let wrongs = [
-            self.unanswered,
-            self.double_answers,
-            self.double_attempts,
-            self.double_effects,
-            self.stale_after_purge,
-            self.sends_after_drain,
-            self.wrong_bodies,
-            self.late,
-        ];
-        wrongs.iter().all(|n| *n == 0)
+        self.unanswered + self.double_answers + self.rule_breaks() == 0
     }
 
-    /// Times that a rule was broken, but for answers that were doubled or never came.
+    /// How many times a rule was broken, other than by answers that were doubled or never came.
     pub fn rule_breaks(&self) -> usize {
         self.double_attempts
             + self.double_effects
             + self.stale_after_purge
             + self.sends_after_drain
             + self.wrong_bodies
-            + self.late
+            + self.late_answers
     }
 
-    /// A quantile of the times of own (0) or crossing (1) requests.
+    /// A quantile (0 to 1) of the latencies of own (0) or cross-site (1) requests, ms; 0 without any.
+    ///
+    /// # Panics
+    /// If `which` is over 1.
     pub fn quantile(&self, which: usize, q: f64) -> f64 {
-        let all = &self.took[which];
-        let at = ((all.len() as f64 - 1.0) * q).round().max(0.0) as usize;
-        all.get(at).copied().unwrap_or(0.0)
+        let latencies = &self.latencies_ms[which];
+        let index = ((latencies.len() as f64 - 1.0) * q).round().max(0.0) as usize;
+        latencies.get(index).copied().unwrap_or(0.0)
+    }
+}
+
+/// Judges a record up to its end, at `end_ms`.
+pub fn judge(facts: &[Seen], limits: RuleLimits, end_ms: f64) -> Verdict {
+    let mut judge = Judge { limits, ..Judge::default() };
+    for Seen { at, fact } in facts {
+        judge.observe(*at, fact);
     }
+    judge.finish(end_ms)
 }
 
 #[derive(Debug)]
 struct Request {
-    at: f64,
+    sent: f64,
     site: u32,
-    /// Its gateway was killed while it was open.
+    /// It needs no answer, as its gateway was killed.
     excused: bool,
-    crosses: bool,
+    cross_site: bool,
     object: u64,
     group: u32,
-    allow: f64,
+    timeout_ms: f64,
     answers: usize,
-    lost: bool,
+    connection_lost: bool,
 }
 
 struct Purge {
-    told: f64,
+    announced: f64,
+    /// When it was made, Unix ms.
     at: u64,
 }
 
-/// Judges a record up to its end, at `end` ms.
-pub fn judge(facts: &[Seen], terms: Terms, end: f64) -> Verdict {
-    let mut v = Verdict::default();
-    let mut requests: BTreeMap<&str, Request> = BTreeMap::new();
-    let mut out: HashMap<&str, Vec<(&str, f64)>> = HashMap::new();
-    let mut ran: HashMap<String, usize> = HashMap::new();
-    let mut drained: HashMap<&str, f64> = HashMap::new();
-    let mut objects: HashMap<u64, Vec<Purge>> = HashMap::new();
-    let mut groups: HashMap<u32, Vec<Purge>> = HashMap::new();
-    // When the latest attempt for a request came to a member.
-    let mut came: HashMap<&str, f64> = HashMap::new();
-    let mut served = [0usize; 2];
-    let breach = |v: &mut Verdict, at: f64, what: String| {
-        if v.breaches.len() < 20 {
-            v.breaches.push(format!("{at:.0} ms: {what}"));
-        }
-    };
-    let mut killed: HashMap<u32, f64> = HashMap::new();
-    for Seen { at, fact } in facts {
-        let at = *at;
+/// An attempt in flight.
+struct Attempt<'a> {
+    member: &'a str,
+    received: f64,
+}
+
+/// The state of a judgement; times are ms since the record began.
+#[derive(Default)]
+struct Judge<'a> {
+    limits: RuleLimits,
+    verdict: Verdict,
+    requests: BTreeMap<&'a str, Request>,
+    in_flight: HashMap<&'a str, Vec<Attempt<'a>>>,
+    /// Effects by idempotency key, or by name for requests without one.
+    effects: HashMap<&'a str, usize>,
+    drained: HashMap<&'a str, f64>,
+    purged_objects: HashMap<u64, Vec<Purge>>,
+    purged_groups: HashMap<u32, Vec<Purge>>,
+    /// When a member received the latest attempt of a request.
+    last_attempt: HashMap<&'a str, f64>,
+    /// Requests served: for own objects, and cross-site ones.
+    served: [usize; 2],
+    killed: HashMap<u32, f64>,
+}
+
+impl<'a> Judge<'a> {
+    fn observe(&mut self, at: f64, fact: &'a Fact) {
         match fact {
-            Fact::Asked { name, site, home, object, group, allow, .. } => {
-                let (crosses, allow) = (site != home, *allow);
-                v.requests += 1;
-                // Its client may not have seen yet that the gateway was killed.
-                let excused = killed.get(site).is_some_and(|since| at - since < KILLED);
-                v.crossed += usize::from(crosses);
+            Fact::RequestSent { name, site, home_site, object, group, timeout_ms, .. } => {
                 let request = Request {
-                    at,
+                    sent: at,
                     site: *site,
-                    excused,
-                    crosses,
+                    // Its client may not have noticed yet that the gateway was killed.
+                    excused: self.killed.get(site).is_some_and(|since| at - since < KILL_NOTICE_MS),
+                    cross_site: site != home_site,
                     object: *object,
                     group: *group,
-                    allow,
+                    timeout_ms: *timeout_ms,
                     answers: 0,
-                    lost: false,
+                    connection_lost: false,
                 };
-                requests.insert(name, request);
-            }
-            Fact::Answered { name, outcome } => {
-                let Some(request) = requests.get_mut(name.as_str()) else { continue };
-                request.answers += 1;
-                if request.answers > 1 {
-                    v.double_answers += 1;
-                    breach(&mut v, at, format!("{name}: a second answer"));
-                    continue;
-                }
-                if at > request.at + request.allow + SLACK {
-                    v.late += 1;
-                    breach(&mut v, at, format!("{name}: answered after {:.0} ms", at - request.at));
-                }
-                match outcome {
-                    Outcome::Served(stamp) => {
-                        v.served += 1;
-                        served[usize::from(request.crosses)] += 1;
-                        v.took[usize::from(request.crosses)].push(at - request.at);
-                        match stamp {
-                            Some(stamp) if stamp.object == request.object => {
-                                // For a request that crossed the answer's time counts, for another that of the
-                                // attempt that brought it.
-                                let since = if request.crosses {
-                                    at
-                                } else {
-                                    came.get(&**name).copied().unwrap_or(at)
-                                };
-                                let voids = |all: Option<&Vec<Purge>>| {
-                                    all.into_iter()
-                                        .flatten()
-                                        .find(|p| p.at > stamp.issued && p.told + terms.purge + SLACK < since)
-                                        .map(|p| p.told)
-                                };
-                                let told =
-                                    voids(objects.get(&stamp.object)).or(voids(groups.get(&request.group)));
-                                if let Some(told) = told {
-                                    v.stale_after_purge += 1;
-                                    breach(
-                                        &mut v,
-                                        at,
-                                        format!(
-                                            "{name}: a copy older than a purge told {:.0} ms before (crossed: {})",
-                                            since - told,
-                                            request.crosses
-                                        ),
-                                    );
-                                }
-                            }
-                            _ => {
-                                v.wrong_bodies += 1;
-                                breach(&mut v, at, format!("{name}: a wrong body"));
-                            }
-                        }
-                    }
-                    Outcome::Unchanged => {
-                        v.served += 1;
-                        served[usize::from(request.crosses)] += 1;
-                    }
-                    Outcome::Refused(_) => v.refused += 1,
-                    Outcome::Failed => v.failed += 1,
-                }
+                self.request_sent(name, request);
             }
-            Fact::Recalled { name } => {
-                if let Some(request) = requests.remove(name.as_str()) {
-                    v.requests -= 1;
-                    v.crossed -= usize::from(request.crosses);
+            Fact::Answered { name, outcome } => self.answered(at, name, *outcome),
+            Fact::Withdrawn { name } => self.withdrawn(name),
+            Fact::ConnectionLost { name } => {
+                if let Some(request) = self.requests.get_mut(name.as_str()) {
+                    request.connection_lost = true;
                 }
             }
-            Fact::Lost { name } => {
-                if let Some(request) = requests.get_mut(name.as_str()) {
-                    request.lost = true;
-                }
-            }
-            Fact::Came { name, member, .. } => {
-                v.attempts += 1;
-                came.insert(name, at);
-                let all = out.entry(name).or_default();
-                all.push((member, at));
-                if let Some(since) = drained.get(member.as_str()).filter(|t| at > **t + terms.drain + SLACK) {
-                    v.sends_after_drain += 1;
-                    breach(
-                        &mut v,
-                        at,
-                        format!("{name}: came to {member} {:.0} ms after its drain", at - since),
-                    );
-                }
-            }
-            Fact::Over { name, member } => {
-                let Some(all) = out.get_mut(name.as_str()) else { continue };
-                let Some(i) = all.iter().position(|(m, _)| m == member) else { continue };
-                let (_, since) = all.remove(i);
-                // Others that began well before this one ended, and are out still.
-                let beside = all.iter().filter(|(_, other)| at - other.max(since) > SLACK).count();
-                if beside >= terms.out {
-                    v.double_attempts += 1;
-                    breach(&mut v, at, format!("{name}: {} attempts out at once", beside + 1));
-                }
-            }
-            Fact::Ran { name, key, .. } => {
-                let n = ran.entry(key.clone().unwrap_or_else(|| name.clone())).or_default();
-                *n += 1;
-                if *n > 1 {
-                    v.double_effects += 1;
-                    breach(&mut v, at, format!("{name}: ran {n} times"));
-                }
-            }
-            Fact::Drained { member } => {
-                drained.entry(member).or_insert(at);
+            Fact::AttemptReceived { name, member, .. } => self.attempt_received(at, name, member),
+            Fact::AttemptEnded { name, member } => self.attempt_ended(at, name, member),
+            Fact::EffectApplied { name, key, .. } => self.effect_applied(at, name, key.as_deref()),
+            Fact::DrainAnnounced { member } => {
+                self.drained.entry(member).or_insert(at);
             }
-            Fact::Purged { object, group, at: stamp, .. } => {
-                v.purges += 1;
-                let purge = Purge { told: at, at: *stamp };
+            Fact::PurgeAnnounced { object, group, at: made, .. } => {
+                self.verdict.purges += 1;
+                let purge = Purge { announced: at, at: *made };
                 match object {
-                    Some(object) => objects.entry(*object).or_default().push(purge),
-                    None => groups.entry(*group).or_default().push(purge),
+                    Some(object) => self.purged_objects.entry(*object).or_default().push(purge),
+                    None => self.purged_groups.entry(*group).or_default().push(purge),
                 }
             }
-            Fact::Probed { .. } => {}
-            Fact::Filled { .. } => v.fills += 1,
-            Fact::Hit { .. } => v.hits += 1,
-            Fact::Killed { site } => {
-                killed.insert(*site, at);
-                for request in requests.values_mut().filter(|r| r.site == *site && r.answers == 0) {
-                    request.excused = true;
-                    v.killed += 1;
-                }
+            Fact::HealthChecked { .. } => {}
+            Fact::Filled { .. } => self.verdict.fills += 1,
+            Fact::CacheHit { .. } => self.verdict.hits += 1,
+            Fact::GatewayKilled { site } => self.gateway_killed(at, *site),
+            Fact::LinkChanged { is_cut, .. } => self.verdict.link_cuts += usize::from(*is_cut),
+        }
+    }
+
+    fn violation(&mut self, at: f64, what: &str) {
+        if self.verdict.violations.len() < DESCRIBED_VIOLATIONS {
+            self.verdict.violations.push(format!("{at:.0} ms: {what}"));
+        }
+    }
+
+    fn request_sent(&mut self, name: &'a str, request: Request) {
+        self.verdict.requests += 1;
+        self.verdict.cross_site += usize::from(request.cross_site);
+        self.requests.insert(name, request);
+    }
+
+    fn withdrawn(&mut self, name: &str) {
+        if let Some(request) = self.requests.remove(name) {
+            self.verdict.requests -= 1;
+            self.verdict.cross_site -= usize::from(request.cross_site);
+        }
+    }
+
+    fn answered(&mut self, at: f64, name: &str, outcome: Outcome) {
+        let Some(request) = self.requests.get_mut(name) else { return };
+        request.answers += 1;
+        let latency = at - request.sent;
+        let (answers, timeout_ms, cross_site) = (request.answers, request.timeout_ms, request.cross_site);
+        if answers > 1 {
+            self.verdict.double_answers += 1;
+            self.violation(at, &format!("{name}: a second answer"));
+            return;
+        }
+        if at > self.requests[name].sent + timeout_ms + SLACK_MS {
+            self.verdict.late_answers += 1;
+            self.violation(at, &format!("{name}: answered after {latency:.0} ms"));
+        }
+        let kind = usize::from(cross_site);
+        match outcome {
+            Outcome::Served(stamp) => {
+                self.verdict.served += 1;
+                self.served[kind] += 1;
+                self.verdict.latencies_ms[kind].push(latency);
+                self.check_body(at, name, stamp);
+            }
+            Outcome::Unchanged => {
+                self.verdict.served += 1;
+                self.served[kind] += 1;
             }
-            Fact::Cut { on, .. } => v.cuts += usize::from(*on),
+            Outcome::Rejected(_) => self.verdict.rejected += 1,
+            Outcome::Failed => self.verdict.failed += 1,
         }
     }
-    for (name, request) in &requests {
-        let due = request.at + request.allow + PATIENCE < end;
-        if request.answers == 0 && !request.excused && (request.lost || due) {
-            v.unanswered += 1;
-            let how = if request.lost { "its connection ended" } else { "no answer came" };
-            breach(&mut v, request.at, format!("{name}: {how}"));
+
+    /// Checks that a body is of the requested object, and not older than a purge.
+    fn check_body(&mut self, at: f64, name: &str, stamp: Option<Stamp>) {
+        let request = &self.requests[name];
+        let Some(stamp) = stamp.filter(|stamp| stamp.object == request.object) else {
+            self.verdict.wrong_bodies += 1;
+            self.violation(at, &format!("{name}: a wrong body"));
+            return;
+        };
+        let cross_site = request.cross_site;
+        // A cross-site request is judged by the time of its answer, another by that of the attempt that brought it.
+        let since = if cross_site { at } else { self.last_attempt.get(name).copied().unwrap_or(at) };
+        let announced = self
+            .voided_by(self.purged_objects.get(&stamp.object), stamp, since)
+            .or_else(|| self.voided_by(self.purged_groups.get(&request.group), stamp, since));
+        if let Some(announced) = announced {
+            self.verdict.stale_after_purge += 1;
+            let age = since - announced;
+            let what = format!(
+                "{name}: a copy older than a purge announced {age:.0} ms before (cross-site: {cross_site})"
+            );
+            self.violation(at, &what);
         }
     }
-    let share = |served: usize, all: usize| if all == 0 { 1.0 } else { served as f64 / all as f64 };
-    v.home_share = share(served[0], v.requests - v.crossed);
-    v.crossed_share = share(served[1], v.crossed);
-    v.took.iter_mut().for_each(|all| all.sort_by(f64::total_cmp));
-    v
+
+    /// When the first purge was announced that makes a copy void at that time.
+    fn voided_by(&self, purges: Option<&Vec<Purge>>, stamp: Stamp, at: f64) -> Option<f64> {
+        purges?
+            .iter()
+            .find(|purge| purge.at > stamp.issued && purge.announced + self.limits.purge_ms + SLACK_MS < at)
+            .map(|purge| purge.announced)
+    }
+
+    fn attempt_received(&mut self, at: f64, name: &'a str, member: &'a str) {
+        self.verdict.attempts += 1;
+        self.last_attempt.insert(name, at);
+        self.in_flight.entry(name).or_default().push(Attempt { member, received: at });
+        let Some(drained) = self.drained.get(member).copied() else { return };
+        if at > drained + self.limits.drain_ms + SLACK_MS {
+            self.verdict.sends_after_drain += 1;
+            let late = at - drained;
+            self.violation(at, &format!("{name}: came to {member} {late:.0} ms after its drain"));
+        }
+    }
+
+    fn attempt_ended(&mut self, at: f64, name: &str, member: &str) {
+        let Some(attempts) = self.in_flight.get_mut(name) else { return };
+        let Some(index) = attempts.iter().position(|attempt| attempt.member == member) else { return };
+        let ended = attempts.remove(index);
+        // Others that began well before this one ended, and are still in flight.
+        let others =
+            attempts.iter().filter(|other| at - other.received.max(ended.received) > SLACK_MS).count();
+        if others >= self.limits.concurrent_attempts {
+            self.verdict.double_attempts += 1;
+            self.violation(at, &format!("{name}: {} attempts in flight at once", others + 1));
+        }
+    }
+
+    fn effect_applied(&mut self, at: f64, name: &'a str, key: Option<&'a str>) {
+        let effects = self.effects.entry(key.unwrap_or(name)).or_default();
+        *effects += 1;
+        let effects = *effects;
+        if effects > 1 {
+            self.verdict.double_effects += 1;
+            self.violation(at, &format!("{name}: took effect {effects} times"));
+        }
+    }
+
+    fn gateway_killed(&mut self, at: f64, site: u32) {
+        self.killed.insert(site, at);
+        for request in self.requests.values_mut().filter(|r| r.site == site && r.answers == 0) {
+            request.excused = true;
+            self.verdict.killed += 1;
+        }
+    }
+
+    fn finish(mut self, end: f64) -> Verdict {
+        for (name, request) in std::mem::take(&mut self.requests) {
+            let overdue = request.sent + request.timeout_ms + ANSWER_WAIT_MS < end;
+            if request.answers == 0 && !request.excused && (request.connection_lost || overdue) {
+                self.verdict.unanswered += 1;
+                let how = if request.connection_lost { "its connection ended" } else { "no answer came" };
+                self.violation(request.sent, &format!("{name}: {how}"));
+            }
+        }
+        let mut verdict = self.verdict;
+        verdict.home_served_share = share(self.served[0], verdict.requests - verdict.cross_site);
+        verdict.cross_site_served_share = share(self.served[1], verdict.cross_site);
+        verdict.latencies_ms.iter_mut().for_each(|latencies| latencies.sort_by(f64::total_cmp));
+        verdict
+    }
+}
+
+fn share(part: usize, all: usize) -> f64 {
+    if all == 0 { 1.0 } else { part as f64 / all as f64 }
 }
--- a/crates/deckproxy/tests/closing.rs
+++ b/crates/deckproxy/tests/closing.rs
@@ -17,56 +17,56 @@
 fn proven(gateway: &Gateway) -> Client {
     let mut client = gateway.client();
     let ping = client.ping();
-    assert_eq!(client.answer(), (ping, Answer::Ready(true)));
+    assert_eq!(client.next_answer(), (ping, Answer::Ready(true)));
     client
 }
 
 #[test]
 fn a_client_that_has_just_asked_makes_room_for_nobody() {
-    let world = World::start();
+    let world = TestSite::start();
     let mut setup = world.setup();
     // Ten places for clients, one of which is kept free.
     setup.sockets = 30;
     let gateway = setup.start();
     let mut oldest = proven(&gateway);
     let _others: Vec<Client> = (0..8).map(|_| proven(&gateway)).collect();
-    gateway.freeze();
+    gateway.pause();
     // The newcomer is looked at first; the request of the one idle for longest lies beside it.
     let mut newcomer = gateway.client();
     let ping = newcomer.ping();
-    let id = oldest.get(OBJECT);
-    gateway.thaw();
-    let (cache, ask) = world.ask();
+    let id = oldest.request_object(OBJECT);
+    gateway.resume();
+    let (cache, ask) = world.next_request();
     cache.answer(&ask, "200", b"there");
-    oldest.served(id, b"there");
-    assert_eq!(newcomer.answer(), (ping, Answer::Ready(true)), "another made room");
+    oldest.expect_served(id, b"there");
+    assert_eq!(newcomer.next_answer(), (ping, Answer::Ready(true)), "another made room");
 }
 
 #[test]
 fn what_came_before_the_end_is_answered_however_many_come_at_once() {
-    let world = World::start();
+    let world = TestSite::start();
     let mut gateway = world.setup().start();
     // More than have their turn before the loop looks on.
     let mut resting: Vec<Client> = (0..150).map(|_| proven(&gateway)).collect();
     let start = Instant::now();
     gateway.signal("TERM");
     until("it is told", || gateway.log().contains("told to end"));
-    gateway.freeze();
-    let ids: Vec<u64> = resting.iter_mut().map(|client| client.get(OBJECT)).collect();
+    gateway.pause();
+    let ids: Vec<u64> = resting.iter_mut().map(|client| client.request_object(OBJECT)).collect();
     assert!(start.elapsed() < Duration::from_millis(600), "they came in time");
     until("the time for stragglers is over", || start.elapsed() > Duration::from_millis(750));
-    gateway.thaw();
+    gateway.resume();
     for (client, id) in resting.iter_mut().zip(ids) {
-        client.error(id, "Shed");
-        client.closed_cleanly();
+        client.expect_error(id, "Shed");
+        client.expect_clean_close();
     }
-    assert_eq!(gateway.ended(), Some(0));
+    assert_eq!(gateway.wait_for_exit(), Some(0));
 }
 
 /// Housekeeping has its turn while more wait to be read than one turn serves.
 #[test]
 fn what_comes_in_the_moment_of_the_idle_time_out_is_answered() {
-    let world = World::start();
+    let world = TestSite::start();
     let gateway = world.setup().start();
     let start = Instant::now();
     let mut resting: Vec<Client> = (0..150).map(|_| proven(&gateway)).collect();
@@ -74,54 +74,54 @@
     until_in(Duration::from_secs(12), "they have rested for nearly so long", || {
         start.elapsed() > Duration::from_millis(9600)
     });
-    gateway.freeze();
+    gateway.pause();
     assert!(start.elapsed() < Duration::from_millis(10_000), "none was closed yet");
     let pings: Vec<u64> = resting.iter_mut().map(Client::ping).collect();
     until_in(Duration::from_secs(12), "the time-out of all has passed", || {
         all_rest.elapsed() > Duration::from_millis(10_100)
     });
-    gateway.thaw();
+    gateway.resume();
     for (client, id) in resting.iter_mut().zip(pings) {
-        assert_eq!(client.answer(), (id, Answer::Ready(true)));
+        assert_eq!(client.next_answer(), (id, Answer::Ready(true)));
     }
 }
 
 #[test]
 fn half_a_request_read_before_the_end_is_answered_once_the_rest_comes() {
-    let world = World::start();
+    let world = TestSite::start();
     let mut gateway = world.setup().start();
     let mut client = proven(&gateway);
     let start = Instant::now();
     gateway.signal("TERM");
     until("it is told", || gateway.log().contains("told to end"));
-    let (id, bytes) = client.encode("page", &[("lookup", OBJECT)], &[]);
+    let (id, bytes) = client.encode_request("page", &[("lookup", OBJECT)], &[]);
     client.send(&bytes[..20]);
     until("the time for stragglers is over", || start.elapsed() > Duration::from_millis(900));
     client.send(&bytes[20..]);
-    client.error(id, "Shed");
-    client.closed_cleanly();
-    assert_eq!(gateway.ended(), Some(0));
+    client.expect_error(id, "Shed");
+    client.expect_clean_close();
+    assert_eq!(gateway.wait_for_exit(), Some(0));
 }
 
 #[test]
 fn half_a_request_that_never_gets_its_rest_holds_up_no_end() {
-    let world = World::start();
+    let world = TestSite::start();
     let mut gateway = world.setup().start();
     let mut client = proven(&gateway);
-    let (_, bytes) = client.encode("page", &[("lookup", OBJECT)], &[]);
+    let (_, bytes) = client.encode_request("page", &[("lookup", OBJECT)], &[]);
     client.send(&bytes[..20]);
     let start = Instant::now();
     gateway.signal("TERM");
-    assert_eq!(gateway.ended(), Some(0));
+    assert_eq!(gateway.wait_for_exit(), Some(0));
     // SIGKILL would come 3.7 s after SIGTERM.
     assert!(start.elapsed() < Duration::from_millis(3500), "{:?}", start.elapsed());
-    client.closed_cleanly();
+    client.expect_clean_close();
 }
 
 /// Somebody always waits to be accepted, and those who were accepted came a moment ago.
 #[test]
 fn told_to_end_while_idle_clients_come_without_end_it_ends_in_time() {
-    let world = World::start();
+    let world = TestSite::start();
     let mut setup = world.setup();
     // Ten places for clients.
     setup.sockets = 30;
@@ -144,7 +144,7 @@
             });
         }
         let end = Instant::now() + Duration::from_secs(5);
-        let is_full = |gateway: &Gateway| gateway.usage().1 >= 15;
+        let is_full = |gateway: &Gateway| gateway.usage().descriptors >= 15;
         while !is_full(&gateway) && Instant::now() < end {
             thread::sleep(Duration::from_millis(2));
         }
@@ -166,31 +166,31 @@
 
 #[test]
 fn told_twice_to_end_and_to_read_its_configuration_it_ends_as_told_once() {
-    let world = World::start();
+    let world = TestSite::start();
     let mut gateway = world.setup().start();
     let mut client = gateway.client();
-    let id = client.get(OBJECT);
-    let (cache, ask) = world.ask();
-    gateway.freeze();
+    let id = client.request_object(OBJECT);
+    let (cache, ask) = world.next_request();
+    gateway.pause();
     ["TERM", "HUP", "TERM"].into_iter().for_each(|signal| gateway.signal(signal));
-    gateway.thaw();
+    gateway.resume();
     until("it is told", || gateway.log().contains("told to end"));
     gateway.signal("TERM");
     gateway.signal("HUP");
     cache.answer(&ask, "200", b"kept");
-    client.served(id, b"kept");
-    client.closed_cleanly();
-    assert_eq!(gateway.ended(), Some(0));
+    client.expect_served(id, b"kept");
+    client.expect_clean_close();
+    assert_eq!(gateway.wait_for_exit(), Some(0));
 }
 
 #[test]
 fn a_flood_behind_what_can_not_be_used_takes_back_no_answer() {
-    let world = World::start();
+    let world = TestSite::start();
     let gateway = world.setup().start();
     let mut client = gateway.client();
-    let id = client.get(OBJECT);
-    let (cache, ask) = world.ask();
-    let mut handle = client.handle();
+    let id = client.request_object(OBJECT);
+    let (cache, ask) = world.next_request();
+    let mut handle = client.stream_handle();
     let flood = thread::spawn(move || {
         let mut written = handle.write_all(b"\xc1");
         for _ in 0..256 {
@@ -201,23 +201,23 @@
     until("the rest is of no use", || gateway.log().contains("a client's connection closes"));
     flood.join().unwrap().expect("16 MB are taken off, as an answer is owed");
     cache.answer(&ask, "200", &vec![3; 200_000]);
-    client.served(id, &vec![3; 200_000]);
-    client.closed_cleanly();
+    client.expect_served(id, &vec![3; 200_000]);
+    client.expect_clean_close();
 }
 
 /// All is written and the connection shut, but most of the answer waits in the gateway's kernel for its slow reader.
 #[test]
 fn who_goes_on_sending_and_reads_slowly_has_its_answer_before_the_close() {
-    let world = World::start();
+    let world = TestSite::start();
     let gateway = world.setup().start();
     let mut client = gateway.client();
-    socket2::SockRef::from(&client.handle()).set_recv_buffer_size(8 * 1024).unwrap();
-    let id = client.get(OBJECT);
-    let (cache, ask) = world.ask();
+    socket2::SockRef::from(&client.stream_handle()).set_recv_buffer_size(8 * 1024).unwrap();
+    let id = client.request_object(OBJECT);
+    let (cache, ask) = world.next_request();
     client.send(b"\xc1");
     until("the rest is of no use", || gateway.log().contains("a client's connection closes"));
     cache.answer(&ask, "200", &vec![3; 200_000]);
-    let mut handle = client.handle();
+    let mut handle = client.stream_handle();
     handle.peek(&mut [0]).unwrap();
     // Three times as long as a quiet one has to close its side.
     let start = Instant::now();
@@ -225,27 +225,27 @@
         handle.write_all(&[0; 1024]).expect("it is taken off and not answered with a reset");
         thread::sleep(Duration::from_millis(10));
     }
-    client.served(id, &vec![3; 200_000]);
-    client.closed_cleanly();
+    client.expect_served(id, &vec![3; 200_000]);
+    client.expect_clean_close();
 }
 
 #[test]
 fn what_was_asked_before_a_message_that_stays_half_is_answered() {
-    let world = World::start();
+    let world = TestSite::start();
     let mut setup = world.setup();
     setup.settings["services"][0]["deadlineMs"] = serde_json::json!(9000.0);
     let gateway = setup.start();
     let mut client = gateway.client();
-    let id = client.call("page", &[("lookup", OBJECT), ("allow", "9000")], &[]);
-    let (cache, ask) = world.ask();
-    let (_, bytes) = client.encode("page", &[("lookup", OBJECT)], &[]);
+    let id = client.send_request("page", &[("lookup", OBJECT), ("allow", "9000")], &[]);
+    let (cache, ask) = world.next_request();
+    let (_, bytes) = client.encode_request("page", &[("lookup", OBJECT)], &[]);
     client.send(&bytes[..20]);
     until("the connection is to close", || gateway.log().contains("keeps a message waiting"));
     // Longer than a connection that closes and owes nothing is kept.
     thread::sleep(Duration::from_millis(1700));
     cache.answer(&ask, "200", b"owed");
-    client.served(id, b"owed");
-    client.closed_cleanly();
+    client.expect_served(id, b"owed");
+    client.expect_clean_close();
 }
 
 #[test]
--- a/crates/deckproxy/tests/cold.rs
+++ b/crates/deckproxy/tests/cold.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::*;
-use deckproxy_standins::bounds::{ColdCalls, ColdMember};
+use deckproxy_standins::limit_checkers::{SlowStartChecker, SlowStartLimits};
 use serde_json::{Value, json};
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -35,7 +35,7 @@
         let on = running.clone();
         let thread = thread::spawn(move || {
             while on.load(Ordering::SeqCst) {
-                let Some(ask) = member.maybe_ask() else { continue };
+                let Some(ask) = member.request_if_any() else { continue };
                 let source = ask.field("miss").map(str::to_string);
                 came.lock().unwrap().push((unix_ms() as f64, member.id.clone(), source.clone()));
                 let misses = source.is_none() && member.id.starts_with("s-c");
@@ -72,21 +72,21 @@
         let mut client = gateway.client();
         // It says something at once: the others start before it asks, and who stays silent for 2 s is closed.
         let ping = client.ping();
-        assert_eq!(client.answer(), (ping, Answer::Ready(true)));
+        assert_eq!(client.next_answer(), (ping, Answer::Ready(true)));
         Process { gateway, client, ids: Vec::new(), objects: (number as u64 + 1) << 32 }
     }
 
     fn ask(&mut self) {
         self.objects += 0x9e37_79b9;
         let fields = [("lookup", &*format!("{:016x}", self.objects)), ("room", "100"), ("allow", "1000")];
-        let id = self.client.call("page", &fields, &[]);
+        let id = self.client.send_request("page", &fields, &[]);
         self.ids.push(id);
     }
 
     /// Waits for the final answers to all that was asked.
     fn settle(&mut self) {
         for _ in self.ids.drain(..) {
-            self.client.answer();
+            self.client.next_answer();
         }
     }
 }
@@ -107,7 +107,7 @@
         for i in 0..PROCESSES {
             let gateway = fleet.setup(i, &[]).start();
             fleet.all.push(Process::new(gateway, i));
-            fleet.lines.push(fleet.feed.sub().1);
+            fleet.lines.push(fleet.feed.accept().1);
         }
         fleet
     }
@@ -167,7 +167,7 @@
         thread::sleep(at.saturating_sub(start.elapsed()));
         for (i, process) in fleet.all.iter_mut().enumerate() {
             if step == 10 * (i as u32 % 5) {
-                tell(&fleet.lines[i], &event);
+                send_line(&fleet.lines[i], &event);
             }
             // The busiest has some ten times the traffic of the quietest.
             if step % (5 + 2 * i as u32) == 0 {
@@ -185,17 +185,24 @@
     (0..SURGE).for_each(|_| fleet.all.iter_mut().for_each(Process::ask));
     fleet.all.iter_mut().for_each(Process::settle);
 
-    let mut judge = ColdCalls::default();
+    let mut judge = SlowStartChecker::default();
     for (at, member, source) in came.lock().unwrap().iter() {
         if *member == cold.id || source.as_ref() == Some(&cold.id) {
-            judge.came(*at, WORK);
+            judge.record_call(*at, WORK);
         }
     }
     let (from, multiple) = if cold_is_a_parent { (0.1, 2.0) } else { (0.2, 3.0) };
     let (started, ramp, window) = (since as f64, 300_000.0, 500.0);
-    let bears = ColdMember { started, weight: size, from, ramp, multiple, window };
-    assert_eq!(judge.fall(bears), None, "{} calls came", judge.work() / WORK);
-    assert!(judge.work() >= 3.0 * WORK, "it is used: {} calls", judge.work() / WORK);
+    let bears = SlowStartLimits {
+        started_ms: started,
+        capacity: size,
+        initial_share: from,
+        ramp_ms: ramp,
+        multiple,
+        window_ms: window,
+    };
+    assert_eq!(judge.first_overload(bears), None, "{} calls came", judge.total_work_ms() / WORK);
+    assert!(judge.total_work_ms() >= 3.0 * WORK, "it is used: {} calls", judge.total_work_ms() / WORK);
 }
 
 #[test]
--- a/crates/deckproxy/tests/drains.rs
+++ b/crates/deckproxy/tests/drains.rs
@@ -16,23 +16,23 @@
 }
 
 /// Waits until a purge told behind it binds: by then the gateway has heard all that was told before.
-fn heard(world: &World, client: &mut Client, line: &std::net::TcpStream, number: u64) {
+fn heard(world: &TestSite, client: &mut Client, line: &std::net::TcpStream, number: u64) {
     let group = 200 + number;
-    tell(line, &json!({"n": number, "purge": {"group": group, "at": unix_ms()}}));
+    send_line(line, &json!({"n": number, "purge": {"group": group, "at": unix_ms()}}));
     until("what was told before is known", || {
         let fields = [("lookup", "0000000000000001"), ("bucket", &*group.to_string())];
-        let id = client.call("page", &fields, &[]);
-        let (cache, ask) = world.ask();
+        let id = client.send_request("page", &fields, &[]);
+        let (cache, ask) = world.next_request();
         cache.answer(&ask, "200", b"x");
-        client.served(id, b"x");
+        client.expect_served(id, b"x");
         ask.field("within").is_some()
     });
 }
 
 #[test]
 fn an_attempt_whose_connection_comes_up_after_the_members_drain_is_not_written() {
-    let world = World::start();
-    let mut late = Late::start();
+    let world = TestSite::start();
+    let mut late = StalledListener::start();
     let feed = Feed::start();
     let mut setup = world.setup();
     let slow = entry("s-00000009", late.address, "hub", "origin", "Ready");
@@ -46,20 +46,20 @@
     setup.settings["services"][2]["deadlineMs"] = json!(3000.0);
     setup.feed = feed.address;
     let gateway = setup.start();
-    let (_, line) = feed.sub();
+    let (_, line) = feed.accept();
     let mut client = gateway.client();
-    let id = client.call("once", &[("lookup", OBJECT), ("allow", "3000")], b"waits");
-    late.awaited();
+    let id = client.send_request("once", &[("lookup", OBJECT), ("allow", "3000")], b"waits");
+    late.wait_for_handshake();
     let drain = entry("s-00000009", late.address, "hub", "origin", "Terminating");
-    tell(&line, &news(2, &drain));
+    send_line(&line, &news(2, &drain));
     let told = Instant::now();
-    let mut up = late.come_up();
+    let mut up = late.accept();
     assert!(told.elapsed() > GRACE, "it came up after the drain's time: {:?}", told.elapsed());
     up.set_read_timeout(Some(Duration::from_millis(500))).unwrap();
     let got = up.read(&mut [0; 64]);
     assert!(!matches!(got, Ok(1..)), "written after the drain: {got:?}");
     // It never ran: so a new try does no harm, or another way was found.
-    let answered = client.answer();
+    let answered = client.next_answer();
     assert!(
         answered.0 == id && matches!(&answered.1, Answer::Error(word, _) if word == "Shed"),
         "{answered:?}"
@@ -68,51 +68,52 @@
 
 #[test]
 fn a_fill_that_goes_again_does_not_name_the_parent_that_drains_meanwhile() {
-    let world = World::start();
-    let Fed { gateway: _gateway, mut client, line, .. } = world.fed();
-    let id = client.get(OBJECT);
-    let (cache, ask) = world.ask();
+    let world = TestSite::start();
+    let SubscribedGateway { gateway: _gateway, mut client, subscription: line, .. } =
+        world.start_subscribed();
+    let id = client.request_object(OBJECT);
+    let (cache, ask) = world.next_request();
     cache.answer(&ask, "404", &[]);
-    let fill = cache.ask();
+    let fill = cache.next_request();
     assert_eq!(fill.field("miss"), Some(&*world.parent.id));
-    tell(&line, &news(2, &world.parent.entry("hub", "parent", "Terminating")));
+    send_line(&line, &news(2, &world.parent.entry("hub", "parent", "Terminating")));
     let told = Instant::now();
-    let mut other = Client::connect(client.handle().peer_addr().unwrap());
+    let mut other = Client::connect(client.stream_handle().peer_addr().unwrap());
     heard(&world, &mut other, &line, 3);
     until("the drain's time is over", || told.elapsed() > GRACE);
     cache.answer(&fill, "500", &[]);
     // It goes again at the cache, whose source is taken to have failed, and by way of the origin.
-    let next = cache.ask();
+    let next = cache.next_request();
     assert_eq!((next.id.as_str(), next.field("miss")), (fill.id.as_str(), Some(&*world.origin.id)));
     cache.answer(&next, "200", b"filled");
-    client.served(id, b"filled");
-    assert!(world.parent.maybe_ask().is_none(), "the parent that drains was asked");
+    client.expect_served(id, b"filled");
+    assert!(world.parent.request_if_any().is_none(), "the parent that drains was asked");
 }
 
 #[test]
 fn the_lead_passed_on_goes_to_no_cache_that_drains_meanwhile() {
-    let world = World::start();
-    let Fed { gateway, client: mut leader, line, .. } = world.fed();
-    leader.get(OBJECT);
-    let (cache, ask) = world.ask();
+    let world = TestSite::start();
+    let SubscribedGateway { gateway, client: mut leader, subscription: line, .. } = world.start_subscribed();
+    leader.request_object(OBJECT);
+    let (cache, ask) = world.next_request();
     cache.answer(&ask, "404", &[]);
-    let fill = cache.ask();
+    let fill = cache.next_request();
     let mut waiter = gateway.client();
-    let id = waiter.get(OBJECT);
-    let look_up = cache.ask();
+    let id = waiter.request_object(OBJECT);
+    let look_up = cache.next_request();
     cache.answer(&look_up, "404", &[]);
-    until("it waits", || cache.maybe_ask().is_none());
-    tell(&line, &news(2, &cache.entry("edge", "box", "Terminating")));
+    until("it waits", || cache.request_if_any().is_none());
+    send_line(&line, &news(2, &cache.entry("edge", "box", "Terminating")));
     let told = Instant::now();
     let mut other = gateway.client();
     heard(&world, &mut other, &line, 3);
     until("the drain's time is over", || told.elapsed() > GRACE);
     drop(leader);
-    cache.quit(&fill.id);
+    cache.expect_cancelled(&fill.id);
     // The waiter leads, at the other cache, from wherever that fills by now.
-    let next = world.other(cache).ask();
+    let next = world.other_cache(cache).next_request();
     assert!(next.id == look_up.id && next.field("miss").is_some(), "{next:?}");
-    world.other(cache).answer(&next, "200", b"filled");
-    waiter.served(id, b"filled");
-    assert!(cache.maybe_ask().is_none(), "the cache that drains was asked");
+    world.other_cache(cache).answer(&next, "200", b"filled");
+    waiter.expect_served(id, b"filled");
+    assert!(cache.request_if_any().is_none(), "the cache that drains was asked");
 }
