--- a/crates/deckproxy/tests/feed.rs
+++ b/crates/deckproxy/tests/feed.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use deckproxy_standins::bounds::Filled;
+use deckproxy_standins::limit_checkers::DescriptorExhaustionChecker;
 use serde_json::json;
 use std::io::{Read, Write};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,17 +16,17 @@
 }
 
 /// Whether what is sent for a group now is bound by a purge.
-fn is_bound(world: &World, client: &mut Client, group: u32) -> bool {
-    let id = client.call("page", &[("lookup", OBJECT), ("bucket", &group.to_string())], &[]);
-    let (cache, ask) = world.ask();
+fn is_bound(world: &TestSite, client: &mut Client, group: u32) -> bool {
+    let id = client.send_request("page", &[("lookup", OBJECT), ("bucket", &group.to_string())], &[]);
+    let (cache, ask) = world.next_request();
     cache.answer(&ask, "200", b"x");
-    client.served(id, b"x");
+    client.expect_served(id, b"x");
     ask.field("within").is_some()
 }
 
 #[test]
 fn a_gateway_is_ready_and_serves_without_the_feed() {
-    let world = World::start();
+    let world = TestSite::start();
     let gateway = world.setup().start();
     let mut client = gateway.client();
     assert!(!is_bound(&world, &mut client, 1));
@@ -34,15 +34,16 @@
 
 #[test]
 fn a_cut_feed_is_resumed_after_the_last_event() {
-    let world = World::start();
-    let Fed { gateway: _gateway, mut client, feed, line } = world.fed();
-    tell(&line, &purge(2, 5));
+    let world = TestSite::start();
+    let SubscribedGateway { gateway: _gateway, mut client, feed, subscription: line } =
+        world.start_subscribed();
+    send_line(&line, &purge(2, 5));
     until("the purge is known", || is_bound(&world, &mut client, 5));
     drop(line);
-    let (from, line) = feed.sub();
+    let (from, line) = feed.accept();
     assert_eq!(from, 2);
     // Told again, or cut in pieces: it counts once and whole.
-    tell(&line, &purge(2, 6));
+    send_line(&line, &purge(2, 6));
     let text = format!("{}\n", purge(3, 7));
     let (a, b) = text.split_at(20);
     (&line).write_all(a.as_bytes()).unwrap();
@@ -53,54 +54,56 @@
 
 #[test]
 fn missing_events_are_asked_for_again_once() {
-    let world = World::start();
-    let Fed { gateway: _gateway, mut client, feed, line } = world.fed();
-    tell(&line, &purge(4, 5));
-    let (from, line) = feed.sub();
+    let world = TestSite::start();
+    let SubscribedGateway { gateway: _gateway, mut client, feed, subscription: line } =
+        world.start_subscribed();
+    send_line(&line, &purge(4, 5));
+    let (from, line) = feed.accept();
     assert_eq!(from, 1, "2 and 3 are missing");
     // The feed has them no more: what follows still counts.
-    tell(&line, &purge(4, 5));
+    send_line(&line, &purge(4, 5));
     until("the purge is known", || is_bound(&world, &mut client, 5));
     // A heartbeat with a later number tells of missing ones too.
-    tell(&line, &json!(9));
-    let (from, line) = feed.sub();
+    send_line(&line, &json!(9));
+    let (from, line) = feed.accept();
     assert_eq!(from, 4);
     for number in 5..=9 {
-        tell(&line, &purge(number, 10));
+        send_line(&line, &purge(number, 10));
     }
     until("the purges are known", || is_bound(&world, &mut client, 10));
 }
 
 #[test]
 fn lines_that_can_not_be_read_are_dropped_and_the_rest_counts() {
-    let world = World::start();
-    let Fed { gateway: _gateway, mut client, line, .. } = world.fed();
+    let world = TestSite::start();
+    let SubscribedGateway { gateway: _gateway, mut client, subscription: line, .. } =
+        world.start_subscribed();
     for bad in ["", "{", "[[[[", "{\"n\":-1}", "\u{0}\u{1}", "{\"purge\":{}}", "nonsense"] {
         (&line).write_all(format!("{bad}\n").as_bytes()).unwrap();
     }
-    tell(&line, &json!({"n": 2, "purge": {"key": "no hex", "at": 1}}));
-    tell(&line, &json!({"n": 3, "members": {"complete": true}}));
-    tell(&line, &json!({"n": 4, "members": {"complete": false, "members": [{"id": "s,1"}, 7, {}]}}));
-    tell(&line, &json!({"n": 5, "later": {"version": 2}}));
-    tell(&line, &purge(6, 5));
+    send_line(&line, &json!({"n": 2, "purge": {"key": "no hex", "at": 1}}));
+    send_line(&line, &json!({"n": 3, "members": {"complete": true}}));
+    send_line(&line, &json!({"n": 4, "members": {"complete": false, "members": [{"id": "s,1"}, 7, {}]}}));
+    send_line(&line, &json!({"n": 5, "later": {"version": 2}}));
+    send_line(&line, &purge(6, 5));
     until("the purge is known", || is_bound(&world, &mut client, 5));
 }
 
 #[test]
 fn a_feed_that_falls_silent_is_connected_anew() {
-    let world = World::start();
+    let world = TestSite::start();
     let feed = Feed::start();
     let mut setup = world.setup();
     setup.feed = feed.address;
     let _gateway = setup.start();
-    let (_, line) = feed.sub();
+    let (_, line) = feed.accept();
     let start = Instant::now();
     // A few heartbeats keep it; then none comes.
     for _ in 0..3 {
-        tell(&line, &json!(1));
+        send_line(&line, &json!(1));
         std::thread::sleep(Duration::from_millis(300));
     }
-    let (from, _second) = feed.sub();
+    let (from, _second) = feed.accept();
     assert_eq!(from, 1);
     assert!(start.elapsed() > Duration::from_millis(2200), "{:?}", start.elapsed());
     // The old connection is closed.
@@ -110,13 +113,13 @@
 
 #[test]
 fn a_feed_that_refuses_is_tried_again_and_again() {
-    let world = World::start();
+    let world = TestSite::start();
     let feed = Feed::start();
     let mut setup = world.setup();
     setup.feed = feed.address;
     let gateway = setup.start();
     for _ in 0..5 {
-        let (from, line) = feed.sub();
+        let (from, line) = feed.accept();
         assert_eq!(from, 1);
         drop(line);
     }
@@ -127,13 +130,13 @@
 /// It was taken for silent before it could have said anything, and so was each one after it.
 #[test]
 fn a_watch_that_is_slow_to_come_up_has_its_time_from_then_on() {
-    let world = World::start();
-    let mut late = Late::start();
+    let world = TestSite::start();
+    let mut late = StalledListener::start();
     let mut setup = world.setup();
     setup.feed = late.address;
     let _gateway = setup.start();
     // Up at the handshake's second try, after a second; the first line comes 1.9 s after that.
-    let mut line = late.come_up();
+    let mut line = late.accept();
     let mut subscription = [0; 6];
     line.set_read_timeout(Some(PATIENCE)).unwrap();
     line.read_exact(&mut subscription).unwrap();
@@ -147,20 +150,20 @@
 /// down and when it is back.
 #[test]
 fn idle_clients_that_hold_all_descriptors_leave_one_for_the_watch_and_for_newcomers() {
-    let world = World::start();
+    let world = TestSite::start();
     let mut setup = world.setup();
     let at = free_address();
     setup.feed = at;
-    let gateway = setup.start_under("ulimit -n 32");
+    let gateway = setup.start_limited("ulimit -n 32");
     let mut idle: Vec<Client> = Vec::new();
     until("none is left", || {
         let mut client = gateway.client();
         let id = client.ping();
-        assert_eq!(client.answer(), (id, Answer::Ready(true)));
+        assert_eq!(client.next_answer(), (id, Answer::Ready(true)));
         idle.push(client);
-        gateway.usage().1 >= 32
+        gateway.usage().descriptors >= 32
     });
-    let mut judge = Filled::default();
+    let mut judge = DescriptorExhaustionChecker::default();
     let (filling, caches) = (AtomicBool::new(true), AtomicBool::new(true));
     thread::scope(|scope| {
         // As many again come whenever one was closed.
@@ -179,7 +182,7 @@
         let caches = &caches;
         scope.spawn(move || {
             while caches.load(Ordering::SeqCst) {
-                let asked = world.maybe_ask();
+                let asked = world.request_if_any();
                 asked.into_iter().for_each(|(cache, ask)| cache.try_answer(&ask, "200", b"there"));
             }
         });
@@ -189,18 +192,18 @@
             if n == 20 {
                 discovery = Some(std::net::TcpListener::bind(at).unwrap());
                 discovery.iter().for_each(|l| l.set_nonblocking(true).unwrap());
-                judge.back(unix_ms() as f64);
+                judge.discovery_restored(unix_ms() as f64);
             }
-            judge.newcomer(asks_in_time(&gateway));
+            judge.record_newcomer(asks_in_time(&gateway));
             if let Some(got) = discovery.as_ref().filter(|_| line.is_none()).and_then(|l| l.accept().ok()) {
-                judge.watched(unix_ms() as f64);
+                judge.discovery_watched(unix_ms() as f64);
                 line = Some(got);
             }
         }
         let end = Instant::now() + PATIENCE;
         while line.is_none() && Instant::now() < end {
             line = discovery.as_ref().and_then(|l| l.accept().ok());
-            line.iter().for_each(|_| judge.watched(unix_ms() as f64));
+            line.iter().for_each(|_| judge.discovery_watched(unix_ms() as f64));
             thread::sleep(Duration::from_millis(2));
         }
         filling.store(false, Ordering::SeqCst);
@@ -216,23 +219,23 @@
 /// first message. The try was given up, and so was each later one that found such a moment.
 #[test]
 fn a_watch_gets_its_descriptor_where_all_clients_came_a_moment_ago() {
-    let world = World::start();
+    let world = TestSite::start();
     let mut setup = world.setup();
     let at = free_address();
     setup.feed = at;
-    let gateway = setup.start_under("ulimit -n 32");
+    let gateway = setup.start_limited("ulimit -n 32");
     let refusals = || gateway.log().matches("control feed: Connection refused").count();
     // From the sixth on the tries are a second apart.
     until("its tries are a second apart", || refusals() >= 6);
     let tried = refusals();
     until("the next one has just been", || refusals() > tried);
     let start = Instant::now();
-    gateway.freeze();
+    gateway.pause();
     let discovery = std::net::TcpListener::bind(at).unwrap();
     discovery.set_nonblocking(true).unwrap();
     let _silent: Vec<_> = (0..40).map(|_| std::net::TcpStream::connect(gateway.address).unwrap()).collect();
     until("its next try is nearly due", || start.elapsed() > Duration::from_millis(970));
-    gateway.thaw();
+    gateway.resume();
     until("discovery is watched", || discovery.accept().is_ok());
     assert!(start.elapsed() < Duration::from_millis(1900), "not at its first try: {:?}", start.elapsed());
 }
@@ -240,8 +243,8 @@
 /// An honest newcomer: whether it is served before its time is over.
 fn asks_in_time(gateway: &Gateway) -> bool {
     let mut client = gateway.client();
-    let (_, bytes) = client.encode("page", &[("lookup", OBJECT)], &[]);
-    let mut handle = client.handle();
+    let (_, bytes) = client.encode_request("page", &[("lookup", OBJECT)], &[]);
+    let mut handle = client.stream_handle();
     handle.set_read_timeout(Some(Duration::from_millis(1200))).unwrap();
     let sent = handle.write_all(&bytes);
     sent.is_ok() && matches!(handle.read(&mut [0; 256]), Ok(1..))
--- a/crates/deckproxy/tests/fleet.rs
+++ b/crates/deckproxy/tests/fleet.rs
@@ -4,17 +4,17 @@
 use deckproxy_rig::judge::{Figures, judge};
 use deckproxy_rig::plan::{Plan, Trouble, What};
 use deckproxy_rig::play::{Played, Rig};
-use deckproxy_standins::caller::{Draw, Wish};
+use deckproxy_standins::load_client::{RequestGenerator, RequestSpec};
 use deckproxy_standins::record::{Fact, Seen};
 use rand::RngExt;
 use std::net::UdpSocket;
 use std::sync::Arc;
 
-fn draw() -> Draw {
+fn draw() -> RequestGenerator {
     Arc::new(|rng| {
         let object = rng.random_range(0..200u64) * 0x0101_0101_0101;
         let class = if rng.random_bool(0.05) { "post" } else { "page" };
-        Wish { class, object, group: 3, home: 0, allow: 1400 }
+        RequestSpec { class, object, group: 3, home_site: 0, timeout_ms: 1400 }
     })
 }
 
@@ -42,7 +42,7 @@
 fn sound(rig: Rig) -> (Played, Figures) {
     let played = rig.finish();
     let figures = judge(&played);
-    assert!(figures.verdict.holds(), "{:#?}", figures.verdict.breaches);
+    assert!(figures.verdict.holds(), "{:#?}", figures.verdict.violations);
     assert!(figures.verdict.served > 0, "clients were served");
     assert_eq!(played.wrongs, Vec::<String>::new());
     assert!(figures.probe_ratio_max < 2.0, "{} times the probes", figures.probe_ratio_max);
@@ -83,8 +83,10 @@
     };
     // An instance that goes on with what was taken over: its probes come on top.
     let more = spoilt(&|p| {
-        let probe =
-            |i: usize| Seen { at: middle + i as f64 * 100.0, fact: Fact::Probed { member: member.clone() } };
+        let probe = |i: usize| Seen {
+            at: middle + i as f64 * 100.0,
+            fact: Fact::HealthChecked { member: member.clone() },
+        };
         p.facts.extend((0..16).map(probe));
     });
     assert!(more.probe_ratio_max >= 2.0, "{}", more.probe_ratio_max);
@@ -92,7 +94,7 @@
     let hole = spoilt(&|p| {
         let within = middle - 2500.0..middle + 2500.0;
         p.facts.retain(|s| {
-            !(matches!(&s.fact, Fact::Probed { member: m } if *m == member) && within.contains(&s.at))
+            !(matches!(&s.fact, Fact::HealthChecked { member: m } if *m == member) && within.contains(&s.at))
         });
     });
     assert!(hole.coverage_gap > 4000.0 && hole.coverage_gap > good.coverage_gap);
@@ -292,7 +294,7 @@
 #[test]
 fn a_new_operator_file_is_taken_and_what_takes_a_restart_is_said() {
     let at = deckproxy_standins::free_address();
-    let world = deckproxy_standins::World::start();
+    let world = deckproxy_standins::TestSite::start();
     let mut setup = world.setup();
     let text = |name: &str, observers: u32| {
         format!(
@@ -301,21 +303,26 @@
     };
     setup.operator = Some(text("one", 2));
     let gateway = setup.start();
-    let probed = || world.caches.iter().any(|c| matches!(c.next(), deckproxy_standins::Seen::Probe(..)));
+    let probed = || {
+        world
+            .caches
+            .iter()
+            .any(|c| matches!(c.next_event(), deckproxy_standins::MemberEvent::HealthCheck(..)))
+    };
     deckproxy_standins::until("members are probed", probed);
-    gateway.operate(&text("one", 0));
+    gateway.reload_operator(&text("one", 0));
     let told = |what: &str| gateway.log().contains(what);
     deckproxy_standins::until("it is taken", || told("reload: the fleet's settings are taken"));
     assert!(!told("take a restart"));
-    gateway.operate(&text("two", 0));
+    gateway.reload_operator(&text("two", 0));
     deckproxy_standins::until("it is said", || {
         told("reload: the fleet's name, listen, instance, zone, address, weight and overload take a restart")
     });
-    gateway.operate("");
+    gateway.reload_operator("");
     deckproxy_standins::until("off takes one too", || {
         told("reload: switching the fleet on or off takes a restart")
     });
-    gateway.operate("fleet { nmae: \"x\" }");
+    gateway.reload_operator("fleet { nmae: \"x\" }");
     deckproxy_standins::until("a bad one changes nothing", || {
         told("reload: the configuration in force stays")
     });
--- a/crates/deckproxy/tests/flows.rs
+++ b/crates/deckproxy/tests/flows.rs
@@ -1,7 +1,7 @@
 //! Flow export of the real gateway: another decoder collects, clients and members count what passed.
 
 mod common;
-use common::collector::{Collection, Collector, Told};
+use common::collector::{Collection, Collector, FlowRecord};
 use common::*;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -17,19 +17,19 @@
     format!("flows {{\n{collectors} meter {{ active_ms: 300 idle_ms: 100 }} stall_ms: 500 {more} }}\n")
 }
 
-fn start(world: &World, operator: String) -> Gateway {
+fn start(world: &TestSite, operator: String) -> Gateway {
     let mut setup = world.setup();
     setup.operator = Some(operator);
     setup.start()
 }
 
 /// One request that a cache serves with a body of that size.
-fn get(world: &World, client: &mut Client, size: usize) {
-    let id = client.get(OBJECT);
-    let (cache, ask) = world.ask();
+fn get(world: &TestSite, client: &mut Client, size: usize) {
+    let id = client.request_object(OBJECT);
+    let (cache, ask) = world.next_request();
     let body = vec![b'x'; size];
     cache.answer(&ask, "200", &body);
-    client.served(id, &body);
+    client.expect_served(id, &body);
 }
 
 /// The flows of clients' pages: what a client that asks for nothing else has written and read.
@@ -39,42 +39,45 @@
 
 fn end(mut gateway: Gateway) -> String {
     gateway.signal("TERM");
-    assert_eq!(gateway.ended(), Some(0));
+    assert_eq!(gateway.wait_for_exit(), Some(0));
     gateway.log()
 }
 
 #[test]
 fn what_was_written_and_read_is_told_to_the_byte() {
-    let (world, collector) = (World::start(), Collector::tcp());
+    let (world, collector) = (TestSite::start(), Collector::tcp());
     let gateway = start(&world, file(&[(collector.address, "TCP")], ""));
     let mut client = gateway.client();
     for size in [0, 10, 5000, 150_000] {
         get(&world, &mut client, size);
     }
     // One that the caches are too full for is another flow.
-    let id = client.get(OBJECT);
+    let id = client.request_object(OBJECT);
     for _ in 0..6 {
-        let Some((cache, ask)) = world.maybe_ask() else { break };
+        let Some((cache, ask)) = world.request_if_any() else { break };
         cache.answer(&ask, "503", b"");
     }
-    assert_eq!(client.answer().0, id);
+    assert_eq!(client.next_answer().0, id);
     // One that can't be used has no class that is known.
-    let before = (client.wrote, client.read);
-    let id = client.call("nonsense", &[("lookup", OBJECT)], &[]);
-    assert_eq!(client.answer().0, id);
-    until("all requests are told", || collector.collection().leg("client")[2] == 6);
+    let before = (client.bytes_written, client.bytes_read);
+    let id = client.send_request("nonsense", &[("lookup", OBJECT)], &[]);
+    assert_eq!(client.next_answer().0, id);
+    until("all requests are told", || collector.collection().leg_sums("client")[2] == 6);
     let got = collector.collection();
     assert_eq!(pages(&got), [before.1, before.0, 5]);
     let unusable = got.sums(|f| f.result == "unusable" && f.class.is_empty());
-    assert_eq!(unusable, [client.read - before.1, client.wrote - before.0, 1]);
+    assert_eq!(unusable, [client.bytes_read - before.1, client.bytes_written - before.0, 1]);
     let served = got.sums(|f| f.leg == "client" && f.result == "served");
     assert_eq!(served[2], 4);
     // Attempts are flows of their own, with who caused them.
-    let of_members: Vec<&Told> = got.flows.iter().filter(|f| f.leg == "member" && f.requests > 0).collect();
+    let of_members: Vec<&FlowRecord> =
+        got.flows.iter().filter(|f| f.leg == "member" && f.requests > 0).collect();
     assert!(of_members.iter().all(|f| f.member.starts_with("s-0000") && f.class == "page"), "{of_members:?}");
-    assert!(of_members.iter().all(|f| f.client == Some("127.0.0.1".parse().unwrap()) && f.bits == 32));
-    assert!(got.leg("member")[0] > 155_000);
-    assert_eq!((got.unread, got.missing), (0, 0));
+    assert!(
+        of_members.iter().all(|f| f.client == Some("127.0.0.1".parse().unwrap()) && f.prefix_length == 32)
+    );
+    assert!(got.leg_sums("member")[0] > 155_000);
+    assert_eq!((got.undecoded, got.missing), (0, 0));
     assert_eq!(got.described.len(), 6, "each of our elements is described: {:?}", got.described);
     let log = end(gateway);
     assert!(log.contains("collectors[up]") && log.contains("lost[flows:0,untold:0]"), "{log}");
@@ -82,7 +85,7 @@
 
 #[test]
 fn flows_of_a_planned_end_are_flushed() {
-    let (world, collector) = (World::start(), Collector::tcp());
+    let (world, collector) = (TestSite::start(), Collector::tcp());
     // Nothing would be told for a minute.
     let operator = file(&[(collector.address, "TCP")], "").replace("active_ms: 300 idle_ms: 100", "");
     let gateway = start(&world, operator);
@@ -96,7 +99,7 @@
 
 #[test]
 fn a_collector_that_is_down_delays_no_end_for_longer_than_it_may() {
-    let world = World::start();
+    let world = TestSite::start();
     let gateway = start(&world, file(&[(free_address(), "TCP")], "flush_ms: 200"));
     let mut client = gateway.client();
     get(&world, &mut client, 3000);
@@ -110,7 +113,7 @@
 
 #[test]
 fn a_collector_that_comes_later_gets_all_sums() {
-    let (world, mut collector) = (World::start(), Collector::tcp());
+    let (world, mut collector) = (TestSite::start(), Collector::tcp());
     collector.stop();
     let gateway = start(&world, file(&[(collector.address, "TCP")], ""));
     let mut client = gateway.client();
@@ -119,45 +122,48 @@
         std::thread::sleep(Duration::from_millis(120));
     }
     assert_eq!(collector.collection().messages, 0);
-    collector.again();
+    collector.restart();
     until("all is told", || pages(&collector.collection())[2] == 5);
-    assert_eq!(pages(&collector.collection()), [client.read, client.wrote, 5]);
+    assert_eq!(pages(&collector.collection()), [client.bytes_read, client.bytes_written, 5]);
     // Restarted with its templates forgotten: it is told them again, and reads on.
     collector.stop();
-    collector.again();
+    collector.restart();
     get(&world, &mut client, 700);
     until("all is told", || pages(&collector.collection())[2] == 6);
     let got = collector.collection();
-    assert_eq!((pages(&got), got.unread, got.missing), ([client.read, client.wrote, 6], 0, 0));
+    assert_eq!(
+        (pages(&got), got.undecoded, got.missing),
+        ([client.bytes_read, client.bytes_written, 6], 0, 0)
+    );
 }
 
 #[test]
 fn a_reload_changes_collectors_and_a_flow_over_it_is_told_whole() {
-    let (world, old, new) = (World::start(), Collector::tcp(), Collector::udp());
+    let (world, old, new) = (TestSite::start(), Collector::tcp(), Collector::udp());
     let gateway = start(&world, file(&[(old.address, "TCP")], ""));
     let mut client = gateway.client();
     get(&world, &mut client, 1000);
     until("it is told", || pages(&old.collection())[2] == 1);
     // A request is open while the collectors change.
-    let id = client.get(OBJECT);
-    let (cache, ask) = world.ask();
-    gateway.operate(&file(&[(new.address, "UDP")], "rate: 50 domain: 9"));
+    let id = client.request_object(OBJECT);
+    let (cache, ask) = world.next_request();
+    gateway.reload_operator(&file(&[(new.address, "UDP")], "rate: 50 domain: 9"));
     until("it is taken", || gateway.log().contains("collectors are taken"));
     until("the domain is told to take a restart", || gateway.log().contains("take a restart"));
-    gateway.operate("flows { collectors { address: \"here\" } }");
+    gateway.reload_operator("flows { collectors { address: \"here\" } }");
     until("it is refused", || gateway.log().contains("the configuration in force stays"));
     cache.answer(&ask, "200", b"held");
-    client.served(id, b"held");
+    client.expect_served(id, b"held");
     until("it is told", || pages(&new.collection())[2] == 1);
     let (old, new) = (old.collection(), new.collection());
     let sums = [0, 1, 2].map(|i| pages(&old)[i] + pages(&new)[i]);
-    assert_eq!(sums, [client.read, client.wrote, 2]);
-    assert_eq!((new.unread, new.missing, pages(&old)[2]), (0, 0, 1));
+    assert_eq!(sums, [client.bytes_read, client.bytes_written, 2]);
+    assert_eq!((new.undecoded, new.missing, pages(&old)[2]), (0, 0, 1));
 }
 
 #[test]
 fn over_udp_nothing_is_spent_while_nobody_listens() {
-    let (world, mut collector) = (World::start(), Collector::udp());
+    let (world, mut collector) = (TestSite::start(), Collector::udp());
     collector.stop();
     let gateway = start(&world, file(&[(collector.address, "UDP")], ""));
     let mut client = gateway.client();
@@ -165,14 +171,14 @@
         get(&world, &mut client, 400);
         std::thread::sleep(Duration::from_millis(150));
     }
-    collector.again();
+    collector.restart();
     until("all is told", || pages(&collector.collection())[2] == 4);
-    assert_eq!(pages(&collector.collection()), [client.read, client.wrote, 4]);
+    assert_eq!(pages(&collector.collection()), [client.bytes_read, client.bytes_written, 4]);
 }
 
 #[test]
 fn two_gateways_tell_one_collector_under_their_domains() {
-    let (world, collector) = (World::start(), Collector::udp());
+    let (world, collector) = (TestSite::start(), Collector::udp());
     let gateways =
         [1, 2].map(|d| start(&world, file(&[(collector.address, "UDP")], &format!("domain: {d}"))));
     let mut clients = [0, 1].map(|i: usize| gateways[i].client());
@@ -183,13 +189,17 @@
     }
     until("all is told", || pages(&collector.collection())[2] == 4);
     let got = collector.collection();
-    let want = [clients[0].read + clients[1].read, clients[0].wrote + clients[1].wrote, 4];
-    assert_eq!((pages(&got), got.missing, got.unread), (want, 0, 0));
+    let want = [
+        clients[0].bytes_read + clients[1].bytes_read,
+        clients[0].bytes_written + clients[1].bytes_written,
+        4,
+    ];
+    assert_eq!((pages(&got), got.missing, got.undecoded), (want, 0, 0));
 }
 
 #[test]
 fn a_client_that_hangs_up_is_told_as_cut_with_what_the_kernel_took() {
-    let (world, collector) = (World::start(), Collector::tcp());
+    let (world, collector) = (TestSite::start(), Collector::tcp());
     let gateway = start(&world, file(&[(collector.address, "TCP")], ""));
     // With little room in the kernel, most of the answer stays with the gateway.
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
@@ -202,17 +212,17 @@
     let (mut wrote, mut asked) = (0, 0);
     for n in 0..30 {
         let object = format!("7f3a9c21e0b4{n:04x}");
-        let (_, bytes) = asks.encode("page", &[("lookup", &object)], &[]);
+        let (_, bytes) = asks.encode_request("page", &[("lookup", &object)], &[]);
         stream.write_all(&bytes).unwrap();
-        let Some((cache, ask)) = world.maybe_ask() else { break };
+        let Some((cache, ask)) = world.request_if_any() else { break };
         (wrote, asked) = (wrote + bytes.len() as u64, asked + 1);
         cache.answer(&ask, "200", &vec![b'x'; 200_000]);
     }
     let mut read = vec![0; 3000];
     stream.read_exact(&mut read).unwrap();
     drop(stream);
-    let own = |f: &Told| f.leg == "client" && f.class == "page";
-    let cut = |f: &Told| own(f) && f.result == "cut";
+    let own = |f: &FlowRecord| f.leg == "client" && f.class == "page";
+    let cut = |f: &FlowRecord| own(f) && f.result == "cut";
     until("all are told", || collector.collection().sums(own)[2] == asked);
     let got = collector.collection();
     assert!(got.sums(cut)[2] >= 1, "some of it stayed with the gateway");
@@ -222,24 +232,24 @@
     let before = got.sums(cut)[2];
     // One that gives a request up, and one that only begins to say something.
     let mut client = gateway.client();
-    let id = client.get(OBJECT);
-    let _ = world.ask();
-    client.abort(id);
-    let wrote = client.wrote;
+    let id = client.request_object(OBJECT);
+    let _ = world.next_request();
+    client.cancel(id);
+    let wrote = client.bytes_written;
     client.send(&[0x94, 0x00]);
     drop(client);
     until("it is told", || collector.collection().sums(cut)[2] == before + 1);
-    let word = |f: &Told| f.leg == "client" && f.class.is_empty();
+    let word = |f: &FlowRecord| f.leg == "client" && f.class.is_empty();
     // The ping of the start is among the words, as is the one that takes back and the two bytes of the end.
     until("the words are told", || collector.collection().sums(word)[1] > 2);
-    until("all bytes are told", || collector.collection().leg("client")[1] >= back + wrote + 2);
-    assert_eq!(collector.collection().leg("client")[2], asked + 1);
+    until("all bytes are told", || collector.collection().leg_sums("client")[1] >= back + wrote + 2);
+    assert_eq!(collector.collection().leg_sums("client")[2], asked + 1);
 }
 
 #[test]
 fn a_stalled_collector_is_given_up_and_another_takes_over() {
-    let (world, first, second) = (World::start(), Collector::tcp(), Collector::tcp());
-    first.hold(true);
+    let (world, first, second) = (TestSite::start(), Collector::tcp(), Collector::tcp());
+    first.set_paused(true);
     let gateway =
         start(&world, file(&[(first.address, "TCP"), (second.address, "TCP")], "message_bytes: 65000"));
     // Each client's address is a flow: more of them than the kernel holds for one that does not read.
@@ -265,10 +275,10 @@
 
 #[test]
 fn off_it_costs_no_descriptor_and_no_line() {
-    let world = World::start();
+    let world = TestSite::start();
     let (off, on) = (world.setup().start(), start(&world, file(&[(free_address(), "UDP")], "")));
     std::thread::sleep(QUIET);
-    let (off_has, on_has) = (off.usage().1, on.usage().1);
+    let (off_has, on_has) = (off.usage().descriptors, on.usage().descriptors);
     assert!(off_has < on_has, "{off_has} descriptors without, {on_has} with it");
     assert!(!off.log().contains("collector"));
     assert!(end(off).contains("flows: off"));
--- a/crates/deckproxy/tests/lifecycle.rs
+++ b/crates/deckproxy/tests/lifecycle.rs
@@ -11,85 +11,85 @@
 
 #[test]
 fn told_to_end_it_serves_what_it_holds_and_the_stragglers_and_ends_by_itself() {
-    let world = World::start();
+    let world = TestSite::start();
     let mut gateway = world.setup().start();
     let mut old = gateway.client();
-    let first = old.get(OBJECT);
-    let (cache, ask) = world.ask();
+    let first = old.request_object(OBJECT);
+    let (cache, ask) = world.next_request();
     let start = Instant::now();
     gateway.signal("TERM");
     std::thread::sleep(Duration::from_millis(350));
     // A new connection, and a request on an open one.
     let mut new = gateway.client();
     let ping = new.ping();
-    assert_eq!(new.answer(), (ping, Answer::Ready(false)));
-    let second = new.get(OBJECT);
-    let late = cache.ask();
+    assert_eq!(new.next_answer(), (ping, Answer::Ready(false)));
+    let second = new.request_object(OBJECT);
+    let late = cache.next_request();
     std::thread::sleep(Duration::from_millis(200));
-    let third = old.get(OBJECT);
-    let later = cache.ask();
+    let third = old.request_object(OBJECT);
+    let later = cache.next_request();
     cache.answer(&later, "200", b"3");
-    old.served(third, b"3");
+    old.expect_served(third, b"3");
     cache.answer(&late, "200", b"2");
-    new.served(second, b"2");
+    new.expect_served(second, b"2");
     std::thread::sleep(Duration::from_millis(300));
     assert!(gateway.child.try_wait().unwrap().is_none(), "one request is open");
     cache.answer(&ask, "200", b"1");
-    old.served(first, b"1");
-    assert_eq!(gateway.ended(), Some(0));
+    old.expect_served(first, b"1");
+    assert_eq!(gateway.wait_for_exit(), Some(0));
     assert!(start.elapsed() < Duration::from_millis(3000), "{:?}", start.elapsed());
     until("its end is logged", || gateway.log().contains("end"));
 }
 
 #[test]
 fn told_to_end_while_idle_it_stays_for_stragglers_only() {
-    let world = World::start();
+    let world = TestSite::start();
     let mut gateway = world.setup().start();
     let _idle = gateway.client();
     let start = Instant::now();
     gateway.signal("TERM");
-    assert_eq!(gateway.ended(), Some(0));
+    assert_eq!(gateway.wait_for_exit(), Some(0));
     assert!((600..2500).contains(&start.elapsed().as_millis()), "{:?}", start.elapsed());
 }
 
 #[test]
 fn told_to_end_it_answers_all_before_the_kill_that_follows() {
-    let world = World::start();
+    let world = TestSite::start();
     let mut setup = world.setup();
     setup.settings["services"][0]["deadlineMs"] = json!(20_000.0);
     let mut gateway = setup.start();
     let mut client = gateway.client();
-    let id = client.call("page", &[("lookup", OBJECT), ("allow", "19000")], &[]);
-    let (_, _ask) = world.ask();
+    let id = client.send_request("page", &[("lookup", OBJECT), ("allow", "19000")], &[]);
+    let (_, _ask) = world.next_request();
     let start = Instant::now();
     gateway.signal("TERM");
-    client.error(id, "Fault");
-    assert_eq!(gateway.ended(), Some(0));
+    client.expect_error(id, "Fault");
+    assert_eq!(gateway.wait_for_exit(), Some(0));
     assert!((3000..4500).contains(&start.elapsed().as_millis()), "{:?}", start.elapsed());
 }
 
 #[test]
 fn killed_and_started_again_it_serves_at_its_address_from_nothing() {
-    let world = World::start();
+    let world = TestSite::start();
     let setup = world.setup();
     let gateway = setup.start();
     let mut client = gateway.client();
-    client.get(OBJECT);
-    let _ = world.ask();
+    client.request_object(OBJECT);
+    let _ = world.next_request();
     gateway.signal("KILL");
-    client.closed();
+    client.expect_closed();
     drop(gateway);
     let gateway = setup.start();
     let mut client = gateway.client();
-    let id = client.get(OBJECT);
-    let (cache, ask) = world.ask();
+    let id = client.request_object(OBJECT);
+    let (cache, ask) = world.next_request();
     cache.answer(&ask, "200", b"again");
-    client.served(id, b"again");
+    client.expect_served(id, b"again");
 }
 
 #[test]
 fn a_configuration_that_can_not_be_read_ends_it_with_one_line_that_names_the_field() {
-    let world = World::start();
+    let world = TestSite::start();
     let good = world.setup().config();
     let with = |path: &str, value: serde_json::Value| {
         let mut config = good.clone();
@@ -108,7 +108,7 @@
     ];
     for (text, field) in cases {
         let mut gateway = Gateway::spawn(&text, free_address());
-        assert_eq!(gateway.ended(), Some(1), "{field}");
+        assert_eq!(gateway.wait_for_exit(), Some(1), "{field}");
         until("the log is read", || gateway.log().contains('\n'));
         let log = gateway.log();
         assert!(log.lines().count() == 1 && log.contains(field), "{field}: {log}");
@@ -117,24 +117,24 @@
 
 #[test]
 fn an_address_that_is_taken_ends_it() {
-    let world = World::start();
+    let world = TestSite::start();
     let setup = world.setup();
     let _first = setup.start();
     let mut second = Gateway::spawn(&setup.config().to_string(), setup.listen);
-    assert_eq!(second.ended(), Some(1));
+    assert_eq!(second.wait_for_exit(), Some(1));
     assert!(TcpStream::connect(setup.listen).is_ok());
 }
 
 #[test]
 fn told_to_end_it_writes_all_to_a_slow_reader_first() {
-    let world = World::start();
+    let world = TestSite::start();
     let mut gateway = world.setup().start();
     let mut client = gateway.client();
     let body = vec![5u8; 240_000];
     for _ in 0..32 {
-        client.get(OBJECT);
+        client.request_object(OBJECT);
     }
-    let asks: Vec<(&Member, Ask)> = (0..32).map(|_| world.ask()).collect();
+    let asks: Vec<(&Member, MemberRequest)> = (0..32).map(|_| world.next_request()).collect();
     for (cache, ask) in &asks {
         cache.answer(ask, "200", &body);
     }
@@ -143,59 +143,59 @@
     std::thread::sleep(Duration::from_millis(1400));
     assert!(gateway.child.try_wait().unwrap().is_none(), "7 MB are not in the kernel's buffers");
     for _ in 0..32 {
-        assert!(matches!(client.answer().1, Answer::Served(b, _) if b == body));
+        assert!(matches!(client.next_answer().1, Answer::Served(b, _) if b == body));
     }
-    client.closed();
-    assert_eq!(gateway.ended(), Some(0));
+    client.expect_closed();
+    assert_eq!(gateway.wait_for_exit(), Some(0));
 }
 
 #[test]
 fn a_log_that_nobody_reads_any_more_ends_nothing() {
-    let world = World::start();
-    let Fed { mut gateway, mut client, feed, line } = world.fed();
+    let world = TestSite::start();
+    let SubscribedGateway { mut gateway, mut client, feed, subscription: line } = world.start_subscribed();
     gateway.stop_reading_log();
     // Each lost feed writes a line; the first closes the reader, the others find a broken pipe.
     drop(line);
     for _ in 0..4 {
-        drop(feed.sub());
+        drop(feed.accept());
     }
-    let id = client.get(OBJECT);
-    let (cache, ask) = world.ask();
+    let id = client.request_object(OBJECT);
+    let (cache, ask) = world.next_request();
     cache.answer(&ask, "200", b"served");
-    client.served(id, b"served");
+    client.expect_served(id, b"served");
     gateway.signal("TERM");
-    assert_eq!(gateway.ended(), Some(0));
+    assert_eq!(gateway.wait_for_exit(), Some(0));
 }
 
 /// Whoever connected in time is told, also where there was no place for it until the end.
 #[test]
 fn told_to_end_it_tells_those_that_wait_to_be_accepted() {
-    let world = World::start();
+    let world = TestSite::start();
     let mut setup = world.setup();
     setup.sockets = 30;
     let mut gateway = setup.start();
     // All ten places are taken by clients with a request open.
     let mut busy: Vec<Client> = (0..10).map(|_| gateway.client()).collect();
-    let ids: Vec<u64> = busy.iter_mut().map(|c| c.get(OBJECT)).collect();
-    let asks: Vec<(&Member, Ask)> = ids.iter().map(|_| world.ask()).collect();
+    let ids: Vec<u64> = busy.iter_mut().map(|c| c.request_object(OBJECT)).collect();
+    let asks: Vec<(&Member, MemberRequest)> = ids.iter().map(|_| world.next_request()).collect();
     let mut waiting: Vec<Client> = (0..20).map(|_| gateway.client()).collect();
-    let late: Vec<u64> = waiting.iter_mut().map(|c| c.get(OBJECT)).collect();
+    let late: Vec<u64> = waiting.iter_mut().map(|c| c.request_object(OBJECT)).collect();
     let start = Instant::now();
     gateway.signal("TERM");
     until("the time for stragglers is over", || start.elapsed() > Duration::from_millis(800));
     for (cache, ask) in &asks {
         cache.answer(ask, "200", b"x");
     }
-    busy.iter_mut().zip(&ids).for_each(|(client, id)| client.served(*id, b"x"));
+    busy.iter_mut().zip(&ids).for_each(|(client, id)| client.expect_served(*id, b"x"));
     drop(busy);
-    waiting.iter_mut().zip(&late).for_each(|(client, id)| drop(client.error(*id, "Shed")));
-    assert_eq!(gateway.ended(), Some(0));
+    waiting.iter_mut().zip(&late).for_each(|(client, id)| drop(client.expect_error(*id, "Shed")));
+    assert_eq!(gateway.wait_for_exit(), Some(0));
 }
 
 /// Its configuration comes through a pipe: whoever opens that for writing knows that it is being read.
 #[test]
 fn told_to_end_before_it_is_ready_it_ends_by_itself() {
-    let world = World::start();
+    let world = TestSite::start();
     let setup = world.setup();
     let folder = tempfile::tempdir().unwrap();
     let pipe = folder.path().join("config.json");
@@ -206,7 +206,7 @@
     writer.write_all(setup.config().to_string().as_bytes()).unwrap();
     drop(writer);
     let start = Instant::now();
-    assert_eq!(gateway.ended(), Some(0));
+    assert_eq!(gateway.wait_for_exit(), Some(0));
     assert!(start.elapsed() < Duration::from_millis(3000), "{:?}", start.elapsed());
     assert!(gateway.log().contains("told to end"), "{}", gateway.log());
 }
@@ -214,10 +214,10 @@
 /// The stand-in removed it when the log ended, which may be after a next life has its own under the same name.
 #[test]
 fn a_configuration_is_there_until_its_gateway_is_dropped() {
-    let world = World::start();
+    let world = TestSite::start();
     let mut gateway = world.setup().start();
     gateway.signal("TERM");
-    assert_eq!(gateway.ended(), Some(0));
+    assert_eq!(gateway.wait_for_exit(), Some(0));
     std::thread::sleep(QUIET);
     let path = gateway.path.clone();
     assert!(path.exists(), "it went with the end of the log");
--- a/crates/deckproxy/tests/migrate.rs
+++ b/crates/deckproxy/tests/migrate.rs
@@ -89,7 +89,7 @@
 #[test]
 fn what_can_not_be_carried_over_is_listed_with_field_and_reason() {
     let desk = Desk::new();
-    let world = World::start();
+    let world = TestSite::start();
     let mut config = world.setup().config();
     config["flavour"] = json!("of old");
     config["settings"]["familyInfo"]["colour"] = json!(3);
@@ -203,7 +203,7 @@
 #[test]
 fn a_gateway_starts_and_serves_on_the_old_file_and_on_its_counterpart() {
     let desk = Desk::new();
-    let world = World::start();
+    let world = TestSite::start();
     let setup = world.setup();
     let old = desk.put("old.json", &setup.config().to_string());
     let new = desk.path("new.json");
@@ -217,16 +217,16 @@
         let gateway = Gateway::spawn(&std::fs::read_to_string(path).unwrap(), setup.listen);
         until("the gateway listens", || std::net::TcpStream::connect(setup.listen).is_ok());
         let mut client = gateway.client();
-        let id = client.get("7f3a9c21e0b4d655");
-        let (cache, ask) = world.ask();
+        let id = client.request_object("7f3a9c21e0b4d655");
+        let (cache, ask) = world.next_request();
         cache.answer(&ask, "200", b"x");
-        client.served(id, b"x");
+        client.expect_served(id, b"x");
     }
     // A value out of range is refused at the start, with field, value and what is allowed.
     let mut bad: Value = serde_json::from_slice(&std::fs::read(&new).unwrap()).unwrap();
     bad["settings"]["weightKind"] = json!("heavy");
     let mut gateway = Gateway::spawn(&bad.to_string(), setup.listen);
-    assert_eq!(gateway.ended(), Some(1));
+    assert_eq!(gateway.wait_for_exit(), Some(1));
     let wanted = "setting weightKind: \"heavy\" is not allowed; allowed: none, nominal, rough, live";
     until("the refusal is told", || gateway.log().contains(wanted));
 }
--- a/crates/deckproxy/tests/overload.rs
+++ b/crates/deckproxy/tests/overload.rs
@@ -67,7 +67,7 @@
     let _turn = Turn::wait();
     let played = play(plan, &draw(), |_, _| {});
     let f = judge(&played, terms());
-    assert!(f.verdict.holds(), "{:#?}", f.verdict.breaches);
+    assert!(f.verdict.holds(), "{:#?}", f.verdict.violations);
     assert_eq!(played.wrongs, Vec::<String>::new());
     let told = format!("{:?}", Figures { verdict: Default::default(), ..f.clone() });
     assert!(f.before > 0.95, "the machine is too slow: {told}");
@@ -112,19 +112,19 @@
     assert!(twice.attempts > 1.5 * f.attempts, "{} and {}", twice.attempts, f.attempts);
     let broken = spoilt(&|p| {
         for t in p.tries.iter_mut().filter(|t| t.told) {
-            t.end = t.end.map(|(at, _)| (at, Outcome::Refused(None)));
+            t.end = t.end.map(|(at, _)| (at, Outcome::Rejected(None)));
         }
     });
     assert_eq!(broken.kept, 0);
     let unjust = spoilt(&|p| {
         for t in p.tries.iter_mut().filter(|t| t.class != "page") {
-            t.end = t.end.map(|(at, _)| (at, Outcome::Refused(None)));
+            t.end = t.end.map(|(at, _)| (at, Outcome::Rejected(None)));
         }
     });
     assert!(unjust.inversions > 0.03, "{}", unjust.inversions);
     let unfair = spoilt(&|p| {
         for t in p.tries.iter_mut().filter(|t| t.door < 2) {
-            t.end = t.end.map(|(at, _)| (at, Outcome::Refused(None)));
+            t.end = t.end.map(|(at, _)| (at, Outcome::Rejected(None)));
         }
     });
     assert!(unfair.jain < 0.9, "{}", unfair.jain);
@@ -132,7 +132,7 @@
     assert!(repeats.budget > 1.2, "{}", repeats.budget);
     let stuck = spoilt(&|p| {
         for t in p.tries.iter_mut().filter(|t| t.at > p.to - 5000.0) {
-            t.end = t.end.map(|(at, _)| (at, Outcome::Refused(None)));
+            t.end = t.end.map(|(at, _)| (at, Outcome::Rejected(None)));
         }
     });
     assert_eq!(stuck.seconds, None);
@@ -229,7 +229,7 @@
     say(&good);
     let played = rig.finish();
     let f = judge(&played, terms());
-    assert!(f.verdict.holds(), "{:#?}", f.verdict.breaches);
+    assert!(f.verdict.holds(), "{:#?}", f.verdict.violations);
     let told: Vec<&str> = played
         .logs
         .iter()
--- a/crates/deckproxy/tests/reload.rs
+++ b/crates/deckproxy/tests/reload.rs
@@ -12,48 +12,48 @@
 }
 
 /// Whether what is sent for a group now is bound by a purge.
-fn is_bound(world: &World, client: &mut Client, group: u32) -> bool {
-    let id = client.call("page", &[("lookup", OBJECT), ("bucket", &group.to_string())], &[]);
-    let (cache, ask) = world.ask();
+fn is_bound(world: &TestSite, client: &mut Client, group: u32) -> bool {
+    let id = client.send_request("page", &[("lookup", OBJECT), ("bucket", &group.to_string())], &[]);
+    let (cache, ask) = world.next_request();
     cache.answer(&ask, "200", b"x");
-    client.served(id, b"x");
+    client.expect_served(id, b"x");
     ask.field("within").is_some()
 }
 
 #[test]
 fn the_feed_moves_and_what_is_open_stays() {
-    let world = World::start();
+    let world = TestSite::start();
     let (old, new) = (Feed::start(), Feed::start());
     let mut setup = world.setup();
     setup.feed = old.address;
     let gateway = setup.start();
     let mut client = gateway.client();
-    let (_, line) = old.sub();
-    tell(&line, &purge(2, 5));
+    let (_, line) = old.accept();
+    send_line(&line, &purge(2, 5));
     until("the purge is known", || is_bound(&world, &mut client, 5));
-    let held = client.get(OBJECT);
-    let (cache, ask) = world.ask();
+    let held = client.request_object(OBJECT);
+    let (cache, ask) = world.next_request();
     setup.feed = new.address;
     let mut lines = Vec::new();
     for _ in 0..3 {
         gateway.reload(Some(&setup.config().to_string()));
-        let (from, line) = new.sub();
+        let (from, line) = new.accept();
         assert_eq!(from, 2, "asked for what follows the last event");
         lines.push(line);
     }
     // The old connection is closed, and nothing asks there again.
     line.set_read_timeout(Some(PATIENCE)).unwrap();
     assert!(matches!((&line).read(&mut [0]), Ok(0) | Err(_)));
-    tell(&lines[2], &purge(3, 6));
+    send_line(&lines[2], &purge(3, 6));
     until("the purge is known", || is_bound(&world, &mut client, 6));
     cache.answer(&ask, "200", b"held");
-    client.served(held, b"held");
+    client.expect_served(held, b"held");
 }
 
 #[test]
 fn a_configuration_that_can_not_be_used_changes_nothing_and_is_named_in_the_log() {
-    let world = World::start();
-    let Fed { gateway, mut client, feed, line } = world.fed();
+    let world = TestSite::start();
+    let SubscribedGateway { gateway, mut client, feed, subscription: line } = world.start_subscribed();
     let mut wrong = world.setup().config();
     wrong["feed"] = json!("nowhere");
     let whole = world.setup().config().to_string();
@@ -67,54 +67,54 @@
         gateway.reload(text.as_deref());
         until(why, || gateway.log().contains(why));
     }
-    tell(&line, &purge(2, 5));
+    send_line(&line, &purge(2, 5));
     until("the old feed still tells", || is_bound(&world, &mut client, 5));
     drop(line);
-    assert_eq!(feed.sub().0, 2);
+    assert_eq!(feed.accept().0, 2);
 }
 
 #[test]
 fn new_limits_hold_from_then_on() {
-    let world = World::start();
+    let world = TestSite::start();
     let mut setup = world.setup();
     let gateway = setup.start();
     setup.sockets = 48;
     gateway.reload(Some(&setup.config().to_string()));
     until("it reloads", || gateway.log().contains("reload"));
     let all: Vec<Client> = (0..40).map(|_| gateway.client()).collect();
-    until("it closes what is over the bound", || gateway.usage().1 <= 48);
+    until("it closes what is over the bound", || gateway.usage().descriptors <= 48);
     drop(all);
 }
 
 /// The file could not be opened: the configuration in force stayed, and the gateway went on asking where no feed is.
 #[test]
 fn a_reload_finds_a_descriptor_where_clients_hold_all() {
-    let world = World::start();
+    let world = TestSite::start();
     let (old, new) = (Feed::start(), Feed::start());
     let mut setup = world.setup();
     setup.feed = old.address;
-    let gateway = setup.start_under("ulimit -n 32");
-    let (_, _line) = old.sub();
+    let gateway = setup.start_limited("ulimit -n 32");
+    let (_, _line) = old.accept();
     setup.feed = new.address;
     std::fs::write(&gateway.path, setup.config().to_string()).unwrap();
-    let _silent = gateway.fill(32);
+    let _silent = gateway.fill_descriptors(32);
     gateway.signal("HUP");
-    assert_eq!(new.sub().0, 1, "{}", gateway.log());
+    assert_eq!(new.accept().0, 1, "{}", gateway.log());
 }
 
 #[test]
 fn a_reload_while_ending_is_harmless() {
-    let world = World::start();
+    let world = TestSite::start();
     let setup = world.setup();
     let mut gateway = setup.start();
     let mut client = gateway.client();
-    let id = client.get(OBJECT);
-    let (cache, ask) = world.ask();
+    let id = client.request_object(OBJECT);
+    let (cache, ask) = world.next_request();
     gateway.signal("TERM");
     until("it ends", || gateway.log().contains("told to end"));
     gateway.reload(Some(&setup.config().to_string()));
     until("it reloads", || gateway.log().contains("reload"));
     cache.answer(&ask, "200", b"x");
-    client.served(id, b"x");
-    assert_eq!(gateway.ended(), Some(0));
+    client.expect_served(id, b"x");
+    assert_eq!(gateway.wait_for_exit(), Some(0));
 }
--- a/crates/deckproxy/tests/restart.rs
+++ b/crates/deckproxy/tests/restart.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use deckproxy_standins::bounds::Starts;
+use deckproxy_standins::limit_checkers::StartupChecker;
 use std::io::Read;
 use std::net::{SocketAddr, TcpStream};
 use std::thread;
@@ -18,7 +18,7 @@
             drop(stream);
             let mut client = Client::connect(at);
             let ping = client.ping();
-            if client.answer() == (ping, Answer::Ready(true)) {
+            if client.next_answer() == (ping, Answer::Ready(true)) {
                 return Some(start.elapsed().as_secs_f64() * 1000.0);
             }
         }
@@ -30,9 +30,9 @@
 /// Discovery refuses, takes connections and says nothing, or lets none come up: three of a kind in turn.
 #[test]
 fn nine_in_ten_of_a_fleet_are_ready_in_time_while_discovery_is_away() {
-    let world = World::start();
+    let world = TestSite::start();
     let silent = Feed::start();
-    let never = Late::start();
+    let never = StalledListener::start();
     let setups: Vec<Setup> = (0..PROCESSES)
         .map(|i| {
             let mut setup = world.setup();
@@ -53,23 +53,23 @@
     let start = Instant::now();
     let next: Vec<Gateway> =
         setups.iter().map(|setup| Gateway::spawn(&setup.config().to_string(), setup.listen)).collect();
-    let mut judge = Starts::default();
+    let mut judge = StartupChecker::default();
     thread::scope(|scope| {
         let all: Vec<_> = next.iter().map(|one| scope.spawn(|| ready(start, one.address))).collect();
-        all.into_iter().for_each(|one| judge.took(one.join().unwrap()));
+        all.into_iter().for_each(|one| judge.record_start(one.join().unwrap()));
     });
-    assert!(judge.hold(), "{judge:?}");
+    assert!(judge.holds(), "{judge:?}");
     // And each serves, from the list in its configuration.
     for gateway in &next {
         let mut client = gateway.client();
-        let id = client.get(OBJECT);
-        let (cache, ask) = world.ask();
+        let id = client.request_object(OBJECT);
+        let (cache, ask) = world.next_request();
         cache.answer(&ask, "200", b"there");
-        client.served(id, b"there");
+        client.expect_served(id, b"there");
     }
     // Those of before hear that their connections are gone.
     for client in &clients {
-        let mut handle = client.handle();
+        let mut handle = client.stream_handle();
         handle.set_read_timeout(Some(PATIENCE)).unwrap();
         // The pong, perhaps, and then the end, by a close or a reset.
         let silent = loop {
--- a/crates/deckproxy/tests/sites.rs
+++ b/crates/deckproxy/tests/sites.rs
@@ -1,7 +1,7 @@
 //! Gateways of two and three sites on sockets, members answering by hand, links that are cut.
 
 mod common;
-use common::shim::{Shim, State};
+use common::link_relay::{LinkRelay, LinkState};
 use common::*;
 use deckproxy::protocol::link;
 use deckproxy_sites::frame::{Frame, Hello, Say};
@@ -34,7 +34,7 @@
 }
 
 struct Site {
-    world: World,
+    world: TestSite,
     setup: Setup,
     gateway: Gateway,
     feed: Feed,
@@ -43,13 +43,13 @@
 
 impl Site {
     fn start(operator: String) -> Self {
-        let world = World::start();
+        let world = TestSite::start();
         let feed = Feed::start();
         let mut setup = world.setup();
         setup.feed = feed.address;
         setup.operator = Some(operator);
         let gateway = setup.start();
-        let (_, line) = feed.sub();
+        let (_, line) = feed.accept();
         Site { world, setup, gateway, feed, line }
     }
 }
@@ -58,7 +58,7 @@
 struct Two {
     north: Site,
     south: Site,
-    shim: Shim,
+    shim: LinkRelay,
     client: Client,
 }
 
@@ -69,7 +69,7 @@
 impl Two {
     fn start_with(mode: &str) -> Self {
         let [north_at, south_at] = [free_address(), free_address()];
-        let shim = Shim::to(south_at);
+        let shim = LinkRelay::to(south_at);
         let south = Site::start(file("south", south_at, &[("north", north_at)], &[("a", "north", "")]));
         let routes = [("b", "south", mode)];
         let north = Site::start(file("north", north_at, &[("south", shim.address)], &routes));
@@ -88,8 +88,8 @@
 fn a_request_crosses_unchanged_and_its_answer_comes_back() {
     let mut two = Two::start();
     let fields = [("lookup", SOUTHERN), ("seg", "3"), ("ref", "00000000000000aa"), ("bucket", "9")];
-    let id = two.client.call("page", &fields, b"");
-    let (cache, ask) = two.south.world.ask();
+    let id = two.client.send_request("page", &fields, b"");
+    let (cache, ask) = two.south.world.next_request();
     assert_eq!(
         (&*ask.id, ask.field("name"), ask.field("piece")),
         ("00000000000000aa", Some(SOUTHERN), Some("3"))
@@ -97,13 +97,13 @@
     let ttl: f64 = ask.field("ttl").unwrap().parse().unwrap();
     assert!((1000.0..=1200.0).contains(&ttl), "the time left crosses as a span: {ttl}");
     cache.answer(&ask, "200", b"from the south");
-    two.client.served(id, b"from the south");
+    two.client.expect_served(id, b"from the south");
     // Own objects stay here.
-    let id = two.client.get("a000000000000001");
-    let (cache, ask) = two.north.world.ask();
+    let id = two.client.request_object("a000000000000001");
+    let (cache, ask) = two.north.world.next_request();
     cache.answer(&ask, "200", b"own");
-    two.client.served(id, b"own");
-    assert!(two.south.world.maybe_ask().is_none());
+    two.client.expect_served(id, b"own");
+    assert!(two.south.world.request_if_any().is_none());
 }
 
 #[test]
@@ -117,13 +117,13 @@
         })
         .collect();
     let list = serde_json::json!({"n": 2, "members": {"revision": 2, "complete": false, "members": entries}});
-    tell(&two.south.line, &list);
+    send_line(&two.south.line, &list);
     let mut client = two.north.gateway.client();
     let mut own = two.south.gateway.client();
-    let id = own.get(SOUTHERN);
-    let local = own.error(id, "Shed");
-    let id = client.get(SOUTHERN);
-    assert_eq!(client.error(id, "Shed"), local, "as a client of the south would be told");
+    let id = own.request_object(SOUTHERN);
+    let local = own.expect_error(id, "Shed");
+    let id = client.request_object(SOUTHERN);
+    assert_eq!(client.expect_error(id, "Shed"), local, "as a client of the south would be told");
 }
 
 fn kind(id: &str) -> &'static str {
@@ -138,63 +138,63 @@
 fn many_clients_that_want_one_object_cross_once() {
     let mut two = Two::start();
     let mut others: Vec<Client> = (0..20).map(|_| two.north.gateway.client()).collect();
-    let first = two.client.get(SOUTHERN);
-    let (cache, ask) = two.south.world.ask();
-    let ids: Vec<u64> = others.iter_mut().map(|c| c.get(SOUTHERN)).collect();
-    assert!(two.south.world.maybe_ask().is_none());
+    let first = two.client.request_object(SOUTHERN);
+    let (cache, ask) = two.south.world.next_request();
+    let ids: Vec<u64> = others.iter_mut().map(|c| c.request_object(SOUTHERN)).collect();
+    assert!(two.south.world.request_if_any().is_none());
     cache.answer(&ask, "200", b"for all");
-    two.client.served(first, b"for all");
-    others.iter_mut().zip(ids).for_each(|(client, id)| client.served(id, b"for all"));
-    assert!(two.south.world.maybe_ask().is_none());
+    two.client.expect_served(first, b"for all");
+    others.iter_mut().zip(ids).for_each(|(client, id)| client.expect_served(id, b"for all"));
+    assert!(two.south.world.request_if_any().is_none());
 }
 
 #[test]
 fn a_write_whose_answer_was_lost_with_its_connection_is_answered_and_runs_once() {
-    for state in [State::Reset, State::Silent, State::HalfOpen] {
+    for state in [LinkState::Reset, LinkState::Silent, LinkState::HalfOpen] {
         let mut two = Two::start();
         let fields = [("lookup", SOUTHERN), ("replay", "k1")];
-        let id = two.client.call("post", &fields, b"write");
+        let id = two.client.send_request("post", &fields, b"write");
         let origin = &two.south.world.origin;
-        let ask = origin.ask();
-        two.shim.set(state);
+        let ask = origin.next_request();
+        two.shim.set_state(state);
         // The near side has to notice a silence.
-        std::thread::sleep(Duration::from_millis(if state == State::Reset { 20 } else { 400 }));
+        std::thread::sleep(Duration::from_millis(if state == LinkState::Reset { 20 } else { 400 }));
         origin.answer(&ask, "200", b"written");
         std::thread::sleep(Duration::from_millis(50));
-        two.shim.set(State::Whole);
-        two.client.served(id, b"written");
-        assert!(origin.maybe_ask().is_none(), "{state:?}: it ran a second time");
+        two.shim.set_state(LinkState::Up);
+        two.client.expect_served(id, b"written");
+        assert!(origin.request_if_any().is_none(), "{state:?}: it ran a second time");
     }
 }
 
 #[test]
 fn a_write_that_may_have_run_at_a_killed_gateway_fails_and_does_not_run_again() {
     let mut two = Two::start();
-    let id = two.client.call("post", &[("lookup", SOUTHERN), ("replay", "k1")], b"write");
-    let ask = two.south.world.origin.ask();
+    let id = two.client.send_request("post", &[("lookup", SOUTHERN), ("replay", "k1")], b"write");
+    let ask = two.south.world.origin.next_request();
     two.south.gateway.child.kill().unwrap();
     two.south.gateway.child.wait().unwrap();
     two.south.gateway = two.south.setup.start();
     let start = Instant::now();
-    two.client.error(id, "Fault");
+    two.client.expect_error(id, "Fault");
     assert!(
         start.elapsed() < Duration::from_millis(900),
         "told as soon as the new process says that it is another"
     );
-    assert!(two.south.world.origin.maybe_ask().is_none(), "{} ran again", ask.id);
+    assert!(two.south.world.origin.request_if_any().is_none(), "{} ran again", ask.id);
 }
 
 #[test]
 fn a_read_at_a_killed_gateway_goes_again() {
     let mut two = Two::start();
-    let id = two.client.get(SOUTHERN);
-    let _ = two.south.world.ask();
+    let id = two.client.request_object(SOUTHERN);
+    let _ = two.south.world.next_request();
     two.south.gateway.child.kill().unwrap();
     two.south.gateway.child.wait().unwrap();
     two.south.gateway = two.south.setup.start();
-    let (cache, ask) = two.south.world.ask();
+    let (cache, ask) = two.south.world.next_request();
     cache.answer(&ask, "200", b"again");
-    two.client.served(id, b"again");
+    two.client.expect_served(id, b"again");
 }
 
 /// The south has two gateways in front of the same caches; one of them is killed.
@@ -217,10 +217,10 @@
     });
     let mut client = north.gateway.client();
     for n in 0..5 {
-        let id = client.get(&format!("b00000000000000{n}"));
-        let (cache, ask) = south.world.ask();
+        let id = client.request_object(&format!("b00000000000000{n}"));
+        let (cache, ask) = south.world.next_request();
         cache.answer(&ask, "200", b"by the other way");
-        client.served(id, b"by the other way");
+        client.expect_served(id, b"by the other way");
     }
 }
 
@@ -229,16 +229,16 @@
     let mut two = Two::start();
     two.shim.throttle(400);
     let body: Vec<u8> = (0..200_000u32).map(|i| (i % 253) as u8).collect();
-    let id = two.client.call("page", &[("lookup", SOUTHERN), ("room", "200")], b"");
-    let (cache, ask) = two.south.world.ask();
+    let id = two.client.send_request("page", &[("lookup", SOUTHERN), ("room", "200")], b"");
+    let (cache, ask) = two.south.world.next_request();
     cache.answer(&ask, "200", &body);
-    let before = two.shim.passed();
-    until("a part of it has come", || two.shim.passed() > before + 60_000);
-    two.shim.set(State::Reset);
+    let before = two.shim.bytes_relayed();
+    until("a part of it has come", || two.shim.bytes_relayed() > before + 60_000);
+    two.shim.set_state(LinkState::Reset);
     std::thread::sleep(Duration::from_millis(30));
-    two.shim.set(State::Whole);
-    two.client.served(id, &body);
-    assert!(two.south.world.maybe_ask().is_none(), "it was not asked for again");
+    two.shim.set_state(LinkState::Up);
+    two.client.expect_served(id, &body);
+    assert!(two.south.world.request_if_any().is_none(), "it was not asked for again");
 }
 
 #[test]
@@ -246,15 +246,15 @@
     let mut two = Two::start();
     two.shim.throttle(320);
     let large = vec![1; 200_000];
-    let first = two.client.call("page", &[("lookup", SOUTHERN), ("room", "200")], b"");
-    let (cache, ask) = two.south.world.ask();
+    let first = two.client.send_request("page", &[("lookup", SOUTHERN), ("room", "200")], b"");
+    let (cache, ask) = two.south.world.next_request();
     cache.answer(&ask, "200", &large);
     std::thread::sleep(Duration::from_millis(50));
-    let second = two.client.get("b000000000000002");
-    let (cache, ask) = two.south.world.ask();
+    let second = two.client.request_object("b000000000000002");
+    let (cache, ask) = two.south.world.next_request();
     cache.answer(&ask, "200", b"small");
-    two.client.served(second, b"small");
-    two.client.served(first, &large);
+    two.client.expect_served(second, b"small");
+    two.client.expect_served(first, &large);
 }
 
 #[test]
@@ -264,60 +264,60 @@
     // One piece of 16 KB takes three times the silence.
     two.shim.throttle(24);
     let body = vec![5; 20_000];
-    let id = two.client.call("page", &[("lookup", SOUTHERN), ("room", "20")], b"");
-    let (cache, ask) = two.south.world.ask();
+    let id = two.client.send_request("page", &[("lookup", SOUTHERN), ("room", "20")], b"");
+    let (cache, ask) = two.south.world.next_request();
     cache.answer(&ask, "200", &body);
-    two.client.served(id, &body);
+    two.client.expect_served(id, &body);
     assert!(!two.north.gateway.log().contains(": cut"), "{}", two.north.gateway.log());
 }
 
 #[test]
 fn while_the_link_is_down_requests_wait_for_a_moment_and_are_then_refused_with_advice() {
     let mut two = Two::start();
-    two.shim.set(State::Reset);
+    two.shim.set_state(LinkState::Reset);
     until("the cut is seen", || two.north.gateway.log().contains("link to south (0): cut"));
     let start = Instant::now();
-    let id = two.client.get(SOUTHERN);
-    let fields = two.client.error(id, "Shed");
+    let id = two.client.request_object(SOUTHERN);
+    let fields = two.client.expect_error(id, "Shed");
     let took = start.elapsed().as_millis();
     assert!((150..600).contains(&took), "{took} ms");
     assert!(fields["cooldown"].parse::<u32>().unwrap() >= 1, "{fields:?}");
     // One that comes in time before the link is back is served.
-    let id = two.client.get(SOUTHERN);
-    two.shim.set(State::Whole);
-    let (cache, ask) = two.south.world.ask();
+    let id = two.client.request_object(SOUTHERN);
+    two.shim.set_state(LinkState::Up);
+    let (cache, ask) = two.south.world.next_request();
     cache.answer(&ask, "200", b"back");
-    two.client.served(id, b"back");
+    two.client.expect_served(id, b"back");
 }
 
 #[test]
 fn a_purge_told_on_one_side_counts_on_the_other() {
     let mut two = Two::start();
     let purge = |n: u64| serde_json::json!({"n": n, "purge": {"key": SOUTHERN, "at": unix_ms()}});
-    tell(&two.north.line, &purge(2));
+    send_line(&two.north.line, &purge(2));
     let mut within = None;
     until("the south asks for no older copy", || {
         let mut own = two.south.gateway.client();
-        let id = own.get(SOUTHERN);
-        let (cache, ask) = two.south.world.ask();
+        let id = own.request_object(SOUTHERN);
+        let (cache, ask) = two.south.world.next_request();
         cache.answer(&ask, "200", b"new");
-        own.served(id, b"new");
+        own.expect_served(id, b"new");
         within = ask.field("within").and_then(|w| w.parse::<u64>().ok());
         within.is_some()
     });
     assert!(within.unwrap() < 5000, "{within:?}");
     // An answer from an older copy than a purge that the near side was told is not passed on.
-    let id = two.client.get("b000000000000005");
-    let (cache, ask) = two.south.world.ask();
+    let id = two.client.request_object("b000000000000005");
+    let (cache, ask) = two.south.world.next_request();
     let key = serde_json::json!({"n": 3, "purge": {"key": "b000000000000005", "at": unix_ms()}});
-    tell(&two.north.line, &key);
+    send_line(&two.north.line, &key);
     std::thread::sleep(Duration::from_millis(650));
     let old = format!("entity=t1,issued={}", unix_ms() - 60_000);
-    cache.send(ask.conn, &Member::encode(&ask.id, "200", &old, b"old"));
-    let (cache, ask) = two.south.world.ask();
+    cache.send(ask.connection, &Member::encode(&ask.id, "200", &old, b"old"));
+    let (cache, ask) = two.south.world.next_request();
     let new = format!("entity=t2,issued={}", unix_ms());
-    cache.send(ask.conn, &Member::encode(&ask.id, "200", &new, b"new"));
-    two.client.served(id, b"new");
+    cache.send(ask.connection, &Member::encode(&ask.id, "200", &new, b"new"));
+    two.client.expect_served(id, b"new");
 }
 
 #[test]
@@ -325,18 +325,18 @@
     let two = Two::start();
     let within = |two: &Two| {
         let mut own = two.north.gateway.client();
-        let id = own.get("a000000000000001");
-        let (cache, ask) = two.north.world.ask();
+        let id = own.request_object("a000000000000001");
+        let (cache, ask) = two.north.world.next_request();
         cache.answer(&ask, "200", b"own");
-        own.served(id, b"own");
+        own.expect_served(id, b"own");
         ask.field("within").and_then(|w| w.parse::<u64>().ok())
     };
     until("the south is heard", || two.north.gateway.log().contains("all peers are heard"));
-    two.shim.set(State::Silent);
+    two.shim.set_state(LinkState::Silent);
     until("the north doubts", || two.north.gateway.log().matches("is not heard").count() == 2);
     let bound = within(&two);
     assert!(bound.is_some_and(|w| w <= 1000), "{bound:?}");
-    two.shim.set(State::Whole);
+    two.shim.set_state(LinkState::Up);
     until("it is heard again", || two.north.gateway.log().matches("all peers are heard").count() == 2);
 }
 
@@ -344,15 +344,15 @@
 fn copies_answer_here_while_they_are_trusted_and_else_the_home_does() {
     let mut two = Two::start_with("mode: COPIES");
     until("the south is heard", || two.north.gateway.log().contains("all peers are heard"));
-    let id = two.client.get(SOUTHERN);
-    let (cache, ask) = two.north.world.ask();
+    let id = two.client.request_object(SOUTHERN);
+    let (cache, ask) = two.north.world.next_request();
     cache.answer(&ask, "200", b"copy");
-    two.client.served(id, b"copy");
-    two.shim.set(State::Silent);
+    two.client.expect_served(id, b"copy");
+    two.shim.set_state(LinkState::Silent);
     until("the north doubts", || two.north.gateway.log().matches("is not heard").count() == 2);
-    let id = two.client.get(SOUTHERN);
-    two.client.error(id, "Shed");
-    assert!(two.north.world.maybe_ask().is_none(), "a copy that nobody vouches for");
+    let id = two.client.request_object(SOUTHERN);
+    two.client.expect_error(id, "Shed");
+    assert!(two.north.world.request_if_any().is_none(), "a copy that nobody vouches for");
 }
 
 #[test]
@@ -377,22 +377,25 @@
     up(&south, "east");
     up(&east, "north");
     let mut client = north.gateway.client();
-    let id = client.get("c000000000000001");
-    let (cache, ask) = east.world.ask();
+    let id = client.request_object("c000000000000001");
+    let (cache, ask) = east.world.next_request();
     cache.answer(&ask, "200", b"from the east");
-    client.served(id, b"from the east");
-    let id = client.get("d000000000000001");
-    assert!(matches!(client.answer(), (got, Answer::Error(..)) if got == id), "it would come back");
+    client.expect_served(id, b"from the east");
+    let id = client.request_object("d000000000000001");
+    assert!(matches!(client.next_answer(), (got, Answer::Error(..)) if got == id), "it would come back");
     // A log line may be read later than the answer.
     until("it is turned away", || [&south, &east].iter().any(|s| s.gateway.log().contains("turned away")));
     // A purge told in the north comes to all.
-    tell(&north.line, &serde_json::json!({"n": 2, "purge": {"key": "c000000000000001", "at": unix_ms()}}));
+    send_line(
+        &north.line,
+        &serde_json::json!({"n": 2, "purge": {"key": "c000000000000001", "at": unix_ms()}}),
+    );
     until("the east asks for no older copy", || {
         let mut own = east.gateway.client();
-        let id = own.get("c000000000000001");
-        let (cache, ask) = east.world.ask();
+        let id = own.request_object("c000000000000001");
+        let (cache, ask) = east.world.next_request();
         cache.answer(&ask, "200", b"new");
-        own.served(id, b"new");
+        own.expect_served(id, b"new");
         ask.field("within").is_some()
     });
 }
@@ -400,48 +403,48 @@
 #[test]
 fn routes_and_peers_change_on_sighup_with_requests_open() {
     let mut two = Two::start();
-    let open = two.client.get(SOUTHERN);
-    let (cache, ask) = two.south.world.ask();
+    let open = two.client.request_object(SOUTHERN);
+    let (cache, ask) = two.south.world.next_request();
     let text = std::fs::read_to_string(two.north.gateway.operator_file()).unwrap();
     // A file with a fault changes nothing.
-    two.north.gateway.operate(&text.replace("home: \"south\"", "home: \"west\""));
+    two.north.gateway.reload_operator(&text.replace("home: \"south\"", "home: \"west\""));
     until("the fault is told", || two.north.gateway.log().contains("no peer is named"));
-    two.north.gateway.operate(&text.replace("prefix: \"b\"", "prefix: \"e\""));
+    two.north.gateway.reload_operator(&text.replace("prefix: \"b\"", "prefix: \"e\""));
     until("the routes are taken", || two.north.gateway.log().contains("routes and peers are taken"));
-    let id = two.client.get("b000000000000009");
-    let (own, own_ask) = two.north.world.ask();
+    let id = two.client.request_object("b000000000000009");
+    let (own, own_ask) = two.north.world.next_request();
     own.answer(&own_ask, "200", b"here now");
-    two.client.served(id, b"here now");
+    two.client.expect_served(id, b"here now");
     cache.answer(&ask, "200", b"as it went out");
-    two.client.served(open, b"as it went out");
+    two.client.expect_served(open, b"as it went out");
     // Without the peer its links close, and with it they come back.
     let alone = two.north.setup.operator.as_ref().unwrap();
     let alone: String =
         alone.lines().filter(|l| !l.starts_with("peers") && !l.starts_with("routes")).collect();
     let other = alone
         .replace("link {", &format!("peers {{ site: \"west\" addresses: \"{}\" }} link {{", free_address()));
-    two.north.gateway.operate(&other);
-    until("the links close", || two.shim.open() == 0);
-    two.north.gateway.operate(&text);
-    until("they are back", || two.shim.open() > 0);
+    two.north.gateway.reload_operator(&other);
+    until("the links close", || two.shim.open_connections() == 0);
+    two.north.gateway.reload_operator(&text);
+    until("they are back", || two.shim.open_connections() > 0);
 }
 
 #[test]
 fn a_planned_end_answers_all_that_crosses() {
     for far in [true, false] {
         let mut two = Two::start();
-        let id = two.client.get(SOUTHERN);
-        let (cache, ask) = two.south.world.ask();
+        let id = two.client.request_object(SOUTHERN);
+        let (cache, ask) = two.south.world.next_request();
         let ends = if far { &two.south } else { &two.north };
         ends.gateway.signal("TERM");
         std::thread::sleep(Duration::from_millis(100));
         cache.answer(&ask, "200", b"to the last");
-        two.client.served(id, b"to the last");
+        two.client.expect_served(id, b"to the last");
         let ends = if far { &mut two.south } else { &mut two.north };
-        assert_eq!(ends.gateway.ended(), Some(0));
+        assert_eq!(ends.gateway.wait_for_exit(), Some(0));
         if far {
-            let id = two.client.get(SOUTHERN);
-            two.client.error(id, "Shed");
+            let id = two.client.request_object(SOUTHERN);
+            two.client.expect_error(id, "Shed");
         }
     }
 }
@@ -488,12 +491,12 @@
 /// Accepting stopped until another link came.
 #[test]
 fn a_link_finds_a_descriptor_where_clients_hold_all() {
-    let world = World::start();
+    let world = TestSite::start();
     let mut setup = world.setup();
     let at = free_address();
     setup.operator = Some(file("south", at, &[("north", free_address())], &[("a", "north", "")]));
-    let gateway = setup.start_under("ulimit -n 32");
-    let _silent = gateway.fill(32);
+    let gateway = setup.start_limited("ulimit -n 32");
+    let _silent = gateway.fill_descriptors(32);
     let mut stream = TcpStream::connect(at).unwrap();
     stream.write_all(&link::frame(&hello("east", 1))).unwrap();
     let told = heard(&stream);
@@ -510,8 +513,8 @@
     good.extend(link::frame(&Say::Hello(Hello::default()).into()));
     let cases: [&[u8]; 5] =
         [b"\xff\xff\xff\xffrest", b"\0\0\0\x05nodes", &[0; 64], b"GET / HTTP/1.1\r\n\r\n", &good];
-    let id = two.client.get(SOUTHERN);
-    let (cache, ask) = two.south.world.ask();
+    let id = two.client.request_object(SOUTHERN);
+    let (cache, ask) = two.south.world.next_request();
     for bytes in cases {
         let mut stream = TcpStream::connect(at).unwrap();
         stream.write_all(bytes).unwrap();
@@ -520,22 +523,22 @@
     // One that says nothing is ended too.
     heard(&TcpStream::connect(at).unwrap());
     cache.answer(&ask, "200", b"unharmed");
-    two.client.served(id, b"unharmed");
+    two.client.expect_served(id, b"unharmed");
 }
 
 #[test]
 fn a_client_that_leaves_takes_its_crossing_with_it() {
     let mut two = Two::start();
-    let id = two.client.get(SOUTHERN);
-    let (cache, ask) = two.south.world.ask();
-    two.client.abort(id);
-    cache.quit(&ask.id);
+    let id = two.client.request_object(SOUTHERN);
+    let (cache, ask) = two.south.world.next_request();
+    two.client.cancel(id);
+    cache.expect_cancelled(&ask.id);
     let other = two.north.gateway.client();
     drop(other);
-    let id = two.client.get("b000000000000003");
-    let (cache, ask) = two.south.world.ask();
+    let id = two.client.request_object("b000000000000003");
+    let (cache, ask) = two.south.world.next_request();
     drop(std::mem::replace(&mut two.client, two.north.gateway.client()));
-    cache.quit(&ask.id);
+    cache.expect_cancelled(&ask.id);
     let _ = id;
     assert!(two.north.feed.address.port() > 0);
 }
