--- /dev/null
+++ b/crates/deckproxy/src/program/accept.rs
@@ -0,0 +1,85 @@
+//! Accepting clients' connections.
+
+use crate::program::connections::EvictionReason;
+use crate::program::gateway::Gateway;
+use crate::program::subsystem::Event;
+use crate::program::timer_task::TimerTask;
+use crate::transport::client::Client;
+use crate::transport::listener::{Accepted, Listener};
+use crate::transport::stream::Stream;
+use std::net::TcpStream;
+
+/// Time until accepting is tried again when descriptors or places ran out, ms.
+const ACCEPT_RETRY_DELAY: f64 = 20.0;
+/// Connections accepted in one go; they are read before more are accepted.
+const ACCEPT_BATCH: usize = 16;
+
+/// Why accepting stopped.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum AcceptProgress {
+    /// Nobody waits any more.
+    Drained,
+    /// Some may still wait.
+    More,
+}
+
+impl Gateway {
+    /// Accepts clients that wait. A shutdown that rejects closes the listener once nobody waits.
+    pub(super) fn accept_clients(&mut self, now: f64) {
+        self.accept_pending = false;
+        let Some(listener) = self.listener.take() else { return };
+        let progress = self.accept_from(now, &listener);
+        if self.is_rejecting() && progress == AcceptProgress::Drained {
+            listener.close(&self.handle);
+        } else {
+            self.listener = Some(listener);
+        }
+    }
+
+    /// Schedules another try to accept, once however often accepting fails until then.
+    pub(super) fn schedule_accept_retry(&mut self, now: f64) {
+        if !std::mem::replace(&mut self.accept_retry_scheduled, true) {
+            self.timers.schedule(now + ACCEPT_RETRY_DELAY, TimerTask::RetryAccept);
+        }
+    }
+
+    fn accept_from(&mut self, now: f64, listener: &Listener) -> AcceptProgress {
+        for _ in 0..ACCEPT_BATCH {
+            if self.clients.len() >= self.bounds.clients && !self.evict_client(now, EvictionReason::NewClient)
+            {
+                // Those that wait stay in the kernel's queue until a place is free.
+                self.schedule_accept_retry(now);
+                return AcceptProgress::More;
+            }
+            match listener.accept() {
+                Accepted::One(socket) => self.accept_client(now, socket),
+                Accepted::None => return AcceptProgress::Drained,
+                Accepted::Exhausted => {
+                    // Logged at each try, it would crowd out all other lines.
+                    if !std::mem::replace(&mut self.exhaustion_logged, true) {
+                        self.log_peer("no descriptor is left for a client");
+                    }
+                    self.evict_client(now, EvictionReason::NewClient);
+                    self.schedule_accept_retry(now);
+                    return AcceptProgress::More;
+                }
+            }
+        }
+        self.accept_pending = true;
+        AcceptProgress::More
+    }
+
+    fn accept_client(&mut self, now: f64, socket: TcpStream) {
+        let id = self.next_connection_id();
+        let wants_address = self.subsystems.wants_addresses();
+        let address = if wants_address { socket.peer_addr().ok().map(|peer| peer.ip()) } else { None };
+        let ready = move |gateway: &mut Gateway, readiness| gateway.client_ready(id, readiness);
+        match Stream::accepted(&self.handle, &self.client_buffers, socket, ready) {
+            Ok(stream) => {
+                self.clients.insert(id, Client::new(stream, now));
+                self.notify(now, &Event::ClientConnected { client: id, address });
+            }
+            Err(e) => self.log_peer(&format!("a client's connection could not be taken: {e}")),
+        }
+    }
+}
--- /dev/null
+++ b/crates/deckproxy/src/program/attempts.rs
@@ -0,0 +1,215 @@
+//! Attempts and health checks on upstream connections: sending, cancelling, answers, and what a broken connection means
+//! for those in flight on it.
+
+use crate::program::connections::{ReadySource, UpstreamId};
+use crate::program::gateway::{Gateway, context};
+use crate::program::subsystem::Event;
+use crate::program::timer_task::TimerTask;
+use crate::protocol::upstream::Reply;
+use crate::routing::members::Endpoint;
+use crate::routing::{AttemptKey, ConnectionFailure};
+use crate::transport::clock;
+use crate::transport::member::{Message, Withdrawn};
+use crate::transport::stream::Progress;
+use calloop::Readiness;
+use deckproxy_control::interface::MemberId;
+use deckproxy_flow::meter::Outcome;
+
+impl Gateway {
+    /// Sends an attempt or a health check to a member.
+    pub(super) fn send_attempt(
+        &mut self,
+        now: f64,
+        (key, member, endpoint): (AttemptKey, MemberId, Endpoint),
+        name: &str,
+        message: Message,
+    ) {
+        let Some(id) = self.upstream_for(now, member, endpoint, name) else {
+            self.attempt_ended(now, key, Outcome::Cut);
+            return self.router.connection_failed(now, key, ConnectionFailure::NotSent);
+        };
+        let Some(upstream) = self.upstreams.get_mut(&id) else { return };
+        self.attempt_upstreams.insert(key, id);
+        let unsent_timeout = match message {
+            Message::Ask { parts, unsent } => {
+                upstream.link.ask(key, name.into(), parts, now);
+                unsent
+            }
+            Message::Probe => {
+                upstream.link.probe(key, name.into(), now);
+                self.router.conf().limits.unsent
+            }
+        };
+        self.flush_upstream(now, id);
+        if self.upstreams.get(&id).is_some_and(|upstream| !upstream.link.is_written(key)) {
+            self.timers.schedule(now + unsent_timeout, TimerTask::ExpireUnsent(key));
+        }
+    }
+
+    /// Cancels an attempt that could not begin to be written for so long: drains, purges and slow starts may have
+    /// overtaken the decision for it.
+    pub(super) fn expire_unsent(&mut self, now: f64, key: AttemptKey) {
+        let upstream = self.attempt_upstreams.get(&key).and_then(|id| self.upstreams.get_mut(id));
+        if upstream.is_some_and(|upstream| upstream.link.take_back(key)) {
+            self.attempt_upstreams.remove(&key);
+            self.attempt_ended(now, key, Outcome::Cut);
+            self.router.connection_failed(now, key, ConnectionFailure::NotSent);
+        }
+    }
+
+    /// Notifies the subsystems that an attempt ended without an answer.
+    fn attempt_ended(&mut self, now: f64, key: AttemptKey, outcome: Outcome) {
+        self.notify(now, &Event::AttemptEnded { key, outcome });
+    }
+
+    /// Cancels an attempt, wherever it is.
+    pub(super) fn cancel_attempt(&mut self, now: f64, key: AttemptKey) {
+        let connect_timeout = self.router.conf().limits.connect;
+        let Some(id) = self.attempt_upstreams.remove(&key) else {
+            // On no connection: it was cancelled before it was sent.
+            return self.router.attempt_cancelled(now, key, false);
+        };
+        let upstream = self.upstreams.get_mut(&id);
+        let withdrawn = upstream.and_then(|upstream| upstream.link.withdraw(key, now, connect_timeout));
+        let withdrawn = withdrawn.unwrap_or(Withdrawn::Sent);
+        if withdrawn == Withdrawn::Cut && self.upstreams.get(&id).is_some_and(|u| u.link.load() == 0) {
+            // The rest is never written: a request that did not arrive completely never runs.
+            self.close_upstream(id);
+        }
+        self.flush_upstream(now, id);
+        let may_run = match withdrawn {
+            Withdrawn::Unsent => false,
+            Withdrawn::Cut => self.upstreams.contains_key(&id),
+            Withdrawn::Sent => true,
+        };
+        self.attempt_ended(now, key, Outcome::Cut);
+        self.router.attempt_cancelled(now, key, may_run);
+    }
+
+    /// Takes readiness of an upstream connection from the kernel.
+    pub(super) fn upstream_ready(&mut self, id: UpstreamId, readiness: Readiness) {
+        if let Some(upstream) = self.upstreams.get_mut(&id) {
+            upstream.link.stream.note(readiness);
+            self.queue(ReadySource::Upstream(id));
+        }
+    }
+
+    /// Takes up the end of a connect, writes what waits, and handles the answers that came.
+    pub(super) fn serve_upstream(&mut self, now: f64, id: UpstreamId) {
+        let Some(upstream) = self.upstreams.get_mut(&id) else { return };
+        if upstream.connecting {
+            match upstream.link.stream.is_connecting() {
+                Ok(connecting) => upstream.connecting = connecting,
+                Err(e) => return self.fail_upstream(now, id, &format!("not connected: {e}")),
+            }
+        }
+        self.read_waiting_clients(now, id);
+        self.flush_upstream(now, id);
+        // With clients' write buffers at their bound nothing more is read: it would only wait here for its clients.
+        let full = self.client_buffers.output.get() > self.bounds.unread;
+        let Some(upstream) = self.upstreams.get_mut(&id) else { return };
+        let readable = upstream.link.stream.is_readable() && !full;
+        let progress = if readable { upstream.link.read(now) } else { Progress::Drained };
+        if !self.take_replies(now, id) {
+            return;
+        }
+        match progress {
+            Progress::More => self.queue(ReadySource::Upstream(id)),
+            Progress::Ended => self.fail_upstream(now, id, "closed"),
+            Progress::Drained => {}
+        }
+        let retired = |id| self.upstreams.get(id).is_some_and(|u| u.link.retired && u.link.load() == 0);
+        if retired(&id) {
+            self.close_upstream(id);
+        }
+    }
+
+    /// Hands the complete answers that came on a connection to the router. Returns whether it is still open.
+    fn take_replies(&mut self, now: f64, id: UpstreamId) -> bool {
+        loop {
+            let Some(upstream) = self.upstreams.get_mut(&id) else { return false };
+            let before = upstream.link.stream.input.len();
+            let reply = upstream.link.take_reply(now);
+            let bytes = before - upstream.link.stream.input.len();
+            let member = upstream.member;
+            self.notify_received(now, member, reply.as_ref().ok().and_then(Option::as_ref), bytes);
+            match reply {
+                Ok(None) => return true,
+                Ok(Some((Some(key), reply))) => {
+                    self.attempt_upstreams.remove(&key);
+                    self.router.reply(clock::now(), key, reply);
+                }
+                // To nothing that is in flight any more.
+                Ok(Some((None, _))) => {}
+                Err(why) => {
+                    self.fail_upstream(now, id, why);
+                    return false;
+                }
+            }
+            self.apply_effects(now);
+        }
+    }
+
+    /// Notifies the subsystems of bytes that came from a member: an answer with what it answers, or none.
+    fn notify_received(
+        &mut self,
+        now: f64,
+        member: MemberId,
+        reply: Option<&(Option<AttemptKey>, Reply)>,
+        bytes: usize,
+    ) {
+        if !self.subsystems.is_on() {
+            return;
+        }
+        let member = self.router.member_name(member);
+        let event = match reply {
+            Some((key, reply)) => Event::MemberReplied { member, key: *key, word: reply.word, bytes },
+            None => Event::MemberBytesReceived { member, bytes },
+        };
+        self.subsystems.notify(&context(now, &self.router), &event);
+    }
+
+    /// Reads the clients whose attempts wait to be written on a connection: it may have been established, or taken
+    /// bytes again, after they cancelled or left.
+    fn read_waiting_clients(&mut self, now: f64, id: UpstreamId) {
+        let waiting = self.upstreams.get(&id).map(|upstream| upstream.link.unwritten()).unwrap_or_default();
+        for client in waiting.iter().filter_map(|key| self.router.client_of(*key)).collect::<Vec<_>>() {
+            self.read_client_before_send(now, client);
+        }
+        if !waiting.is_empty() {
+            self.apply_effects(now);
+        }
+    }
+
+    /// Writes what waits on a connection.
+    fn flush_upstream(&mut self, now: f64, id: UpstreamId) {
+        let Some(upstream) = self.upstreams.get_mut(&id) else { return };
+        let (subsystems, cx) = (&mut self.subsystems, context(now, &self.router));
+        let member = cx.router.member_name(upstream.member);
+        let sent = |written| subsystems.notify(&cx, &Event::MemberBytesSent { member, written });
+        if let Err(e) = upstream.link.flush(now, sent) {
+            self.fail_upstream(now, id, &format!("broke: {e}"));
+        }
+    }
+
+    /// A connection has ended for that reason: what was in flight on it ends by how much of it was written.
+    pub(super) fn fail_upstream(&mut self, now: f64, id: UpstreamId, why: &str) {
+        let Some(upstream) = self.upstreams.get_mut(&id) else { return };
+        let lost = upstream.link.lost();
+        if !lost.is_empty() {
+            let name = self.router.member_name(upstream.member).to_string();
+            self.log_peer(&format!("member {name}: connection {why}, {} attempts out", lost.len()));
+        }
+        self.close_upstream(id);
+        for (key, written) in lost {
+            self.attempt_upstreams.remove(&key);
+            let (outcome, failure) = if written {
+                (Outcome::Failed, ConnectionFailure::Reset)
+            } else {
+                (Outcome::Cut, ConnectionFailure::NotSent)
+            };
+            self.attempt_ended(now, key, outcome);
+            self.router.connection_failed(now, key, failure);
+        }
+    }
+}
--- /dev/null
+++ b/crates/deckproxy/src/program/client_messages.rs
@@ -0,0 +1,170 @@
+//! Clients' messages and the answers to them.
+
+use crate::program::gateway::{Gateway, context};
+use crate::program::subsystem::{Event, RequestKey, Verdict};
+use crate::protocol::downstream::{self, Answer, Broken, Call, Message};
+use crate::routing::ClientId;
+use crate::transport::client::Client;
+use crate::transport::clock;
+
+/// Whether an answer is to a request that counts as open on its client's connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Admitted {
+    Yes,
+    No,
+}
+
+impl Gateway {
+    /// Decodes and handles the complete messages that a client has sent.
+    pub(super) fn decode_messages(&mut self, now: f64, id: ClientId) {
+        loop {
+            let Some(client) = self.clients.get_mut(&id) else { return };
+            let before = client.stream.input.len();
+            let message = client.take_message();
+            let bytes = before - client.stream.input.len();
+            match message {
+                Ok(None) => {
+                    self.notify(now, &Event::ClientBytesReceived { client: id, bytes });
+                    break;
+                }
+                Ok(Some(message)) => self.handle_message(clock::now(), id, message, bytes),
+                Err(broken) => self.handle_broken(now, id, &broken, bytes),
+            }
+            if self.clients.get(&id).is_some_and(Client::is_overfull) {
+                self.drain_client(now, id, "it reads none of its refusals");
+            }
+        }
+    }
+
+    /// Takes bytes that can't be decoded: answers them if they name a request, and drains the connection.
+    fn handle_broken(&mut self, now: f64, id: ClientId, broken: &Broken, bytes: usize) {
+        let event = match broken.id {
+            Some(request) => Event::RequestReceived { client: id, id: request, class: "", bytes },
+            None => Event::ClientBytesReceived { client: id, bytes },
+        };
+        self.notify(now, &event);
+        if let Some(request) = broken.id {
+            self.enqueue_answer(now, (id, request), &Answer::Unusable(broken.why), Admitted::No);
+        }
+        self.drain_client(now, id, broken.why);
+    }
+
+    /// Handles a client's message of that size in bytes.
+    fn handle_message(&mut self, now: f64, id: ClientId, message: Message, bytes: usize) {
+        let full = self.is_memory_full();
+        let event = match &message {
+            Message::Call(request, call) => {
+                Event::RequestReceived { client: id, id: *request, class: &call.class, bytes }
+            }
+            Message::Unusable(request, _) => {
+                Event::RequestReceived { client: id, id: *request, class: "", bytes }
+            }
+            Message::Ping(_) | Message::Abort(_) | Message::Ignored => {
+                Event::ClientBytesReceived { client: id, bytes }
+            }
+        };
+        self.notify(now, &event);
+        match message {
+            Message::Call(request, call) => self.handle_request(now, (id, request), *call, full),
+            Message::Ping(request) => self.handle_ping(now, id, request),
+            Message::Abort(requests) => self.handle_cancellation(now, id, requests),
+            Message::Unusable(request, why) => self.handle_unusable(now, id, request, why),
+            Message::Ignored => {}
+        }
+    }
+
+    /// Handles a request; `full`: connections and bodies hold as many bytes as they may.
+    fn handle_request(&mut self, now: f64, key: RequestKey, call: Call, full: bool) {
+        let (id, request) = key;
+        if self.is_request_open(key) {
+            // Two open requests of one id: no answer could be told from the other's.
+            self.router.counters.invalid += 1;
+            self.log_peer("a client's connection closes: two open requests of one id");
+            return self.close_client(now, id);
+        }
+        let Some(client) = self.clients.get_mut(&id) else { return };
+        if !client.follows(request) {
+            // The protocol has ids start at 1 and count up.
+            let why = "message ids do not start at 1 and count up";
+            self.enqueue_answer(now, key, &Answer::Unusable(why), Admitted::No);
+            return self.drain_client(now, id, why);
+        }
+        // During a shutdown a request that is rejected at once is soon with another gateway. The bound on all bytes
+        // comes before the client's own on open requests.
+        let rejecting = self.is_rejecting();
+        let admitted = self.clients.get_mut(&id).is_some_and(|client| !rejecting && !full && client.admit());
+        if !admitted {
+            self.router.counters.rejected += 1;
+            self.enqueue_answer(now, key, &Answer::Refused(0.0), Admitted::No);
+            return self.flush_client(now, id);
+        }
+        match self.subsystems.request(&context(now, &self.router), key, &call) {
+            Verdict::Pass => self.router.request(now, id, request, call),
+            Verdict::Taken => {}
+            Verdict::Answer(answer) => {
+                match answer {
+                    Answer::Unusable(_) => self.router.counters.invalid += 1,
+                    _ => self.router.counters.count(&answer),
+                }
+                self.answer_client(now, id, request, &answer);
+            }
+        }
+    }
+
+    /// Answers a ping: whether the gateway is ready for requests.
+    fn handle_ping(&mut self, now: f64, id: ClientId, request: u32) {
+        let ready = !self.is_shutting_down();
+        let Some(client) = self.clients.get_mut(&id) else { return };
+        client.follows(request);
+        client.push(downstream::ready(request, ready));
+        self.notify(now, &Event::PingAnswered { client: id });
+        self.flush_client(now, id);
+    }
+
+    /// Cancels those of the requests that are open.
+    fn handle_cancellation(&mut self, now: f64, id: ClientId, requests: Vec<u32>) {
+        for request in requests {
+            if !self.is_request_open((id, request)) {
+                continue;
+            }
+            let Some(client) = self.clients.get_mut(&id) else { return };
+            let too_many = client.release();
+            self.notify(now, &Event::RequestCancelled { client: id, id: request });
+            self.router.cancel(now, id, request);
+            if too_many {
+                return self.drain_client(now, id, "it takes back all that it asks for");
+            }
+        }
+    }
+
+    fn handle_unusable(&mut self, now: f64, id: ClientId, request: u32, why: &'static str) {
+        let Some(client) = self.clients.get_mut(&id) else { return };
+        client.follows(request);
+        self.router.counters.invalid += 1;
+        self.enqueue_answer(now, (id, request), &Answer::Unusable(why), Admitted::No);
+        self.flush_client(now, id);
+    }
+
+    fn is_request_open(&self, (client, id): RequestKey) -> bool {
+        self.router.is_open(client, id) || self.subsystems.has_request(client, id)
+    }
+
+    /// Sends the final answer to an admitted request. One whose client has gone was counted when it went.
+    pub(super) fn answer_client(&mut self, now: f64, id: ClientId, request: u32, answer: &Answer) {
+        let replacement = if self.subsystems.is_on() {
+            self.subsystems.answer(&context(now, &self.router), (id, request), answer)
+        } else {
+            None
+        };
+        let answer = replacement.as_ref().unwrap_or(answer);
+        self.enqueue_answer(now, (id, request), answer, Admitted::Yes);
+        self.flush_client(now, id);
+    }
+
+    /// Appends an answer to a client's write buffer.
+    fn enqueue_answer(&mut self, now: f64, (id, request): RequestKey, answer: &Answer, admitted: Admitted) {
+        let Some(client) = self.clients.get_mut(&id) else { return };
+        client.answer(request, answer, admitted == Admitted::Yes);
+        self.notify(now, &Event::AnswerQueued { client: id, id: request, answer });
+    }
+}
--- /dev/null
+++ b/crates/deckproxy/src/program/connections.rs
@@ -0,0 +1,50 @@
+//! Identifiers of the gateway's connections, and what the event loop keeps of each of them.
+
+use crate::program::subsystem::LinkId;
+use crate::routing::ClientId;
+use crate::routing::members::Endpoint;
+use crate::transport::member::Link;
+use deckproxy_control::interface::MemberId;
+
+/// An upstream connection to a member; never reused within a process.
+pub(super) type UpstreamId = u64;
+/// A connection to a flow collector; never reused within a process.
+pub(super) type CollectorId = u64;
+
+/// A connection or socket that has something to read, write or report.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ReadySource {
+    /// A client's connection.
+    Client(ClientId),
+    /// An upstream connection to a member.
+    Upstream(UpstreamId),
+    /// A link to another site's gateway.
+    Link(LinkId),
+    /// The connection to the control feed.
+    Feed,
+    /// A connection to a flow collector.
+    Collector(CollectorId),
+    /// The datagram socket shared with the fleet's other instances.
+    FleetSocket,
+}
+
+/// An upstream connection with the member that it leads to.
+pub(super) struct UpstreamConnection {
+    /// The socket and the attempts in flight on it.
+    pub(super) link: Link,
+    /// The member it was opened for.
+    pub(super) member: MemberId,
+    /// Address and incarnation of the member at that time.
+    pub(super) endpoint: Endpoint,
+    /// The TCP handshake is not over yet.
+    pub(super) connecting: bool,
+}
+
+/// On whose behalf a client's connection is evicted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum EvictionReason {
+    /// Another client wants to connect.
+    NewClient,
+    /// The gateway itself needs the descriptor: for the feed, a member, a link or its configuration.
+    Internal,
+}
--- a/crates/deckproxy/src/program/feed.rs
+++ b/crates/deckproxy/src/program/feed.rs
@@ -1,90 +1,122 @@
-//! The control feed: connecting, reading, and connecting anew.
+//! The connection to the control feed: connecting, reading, and reconnecting with a backoff.
 
-use crate::program::gateway::{Chore, Gateway, Need, Peer};
+use crate::program::connections::{EvictionReason, ReadySource};
+use crate::program::gateway::Gateway;
+use crate::program::timer_task::TimerTask;
 use crate::protocol::feed::Line;
 use crate::protocol::limits;
 use crate::transport::feed::Feed;
 use crate::transport::stream::{Progress, Stream, is_exhausted};
 use calloop::Readiness;
+use std::io;
+use std::net::SocketAddr;
 
 impl Gateway {
+    /// Connects to the feed, unless it is connected or has no address.
     pub(super) fn connect_feed(&mut self, now: f64) {
-        let Some(at) = self.feed_at.filter(|_| self.feed.is_none()) else { return };
-        let connect = |gateway: &Gateway| {
-            let ready = |g: &mut Gateway, news| g.feed_news(news);
-            Stream::connect(&gateway.handle, &gateway.from_feed, at, ready)
-        };
-        let mut made = connect(self);
-        if made.as_ref().is_err_and(is_exhausted) && self.make_room(now, Need::Own) {
-            // The lack is ours; an idle client's descriptor is worth less than the list of members.
-            made = connect(self);
+        let Some(address) = self.feed_address.filter(|_| self.feed.is_none()) else { return };
+        let mut connected = self.open_feed(address);
+        if connected.as_ref().is_err_and(is_exhausted) && self.evict_client(now, EvictionReason::Internal) {
+            // An idle client's descriptor is worth less than the member list.
+            connected = self.open_feed(address);
         }
-        match made {
+        match connected {
             Ok(stream) => self.feed = Some(Feed::new(stream, self.router.last_event(), now)),
-            Err(e) => self.lose_feed(now, &e.to_string()),
+            Err(e) => self.reconnect_feed_later(now, &e.to_string()),
         }
     }
 
-    pub(super) fn feed_news(&mut self, news: Readiness) {
+    fn open_feed(&self, address: SocketAddr) -> io::Result<Stream> {
+        let ready = |gateway: &mut Gateway, readiness| gateway.feed_ready(readiness);
+        Stream::connect(&self.handle, &self.feed_buffers, address, ready)
+    }
+
+    fn feed_ready(&mut self, readiness: Readiness) {
         if let Some(feed) = &mut self.feed {
-            feed.stream.note(news);
-            Self::queue(&mut self.ready, Peer::Feed);
+            feed.stream.note(readiness);
+            self.queue(ReadySource::Feed);
         }
     }
 
+    /// Takes up the end of a connect, writes the poll, and handles the lines that came.
     pub(super) fn serve_feed(&mut self, now: f64) {
         let Some(feed) = &mut self.feed else { return };
         match feed.stream.is_connecting() {
             Ok(true) => return,
             Ok(false) => feed.is_up(now),
-            Err(e) => return self.lose_feed(now, &e.to_string()),
+            Err(e) => return self.reconnect_feed_later(now, &e.to_string()),
         }
         if feed.flush().is_err() {
-            return self.lose_feed(now, "broke");
+            return self.reconnect_feed_later(now, "broke");
         }
         let progress = if feed.stream.is_readable() { feed.read() } else { Progress::Drained };
+        if !self.take_feed_lines(now) {
+            return;
+        }
+        match progress {
+            Progress::More => self.queue(ReadySource::Feed),
+            Progress::Ended => self.reconnect_feed_later(now, "closed"),
+            Progress::Drained => {}
+        }
+    }
+
+    /// Handles the complete lines that came. Returns whether the connection is still open.
+    fn take_feed_lines(&mut self, now: f64) -> bool {
         loop {
-            let Some(feed) = &mut self.feed else { return };
-            match feed.take_line(now) {
-                Ok(None) => break,
-                Ok(Some(Ok(Line::Last(last)))) => {
-                    if last > self.router.last_event() && !self.gap_is_final() {
-                        return self.lose_feed(now, "events are missing");
-                    }
-                    self.feed_wait = limits::FEED_BACKOFF.0;
+            let Some(feed) = &mut self.feed else { return false };
+            let complete = match feed.take_line(now) {
+                Ok(None) => return true,
+                Ok(Some(Ok(line))) => self.take_feed_line(now, line),
+                Ok(Some(Err(why))) => {
+                    self.log_peer(&format!("a line of the feed was dropped: {why}"));
+                    continue;
                 }
-                Ok(Some(Ok(Line::Event(number, news)))) => {
-                    let gaps = self.feed_gap == Some(self.router.last_event());
-                    if !self.router.feed_event(now, number, news, gaps) && !self.gap_is_final() {
-                        return self.lose_feed(now, "events are missing");
-                    }
-                    self.feed_wait = limits::FEED_BACKOFF.0;
-                    self.pump(now);
+                Err(why) => {
+                    self.reconnect_feed_later(now, why);
+                    return false;
                 }
-                Ok(Some(Err(why))) => self.line(&format!("a line of the feed was dropped: {why}")),
-                Err(why) => return self.lose_feed(now, why),
+            };
+            if !complete {
+                self.reconnect_feed_later(now, "events are missing");
+                return false;
             }
         }
-        match progress {
-            Progress::More => Self::queue(&mut self.ready, Peer::Feed),
-            Progress::Ended => self.lose_feed(now, "closed"),
-            Progress::Drained => {}
+    }
+
+    /// Handles a line. Returns false where events before it are missing and the feed was not polled for them yet.
+    fn take_feed_line(&mut self, now: f64, line: Line) -> bool {
+        match line {
+            Line::Last(last) => {
+                if last > self.router.last_event() && !self.is_gap_final() {
+                    return false;
+                }
+                self.feed_backoff = limits::FEED_BACKOFF.0;
+            }
+            Line::Event(number, event) => {
+                let accept_gap = self.feed_gap_polled == Some(self.router.last_event());
+                if !self.router.feed_event(now, number, event, accept_gap) && !self.is_gap_final() {
+                    return false;
+                }
+                self.feed_backoff = limits::FEED_BACKOFF.0;
+                self.apply_effects(now);
+            }
         }
+        true
     }
 
-    /// Whether the feed was asked again already for what follows the last event; if not, it will be.
-    pub(super) fn gap_is_final(&mut self) -> bool {
+    /// Whether the feed was polled already for what follows the last event; if not, it will be by the next poll.
+    fn is_gap_final(&mut self) -> bool {
         let last = Some(self.router.last_event());
-        std::mem::replace(&mut self.feed_gap, last) == last
+        std::mem::replace(&mut self.feed_gap_polled, last) == last
     }
 
-    /// The feed's connection is of no more use: a new one is made after a while that grows.
-    pub(super) fn lose_feed(&mut self, now: f64, why: &str) {
+    /// Closes the feed's connection for that reason, and connects again after a backoff.
+    pub(super) fn reconnect_feed_later(&mut self, now: f64, why: &str) {
         if let Some(feed) = self.feed.take() {
             feed.stream.close(&self.handle);
         }
-        self.line(&format!("control feed: {why}"));
-        self.chores.schedule(now + self.feed_wait, Chore::Feed);
-        self.feed_wait = (self.feed_wait * 2.0).min(limits::FEED_BACKOFF.1);
+        self.log_peer(&format!("control feed: {why}"));
+        self.timers.schedule(now + self.feed_backoff, TimerTask::ConnectFeed);
+        self.feed_backoff = (self.feed_backoff * 2.0).min(limits::FEED_BACKOFF.1);
     }
 }
--- a/crates/deckproxy/src/program/files.rs
+++ b/crates/deckproxy/src/program/files.rs
@@ -18,40 +18,40 @@
 
 /// Why they could not be read; the text has a line for each fault.
 #[derive(Debug)]
-pub enum Unread {
+pub enum FileError {
     /// The process has no descriptor left for a file, which says nothing of it.
     Exhausted(String),
     /// A file can't be read or used.
     Unusable(String),
 }
 
-impl Unread {
+impl FileError {
     fn of(e: &io::Error, what: String) -> Self {
-        if is_exhausted(e) { Unread::Exhausted(what) } else { Unread::Unusable(what) }
+        if is_exhausted(e) { FileError::Exhausted(what) } else { FileError::Unusable(what) }
     }
 }
 
-impl From<String> for Unread {
+impl From<String> for FileError {
     fn from(what: String) -> Self {
-        Unread::Unusable(what)
+        FileError::Unusable(what)
     }
 }
 
-impl fmt::Display for Unread {
+impl fmt::Display for FileError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unread::Exhausted(what) | Unread::Unusable(what) => f.write_str(what),
+            FileError::Exhausted(what) | FileError::Unusable(what) => f.write_str(what),
         }
     }
 }
 
 impl Files {
     /// Reads what the command line and the environment name.
-    pub fn read(run: &Run) -> Result<Self, Unread> {
+    pub fn read(run: &Run) -> Result<Self, FileError> {
         let operator = match &run.operator {
             None => Operator::default(),
             Some(path) => {
-                let bytes = bytes(path).map_err(|e| Unread::of(&e, unreadable(path, &e)))?;
+                let bytes = bytes(path).map_err(|e| FileError::of(&e, unreadable(path, &e)))?;
                 usable(path, &bytes).map_err(|faults| faults.join("\n"))?
             }
         };
@@ -59,13 +59,13 @@
     }
 }
 
-fn configuration(run: &Run) -> Result<config::Config, Unread> {
+fn configuration(run: &Run) -> Result<config::Config, FileError> {
     let path = match &run.config {
         Some(path) => path.clone().into_os_string(),
         None => std::env::var_os("GW_CONFIG").ok_or("GW_CONFIG is not set".to_string())?,
     };
     let shown = Path::new(&path).display().to_string();
-    let told = |e: io::Error| Unread::of(&e, format!("cannot read the configuration {shown}: {e}"));
+    let told = |e: io::Error| FileError::of(&e, format!("cannot read the configuration {shown}: {e}"));
     let text = std::fs::read(&path).map_err(told)?;
     let mut config = config::read(&text)?;
     if let Ok(listen) = std::env::var("GW_LISTEN") {
--- a/crates/deckproxy/src/program/fleet.rs
+++ b/crates/deckproxy/src/program/fleet.rs
@@ -1,10 +1,12 @@
-//! This instance among the others of its fleet: datagrams, probes of members for all, members that are held back, and which
-//! requests pass while the fleet is overloaded.
+//! This instance among the others of its fleet: gossip datagrams, health checks on behalf of all, ejected members, and
+//! admission control while the fleet is overloaded.
 
-use crate::program::subsystem::{Callers, Context, Effect, Effects, Event, Subsystem, Verdict, ended};
+use crate::program::subsystem::{
+    ClientIdentities, Context, Effect, Effects, Event, OpenRequests, RequestKey, Subsystem, Verdict,
+};
 use crate::protocol::downstream::{Answer, Call};
 use crate::protocol::upstream::Word;
-use crate::routing::{AttemptKey, ClientId, Router};
+use crate::routing::{AttemptKey, Router};
 use crate::transport::clock;
 use deckproxy_control::interface::{self, Lifecycle};
 use deckproxy_fleet::fleet::{self, Listed, Seen};
@@ -15,35 +17,45 @@
 use deckproxy_flow::meter::Outcome;
 use deckproxy_operator::{Client, Operator, Platform};
 use slog::{Logger, info, warn};
-use std::collections::{BTreeMap, HashMap};
+use std::collections::HashMap;
 
 /// One instance's part in its fleet.
 pub struct Fleet {
     log: Logger,
     core: fleet::Fleet,
     /// The platform's names for this instance and its locality, which a new operator file may leave in force.
-    named: (String, String),
-    /// Whether the platform allows probes.
-    probes: bool,
+    platform_names: PlatformNames,
+    /// Whether the platform allows health checks.
+    health_checks: bool,
     /// Members by name.
     members: HashMap<String, u32>,
-    /// Attempts at members that are tried, by key.
-    attempts: HashMap<AttemptKey, u32>,
-    /// Clients' requests, where the fleet's overload is handled as one.
-    requests: Option<Requests>,
+    /// Attempts at members on trial, by key.
+    trial_attempts: HashMap<AttemptKey, u32>,
+    /// Admission of clients' requests, where the fleet handles overload as one.
+    admission: Option<RequestAdmission>,
 }
 
-/// Requests that passed and have no answer yet.
-struct Requests {
-    open: BTreeMap<(ClientId, u32), Ticket>,
+/// Names that the platform's configuration gives.
+struct PlatformNames {
+    /// This instance.
+    instance: String,
+    /// Its zone.
+    zone: String,
+}
+
+/// What admission control knows of clients' requests.
+struct RequestAdmission {
+    /// Requests that were admitted and have no answer yet.
+    open: OpenRequests<Ticket>,
+    /// Indices of the classes by name.
     classes: HashMap<Box<str>, usize>,
-    callers: Callers,
-    /// Clients are told when to come back.
-    advice: bool,
+    identities: ClientIdentities,
+    /// Whether clients get a Retry-After.
+    sends_retry_after: bool,
 }
 
-/// Attempts that are remembered; those that end unseen would stay else.
-const ATTEMPTS: usize = 65_536;
+/// Trial attempts remembered at most; one whose end is not seen would stay for ever.
+const TRIAL_ATTEMPTS: usize = 65_536;
 
 fn listed(router: &Router) -> impl Iterator<Item = Listed> + '_ {
     router.listed_members().map(|(member, name)| Listed {
@@ -55,19 +67,23 @@
     })
 }
 
-/// What the platform says that overload has to do with.
+/// What the platform's configuration says that admission control depends on.
 fn platform(router: &Router) -> Platform {
     let settings = &router.conf().settings;
-    let effect = |c: &interface::Class| c.write || c.idempotency != interface::Idempotency::Idempotent;
+    let has_effect =
+        |class: &interface::Class| class.write || class.idempotency != interface::Idempotency::Idempotent;
     Platform {
-        classes: settings.classes.iter().map(|c| (c.priority_weight, effect(c))).collect(),
+        classes: settings.classes.iter().map(|class| (class.priority_weight, has_effect(class))).collect(),
         advice: settings.retry_after,
         most_back: settings.max_retry_after,
     }
 }
 
 impl Fleet {
-    /// Starts what the operator file asks for; none where it asks for nothing. The error tells what a name lacks.
+    /// Starts what the operator file asks for; none where it asks for nothing.
+    ///
+    /// # Errors
+    /// The text says which of the fleet's names is missing or unusable.
     pub(super) fn start(
         log: &Logger,
         name: &str,
@@ -78,25 +94,25 @@
         let Some(file) = &operator.fleet else { return Ok(None) };
         let conf = router.conf();
         let zone = conf.zones.get(conf.settings.zone as usize).map_or("", String::as_str);
-        // The number of a life has to be higher than that of the last one. Where the clock went back meanwhile, the others
-        // tell, and the number is raised.
+        // The number of an incarnation has to be higher than that of the last one. Where the clock went back meanwhile,
+        // other instances refute it, and the number is raised.
         let start = clock::now() as u64;
         let mut settings = file.settings(name, zone, start)?;
-        let probes = conf.limits.probes;
-        if !probes && settings.observers > 0 {
+        let health_checks = conf.limits.probes;
+        if !health_checks && settings.observers > 0 {
             warn!(log, "fleet: the platform allows no probes: members are not observed");
             settings.observers = 0;
         }
-        let mut requests = None;
+        let mut admission = None;
         if let Some(overload) = &file.overload {
             let platform = platform(router);
             settings.overload = Some(overload.settings(&file.name, &platform));
             let classes = conf.classes.iter().enumerate().map(|(i, name)| (name.as_str().into(), i));
-            requests = Some(Requests {
-                open: BTreeMap::new(),
+            admission = Some(RequestAdmission {
+                open: OpenRequests::default(),
                 classes: classes.collect(),
-                callers: Callers::known_by(overload.known_by() == Client::Address),
-                advice: platform.advice,
+                identities: ClientIdentities::by_address(overload.known_by() == Client::Address),
+                sends_retry_after: platform.advice,
             });
         }
         let own = settings.own.clone();
@@ -109,45 +125,57 @@
         let mut fleet = Fleet {
             log: log.clone(),
             core,
-            named: (name.to_string(), zone.to_string()),
-            probes,
+            platform_names: PlatformNames { instance: name.to_string(), zone: zone.to_string() },
+            health_checks,
             members: HashMap::new(),
-            attempts: HashMap::new(),
-            requests,
+            trial_attempts: HashMap::new(),
+            admission,
         };
-        fleet.relist(router);
+        fleet.update_members(router);
         Ok(Some(Box::new(fleet)))
     }
 
-    fn relist(&mut self, router: &Router) {
+    /// Takes the member list from the router.
+    fn update_members(&mut self, router: &Router) {
         self.core.list(listed(router));
         self.members = router.listed_members().map(|(member, name)| (name.to_string(), member.id)).collect();
     }
 
     /// Whether clients' addresses are wanted.
     pub(super) fn wants_addresses(&self) -> bool {
-        self.requests.as_ref().is_some_and(|r| r.callers.wants_addresses())
+        self.admission.as_ref().is_some_and(|admission| admission.identities.wants_addresses())
     }
 
-    /// A client gave requests up, or has gone with all of them.
-    fn gone(&mut self, id: ClientId, requests: std::ops::RangeInclusive<u32>) {
-        let Some(all) = &mut self.requests else { return };
-        let keys: Vec<_> = all.open.range((id, *requests.start())..=(id, *requests.end())).collect();
-        let keys: Vec<_> = keys.into_iter().map(|(key, ticket)| (*key, *ticket)).collect();
-        for (key, ticket) in keys {
-            all.open.remove(&key);
+    /// Takes up clients that came and went, and requests that were cancelled.
+    fn admission_event(&mut self, event: &Event<'_>) {
+        let Some(admission) = &mut self.admission else { return };
+        for (_, ticket) in admission.open.remove_cancelled(event) {
             self.core.ended(clock::steady(), &ticket, Ended::Gone, 0.0);
         }
+        admission.identities.event(event);
     }
 
-    fn attempted(&mut self, key: AttemptKey, good: bool) {
-        if let Some(member) = self.attempts.remove(&key) {
+    /// Remembers an attempt if it goes to a member on trial.
+    fn trial_sent(&mut self, key: AttemptKey, member: &str) {
+        let Some(member) = self.members.get(member).copied() else { return };
+        if !self.core.is_tried(member) {
+            return;
+        }
+        if self.trial_attempts.len() >= TRIAL_ATTEMPTS {
+            self.trial_attempts.clear();
+        }
+        self.trial_attempts.insert(key, member);
+    }
+
+    /// Reports how an attempt ended, if it was a trial.
+    fn trial_ended(&mut self, key: AttemptKey, good: bool) {
+        if let Some(member) = self.trial_attempts.remove(&key) {
             self.core.attempted(clock::steady(), member, good);
         }
     }
 
-    /// The overload's part of the summary; empty where that is off.
-    fn overload(&self) -> String {
+    /// Admission control's part of the summary; empty where that is off.
+    fn overload_summary(&self) -> String {
         let Some(overload) = self.core.overload() else { return String::new() };
         let c = overload.counters;
         let [remembered, untold] = overload.sizes();
@@ -179,7 +207,8 @@
         )
     }
 
-    fn seen(&self, seen: &Seen) {
+    /// Logs what this instance sees of the fleet.
+    fn log_view(&self, seen: &Seen) {
         let names = |all: &[Name]| all.iter().map(|name| &**name).collect::<Vec<_>>().join(" ");
         let view = &seen.view;
         info!(self.log, "fleet view"; "heard" => names(&seen.heard), "lost" => names(&seen.lost),
@@ -190,44 +219,33 @@
 
 impl Subsystem for Fleet {
     fn event(&mut self, cx: &Context<'_>, event: &Event<'_>, _: &mut Effects) {
-        if self.requests.is_some() {
-            if let Some((client, requests)) = ended(event) {
-                self.gone(client, requests);
-            }
-            self.requests.iter_mut().for_each(|r| r.callers.event(event));
-        }
+        self.admission_event(event);
         match *event {
             Event::Datagram { from, bytes } => self.core.datagram(clock::steady(), from, bytes),
-            Event::Probed { member, good } => self.core.probed(clock::steady(), member, good),
-            Event::Listed => self.relist(cx.router),
-            Event::Sent { key, member, .. } if self.core.tries() => {
-                if let Some(member) = self.members.get(member).copied().filter(|m| self.core.is_tried(*m)) {
-                    if self.attempts.len() >= ATTEMPTS {
-                        self.attempts.clear();
-                    }
-                    self.attempts.insert(key, member);
-                }
+            Event::HealthChecked { member, healthy } => {
+                self.core.probed(clock::steady(), member, healthy);
             }
-            Event::MemberAnswered { key: Some(key), word, .. } if !self.attempts.is_empty() => {
-                // That it is full or has no copy says nothing against it.
-                self.attempted(key, !matches!(word, Word::Error));
+            Event::MemberListChanged => self.update_members(cx.router),
+            Event::AttemptSent { key, member, .. } if self.core.tries() => self.trial_sent(key, member),
+            Event::MemberReplied { key: Some(key), word, .. } if !self.trial_attempts.is_empty() => {
+                // A full member, or one that has no copy, is not faulty.
+                self.trial_ended(key, !matches!(word, Word::Error));
             }
-            Event::AttemptEnded { key, outcome } if !self.attempts.is_empty() => match outcome {
-                Outcome::Failed => self.attempted(key, false),
-                _ => drop(self.attempts.remove(&key)),
+            Event::AttemptEnded { key, outcome } if !self.trial_attempts.is_empty() => match outcome {
+                Outcome::Failed => self.trial_ended(key, false),
+                _ => drop(self.trial_attempts.remove(&key)),
             },
-            Event::Kept => self.core.load(u32::try_from(cx.router.unanswered()).unwrap_or(u32::MAX)),
-            Event::Ending => self.core.leave(clock::steady()),
+            Event::Housekeeping => self.core.load(u32::try_from(cx.router.unanswered()).unwrap_or(u32::MAX)),
+            Event::ShutdownBegan => self.core.leave(clock::steady()),
             _ => {}
         }
     }
 
-    /// A request came: the answer to it, where it does not pass.
-    fn request(&mut self, _: &Context<'_>, of: (ClientId, u32), call: &Call, _: &mut Effects) -> Verdict {
-        let Some(all) = &mut self.requests else { return Verdict::Pass };
-        // What names no class is not for the fleet to judge.
-        let Some(class) = all.classes.get(&call.class).copied() else { return Verdict::Pass };
-        let client = all.callers.of(of.0);
+    fn request(&mut self, _: &Context<'_>, request: RequestKey, call: &Call, _: &mut Effects) -> Verdict {
+        let Some(admission) = &mut self.admission else { return Verdict::Pass };
+        // A request of an unknown class is left to the router, which answers it as unusable.
+        let Some(class) = admission.classes.get(&call.class).copied() else { return Verdict::Pass };
+        let client = admission.identities.identity(request.0);
         let asked = Asked {
             client,
             class,
@@ -238,42 +256,42 @@
         };
         match self.core.request(clock::steady(), asked) {
             Some(overload::Verdict::Pass(ticket)) => {
-                all.open.insert(of, ticket);
+                admission.open.insert(request, ticket);
                 Verdict::Pass
             }
-            Some(overload::Verdict::Refuse(back)) => Verdict::Answer(Answer::Refused(back)),
+            Some(overload::Verdict::Refuse(retry_after)) => Verdict::Answer(Answer::Refused(retry_after)),
             None => Verdict::Pass,
         }
     }
 
-    /// A request has its final answer. Gives that with the time to come back.
-    fn answer(&mut self, _: &Context<'_>, of: (ClientId, u32), answer: &Answer) -> Option<Answer> {
-        let all = self.requests.as_mut()?;
-        let ticket = all.open.remove(&of)?;
-        let (ended, back) = match answer {
+    /// Takes the final answer; a rejection is sent with the Retry-After that the fleet sets.
+    fn answer(&mut self, _: &Context<'_>, request: RequestKey, answer: &Answer) -> Option<Answer> {
+        let admission = self.admission.as_mut()?;
+        let ticket = admission.open.remove(request)?;
+        let (ended, retry_after) = match answer {
             Answer::Served(_) | Answer::Unchanged => (Ended::Served, 0.0),
-            Answer::Refused(back) => (Ended::Refused, *back),
+            Answer::Refused(retry_after) => (Ended::Refused, *retry_after),
             Answer::Failed => (Ended::Failed, 0.0),
-            // That says nothing of how the fleet does.
+            // That says nothing of the load.
             Answer::Unusable(_) => return None,
         };
-        let back = self.core.ended(clock::steady(), &ticket, ended, back);
-        (ended == Ended::Refused && all.advice).then_some(Answer::Refused(back))
+        let retry_after = self.core.ended(clock::steady(), &ticket, ended, retry_after);
+        (ended == Ended::Refused && admission.sends_retry_after).then_some(Answer::Refused(retry_after))
     }
 
-    fn pump(&mut self, _: &Context<'_>, out: &mut Effects) {
+    fn poll(&mut self, _: &Context<'_>, out: &mut Effects) {
         while let Some(effect) = self.core.effect() {
             match effect {
-                fleet::Effect::Send(to, bytes) => out.push_back(Effect::Datagram { to, bytes }),
-                fleet::Effect::Probe(member) => out.push_back(Effect::Probe(member)),
-                fleet::Effect::Hold(members) => out.push_back(Effect::HoldBack(members)),
-                fleet::Effect::Seen(seen) => self.seen(&seen),
+                fleet::Effect::Send(to, bytes) => out.push_back(Effect::SendDatagram { to, bytes }),
+                fleet::Effect::Probe(member) => out.push_back(Effect::HealthCheck(member)),
+                fleet::Effect::Hold(members) => out.push_back(Effect::EjectMembers(members)),
+                fleet::Effect::Seen(seen) => self.log_view(&seen),
                 fleet::Effect::Log(text) => info!(self.log, "fleet"; "what" => text),
             }
         }
     }
 
-    fn due(&self) -> Option<f64> {
+    fn next_due(&self) -> Option<f64> {
         Some(clock::now() + self.core.next_due() - clock::steady())
     }
 
@@ -281,14 +299,15 @@
         self.core.tick(clock::steady());
     }
 
-    /// Takes seeds, prefixes, ways, budgets and probes from a new operator file.
+    /// Takes seeds, prefixes, paths, budgets and health checks from a new operator file.
     fn reload(&mut self, cx: &Context<'_>, operator: &Operator, _: &mut Effects) {
         let Some(new) = &operator.fleet else { return };
         let own = self.core.settings().own.clone();
-        match new.settings(&self.named.0, &self.named.1, own.start) {
+        let names = &self.platform_names;
+        match new.settings(&names.instance, &names.zone, own.start) {
             Err(why) => warn!(self.log, "reload: the fleet's settings stay"; "why" => why),
             Ok(mut settings) => {
-                if !self.probes {
+                if !self.health_checks {
                     settings.observers = 0;
                 }
                 settings.overload =
@@ -330,6 +349,6 @@
             doubts.join(" "),
             c.renewed,
             c.pauses,
-        ) + &self.overload()
+        ) + &self.overload_summary()
     }
 }
--- a/crates/deckproxy/src/program/flows.rs
+++ b/crates/deckproxy/src/program/flows.rs
@@ -1,8 +1,9 @@
 //! Flow export: what passed on clients', members' and links' connections is counted, and told to collectors in the time
 //! that requests leave.
 
-use crate::program::subsystem::{Context, Effect, Effects, Event, FAR, Note, Subsystem, micros};
-use crate::protocol::downstream::Answer;
+use crate::program::subsystem::{
+    Context, Effect, Effects, Event, FIRST_LINK_CLIENT, Note, Subsystem, micros, outcome_of,
+};
 use crate::protocol::upstream::Word;
 use crate::routing::{AttemptKey, ClientId};
 use crate::transport::clock;
@@ -58,16 +59,7 @@
     until: Option<f64>,
 }
 
-fn outcome(answer: &Answer) -> Outcome {
-    match answer {
-        Answer::Served(_) | Answer::Unchanged => Outcome::Served,
-        Answer::Refused(_) => Outcome::Refused,
-        Answer::Failed => Outcome::Failed,
-        Answer::Unusable(_) => Outcome::Unusable,
-    }
-}
-
-fn outcome_of(word: Word) -> Outcome {
+fn reply_outcome(word: Word) -> Outcome {
     match word {
         Word::Ok | Word::Unchanged => Outcome::Served,
         Word::Miss => Outcome::Missed,
@@ -123,7 +115,7 @@
     }
 
     /// Whether a background task is the one that sends.
-    pub(super) fn sends(&self, task: TaskId) -> bool {
+    pub(super) fn is_sending_task(&self, task: TaskId) -> bool {
         self.sending == task
     }
 
@@ -188,12 +180,14 @@
     /// An attempt begins for a client, or for a request that came over a link.
     fn sent(&mut self, now: f64, key: AttemptKey, client: ClientId, class: &str, member: &str) {
         let asker = match client {
-            0..FAR => {
+            0..FIRST_LINK_CLIENT => {
                 let class = self.classes.get(class).copied().unwrap_or(0);
                 let client = self.accounts.get(&client).and_then(ClientAccount::client);
                 Asker { client, class, site: 0 }
             }
-            FAR.. => self.runs.get(&(client - FAR)).map_or_else(Asker::default, |(asker, _)| *asker),
+            FIRST_LINK_CLIENT.. => {
+                self.runs.get(&(client - FIRST_LINK_CLIENT)).map_or_else(Asker::default, |(asker, _)| *asker)
+            }
         };
         let member = self.names.number(member);
         self.attempts.sent(micros(now), key, asker, member);
@@ -209,7 +203,7 @@
 
     /// An answer came from a member, of so many bytes; `key` none: to nothing that is out.
     fn member_answered(&mut self, now: f64, member: &str, key: Option<AttemptKey>, word: Word, bytes: usize) {
-        let outcome = outcome_of(word);
+        let outcome = reply_outcome(word);
         let attempts = &mut self.attempts;
         let own = key.is_some_and(|k| attempts.ended(&mut self.meter, micros(now), k, outcome, bytes as u64));
         if !own {
@@ -259,13 +253,13 @@
             let now = micros(clock::now());
             let round = self.meter.tell(now / 1000, LOOKS, &mut self.found);
             if !self.found.is_empty() {
-                out.push_back(Effect::Work { task: self.sending, at: None });
+                out.push_back(Effect::WakeTask { task: self.sending, at: None });
             }
             for flow in self.found.drain(..) {
                 self.exporter.push(flow);
             }
             if round {
-                out.push_back(Effect::Work { task: self.telling, at: Some(now + self.rest) });
+                out.push_back(Effect::WakeTask { task: self.telling, at: Some(now + self.rest) });
                 return false;
             }
             if now >= end {
@@ -282,7 +276,7 @@
             let due = self.exporter.next_due(now as u64).map(|at| at * 1000);
             let again = micros(now) + LOOK_AGAIN;
             let at = due.map_or(again, |due| due.min(again));
-            out.push_back(Effect::Work { task: self.sending, at: Some(at) });
+            out.push_back(Effect::WakeTask { task: self.sending, at: Some(at) });
         }
         more
     }
@@ -291,15 +285,15 @@
     fn exports(&mut self, out: &mut Effects) {
         while let Some(effect) = self.exporter.effect() {
             match effect {
-                export::Effect::Connect(place) => {
-                    if let Some((to, transport)) = self.collectors.get(place).copied() {
-                        out.push_back(Effect::ExitConnect { place, to, transport });
+                export::Effect::Connect(index) => {
+                    if let Some((to, transport)) = self.collectors.get(index).copied() {
+                        out.push_back(Effect::ConnectCollector { index, to, transport });
                     }
                 }
-                export::Effect::Send(place, number, message) => {
-                    out.push_back(Effect::ExitSend { place, number, message });
+                export::Effect::Send(index, number, message) => {
+                    out.push_back(Effect::SendToCollector { index, number, message });
                 }
-                export::Effect::Close(place) => out.push_back(Effect::ExitClose(place)),
+                export::Effect::Close(index) => out.push_back(Effect::CloseCollector(index)),
                 export::Effect::Log(text) => info!(self.log, "flows"; "what" => text),
             }
         }
@@ -311,41 +305,44 @@
         let now = cx.now;
         let at = now as u64;
         match *event {
-            Event::ClientCame { client, address } => self.client_came(client, address),
-            Event::Heard { client, bytes } => self.heard(now, client, bytes),
-            Event::Asked { client, id, class, bytes } => self.asked(now, client, id, class, bytes),
-            Event::Answered { client, id, answer } => self.answered(client, Some(id), outcome(answer)),
-            Event::Ponged { client } => self.answered(client, None, Outcome::Served),
-            Event::Wrote { client, bytes } => self.client_wrote(now, client, bytes),
-            Event::GaveUp { client, id } => self.client_gave_up(now, client, id),
+            Event::ClientConnected { client, address } => self.client_came(client, address),
+            Event::ClientBytesReceived { client, bytes } => self.heard(now, client, bytes),
+            Event::RequestReceived { client, id, class, bytes } => self.asked(now, client, id, class, bytes),
+            Event::AnswerQueued { client, id, answer } => self.answered(client, Some(id), outcome_of(answer)),
+            Event::PingAnswered { client } => self.answered(client, None, Outcome::Served),
+            Event::ClientBytesSent { client, bytes } => self.client_wrote(now, client, bytes),
+            Event::RequestCancelled { client, id } => self.client_gave_up(now, client, id),
             Event::ClientGone { client, cut, unread } => self.client_gone(now, client, cut, unread),
-            Event::Sent { key, client, class, member } => self.sent(now, key, client, class, member),
-            Event::MemberWrote { member, written } => self.member_wrote(now, member, written),
-            Event::MemberAnswered { member, key, word, bytes } => {
+            Event::AttemptSent { key, client, class, member } => self.sent(now, key, client, class, member),
+            Event::MemberBytesSent { member, written } => self.member_wrote(now, member, written),
+            Event::MemberReplied { member, key, word, bytes } => {
                 self.member_answered(now, member, key, word, bytes);
             }
-            Event::MemberHeard { member, bytes } => self.member_heard(now, member, bytes),
+            Event::MemberBytesReceived { member, bytes } => self.member_heard(now, member, bytes),
             Event::AttemptEnded { key, outcome } => self.attempt_ended(now, key, outcome),
-            Event::LineHeard { site, bytes, .. } => self.link_passed(now, site, bytes, 0),
-            Event::LineWrote { site, bytes } => self.link_passed(now, site, 0, bytes),
-            Event::ExitUp(place) => self.exporter.connected(at, place),
-            Event::ExitBroke(place) => self.exporter.broke(at, place),
-            Event::ExitMoved(place) => self.exporter.moved(at, place),
-            Event::ExitWrote { place, number } => self.exporter.written(at, place, number),
-            Event::Noted(Note::Crosses { client, id, site }) => self.crosses(*client, *id, site),
-            Event::Noted(Note::RunBegan { run, class, site }) => {
+            Event::LinkBytesReceived { site, bytes, .. } => self.link_passed(now, site, bytes, 0),
+            Event::LinkBytesSent { site, bytes } => self.link_passed(now, site, 0, bytes),
+            Event::CollectorConnected(index) => self.exporter.connected(at, index),
+            Event::CollectorFailed(index) => self.exporter.broke(at, index),
+            Event::CollectorBytesSent(index) => self.exporter.moved(at, index),
+            Event::CollectorMessageSent { index, number } => self.exporter.written(at, index, number),
+            Event::Notified(Note::RequestForwarded { client, id, site }) => self.crosses(*client, *id, site),
+            Event::Notified(Note::LinkRequestBegan { run, class, site }) => {
                 self.run_began(now, *run, class, site.as_deref());
             }
-            Event::Noted(Note::RunEnded { run, outcome }) => self.run_over(now, *run, *outcome),
+            Event::Notified(Note::LinkRequestEnded { run, outcome }) => self.run_over(now, *run, *outcome),
             _ => {}
         }
-        if let Event::ExitUp(_) | Event::ExitBroke(_) | Event::ExitMoved(_) | Event::ExitWrote { .. } = event
+        if let Event::CollectorConnected(_)
+        | Event::CollectorFailed(_)
+        | Event::CollectorBytesSent(_)
+        | Event::CollectorMessageSent { .. } = event
         {
-            out.push_back(Effect::Work { task: self.sending, at: None });
+            out.push_back(Effect::WakeTask { task: self.sending, at: None });
         }
     }
 
-    fn work(&mut self, cx: &Context<'_>, task: TaskId, end: Micros, out: &mut Effects) -> Option<bool> {
+    fn run_task(&mut self, cx: &Context<'_>, task: TaskId, end: Micros, out: &mut Effects) -> Option<bool> {
         match task {
             task if task == self.telling => Some(self.tell(end, out)),
             task if task == self.sending => Some(self.send(cx.now, out)),
@@ -363,8 +360,8 @@
                 for flow in self.meter.end() {
                     self.exporter.push(flow);
                 }
-                out.push_back(Effect::Work { task: self.sending, at: None });
-                out.push_back(Effect::TurnAt(until));
+                out.push_back(Effect::WakeTask { task: self.sending, at: None });
+                out.push_back(Effect::WakeLoopAt(until));
                 until
             }
         };
@@ -398,7 +395,7 @@
             .map(|one| (one.1, self.collectors.iter().position(|other| other == one)))
             .collect();
         self.exporter.replace(settings, &same, cx.now as u64);
-        out.push_back(Effect::ExitsMoved(same.into_iter().map(|(_, place)| place).collect()));
+        out.push_back(Effect::ReorderCollectors(same.into_iter().map(|(_, place)| place).collect()));
         self.collectors = collectors;
         // What takes a restart stays as it was.
         self.operator = deckproxy_operator::Flows {
@@ -409,7 +406,7 @@
             flush_ms: new.flush_ms,
             ..self.operator.clone()
         };
-        out.push_back(Effect::Work { task: self.sending, at: None });
+        out.push_back(Effect::WakeTask { task: self.sending, at: None });
         info!(self.log, "reload: collectors are taken"; "collectors" => self.collectors.len());
     }
 
--- a/crates/deckproxy/src/program/mod.rs
+++ b/crates/deckproxy/src/program/mod.rs
@@ -1,21 +1,33 @@
 //! Wiring: the command line, the event loop, start, reload and end of the process, logging.
 
+mod accept;
+mod attempts;
 pub mod cli;
+mod client_messages;
 mod clients;
-mod exits;
+mod collectors;
+mod connections;
+mod effects;
+mod event_loop;
+mod eviction;
 mod feed;
 pub mod files;
 mod fleet;
 mod flows;
 pub mod gateway;
-mod lines;
+mod housekeeping;
 pub mod logging;
-mod members;
 pub mod migrate;
-mod parts;
 mod recovery;
+mod reload;
+mod shutdown;
+mod site_links;
 mod sites;
 mod subsystem;
+mod subsystems;
+mod summary;
+mod timer_task;
+mod upstream_pool;
 pub mod usage;
 
 use crate::transport::clock;
--- a/crates/deckproxy/src/program/recovery.rs
+++ b/crates/deckproxy/src/program/recovery.rs
@@ -1,26 +1,28 @@
-//! Recovery from storms, before the router: which requests pass, and when the others are asked back.
+//! Admission control against retry storms, before the router: which requests pass, and the Retry-After of the others.
 
-use crate::program::subsystem::{Callers, Context, Effects, Event, Subsystem, Verdict, ended};
+use crate::program::subsystem::{
+    ClientIdentities, Context, Effects, Event, OpenRequests, RequestKey, Subsystem, Verdict,
+};
 use crate::protocol::downstream::{Answer, Call};
-use crate::routing::ClientId;
 use deckproxy_operator::{Client, Operator};
 use deckproxy_recovery::admission::{self, Admission, Ended};
 use deckproxy_settings::Conf;
 use slog::{Logger, info, warn};
-use std::collections::{BTreeMap, HashMap};
+use std::collections::HashMap;
 
-/// The door of one gateway.
+/// The admission control of one gateway.
 pub struct Recovery {
     log: Logger,
-    door: Admission,
+    admission: Admission,
+    /// Indices of the classes by name.
     classes: HashMap<Box<str>, usize>,
     /// Requests that passed, with their objects.
-    open: BTreeMap<(ClientId, u32), u64>,
-    callers: Callers,
-    /// Whether clients are told when to come back.
-    advice: bool,
-    /// A storm was on when this was looked at last.
-    stormy: bool,
+    open: OpenRequests<u64>,
+    identities: ClientIdentities,
+    /// Whether clients get a Retry-After.
+    sends_retry_after: bool,
+    /// A storm was on when that was logged last.
+    storm_logged: bool,
 }
 
 impl Recovery {
@@ -30,113 +32,102 @@
         for name in recovery.unknown(&conf.classes) {
             warn!(log, "recovery: a class is to be given up that the settings do not have"; "class" => name);
         }
-        let worth = conf.settings.classes.iter().map(|c| c.priority_weight);
-        let classes: Vec<(String, f64)> = conf.classes.iter().cloned().zip(worth).collect();
-        let advice = conf.settings.retry_after;
-        let most = conf.settings.max_retry_after.max(1.0);
-        let mut settings = recovery.settings(&classes, most);
-        // Who was not told when to come back is not held to it.
-        settings.holds_hasty = advice;
+        let weights = conf.settings.classes.iter().map(|class| class.priority_weight);
+        let classes: Vec<(String, f64)> = conf.classes.iter().cloned().zip(weights).collect();
+        let sends_retry_after = conf.settings.retry_after;
+        let longest_retry_after = conf.settings.max_retry_after.max(1.0);
+        let mut settings = recovery.settings(&classes, longest_retry_after);
+        // Clients that get no Retry-After can't be held to one.
+        settings.holds_hasty = sends_retry_after;
         Some(Box::new(Recovery {
             log: log.clone(),
-            door: Admission::new(settings, seed),
+            admission: Admission::new(settings, seed),
             classes: classes.iter().enumerate().map(|(i, (name, _))| (name.as_str().into(), i)).collect(),
-            open: BTreeMap::new(),
-            callers: Callers::known_by(recovery.client() == Client::Address),
-            advice,
-            stormy: false,
+            open: OpenRequests::default(),
+            identities: ClientIdentities::by_address(recovery.client() == Client::Address),
+            sends_retry_after,
+            storm_logged: false,
         }))
     }
 
     /// Whether clients' addresses are wanted.
     pub(super) fn wants_addresses(&self) -> bool {
-        self.callers.wants_addresses()
+        self.identities.wants_addresses()
     }
 
-    /// A client gave requests up, or has gone with all of them.
-    fn gone(&mut self, now: f64, id: ClientId, requests: std::ops::RangeInclusive<u32>) {
-        let keys = (id, *requests.start())..=(id, *requests.end());
-        let gone: Vec<_> = self.open.range(keys).map(|(key, object)| (*key, *object)).collect();
-        let client = self.callers.of(id);
-        for (key, object) in gone {
-            self.open.remove(&key);
-            self.door.ended(now, client, object, Ended::Gone, 0.0);
+    /// Logs when a retry storm has begun or ended.
+    fn log_storm(&mut self) {
+        let cap = self.admission.cap();
+        if std::mem::replace(&mut self.storm_logged, cap.is_some()) == cap.is_some() {
+            return;
         }
-    }
-
-    /// A line for the operators when a storm has begun or ended.
-    fn news(&mut self) -> Option<String> {
-        let cap = self.door.cap();
-        if std::mem::replace(&mut self.stormy, cap.is_some()) == cap.is_some() {
-            return None;
-        }
-        Some(match cap {
+        let text = match cap {
             Some(cap) => format!("a storm of repeats: {cap:.0} requests a second are let in"),
             None => "the storm of repeats is over: all are let in".to_string(),
-        })
+        };
+        info!(self.log, "recovery"; "what" => text);
     }
 }
 
 impl Subsystem for Recovery {
     fn event(&mut self, cx: &Context<'_>, event: &Event<'_>, _: &mut Effects) {
-        if let Some((client, requests)) = ended(event) {
-            self.gone(cx.now, client, requests);
+        for ((client, _), object) in self.open.remove_cancelled(event) {
+            let client = self.identities.identity(client);
+            self.admission.ended(cx.now, client, object, Ended::Gone, 0.0);
         }
-        self.callers.event(event);
-        if let Event::Kept = event
-            && let Some(text) = self.news()
-        {
-            info!(self.log, "recovery"; "what" => text);
+        self.identities.event(event);
+        if let Event::Housekeeping = event {
+            self.log_storm();
         }
     }
 
-    /// A request came: the answer to it, where it does not pass.
-    fn request(&mut self, cx: &Context<'_>, of: (ClientId, u32), call: &Call, _: &mut Effects) -> Verdict {
-        // What names no class is not for the door to judge.
+    fn request(&mut self, cx: &Context<'_>, request: RequestKey, call: &Call, _: &mut Effects) -> Verdict {
+        // A request of an unknown class is left to the router, which answers it as unusable.
         let Some(class) = self.classes.get(&call.class).copied() else { return Verdict::Pass };
-        let client = self.callers.of(of.0);
-        match self.door.request(cx.now, client, class, call.object.1, call.allow) {
+        let client = self.identities.identity(request.0);
+        match self.admission.request(cx.now, client, class, call.object.1, call.allow) {
             admission::Verdict::Pass => {
-                self.open.insert(of, call.object.1);
+                self.open.insert(request, call.object.1);
                 Verdict::Pass
             }
-            admission::Verdict::Refuse(back) => {
-                Verdict::Answer(Answer::Refused(if self.advice { back } else { 0.0 }))
+            admission::Verdict::Refuse(retry_after) => {
+                let retry_after = if self.sends_retry_after { retry_after } else { 0.0 };
+                Verdict::Answer(Answer::Refused(retry_after))
             }
         }
     }
 
-    /// A request has its final answer. Gives that with the time to come back.
-    fn answer(&mut self, cx: &Context<'_>, of: (ClientId, u32), answer: &Answer) -> Option<Answer> {
-        let object = self.open.remove(&of)?;
-        let (ended, back) = match answer {
+    /// Takes the final answer; a rejection is sent with the Retry-After that the admission control sets.
+    fn answer(&mut self, cx: &Context<'_>, request: RequestKey, answer: &Answer) -> Option<Answer> {
+        let object = self.open.remove(request)?;
+        let (ended, retry_after) = match answer {
             Answer::Served(_) | Answer::Unchanged => (Ended::Served, 0.0),
-            Answer::Refused(back) => (Ended::Refused, *back),
+            Answer::Refused(retry_after) => (Ended::Refused, *retry_after),
             Answer::Failed => (Ended::Failed, 0.0),
-            // That says nothing of how the gateway does.
+            // That says nothing of the load.
             Answer::Unusable(_) => return None,
         };
-        let client = self.callers.of(of.0);
-        let back = self.door.ended(cx.now, client, object, ended, back);
-        (ended == Ended::Refused && self.advice).then_some(Answer::Refused(back))
+        let client = self.identities.identity(request.0);
+        let retry_after = self.admission.ended(cx.now, client, object, ended, retry_after);
+        (ended == Ended::Refused && self.sends_retry_after).then_some(Answer::Refused(retry_after))
     }
 
     fn summary(&mut self) -> String {
-        let c = self.door.counters;
-        let [storms, level, remembered, crowded] = self.door.sizes();
-        let cap = self.door.cap().map_or("none".to_string(), |cap| format!("{cap:.0}"));
+        let counters = self.admission.counters;
+        let [storms, level, remembered, crowded] = self.admission.sizes();
+        let cap = self.admission.cap().map_or("none".to_string(), |cap| format!("{cap:.0}"));
         format!(
             "cap:{cap},storms:{storms},given_up:{level},came[first:{},repeat:{}],passed[first:{},repeat:{}],\
              refused[hasty:{},no_budget:{},capped:{},aged:{},given_up:{}],remembered:{remembered},crowded:{crowded}",
-            c.firsts,
-            c.repeats,
-            c.passed_firsts,
-            c.passed_repeats,
-            c.hasty,
-            c.no_budget,
-            c.capped,
-            c.aged,
-            c.given_up,
+            counters.firsts,
+            counters.repeats,
+            counters.passed_firsts,
+            counters.passed_repeats,
+            counters.hasty,
+            counters.no_budget,
+            counters.capped,
+            counters.aged,
+            counters.given_up,
         )
     }
 }
--- /dev/null
+++ b/crates/deckproxy/src/program/site_links.rs
@@ -0,0 +1,230 @@
+//! Links to gateways of other sites: accepting, connecting, frames, pieces of bodies, and their end.
+
+use crate::program::connections::{EvictionReason, ReadySource};
+use crate::program::gateway::{Gateway, context};
+use crate::program::subsystem::{Event, LinkId};
+use crate::program::timer_task::TimerTask;
+use crate::protocol::limits;
+use crate::transport::line::{Held, Line};
+use crate::transport::listener::Accepted;
+use crate::transport::stream::{Progress, Stream};
+use calloop::Readiness;
+use deckproxy_sites::frame::Frame;
+use std::net::{SocketAddr, TcpStream};
+
+/// Pieces of bodies written to one connection before others have their turn.
+const PIECES: usize = 32;
+
+impl Gateway {
+    /// Accepts the links that wait.
+    pub(super) fn accept_links(&mut self, now: f64) {
+        loop {
+            let Some(links) = &mut self.site_links else { return };
+            links.accepting = false;
+            let Some(listener) = &links.listener else { return };
+            match listener.accept() {
+                Accepted::None => return,
+                Accepted::Exhausted => {
+                    if !self.evict_client(now, EvictionReason::Internal) {
+                        // The kernel reports those that wait only when another one comes.
+                        self.log_peer("no descriptor is left for a link");
+                        self.schedule_accept_retry(now);
+                        return;
+                    }
+                }
+                Accepted::One(socket) => self.accept_link(now, socket),
+            }
+        }
+    }
+
+    fn accept_link(&mut self, now: f64, socket: TcpStream) {
+        if self.site_links.as_ref().is_none_or(|links| links.held.len() >= links.most) {
+            return self.log_peer("a link is turned away: too many connections");
+        }
+        // A short send buffer: what is more urgent must not wait behind much. Fails only where the socket is gone.
+        let _ = socket2::SockRef::from(&socket).set_send_buffer_size(limits::LINK_SENDING);
+        let id = self.next_connection_id();
+        let Some(links) = &mut self.site_links else { return };
+        let ready = move |gateway: &mut Gateway, readiness| gateway.link_ready(id, readiness);
+        match Stream::accepted(&self.handle, &links.ledger, socket, ready) {
+            Ok(stream) => {
+                links.held.insert(id, Held { line: Line::new(stream), connecting: None });
+                self.notify(now, &Event::LinkAccepted(id));
+            }
+            Err(e) => self.log_peer(&format!("a link could not be taken: {e}")),
+        }
+    }
+
+    /// Connects to a peer's gateway; with no address, or no place for a connection, that fails at once.
+    pub(super) fn connect_link(
+        &mut self,
+        now: f64,
+        peer: usize,
+        address_index: usize,
+        to: Option<SocketAddr>,
+    ) {
+        let connect_timeout = self.router.conf().limits.connect;
+        let id = self.next_connection_id();
+        let Some(links) = &mut self.site_links else { return };
+        let ready = move |gateway: &mut Gateway, readiness| gateway.link_ready(id, readiness);
+        let error = match to.filter(|_| links.held.len() < links.most) {
+            Some(to) => match Stream::connect(&self.handle, &links.ledger, to, ready) {
+                Ok(stream) => {
+                    let connecting = Some((peer, address_index));
+                    links.held.insert(id, Held { line: Line::new(stream), connecting });
+                    return self.timers.schedule(now + connect_timeout, TimerTask::LinkConnectTimeout(id));
+                }
+                Err(e) => Some(e),
+            },
+            None => None,
+        };
+        self.notify(now, &Event::LinkConnectFailed { peer, address_index });
+        if let Some(e) = error {
+            self.log_peer(&format!("link: {e}"));
+        }
+    }
+
+    /// Closes a link that is not established in time.
+    pub(super) fn link_connect_timeout(&mut self, now: f64, id: LinkId) {
+        let link = self.site_links.as_ref().and_then(|links| links.held.get(&id));
+        if link.is_some_and(|link| link.connecting.is_some()) {
+            self.close_link(now, id);
+        }
+    }
+
+    fn link_ready(&mut self, id: LinkId, readiness: Readiness) {
+        if let Some(link) = self.site_links.as_mut().and_then(|links| links.held.get_mut(&id)) {
+            link.line.stream.note(readiness);
+            self.queue(ReadySource::Link(id));
+        }
+    }
+
+    /// Appends a frame to a link's write buffer.
+    pub(super) fn send_frame(&mut self, id: LinkId, frame: &Frame) {
+        let Some(links) = &mut self.site_links else { return };
+        if let Some(link) = links.held.get_mut(&id).filter(|link| !link.line.closing) {
+            link.line.send(frame);
+            links.touched.insert(id);
+        }
+    }
+
+    /// Has a link closed once its write buffer is empty.
+    pub(super) fn close_link_when_written(&mut self, id: LinkId, why: &str) {
+        if let Some(links) = &mut self.site_links
+            && let Some(link) = links.held.get_mut(&id)
+        {
+            link.line.closing = true;
+            links.touched.insert(id);
+        }
+        self.log_peer(&format!("a link closes: {why}"));
+    }
+
+    /// Takes up the end of a connect and what came on a link, and has it written to.
+    pub(super) fn serve_link(&mut self, now: f64, id: LinkId) {
+        if !self.is_link_established(now, id) {
+            return;
+        }
+        let Some(links) = &mut self.site_links else { return };
+        let Some(link) = links.held.get_mut(&id) else { return };
+        links.touched.insert(id);
+        let before = link.line.stream.input.len();
+        let readable = link.line.stream.is_readable();
+        let progress = if readable { link.line.read() } else { Progress::Drained };
+        let received = link.line.stream.input.len() - before;
+        if received > 0 {
+            self.subsystems.link_bytes_received(&context(now, &self.router), id, received);
+        }
+        if !self.take_frames(now, id) {
+            return;
+        }
+        match progress {
+            Progress::More => self.queue(ReadySource::Link(id)),
+            Progress::Ended => self.close_link(now, id),
+            Progress::Drained => {}
+        }
+    }
+
+    /// Whether a link's connection is established; one whose connect failed is closed.
+    fn is_link_established(&mut self, now: f64, id: LinkId) -> bool {
+        let link = self.site_links.as_mut().and_then(|links| links.held.get_mut(&id));
+        let Some(link) = link else { return false };
+        let Some((peer, address_index)) = link.connecting else { return true };
+        match link.line.stream.is_connecting() {
+            Ok(true) => false,
+            Ok(false) => {
+                link.connecting = None;
+                self.notify(now, &Event::LinkConnected { peer, address_index, link: id });
+                true
+            }
+            Err(_) => {
+                self.close_link(now, id);
+                false
+            }
+        }
+    }
+
+    /// Hands the complete frames that came on a link to the subsystem. Returns whether the link is still open.
+    fn take_frames(&mut self, now: f64, id: LinkId) -> bool {
+        loop {
+            let link = self.site_links.as_mut().and_then(|links| links.held.get_mut(&id));
+            let Some(link) = link else { return false };
+            match link.line.take_frame() {
+                Ok(None) => return true,
+                Ok(Some(frame)) => self.subsystems.frame(&context(now, &self.router), id, frame),
+                Err(why) => {
+                    self.log_peer(&format!("a link closes: {why}"));
+                    self.close_link(now, id);
+                    return false;
+                }
+            }
+            self.apply_effects(now);
+        }
+    }
+
+    /// Writes to all links that have something to write. Returns whether there were any.
+    pub(super) fn flush_links(&mut self, now: f64) -> bool {
+        let mut any = false;
+        while let Some(id) = self.site_links.as_mut().and_then(|links| links.touched.pop_first()) {
+            any = true;
+            self.flush_link(now, id);
+        }
+        any
+    }
+
+    /// Writes what waits on a link, and pieces of bodies as long as it takes them.
+    fn flush_link(&mut self, now: f64, id: LinkId) {
+        for _ in 0..PIECES {
+            let Some(links) = &mut self.site_links else { return };
+            let Some(link) = links.held.get_mut(&id) else { return };
+            if link.connecting.is_some() {
+                return;
+            }
+            let before = link.line.stream.queued();
+            let broken = link.line.flush().is_err();
+            let left = link.line.stream.queued();
+            self.subsystems.link_bytes_sent(&context(now, &self.router), id, before - left);
+            if broken || left > limits::LINK_STUCK || link.line.closing && left == 0 {
+                return self.close_link(now, id);
+            }
+            let piece = link.line.takes_pieces().then(|| self.subsystems.body_piece(id)).flatten();
+            let Some(piece) = piece else { return };
+            link.line.send(&piece);
+        }
+        // Other connections have their turn first.
+        self.queue(ReadySource::Link(id));
+    }
+
+    /// Closes a link, or one that has ended.
+    fn close_link(&mut self, now: f64, id: LinkId) {
+        let Some(links) = &mut self.site_links else { return };
+        let Some(mut link) = links.held.remove(&id) else { return };
+        links.touched.remove(&id);
+        let unsent = link.line.unsent();
+        link.line.stream.close(&self.handle);
+        let event = match link.connecting {
+            Some((peer, address_index)) => Event::LinkConnectFailed { peer, address_index },
+            None => Event::LinkClosed { link: id, unsent: &unsent },
+        };
+        self.notify(now, &event);
+    }
+}
--- a/crates/deckproxy/src/program/sites.rs
+++ b/crates/deckproxy/src/program/sites.rs
@@ -1,7 +1,8 @@
-//! Links to gateways of other sites: requests that cross either way, purges told and heard.
+//! Links to gateways of other sites: requests forwarded either way, and purges replicated.
 
 use crate::program::subsystem::{
-    Context, Effect, Effects, Event, FAR, LineId, Note, Subsystem, Verdict, ended,
+    Context, Effect, Effects, Event, FIRST_LINK_CLIENT, LinkId, Note, OpenRequests, RequestKey, Subsystem,
+    Verdict, outcome_of,
 };
 use crate::protocol::downstream::{Answer, Call};
 use crate::protocol::upstream::Copy;
@@ -20,35 +21,48 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-/// Who waits for the answer to a crossing.
+/// Who waits for the answer to a forwarded request.
 #[derive(Clone, Copy, Debug)]
 enum Owner {
-    Client(ClientId, u32),
-    /// A request that came over a link and goes on over another.
+    /// A client.
+    Client(RequestKey),
+    /// Another site: a request that came over a link and goes on over another.
     Run(Run),
 }
 
+/// A peer in force.
+struct ActivePeer {
+    /// Its index in the state machine and in the list of addresses.
+    index: usize,
+    /// Its part of the operator file.
+    settings: deckproxy_operator::Peer,
+}
+
 /// The links of one gateway.
 pub struct Sites {
     log: Logger,
     site: Site,
-    /// Addresses of the peers' gateways, by place.
+    /// Addresses of the peers' gateways, by the peer's index.
     addresses: Vec<Vec<SocketAddr>>,
-    /// The peers in force, by name, with the place that each has.
-    peers: BTreeMap<String, (usize, deckproxy_operator::Peer)>,
+    /// The peers in force, by the site's name.
+    peers: BTreeMap<String, ActivePeer>,
+    /// Who waits for each forwarded request.
     owners: HashMap<Token, Owner>,
-    tokens: BTreeMap<(ClientId, u32), Token>,
-    /// Requests from links that went on over other links.
-    forwarded: HashMap<Run, Token>,
-    next: Token,
-    ticked: f64,
+    /// Clients' requests that were forwarded.
+    client_requests: OpenRequests<Token>,
+    /// Requests from links that were forwarded over other links.
+    transit_requests: HashMap<Run, Token>,
+    /// The token given last.
+    last_token: Token,
+    /// Time of the last tick, ms.
+    last_tick: f64,
 }
 
 fn addresses(peer: &deckproxy_operator::Peer) -> Vec<SocketAddr> {
-    peer.addresses.iter().filter_map(|a| a.parse().ok()).collect()
+    peer.addresses.iter().filter_map(|address| address.parse().ok()).collect()
 }
 
-fn set_up(peer: &deckproxy_operator::Peer) -> site::Peer {
+fn peer_setup(peer: &deckproxy_operator::Peer) -> site::Peer {
     site::Peer {
         site: peer.site.clone(),
         ways: peer.addresses.len(),
@@ -56,131 +70,126 @@
     }
 }
 
-/// A class's place among all by worth, from 0 to 1.
+/// A class's rank among all by priority weight, from 0 to 1.
 fn rank(classes: &[interface::Class], class: usize) -> f64 {
-    let worth = classes[class].priority_weight;
-    let below = classes.iter().filter(|c| c.priority_weight < worth).count();
-    let above = classes.iter().filter(|c| c.priority_weight > worth).count();
+    let weight = classes[class].priority_weight;
+    let below = classes.iter().filter(|other| other.priority_weight < weight).count();
+    let above = classes.iter().filter(|other| other.priority_weight > weight).count();
     if below + above == 0 { 0.5 } else { below as f64 / (below + above) as f64 }
 }
 
-/// What crossing a request takes; the error tells why it can't be used.
-fn want(cx: &Context<'_>, call: &Call, path: Vec<String>) -> Result<Want, &'static str> {
+/// What forwarding a request to another site takes; the error says why the request can't be used.
+fn forwarding(cx: &Context<'_>, call: &Call, path: Vec<String>) -> Result<Want, &'static str> {
     let class = cx.router.validate(call)?;
     let settings = &cx.router.conf().settings;
-    let kind = &settings.classes[class];
-    let safe = kind.idempotency == interface::Idempotency::Idempotent;
+    let rules = &settings.classes[class];
+    let safe = rules.idempotency == interface::Idempotency::Idempotent;
     Ok(Want {
         object: call.object.1,
-        expires: cx.now + call.allow.min(kind.deadline),
+        expires: cx.now + call.allow.min(rules.deadline),
         repeat: if safe { Repeat::Safe } else { Repeat::Never },
-        joins: settings.join_fills && safe && !kind.write && !kind.stream,
+        joins: settings.join_fills && safe && !rules.write && !rules.stream,
         rank: rank(&settings.classes, class),
         ask: link::ask(call, path),
     })
 }
 
-fn outcome(answer: &Answer) -> Outcome {
-    match answer {
-        Answer::Served(_) | Answer::Unchanged => Outcome::Served,
-        Answer::Refused(_) => Outcome::Refused,
-        Answer::Failed => Outcome::Failed,
-        Answer::Unusable(_) => Outcome::Unusable,
-    }
-}
-
 impl Sites {
     /// Starts what the operator file asks for; none where it asks for nothing.
     pub(super) fn start(log: &Logger, now: f64, seed: u64, operator: &Operator) -> Option<Box<Self>> {
         let sites = operator.sites.as_ref()?;
         let setup = site::Setup {
             own: sites.name.clone(),
-            peers: sites.peers.iter().map(set_up).collect(),
+            peers: sites.peers.iter().map(peer_setup).collect(),
             rules: sites.rules(),
             hops: sites.hops(),
             link: sites.link_limits(),
             trust: sites.trust_limits(),
         };
+        let peers = sites.peers.iter().enumerate().map(|(index, peer)| {
+            let settings = peer.clone();
+            (peer.site.clone(), ActivePeer { index, settings })
+        });
         // The seed is new with each start; the time keeps two that got the same one apart.
         let epoch = seed ^ (now * 1000.0) as u64;
         Some(Box::new(Sites {
             log: log.clone(),
             site: Site::new(setup, epoch, now),
             addresses: sites.peers.iter().map(addresses).collect(),
-            peers: sites.peers.iter().enumerate().map(|(i, p)| (p.site.clone(), (i, p.clone()))).collect(),
+            peers: peers.collect(),
             owners: HashMap::new(),
-            tokens: BTreeMap::new(),
-            forwarded: HashMap::new(),
-            next: 0,
-            ticked: now,
+            client_requests: OpenRequests::default(),
+            transit_requests: HashMap::new(),
+            last_token: 0,
+            last_tick: now,
         }))
     }
 
-    /// Whether a client's request of that id is on a link.
-    pub(super) fn crosses(&self, client: ClientId, id: u32) -> bool {
-        self.tokens.contains_key(&(client, id))
+    /// Whether a client's request was forwarded and has no answer yet.
+    pub(super) fn has_request(&self, request: RequestKey) -> bool {
+        self.client_requests.contains(request)
     }
 
     /// The site at the other end of a link, once that is known.
-    pub(super) fn site_of(&self, line: LineId) -> Option<&str> {
-        self.site.site_of(line)
+    pub(super) fn site_of(&self, link: LinkId) -> Option<&str> {
+        self.site.site_of(link)
     }
 
-    /// The next piece of a body for a link that takes some.
-    pub(super) fn piece(&mut self, line: LineId) -> Option<Frame> {
-        self.site.piece(line)
+    /// The next piece of a body for a link that has room to write.
+    pub(super) fn body_piece(&mut self, link: LinkId) -> Option<Frame> {
+        self.site.piece(link)
     }
 
+    /// Numbers a forwarded request.
     fn token(&mut self, owner: Owner) -> Token {
-        self.next += 1;
-        self.owners.insert(self.next, owner);
-        self.next
+        self.last_token += 1;
+        self.owners.insert(self.last_token, owner);
+        self.last_token
     }
 
-    /// Requests that a client gave up.
-    fn gone(&mut self, now: f64, client: ClientId, ids: std::ops::RangeInclusive<u32>, out: &mut Effects) {
-        let keys = (client, *ids.start())..=(client, *ids.end());
-        let gone: Vec<_> = self.tokens.range(keys).map(|(key, token)| (*key, *token)).collect();
-        for (key, token) in gone {
-            self.tokens.remove(&key);
+    /// Cancels the forwarded requests that a client cancelled, or all of a client that has gone.
+    fn cancel_client_requests(&mut self, now: f64, event: &Event<'_>, out: &mut Effects) {
+        for (_, token) in self.client_requests.remove_cancelled(event) {
             self.owners.remove(&token);
             self.site.cancel(now, token);
-            out.push_back(Effect::Gone);
+            out.push_back(Effect::CountCancelled);
         }
     }
 
-    /// A request came over a link.
-    fn run(&mut self, cx: &Context<'_>, run: Run, ask: Ask, out: &mut Effects) {
+    /// Takes a request that came over a link: it is routed here, forwarded to a further site, or answered at once.
+    fn link_request(&mut self, cx: &Context<'_>, run: Run, ask: Ask, out: &mut Effects) {
         let path = ask.path.clone();
         let site = path.last().cloned();
-        out.push_back(Effect::Noted(Note::RunBegan { run, class: ask.class.clone(), site }));
+        out.push_back(Effect::Notify(Note::LinkRequestBegan { run, class: ask.class.clone(), site }));
         let call = match link::call(ask) {
             Ok(call) if !cx.full => call,
-            Ok(_) => return self.run_ended(cx, run, Answer::Refused(0.0), None, out),
-            Err(why) => return self.run_ended(cx, run, Answer::Unusable(why), None, out),
+            Ok(_) => return self.answer_link(cx, run, Answer::Refused(0.0), None, out),
+            Err(why) => return self.answer_link(cx, run, Answer::Unusable(why), None, out),
         };
         match self.site.place(cx.now, &call.class, call.group, call.object.1, &path) {
-            Place::Here => out.push_back(Effect::Route { client: FAR + run, call: Box::new(call) }),
+            Place::Here => {
+                out.push_back(Effect::Route { client: FIRST_LINK_CLIENT + run, call: Box::new(call) })
+            }
             Place::Nowhere(why) => {
-                out.push_back(Effect::Line(format!("a request over a link is turned away: {why}")));
-                self.run_ended(cx, run, Answer::Unusable(why), None, out);
+                out.push_back(Effect::LogPeer(format!("a request over a link is turned away: {why}")));
+                self.answer_link(cx, run, Answer::Unusable(why), None, out);
             }
-            Place::Over(to) => {
+            Place::Over(site) => {
                 let path = path.into_iter().chain([self.site.setup().own.clone()]).collect();
-                match want(cx, &call, path) {
-                    Err(why) => self.run_ended(cx, run, Answer::Unusable(why), None, out),
+                match forwarding(cx, &call, path) {
+                    Err(why) => self.answer_link(cx, run, Answer::Unusable(why), None, out),
                     Ok(want) => {
                         let token = self.token(Owner::Run(run));
-                        self.forwarded.insert(run, token);
-                        self.site.request(cx.now, token, &to, want);
+                        self.transit_requests.insert(run, token);
+                        self.site.request(cx.now, token, &site, want);
                     }
                 }
             }
         }
     }
 
-    /// A request that came over a link has its answer.
-    fn run_ended(
+    /// Sends the answer to a request that came over a link.
+    fn answer_link(
         &mut self,
         cx: &Context<'_>,
         run: Run,
@@ -188,7 +197,7 @@
         copy: Option<Copy>,
         out: &mut Effects,
     ) {
-        out.push_back(Effect::Noted(Note::RunEnded { run, outcome: outcome(&answer) }));
+        out.push_back(Effect::Notify(Note::LinkRequestEnded { run, outcome: outcome_of(&answer) }));
         let (word, cooldown, body) = match answer {
             Answer::Served(body) => (Word::Served, 0.0, body),
             Answer::Unchanged => (Word::Unchanged, 0.0, Bytes::new()),
@@ -201,75 +210,104 @@
         self.site.ended(cx.now, run, Ended { word, cooldown, body, issued, tag });
     }
 
-    /// A request that crossed has its final answer.
-    fn crossed(&mut self, cx: &Context<'_>, token: Token, reply: Reply, out: &mut Effects) {
-        let most = cx.router.conf().settings.max_retry_after;
-        let advice = cx.router.conf().settings.retry_after;
+    /// Takes the final answer to a forwarded request, and passes it on to who waits for it.
+    fn forwarded_reply(&mut self, cx: &Context<'_>, token: Token, reply: Reply, out: &mut Effects) {
+        let longest_retry_after = cx.router.conf().settings.max_retry_after;
+        let sends_retry_after = cx.router.conf().settings.retry_after;
         let (answer, copy) = match reply {
             Reply::Served(body, issued, tag) => {
                 (Answer::Served(body), Some(Copy { issued, tag: tag.into() }))
             }
             Reply::Unchanged(issued, tag) => (Answer::Unchanged, Some(Copy { issued, tag: tag.into() })),
-            Reply::Refused(wait) if advice => (Answer::Refused(wait.min(most)), None),
+            Reply::Refused(wait) if sends_retry_after => {
+                (Answer::Refused(wait.min(longest_retry_after)), None)
+            }
             Reply::Refused(_) => (Answer::Refused(0.0), None),
             Reply::Failed => (Answer::Failed, None),
             Reply::Unusable => (Answer::Unusable("the other site can't use it"), None),
         };
         match self.owners.remove(&token) {
-            Some(Owner::Client(client, id)) => {
-                self.tokens.remove(&(client, id));
+            Some(Owner::Client((client, id))) => {
+                self.client_requests.remove((client, id));
                 out.push_back(Effect::Answer { client, id, answer });
             }
             Some(Owner::Run(run)) => {
-                self.forwarded.remove(&run);
-                self.run_ended(cx, run, answer, copy, out);
+                self.transit_requests.remove(&run);
+                self.answer_link(cx, run, answer, copy, out);
             }
             None => {}
         }
     }
 
-    /// Nobody waits any more for a request that came over a link.
-    fn withdraw(&mut self, cx: &Context<'_>, run: Run, out: &mut Effects) {
-        out.push_back(Effect::Noted(Note::RunEnded { run, outcome: Outcome::Cut }));
-        match self.forwarded.remove(&run) {
+    /// Cancels a request that came over a link.
+    fn cancel_link_request(&mut self, cx: &Context<'_>, run: Run, out: &mut Effects) {
+        out.push_back(Effect::Notify(Note::LinkRequestEnded { run, outcome: Outcome::Cut }));
+        match self.transit_requests.remove(&run) {
             Some(token) => {
                 self.owners.remove(&token);
                 self.site.cancel(cx.now, token);
             }
-            None => out.push_back(Effect::Abort(FAR + run)),
+            None => out.push_back(Effect::Abort(FIRST_LINK_CLIENT + run)),
+        }
+    }
+
+    /// Drops the peers that a new operator file has no more, or with other settings.
+    fn drop_peers(&mut self, new: &deckproxy_operator::Sites) {
+        let is_kept = |name: &str, old: &ActivePeer| {
+            new.peers.iter().any(|peer| peer.site == name && *peer == old.settings)
+        };
+        let gone = self.peers.iter().filter(|(name, peer)| !is_kept(name, peer));
+        for name in gone.map(|(name, _)| name.clone()).collect::<Vec<_>>() {
+            if let Some(peer) = self.peers.remove(&name) {
+                self.site.drop_peer(peer.index);
+            }
+        }
+    }
+
+    /// Adds the peers of a new operator file that are not in force.
+    fn add_peers(&mut self, now: f64, new: &deckproxy_operator::Sites) {
+        for peer in &new.peers {
+            if !self.peers.contains_key(&peer.site) {
+                let index = self.site.add_peer(now, peer_setup(peer));
+                self.addresses.push(addresses(peer));
+                self.peers.insert(peer.site.clone(), ActivePeer { index, settings: peer.clone() });
+            }
         }
     }
 }
 
 impl Subsystem for Sites {
     fn event(&mut self, cx: &Context<'_>, event: &Event<'_>, out: &mut Effects) {
-        if let Some((client, ids)) = ended(event) {
-            self.gone(cx.now, client, ids, out);
-        }
+        self.cancel_client_requests(cx.now, event, out);
         match *event {
             Event::Purged { object, group, age } => self.site.told(cx.now, News { object, group, age }),
-            Event::LineCame(line) => self.site.accepted(cx.now, line),
-            Event::LineUp { peer, way, line } => self.site.connected(cx.now, peer, way, line),
-            Event::LineNotUp { peer, way } => self.site.not_connected(cx.now, peer, way),
-            Event::LineHeard { line, .. } => self.site.alive(cx.now, line),
-            Event::LineDown { line, unsent } => self.site.down(cx.now, line, unsent),
-            Event::Ending => self.site.go_away("a planned end", 0.0),
+            Event::LinkAccepted(link) => self.site.accepted(cx.now, link),
+            Event::LinkConnected { peer, address_index, link } => {
+                self.site.connected(cx.now, peer, address_index, link);
+            }
+            Event::LinkConnectFailed { peer, address_index } => {
+                self.site.not_connected(cx.now, peer, address_index);
+            }
+            Event::LinkBytesReceived { link, .. } => self.site.alive(cx.now, link),
+            Event::LinkClosed { link, unsent } => self.site.down(cx.now, link, unsent),
+            Event::ShutdownBegan => self.site.go_away("a planned end", 0.0),
             _ => {}
         }
     }
 
-    /// Sends a client's request over a link, where it is for another site.
-    fn request(&mut self, cx: &Context<'_>, of: (ClientId, u32), call: &Call, out: &mut Effects) -> Verdict {
+    /// Forwards a client's request over a link, where it is for another site.
+    fn request(&mut self, cx: &Context<'_>, request: RequestKey, call: &Call, out: &mut Effects) -> Verdict {
         let place = self.site.place(cx.now, &call.class, call.group, call.object.1, &[]);
-        let Place::Over(to) = place else { return Verdict::Pass };
-        match want(cx, call, vec![self.site.setup().own.clone()]) {
+        let Place::Over(site) = place else { return Verdict::Pass };
+        match forwarding(cx, call, vec![self.site.setup().own.clone()]) {
             Err(why) => Verdict::Answer(Answer::Unusable(why)),
             Ok(want) => {
-                let token = self.token(Owner::Client(of.0, of.1));
-                self.tokens.insert(of, token);
-                self.site.request(cx.now, token, &to, want);
-                out.push_back(Effect::Noted(Note::Crosses { client: of.0, id: of.1, site: to }));
-                out.push_back(Effect::Took);
+                let token = self.token(Owner::Client(request));
+                self.client_requests.insert(request, token);
+                self.site.request(cx.now, token, &site, want);
+                let (client, id) = request;
+                out.push_back(Effect::Notify(Note::RequestForwarded { client, id, site }));
+                out.push_back(Effect::CountReceived);
                 Verdict::Taken
             }
         }
@@ -283,47 +321,47 @@
         copy: Option<Copy>,
         out: &mut Effects,
     ) {
-        self.run_ended(cx, client - FAR, answer, copy, out);
+        self.answer_link(cx, client - FIRST_LINK_CLIENT, answer, copy, out);
     }
 
-    fn frame(&mut self, cx: &Context<'_>, line: LineId, frame: Frame, _: &mut Effects) {
-        self.site.frame(cx.now, cx.now, line, frame);
+    fn frame(&mut self, cx: &Context<'_>, link: LinkId, frame: Frame, _: &mut Effects) {
+        self.site.frame(cx.now, cx.now, link, frame);
     }
 
-    fn pump(&mut self, cx: &Context<'_>, out: &mut Effects) {
+    fn poll(&mut self, cx: &Context<'_>, out: &mut Effects) {
         while let Some(effect) = self.site.effect() {
             match effect {
-                site::Effect::Connect(peer, way) => {
-                    let to = self.addresses.get(peer).and_then(|all| all.get(way)).copied();
-                    out.push_back(Effect::LineConnect { peer, way, to });
+                site::Effect::Connect(peer, address_index) => {
+                    let to = self.addresses.get(peer).and_then(|all| all.get(address_index)).copied();
+                    out.push_back(Effect::ConnectLink { peer, address_index, to });
                 }
-                site::Effect::Send(line, frame) => out.push_back(Effect::LineSend(line, frame)),
-                site::Effect::Close(line, why) => out.push_back(Effect::LineClose(line, why)),
-                site::Effect::Reply(token, reply) => self.crossed(cx, token, reply, out),
-                site::Effect::Run(run, ask) => self.run(cx, run, ask, out),
-                site::Effect::Withdraw(run) => self.withdraw(cx, run, out),
+                site::Effect::Send(link, frame) => out.push_back(Effect::SendFrame(link, frame)),
+                site::Effect::Close(link, why) => out.push_back(Effect::CloseLink(link, why)),
+                site::Effect::Reply(token, reply) => self.forwarded_reply(cx, token, reply, out),
+                site::Effect::Run(run, ask) => self.link_request(cx, run, ask, out),
+                site::Effect::Withdraw(run) => self.cancel_link_request(cx, run, out),
                 site::Effect::Purged(News { object, group, age }) => {
-                    out.push_back(Effect::Purged { object, group, age });
+                    out.push_back(Effect::Purge { object, group, age });
                 }
                 site::Effect::Bound(age) => {
-                    out.extend((0..limits::GROUPS).map(|group| Effect::Purged { object: None, group, age }));
+                    out.extend((0..limits::GROUPS).map(|group| Effect::Purge { object: None, group, age }));
                 }
                 site::Effect::Log(text) => info!(self.log, "sites"; "what" => text),
             }
         }
     }
 
-    fn due(&self) -> Option<f64> {
-        let regular = self.ticked + self.site.setup().link.heartbeat;
-        Some(self.site.next_due().map_or(regular, |due| due.min(regular)))
+    fn next_due(&self) -> Option<f64> {
+        let heartbeat = self.last_tick + self.site.setup().link.heartbeat;
+        Some(self.site.next_due().map_or(heartbeat, |due| due.min(heartbeat)))
     }
 
     fn tick(&mut self, cx: &Context<'_>, _: &mut Effects) {
-        self.ticked = cx.now;
+        self.last_tick = cx.now;
         self.site.tick(cx.now, cx.now);
     }
 
-    fn holds(&self) -> usize {
+    fn buffered_bytes(&self) -> usize {
         self.site.far().sizes()[3]
     }
 
@@ -331,45 +369,32 @@
         self.site.open() == 0 && self.site.far().owed() == 0
     }
 
-    /// The process is about to be killed: what still crosses has failed.
-    fn end_all(&mut self, cx: &Context<'_>, out: &mut Effects) {
+    /// The process is about to be killed: all forwarded requests fail.
+    fn fail_open(&mut self, cx: &Context<'_>, out: &mut Effects) {
         let all: Vec<Token> = self.owners.keys().copied().collect();
         for token in all {
             self.site.cancel(cx.now, token);
-            self.crossed(cx, token, Reply::Failed, out);
+            self.forwarded_reply(cx, token, Reply::Failed, out);
         }
     }
 
     /// Takes routes and peers from a new operator file.
     fn reload(&mut self, cx: &Context<'_>, operator: &Operator, _: &mut Effects) {
         let Some(new) = &operator.sites else { return };
-        let link = (new.name != self.site.setup().own) || new.link_limits() != self.site.setup().link;
-        if link || new.trust_limits() != self.site.setup().trust {
+        let setup = self.site.setup();
+        if new.name != setup.own || new.link_limits() != setup.link || new.trust_limits() != setup.trust {
             warn!(self.log, "reload: the site's name, link and trust take a restart");
         }
-        let gone = self
-            .peers
-            .iter()
-            .filter(|(name, (_, old))| !new.peers.iter().any(|p| p.site == **name && p == old));
-        for name in gone.map(|(name, _)| name.clone()).collect::<Vec<_>>() {
-            if let Some((place, _)) = self.peers.remove(&name) {
-                self.site.drop_peer(place);
-            }
-        }
-        for peer in &new.peers {
-            if !self.peers.contains_key(&peer.site) {
-                let place = self.site.add_peer(cx.now, set_up(peer));
-                self.addresses.push(addresses(peer));
-                self.peers.insert(peer.site.clone(), (place, peer.clone()));
-            }
-        }
+        self.drop_peers(new);
+        self.add_peers(cx.now, new);
         self.site.reroute(new.rules());
         info!(self.log, "reload: routes and peers are taken"; "routes" => new.routes.len(), "peers" => new.peers.len());
     }
 
     fn summary(&mut self) -> String {
         let site = &self.site;
-        let peers = self.peers.iter().filter_map(|(name, (place, _))| site.near(*place).map(|n| (name, n)));
+        let peers =
+            self.peers.iter().filter_map(|(name, peer)| site.near(peer.index).map(|side| (name, side)));
         let peers = peers.map(|(name, near)| {
             let (c, [crossings, _, lost], (up, all)) = (near.counters, near.sizes(), near.ways_up());
             format!(
--- /dev/null
+++ b/crates/deckproxy/src/program/subsystems.rs
@@ -0,0 +1,272 @@
+//! The subsystems that are switched on, and the effects of theirs that wait.
+
+use crate::program::fleet::Fleet;
+use crate::program::flows::Flows;
+use crate::program::recovery::Recovery;
+use crate::program::sites::Sites;
+use crate::program::subsystem::{Context, Effect, Effects, Event, LinkId, RequestKey, Subsystem, Verdict};
+use crate::protocol::downstream::{Answer, Call};
+use crate::protocol::upstream::Copy;
+use crate::routing::{ClientId, Router};
+use deckproxy_flow::work::{Micros, Scheduler, TaskId};
+use deckproxy_operator::Operator;
+use deckproxy_sites::frame::Frame;
+use slog::{Logger, warn};
+
+/// All subsystems, each switched on or off, in the order in which they get events.
+pub struct Subsystems {
+    /// Admission control against retry storms.
+    recovery: Option<Box<Recovery>>,
+    /// Metering and export of flows.
+    flows: Option<Box<Flows>>,
+    /// Links to gateways of other sites.
+    sites: Option<Box<Sites>>,
+    /// The other instances of the fleet.
+    fleet: Option<Box<Fleet>>,
+    /// Effects that wait to be carried out.
+    effects: Effects,
+    /// Whether any is on.
+    on: bool,
+}
+
+/// Each subsystem's part of the summary in the log; `off` for one that is off.
+pub struct Summaries {
+    /// Links to gateways of other sites.
+    pub sites: String,
+    /// Admission control against retry storms.
+    pub recovery: String,
+    /// Metering and export of flows.
+    pub flows: String,
+    /// The other instances of the fleet.
+    pub fleet: String,
+}
+
+impl Subsystems {
+    /// Starts what the operator file asks for.
+    ///
+    /// # Errors
+    /// The fleet can't be started: the text says which name is missing or unusable.
+    pub fn start(
+        log: &Logger,
+        now: f64,
+        (name, seed): (&str, u64),
+        router: &Router,
+        operator: &Operator,
+        background: &mut Scheduler,
+    ) -> Result<Self, String> {
+        let conf = router.conf();
+        let recovery = Recovery::start(log, conf, seed, operator);
+        let flows = Flows::start(log, now, seed, &conf.classes, operator, background);
+        let sites = Sites::start(log, now, seed, operator);
+        let fleet = Fleet::start(log, name, router, seed, operator)?;
+        let on = recovery.is_some() || flows.is_some() || sites.is_some() || fleet.is_some();
+        Ok(Subsystems { recovery, flows, sites, fleet, effects: Effects::new(), on })
+    }
+
+    /// Those that are on, in the order in which they get events, and the queue for their effects.
+    fn all(&mut self) -> (impl Iterator<Item = &mut dyn Subsystem>, &mut Effects) {
+        fn one<'a, S: Subsystem + 'a>(slot: &'a mut Option<Box<S>>) -> Option<&'a mut dyn Subsystem> {
+            slot.as_deref_mut().map(|subsystem| subsystem as &mut dyn Subsystem)
+        }
+        let all = [one(&mut self.recovery), one(&mut self.flows), one(&mut self.sites), one(&mut self.fleet)];
+        (all.into_iter().flatten(), &mut self.effects)
+    }
+
+    /// Whether any is on.
+    pub fn is_on(&self) -> bool {
+        self.on
+    }
+
+    /// Whether links join this site with others.
+    pub fn has_sites(&self) -> bool {
+        self.sites.is_some()
+    }
+
+    /// Whether clients' addresses are wanted.
+    pub fn wants_addresses(&self) -> bool {
+        self.flows.is_some()
+            || self.recovery.as_ref().is_some_and(|r| r.wants_addresses())
+            || self.fleet.as_ref().is_some_and(|f| f.wants_addresses())
+    }
+
+    /// Number of flow collectors.
+    pub fn collectors(&self) -> usize {
+        self.flows.as_ref().map_or(0, |f| f.collectors())
+    }
+
+    /// Whether a background task hands messages to collectors.
+    pub fn sends_to_collectors(&self, task: TaskId) -> bool {
+        self.flows.as_ref().is_some_and(|f| f.is_sending_task(task))
+    }
+
+    /// Whether a subsystem took over a client's request of that id and has not answered it.
+    pub fn has_request(&self, client: ClientId, id: u32) -> bool {
+        self.sites.as_ref().is_some_and(|s| s.has_request((client, id)))
+    }
+
+    /// The next piece of a body for a link that has room to write.
+    pub fn body_piece(&mut self, link: LinkId) -> Option<Frame> {
+        self.sites.as_mut().and_then(|s| s.body_piece(link))
+    }
+
+    /// The next effect to be carried out.
+    pub fn effect(&mut self) -> Option<Effect> {
+        self.effects.pop_front()
+    }
+
+    /// Notifies all of an event.
+    pub fn notify(&mut self, cx: &Context<'_>, event: &Event<'_>) {
+        if !self.on {
+            return;
+        }
+        let (all, out) = self.all();
+        for subsystem in all {
+            subsystem.event(cx, event, out);
+        }
+    }
+
+    /// Notifies of bytes that came on a link: flows with the site at its other end, sites without.
+    pub fn link_bytes_received(&mut self, cx: &Context<'_>, link: LinkId, bytes: usize) {
+        let Subsystems { flows, sites, effects, .. } = self;
+        let Some(sites) = sites else { return };
+        if let Some(flows) = flows {
+            let site = sites.site_of(link);
+            flows.event(cx, &Event::LinkBytesReceived { link, site, bytes }, effects);
+        }
+        sites.event(cx, &Event::LinkBytesReceived { link, site: None, bytes }, effects);
+    }
+
+    /// Notifies flows of bytes that the kernel took for a link.
+    pub fn link_bytes_sent(&mut self, cx: &Context<'_>, link: LinkId, bytes: usize) {
+        let Subsystems { flows, sites, effects, .. } = self;
+        if let (Some(sites), Some(flows)) = (sites, flows) {
+            let site = sites.site_of(link);
+            flows.event(cx, &Event::LinkBytesSent { site, bytes }, effects);
+        }
+    }
+
+    /// Decides on a client's request: the first verdict that is not `Pass` counts, and later subsystems are not asked.
+    pub fn request(&mut self, cx: &Context<'_>, request: RequestKey, call: &Call) -> Verdict {
+        let (all, out) = self.all();
+        let mut verdicts = all.map(|subsystem| subsystem.request(cx, request, call, out));
+        verdicts.find(|verdict| !matches!(verdict, Verdict::Pass)).unwrap_or(Verdict::Pass)
+    }
+
+    /// The answer to send a client in place of this one, if another.
+    pub fn answer(&mut self, cx: &Context<'_>, request: RequestKey, answer: &Answer) -> Option<Answer> {
+        let (mut all, _) = self.all();
+        all.find_map(|subsystem| subsystem.answer(cx, request, answer))
+    }
+
+    /// Takes the answer to a request that came over a link and was served by the router.
+    pub fn routed(&mut self, cx: &Context<'_>, client: ClientId, answer: Answer, copy: Option<Copy>) {
+        if let Some(sites) = &mut self.sites {
+            sites.routed(cx, client, answer, copy, &mut self.effects);
+        }
+    }
+
+    /// Takes a frame that came on a link.
+    pub fn frame(&mut self, cx: &Context<'_>, link: LinkId, frame: Frame) {
+        if let Some(sites) = &mut self.sites {
+            sites.frame(cx, link, frame, &mut self.effects);
+        }
+    }
+
+    /// Collects the effects that the subsystems want carried out by now.
+    pub fn poll(&mut self, cx: &Context<'_>) {
+        let (all, out) = self.all();
+        for subsystem in all {
+            subsystem.poll(cx, out);
+        }
+    }
+
+    /// When the first of them wants a tick, ms.
+    pub fn next_due(&self) -> Option<f64> {
+        let sites = self.sites.as_ref().and_then(|s| s.next_due());
+        let fleet = self.fleet.as_ref().and_then(|f| f.next_due());
+        sites.into_iter().chain(fleet).min_by(f64::total_cmp)
+    }
+
+    /// Ticks those whose time has come.
+    pub fn tick(&mut self, cx: &Context<'_>) {
+        let (all, out) = self.all();
+        for subsystem in all {
+            if subsystem.next_due().is_some_and(|due| due <= cx.now) {
+                subsystem.tick(cx, out);
+            }
+        }
+    }
+
+    /// Runs a background task until that time at most. Returns whether it has more to do.
+    pub fn run_task(&mut self, cx: &Context<'_>, task: TaskId, end: Micros) -> bool {
+        let (mut all, out) = self.all();
+        all.find_map(|subsystem| subsystem.run_task(cx, task, end, out)).unwrap_or(false)
+    }
+
+    /// Bytes that they hold beside those that wait on connections.
+    pub fn buffered_bytes(&self) -> usize {
+        self.sites.as_ref().map_or(0, |s| s.buffered_bytes())
+    }
+
+    /// Whether none owes an answer any more.
+    pub fn is_settled(&mut self) -> bool {
+        let (mut all, _) = self.all();
+        all.all(|subsystem| subsystem.is_settled())
+    }
+
+    /// The process is about to be killed: has all answer what is open as failed.
+    pub fn fail_open(&mut self, cx: &Context<'_>) {
+        let (all, out) = self.all();
+        for subsystem in all {
+            subsystem.fail_open(cx, out);
+        }
+    }
+
+    /// All requests are answered and all clients gone. Returns whether no subsystem has anything left to do.
+    pub fn finish(&mut self, cx: &Context<'_>) -> bool {
+        let (all, out) = self.all();
+        let mut done = true;
+        for subsystem in all {
+            // Each has its turn, also after one that is not done yet.
+            done &= subsystem.finish(cx, out);
+        }
+        done
+    }
+
+    /// Whether bytes on upstream connections are counted: these have to be closed before [`Subsystems::finish`].
+    pub fn counts_members(&self) -> bool {
+        self.flows.is_some()
+    }
+
+    /// Takes what a new operator file may change while serving.
+    pub fn reload(&mut self, log: &Logger, cx: &Context<'_>, operator: &Operator) {
+        let switches = [
+            ("recovery", self.recovery.is_some(), operator.recovery.is_some()),
+            ("flow export", self.flows.is_some(), operator.flows.is_some()),
+            ("sites", self.sites.is_some(), operator.sites.is_some()),
+            ("the fleet", self.fleet.is_some(), operator.fleet.is_some()),
+        ];
+        for (name, on, wanted) in switches {
+            if on != wanted {
+                warn!(log, "reload: switching {} on or off takes a restart", name);
+            }
+        }
+        let (all, out) = self.all();
+        for subsystem in all {
+            subsystem.reload(cx, operator, out);
+        }
+    }
+
+    /// Each subsystem's part of the summary in the log.
+    pub fn summaries(&mut self) -> Summaries {
+        fn one<S: Subsystem>(slot: &mut Option<Box<S>>) -> String {
+            slot.as_mut().map_or_else(|| "off".to_string(), |subsystem| subsystem.summary())
+        }
+        Summaries {
+            sites: one(&mut self.sites),
+            recovery: one(&mut self.recovery),
+            flows: one(&mut self.flows),
+            fleet: one(&mut self.fleet),
+        }
+    }
+}
--- /dev/null
+++ b/crates/deckproxy/src/program/upstream_pool.rs
@@ -0,0 +1,185 @@
+//! The pools of upstream connections by member: choosing, opening, retiring and closing them.
+
+use crate::program::connections::{EvictionReason, ReadySource, UpstreamConnection, UpstreamId};
+use crate::program::gateway::{Gateway, context};
+use crate::program::subsystem::Event;
+use crate::program::timer_task::TimerTask;
+use crate::protocol::limits;
+use crate::routing::members::Endpoint;
+use crate::transport::clock;
+use crate::transport::member::Link;
+use crate::transport::stream::{Stream, is_exhausted};
+use deckproxy_control::interface::MemberId;
+use std::io;
+
+/// A member's connections that an attempt could use, after those of no more use were closed.
+struct PoolState {
+    /// Connections without an attempt in flight, the one used last first.
+    idle: Vec<UpstreamId>,
+    /// Number of connections that are not established yet.
+    connecting: usize,
+}
+
+impl Gateway {
+    /// A connection that can take an attempt of that name.
+    ///
+    /// Each attempt has a connection to itself while descriptors allow: an answer that can't be read, a silence or a
+    /// reset ends all attempts in flight on its connection. Idle connections are reused, the one used last first, so
+    /// that those not needed reach the idle timeout.
+    pub(super) fn upstream_for(
+        &mut self,
+        now: f64,
+        member: MemberId,
+        endpoint: Endpoint,
+        name: &str,
+    ) -> Option<UpstreamId> {
+        let pool = self.check_pool(now, member, endpoint);
+        if let Some(id) = self.reusable_upstream(now, pool.idle, name) {
+            return Some(id);
+        }
+        let most = self.bounds.links;
+        if self.upstreams.len() < most - most / limits::SHARE_FROM
+            && pool.connecting < limits::CONNECTING
+            && let Some(id) = self.connect_upstream(now, member, endpoint)
+        {
+            return Some(id);
+        }
+        // Descriptors are short, or the member takes no more connections for now: attempts share connections.
+        self.shareable_upstream(member, name).or_else(|| self.connect_upstream(now, member, endpoint))
+    }
+
+    /// Retires a member's outdated connections, closes the retired ones without an attempt in flight, and lists those
+    /// that are idle.
+    fn check_pool(&mut self, now: f64, member: MemberId, endpoint: Endpoint) -> PoolState {
+        let idle_timeout = self.router.conf().limits.idle;
+        let (mut idle, mut connecting) = (Vec::new(), 0);
+        for id in self.upstream_pools.get(&member).cloned().unwrap_or_default() {
+            let Some(upstream) = self.upstreams.get_mut(&id) else { continue };
+            // A new incarnation, or another address: the old connections carry nothing new. Nor does one that the
+            // member is about to close for being idle.
+            let idle_since = upstream.link.idle_since();
+            let expires = idle_timeout > 0.0 && now - idle_since > idle_timeout - limits::IDLE_MARGIN;
+            upstream.link.retired |= upstream.endpoint != endpoint || expires && upstream.link.load() == 0;
+            connecting += usize::from(upstream.connecting);
+            if upstream.link.load() > 0 {
+                continue;
+            }
+            if upstream.link.retired {
+                self.close_upstream(id);
+            } else {
+                idle.push((idle_since, id));
+            }
+        }
+        idle.sort_by(|a, b| b.0.total_cmp(&a.0));
+        PoolState { idle: idle.into_iter().map(|(_, id)| id).collect(), connecting }
+    }
+
+    /// The first idle connection that can take an attempt of that name; closes those that the member has closed.
+    fn reusable_upstream(&mut self, now: f64, idle: Vec<UpstreamId>, name: &str) -> Option<UpstreamId> {
+        for id in idle {
+            let Some(upstream) = self.upstreams.get_mut(&id) else { continue };
+            if upstream.link.is_stale(now) {
+                self.close_upstream(id);
+            } else if !upstream.link.stream.input.is_empty() {
+                // What came unasked is handled in its turn; behind half of a message no answer could be read.
+                self.queue(ReadySource::Upstream(id));
+            } else if upstream.link.takes(name) {
+                return Some(id);
+            }
+        }
+        None
+    }
+
+    /// The member's connection with the fewest attempts in flight that can take one more of that name.
+    fn shareable_upstream(&self, member: MemberId, name: &str) -> Option<UpstreamId> {
+        let streams = self.router.conf().limits.streams;
+        let is_shareable = |link: &Link| {
+            // An idle connection with half of an answer that nobody waits for is not to be shared.
+            (link.load() > 0 || link.stream.input.is_empty())
+                && link.load() < streams
+                && link.stream.queued() < limits::MEMBER_OUTGOING
+                && link.takes(name)
+        };
+        let pool = self.upstream_pools.get(&member).into_iter().flatten();
+        pool.filter_map(|id| self.upstreams.get(id).map(|upstream| (*id, &upstream.link)))
+            .filter(|(_, link)| is_shareable(link))
+            .map(|(id, link)| (link.load(), id))
+            .min()
+            .map(|(_, id)| id)
+    }
+
+    /// Opens a connection to a member; none if the kernel refuses, or no place or descriptor can be freed for it.
+    fn connect_upstream(&mut self, now: f64, member: MemberId, endpoint: Endpoint) -> Option<UpstreamId> {
+        if self.upstreams.len() >= self.bounds.links {
+            let oldest = self.longest_idle_upstream()?;
+            self.close_upstream(oldest);
+        }
+        let id = self.next_connection_id();
+        let mut connected = self.open_upstream(id, endpoint);
+        if connected.as_ref().is_err_and(is_exhausted) && self.evict_client(now, EvictionReason::Internal) {
+            // An idle client's descriptor is worth less than a request.
+            connected = self.open_upstream(id, endpoint);
+        }
+        let stream = match connected {
+            Ok(stream) => stream,
+            Err(e) => {
+                self.log_peer(&format!("member {}: {e}", self.router.member_name(member)));
+                return None;
+            }
+        };
+        let upstream =
+            UpstreamConnection { link: Link::new(stream, now), member, endpoint, connecting: true };
+        self.upstreams.insert(id, upstream);
+        self.upstream_pools.entry(member).or_default().push(id);
+        let connect_timeout = self.router.conf().limits.connect;
+        self.timers.schedule(now + connect_timeout, TimerTask::UpstreamConnectTimeout(id));
+        Some(id)
+    }
+
+    fn open_upstream(&self, id: UpstreamId, endpoint: Endpoint) -> io::Result<Stream> {
+        let ready = move |gateway: &mut Gateway, readiness| gateway.upstream_ready(id, readiness);
+        Stream::connect(&self.handle, &self.upstream_buffers, endpoint.address, ready)
+    }
+
+    fn longest_idle_upstream(&self) -> Option<UpstreamId> {
+        let idle = self.upstreams.iter().filter(|(_, upstream)| upstream.link.load() == 0);
+        idle.min_by(|a, b| a.1.link.idle_since().total_cmp(&b.1.link.idle_since())).map(|(id, _)| *id)
+    }
+
+    /// Closes a connection on which no attempt is in flight.
+    pub(super) fn close_upstream(&mut self, id: UpstreamId) {
+        let Some(upstream) = self.upstreams.remove(&id) else { return };
+        if let Some(pool) = self.upstream_pools.get_mut(&upstream.member) {
+            pool.retain(|other| *other != id);
+            if pool.is_empty() {
+                self.upstream_pools.remove(&upstream.member);
+            }
+        }
+        if self.subsystems.is_on() {
+            self.notify_cut_messages(&upstream);
+        }
+        upstream.link.stream.close(&self.handle);
+    }
+
+    /// Notifies the subsystems of messages that were sent and received in part on a connection that closes.
+    fn notify_cut_messages(&mut self, upstream: &UpstreamConnection) {
+        let cx = context(clock::now(), &self.router);
+        let member = cx.router.member_name(upstream.member);
+        if let Some(written) = upstream.link.stream.cut() {
+            self.subsystems.notify(&cx, &Event::MemberBytesSent { member, written });
+        }
+        let bytes = upstream.link.stream.input.len();
+        self.subsystems.notify(&cx, &Event::MemberBytesReceived { member, bytes });
+    }
+
+    /// Closes a member's idle connections; the others take nothing new, and close once nothing is in flight on them.
+    pub(super) fn retire_upstreams(&mut self, member: MemberId) {
+        for id in self.upstream_pools.get(&member).cloned().unwrap_or_default() {
+            let Some(upstream) = self.upstreams.get_mut(&id) else { continue };
+            upstream.link.retired = true;
+            if upstream.link.load() == 0 {
+                self.close_upstream(id);
+            }
+        }
+    }
+}
