--- a/crates/deckproxy-lab/src/demo.rs
+++ b/crates/deckproxy-lab/src/demo.rs
@@ -1,5 +1,7 @@
 //! `decklab demo`: the main job on an embedded default.
 
+use crate::error::LabError;
+use crate::output::print_line;
 use crate::traffic;
 use clap::Args;
 use comfy_table::Table;
@@ -13,6 +15,7 @@
 use deckproxy_standins::site::{Site, SiteConfig};
 use hdrhistogram::Histogram;
 use indicatif::{ProgressBar, ProgressStyle};
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::atomic::Ordering;
 use std::thread;
@@ -32,7 +35,7 @@
     clients: u32,
     /// An operator file for the gateway, as for `deckproxy run`.
     #[arg(long, value_name = "FILE")]
-    operator: Option<std::path::PathBuf>,
+    operator: Option<PathBuf>,
     /// Seed of the traffic.
     #[arg(long, default_value_t = 1)]
     seed: u64,
@@ -42,7 +45,7 @@
 }
 
 /// A small fleet at work.
-fn fleet(options: &Options) -> ExitCode {
+fn fleet(options: &Options) -> Result<ExitCode, LabError> {
     let seconds = (options.seconds as f64).max(8.0);
     let mut plan = Plan {
         seconds,
@@ -53,12 +56,12 @@
         ..Plan::default()
     };
     plan.faults.push(Fault { at: seconds * 0.3, lasts: seconds * 0.3, what: What::Kill(1) });
-    println!(
+    print_line!(
         "{} gateways in 2 zones, 3 caches in each, a parent, an origin and the feeds run on loopback",
         plan.instances
     );
     let draw = traffic::draw(0, 1, 2000, 0.0, 0.04);
-    let played = play(&plan, &draw, |at, what| println!("{at:5.1} s  {what}"));
+    let played = play(&plan, &draw, |at, what| print_line!("{at:5.1} s  {what}"));
     let figures = judge(&played);
     let v = &figures.verdict;
     let mut table = Table::new();
@@ -77,32 +80,29 @@
     for (name, value) in rows {
         table.add_row([name.to_string(), value]);
     }
-    println!("{table}");
+    print_line!("{table}");
     let good = v.holds() && played.wrongs.is_empty() && v.served > 0;
-    if good { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    Ok(if good { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+}
+
+/// The text of an operator file without faults.
+fn operator_file(path: &Path) -> Result<String, LabError> {
+    let bytes = std::fs::read(path).map_err(LabError::file(path))?;
+    let contents = |faults| LabError::Contents { path: path.to_path_buf(), faults };
+    deckproxy_operator::read(&bytes).map_err(contents)?;
+    Ok(String::from_utf8_lossy(&bytes).into_owned())
 }
 
 /// Runs it.
-pub fn run(options: &Options) -> ExitCode {
+pub fn run(options: &Options) -> Result<ExitCode, LabError> {
     if options.gateways > 1 {
         return fleet(options);
     }
-    let operator = options.operator.as_ref().map(std::fs::read_to_string).transpose();
-    let operator = match operator {
-        Ok(text) => text,
-        Err(e) => {
-            eprintln!("decklab demo: the operator file: {e}");
-            return ExitCode::from(2);
-        }
-    };
-    if let Some(faults) = operator.as_ref().and_then(|text| deckproxy_operator::read(text.as_bytes()).err()) {
-        faults.iter().for_each(|fault| eprintln!("decklab demo: the operator file: {fault}"));
-        return ExitCode::from(2);
-    }
+    let operator = options.operator.as_deref().map(operator_file).transpose()?;
     let record = Record::default();
     let site = Site::start(0, SiteConfig::default(), &record);
     let at = free_address();
-    println!(
+    print_line!(
         "3 caches, a parent, an origin and the control feed run on loopback; the gateway listens on {at}"
     );
     let mut gateway = site.gateway("n1", at, operator.as_deref());
@@ -174,11 +174,11 @@
     for (name, value) in rows {
         table.add_row([name.to_string(), value]);
     }
-    println!("{table}");
-    println!(
+    print_line!("{table}");
+    print_line!(
         "The gateway ended by itself on SIGTERM with exit code {}.",
         code.map_or("?".into(), |c| c.to_string())
     );
     let good = verdict.holds() && code == Some(0) && verdict.served > 0;
-    if good { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    Ok(if good { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
--- a/crates/deckproxy-lab/src/drills/fleet.rs
+++ b/crates/deckproxy-lab/src/drills/fleet.rs
@@ -2,7 +2,8 @@
 
 use super::{Options, Report, Spoil, round};
 use crate::traffic;
-use deckproxy_rig::draw::{SHORTEST, partings};
+pub use deckproxy_rig::draw::SHORTEST as LEAST_SECONDS;
+use deckproxy_rig::draw::partings;
 use deckproxy_rig::judge::{Figures, judge};
 use deckproxy_rig::plan::Plan;
 use deckproxy_rig::play::{Played, play};
@@ -12,10 +13,6 @@
 
 /// Runs it.
 pub fn run(options: &Options) -> Report {
-    assert!(
-        options.seconds >= SHORTEST,
-        "the drill of a fleet takes {SHORTEST} seconds at least: each fault once, and time to come together after it"
-    );
     let mut plan = Plan { seconds: options.seconds as f64, seed: options.seed, ..Plan::default() };
     plan.question =
         "A fleet of five in two zones while instances are killed, paused, restarted and cut off".to_string();
@@ -116,7 +113,9 @@
             let ran = facts.iter().find(|s| matches!(s.fact, Fact::EffectApplied { .. })).cloned();
             facts.extend(ran.map(|s| Seen { at: s.at + 1.0, ..s }));
         }
-        Spoil::Stale | Spoil::Attempt | Spoil::Record => panic!("the drill of a fleet has no such judge"),
+        Spoil::Stale | Spoil::Attempt | Spoil::Record => {
+            unreachable!("{spoil:?} is rejected before the drill starts")
+        }
     }
     facts.sort_by(|a, b| a.at.total_cmp(&b.at));
 }
--- a/crates/deckproxy-lab/src/drills/mod.rs
+++ b/crates/deckproxy-lab/src/drills/mod.rs
@@ -6,11 +6,16 @@
 mod recovery;
 mod sites;
 
+use crate::error::LabError;
+use crate::output::print_line;
 use clap::{Args, ValueEnum};
 use deckproxy_standins::rules::Verdict;
 use serde_json::{Value, json};
 use std::process::ExitCode;
 
+/// Seconds that any drill takes at least.
+const LEAST_SECONDS: u64 = 4;
+
 /// Which drill, and how.
 #[derive(Debug, Args)]
 pub struct Options {
@@ -21,7 +26,7 @@
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// Seconds of traffic.
-    #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(4..=3600))]
+    #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(LEAST_SECONDS..=3600))]
     seconds: u64,
     /// End with one JSON object on a line.
     #[arg(long)]
@@ -77,8 +82,63 @@
     broken: Vec<String>,
 }
 
+impl Name {
+    /// The name on the command line.
+    fn text(self) -> &'static str {
+        match self {
+            Name::Sites => "sites",
+            Name::Flows => "flows",
+            Name::Fleet => "fleet",
+            Name::Overload => "overload",
+            Name::Recovery => "recovery",
+        }
+    }
+
+    /// The least seconds that the drill takes, and what they are needed for.
+    fn least_seconds(self) -> (u64, &'static str) {
+        match self {
+            Name::Sites | Name::Flows => (LEAST_SECONDS, "a cut and a restart"),
+            Name::Fleet => (fleet::LEAST_SECONDS, "each fault once, and time to converge after it"),
+            Name::Overload => (overload::LEAST_SECONDS, "each fault once, and time to recover from it"),
+            Name::Recovery => (recovery::LEAST_SECONDS, "a calm time before the fault to compare with"),
+        }
+    }
+
+    /// The faults that can be put into the record of this drill: those that its checkers look for.
+    fn spoils(self) -> &'static [Spoil] {
+        match self {
+            Name::Sites => &[Spoil::Stale, Spoil::Attempt, Spoil::Effect, Spoil::Answer],
+            Name::Flows => &[Spoil::Record],
+            Name::Fleet => &[Spoil::Probes, Spoil::Coverage, Spoil::Board, Spoil::Answer, Spoil::Effect],
+            Name::Overload => &[Spoil::Attempt, Spoil::Answer],
+            Name::Recovery => &[Spoil::Attempt],
+        }
+    }
+}
+
+/// Whether the options fit the drill: it runs long enough, and has a checker for what is to be spoilt.
+fn check(options: &Options) -> Result<(), LabError> {
+    let name = options.name.text();
+    let (least, needed_for) = options.name.least_seconds();
+    if options.seconds < least {
+        let fault = format!(
+            "{} is too short: the drill of {name} takes {least} seconds at least, for {needed_for}",
+            options.seconds
+        );
+        return Err(LabError::argument("--seconds", fault));
+    }
+    match options.spoil {
+        Some(spoil) if !options.name.spoils().contains(&spoil) => {
+            let fault = format!("the drill of {name} has no checker for {spoil:?}");
+            Err(LabError::argument("--spoil", fault.to_lowercase()))
+        }
+        _ => Ok(()),
+    }
+}
+
 /// Runs one.
-pub fn run(options: &Options) -> ExitCode {
+pub fn run(options: &Options) -> Result<ExitCode, LabError> {
+    check(options)?;
     let outcome = std::panic::catch_unwind(|| match options.name {
         Name::Sites => sites::run(options),
         Name::Flows => flows::run(options),
@@ -88,7 +148,7 @@
     });
     let Ok(report) = outcome else {
         eprintln!("the drill could not run");
-        return ExitCode::from(2);
+        return Ok(ExitCode::from(2));
     };
     let v = &report.verdict;
     let ok = v.holds() && report.broken.is_empty();
@@ -96,7 +156,7 @@
         eprintln!("broken: {breach}");
     }
     let mut all = json!({
-        "drill": format!("{:?}", options.name).to_lowercase(), "seed": options.seed, "seconds": options.seconds,
+        "drill": options.name.text(), "seed": options.seed, "seconds": options.seconds,
         "requests": v.requests, "crossed": v.cross_site, "served": v.served, "refused": v.rejected, "failed": v.failed,
         "killed": v.killed, "unanswered": v.unanswered, "double_answers": v.double_answers,
         "double_attempts": v.double_attempts, "double_effects": v.double_effects,
@@ -111,16 +171,16 @@
     }
     all["ok"] = ok.into();
     if options.json {
-        println!("{all}");
+        print_line!("{all}");
     } else if let Value::Object(all) = &all {
         let mut table = comfy_table::Table::new();
         table.set_header(["", ""]);
         for (name, value) in all {
             table.add_row([name.clone(), value.to_string()]);
         }
-        println!("{table}");
+        print_line!("{table}");
     }
-    if ok { ExitCode::SUCCESS } else { ExitCode::from(1) }
+    Ok(if ok { ExitCode::SUCCESS } else { ExitCode::from(1) })
 }
 
 fn round(x: f64) -> f64 {
--- a/crates/deckproxy-lab/src/drills/overload.rs
+++ b/crates/deckproxy-lab/src/drills/overload.rs
@@ -11,8 +11,8 @@
 use rand_pcg::Pcg64Mcg;
 use serde_json::json;
 
-/// The shortest run in which each fault is there once, and time to get over it.
-pub const SHORTEST: u64 = 40;
+/// The shortest run, s, in which each fault happens once and there is time to recover from it.
+pub const LEAST_SECONDS: u64 = 40;
 /// First tries a second in the calm time, of 120 clients; what the origin works on at once.
 const RATE: f64 = 150.0;
 const ROOM: usize = 4;
@@ -67,10 +67,6 @@
 
 /// Runs it three times.
 pub fn run(options: &Options) -> Report {
-    assert!(
-        options.seconds >= SHORTEST,
-        "the drill of overload takes {SHORTEST} seconds at least: each fault once, and time to get over it"
-    );
     let of = |shed| Plan { shed, ..plan(options.seed, options.seconds as f64) };
     let one = |plan: &Plan| play(plan, &draw(), |_, _| {});
     let mut played = one(&of(Shed::Fleet));
@@ -180,6 +176,6 @@
                 t.end = t.end.map(|(at, _)| (at, Outcome::Rejected(None)));
             }
         }
-        _ => panic!("the drill of overload has no such judge"),
+        _ => unreachable!("{spoil:?} is rejected before the drill starts"),
     }
 }
--- a/crates/deckproxy-lab/src/drills/recovery.rs
+++ b/crates/deckproxy-lab/src/drills/recovery.rs
@@ -23,6 +23,9 @@
 const AMPLIFICATION: f64 = 1.3;
 const GOOD: f64 = 0.95;
 
+/// The shortest run, s: the first second is left out, and the quarter before the fault has to hold another one.
+pub const LEAST_SECONDS: u64 = 8;
+
 const DOOR: &str = "recovery { share_of_repeats: 0.2 }";
 
 /// What one way of doing it came to.
--- a/crates/deckproxy-lab/src/drills/sites.rs
+++ b/crates/deckproxy-lab/src/drills/sites.rs
@@ -347,7 +347,7 @@
             at.map(|i| facts.remove(i));
         }
         Spoil::Record | Spoil::Probes | Spoil::Coverage | Spoil::Board => {
-            panic!("no flows are told and no fleet runs in this drill")
+            unreachable!("{spoil:?} is rejected before the drill starts")
         }
     }
     facts.sort_by(|a, b| a.at.total_cmp(&b.at));
--- a/crates/deckproxy-lab/src/flows/collect.rs
+++ b/crates/deckproxy-lab/src/flows/collect.rs
@@ -1,6 +1,8 @@
 //! `decklab flows collect`: takes what exporters send and stores readable records.
 
-use super::record::Record;
+use super::record::{Record, files};
+use crate::error::LabError;
+use crate::output::print_line;
 use deckproxy_flow::codec::{Collected, Decoder, Limits, Splitter};
 use std::collections::{BTreeMap, HashMap};
 use std::fs::{self, File, OpenOptions};
@@ -101,11 +103,11 @@
 
     /// Removes the oldest files beyond what is kept.
     fn make_room(&self) -> io::Result<()> {
-        let files = super::record::files(&self.folder).map_err(io::Error::other)?;
+        let files = files(&self.folder).map_err(io::Error::other)?;
         let size = |path: &Path| fs::metadata(path).map_or(0, |m| m.len());
         let mut sum: u64 = files.iter().map(|f| size(f)).sum();
         for path in files {
-            if sum <= self.keep * 1_000_000 {
+            if sum <= self.keep.saturating_mul(1_000_000) {
                 break;
             }
             sum -= size(&path);
@@ -117,13 +119,13 @@
 }
 
 /// Collects.
-pub fn run(options: &Options) -> Result<(), String> {
-    let named = |what: &'static str| move |e: io::Error| format!("{what}: {e}");
-    fs::create_dir_all(&options.out).map_err(|e| format!("{}: {e}", options.out.display()))?;
-    let listener = TcpListener::bind(options.listen).map_err(named("TCP"))?;
-    let socket = UdpSocket::bind(options.listen).map_err(named("UDP"))?;
-    listener.set_nonblocking(true).map_err(named("TCP"))?;
-    println!("collecting on {} over TCP and UDP into {}", options.listen, options.out.display());
+pub fn run(options: &Options) -> Result<(), LabError> {
+    let socket_error = |protocol| move |source| LabError::Socket { protocol, source };
+    fs::create_dir_all(&options.out).map_err(LabError::file(&options.out))?;
+    let listener = TcpListener::bind(options.listen).map_err(socket_error("TCP"))?;
+    let socket = UdpSocket::bind(options.listen).map_err(socket_error("UDP"))?;
+    listener.set_nonblocking(true).map_err(socket_error("TCP"))?;
+    print_line!("collecting on {} over TCP and UDP into {}", options.listen, options.out.display());
     let store = Arc::new(Mutex::new(Store {
         folder: options.out.clone(),
         keep: options.keep,
@@ -152,15 +154,15 @@
             Err(_) => thread::sleep(Duration::from_millis(20)),
         }
         let ended = options.seconds.is_some_and(|s| start.elapsed() >= Duration::from_secs(s));
-        let mut store = store.lock().map_err(|_| "a reader failed".to_string())?;
+        let mut store = store.lock().map_err(|_| LabError::Thread { job: "reading from exporters" })?;
         store.flush();
         if let Some(why) = &store.failed {
-            return Err(format!("records can't be stored: {why}"));
+            return Err(LabError::output("records can't be stored", why));
         }
         if ended || told.elapsed() > Duration::from_secs(10) {
             told = Instant::now();
             let Counts { messages, records, missing, unknown, faults } = store.counts;
-            println!(
+            print_line!(
                 "{messages} messages, {records} records, {missing} missing by their numbers, {unknown} sets without a \
                  template, {faults} messages that could not be read"
             );
--- a/crates/deckproxy-lab/src/flows/follow.rs
+++ b/crates/deckproxy-lab/src/flows/follow.rs
@@ -1,7 +1,8 @@
 //! `decklab flows follow`: records as they are stored.
 
 use super::query;
-use super::record::{Record, files};
+use super::record::{Record, files, shown_time};
+use crate::error::LabError;
 use std::collections::HashMap;
 use std::fs::File;
 use std::io::{self, Read, Seek, SeekFrom, Write};
@@ -26,8 +27,8 @@
 }
 
 /// Follows.
-pub fn run(options: &Options) -> Result<(), String> {
-    let filter = options.filter.as_deref().map(query::parse).transpose()?;
+pub fn run(options: &Options) -> Result<(), LabError> {
+    let filter = options.filter.as_deref().map(query::from_option).transpose()?;
     let start = Instant::now();
     let mut read: HashMap<PathBuf, u64> = HashMap::new();
     if !options.all {
@@ -41,13 +42,13 @@
         let ended = options.seconds.is_some_and(|s| start.elapsed() >= Duration::from_secs(s));
         for path in files(&options.dir)? {
             let from = read.entry(path.clone()).or_default();
-            let lines = whole_lines(&path, from).map_err(|e| format!("{}: {e}", path.display()))?;
+            let lines = complete_lines(&path, from).map_err(LabError::file(&path))?;
             for line in lines.lines() {
                 let Ok(record) = serde_json::from_str::<Record>(line) else { continue };
                 if filter.as_ref().is_none_or(|f| f.takes(&record))
                     && writeln!(out, "{}", shown(&record)).is_err()
                 {
-                    // Whoever read it has gone.
+                    // The reader of standard output has closed it.
                     return Ok(());
                 }
             }
@@ -59,19 +60,19 @@
     }
 }
 
-/// What has come whole since the last look.
-fn whole_lines(path: &Path, from: &mut u64) -> io::Result<String> {
+/// The complete lines written since the last look; `from` moves behind them.
+fn complete_lines(path: &Path, from: &mut u64) -> io::Result<String> {
     let mut file = File::open(path)?;
     file.seek(SeekFrom::Start(*from))?;
     let mut bytes = Vec::new();
     file.read_to_end(&mut bytes)?;
-    let whole = bytes.iter().rposition(|b| *b == b'\n').map_or(0, |i| i + 1);
-    *from += whole as u64;
-    Ok(String::from_utf8_lossy(&bytes[..whole]).into_owned())
+    let complete = bytes.iter().rposition(|b| *b == b'\n').map_or(0, |i| i + 1);
+    *from += complete as u64;
+    Ok(String::from_utf8_lossy(&bytes[..complete]).into_owned())
 }
 
 fn shown(record: &Record) -> String {
-    let time = humantime::format_rfc3339_millis(std::time::UNIX_EPOCH + Duration::from_millis(record.end));
+    let time = shown_time(record.end);
     if record.is_loss() {
         return format!("{time} {} lost {} flows, {} bytes", record.exporter, record.lost, record.lost_bytes);
     }
--- a/crates/deckproxy-lab/src/flows/mod.rs
+++ b/crates/deckproxy-lab/src/flows/mod.rs
@@ -7,6 +7,7 @@
 mod record;
 mod top;
 
+use crate::error::LabError;
 use clap::{Args, Subcommand};
 use std::process::ExitCode;
 
@@ -28,17 +29,11 @@
 }
 
 /// Runs one.
-pub fn run(options: &Options) -> ExitCode {
-    let done = match &options.command {
+pub fn run(options: &Options) -> Result<ExitCode, LabError> {
+    match &options.command {
         Command::Collect(options) => collect::run(options),
         Command::Top(options) => top::run(options),
         Command::Follow(options) => follow::run(options),
-    };
-    match done {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("decklab flows: {why}");
-            ExitCode::from(2)
-        }
-    }
+    }?;
+    Ok(ExitCode::SUCCESS)
 }
--- a/crates/deckproxy-lab/src/flows/plot.rs
+++ b/crates/deckproxy-lab/src/flows/plot.rs
@@ -1,5 +1,7 @@
 //! A picture of bytes over time, stacked by key.
 
+use super::record::shown_second;
+use crate::error::LabError;
 use plotters::prelude::*;
 use std::path::Path;
 
@@ -28,7 +30,7 @@
         let row = keys.iter().position(|k| k == key).unwrap_or(keys.len());
         // A flow of one instant fills the step that it is in.
         let from = (start - first) as f64 / step;
-        let to = ((end - first) as f64 / step).max(from + 1.0).min(BUCKETS as f64);
+        let to = (end.saturating_sub(first) as f64 / step).max(from + 1.0).min(BUCKETS as f64);
         let from = from.min(to - 1.0).max(0.0);
         let each = *bytes as f64 / (to - from);
         let mut at = from;
@@ -59,17 +61,31 @@
     }
 }
 
-/// Draws the picture.
+/// Writes the picture to a file, as SVG.
+///
+/// # Errors
+///
+/// There is no span to draw, or the file cannot be written.
 pub fn stacked(
     path: &Path,
     by: &str,
     keys: &[String],
     spans: &[(String, u64, u64, u64)],
-) -> Result<(), String> {
-    let failed = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
+) -> Result<(), LabError> {
     if spans.is_empty() {
-        return Err("nothing to draw".to_string());
+        return Err(LabError::output(path.display(), "nothing to draw"));
     }
+    let mut svg = String::new();
+    draw(&mut svg, by, keys, spans).map_err(|fault| LabError::output(path.display(), fault))?;
+    std::fs::write(path, svg).map_err(LabError::file(path))
+}
+
+fn draw(
+    svg: &mut String,
+    by: &str,
+    keys: &[String],
+    spans: &[(String, u64, u64, u64)],
+) -> Result<(), Box<dyn std::error::Error>> {
     let (first, step, rates) = rates(keys, spans);
     let mut upper = vec![0.0; BUCKETS];
     let mut layers = Vec::new();
@@ -79,30 +95,27 @@
     }
     let most = upper.iter().copied().fold(1.0, f64::max) * 1.05;
     let last = BUCKETS as f64 * step;
-    let area = SVGBackend::new(path, (1100, 480)).into_drawing_area();
-    area.fill(&WHITE).map_err(|e| failed(&e))?;
-    let began =
-        humantime::format_rfc3339_seconds(std::time::UNIX_EPOCH + std::time::Duration::from_millis(first));
+    let area = SVGBackend::with_string(svg, (1100, 480)).into_drawing_area();
+    area.fill(&WHITE)?;
+    let began = shown_second(first);
     let mut chart = ChartBuilder::on(&area)
         .caption(format!("Bytes towards clients by {by}, from {began}"), ("sans-serif", 18))
         .margin(12)
         .margin_right(220)
         .x_label_area_size(40)
         .y_label_area_size(90)
-        .build_cartesian_2d(0.0..last / 1000.0, 0.0..most)
-        .map_err(|e| failed(&e))?;
+        .build_cartesian_2d(0.0..last / 1000.0, 0.0..most)?;
     chart
         .configure_mesh()
         .disable_x_mesh()
         .light_line_style(TRANSPARENT)
         .x_desc("seconds")
         .y_label_formatter(&|n| bytes(*n))
-        .draw()
-        .map_err(|e| failed(&e))?;
+        .draw()?;
     // From the top layer down: each covers what is below it.
     for (i, layer) in layers.iter().enumerate().rev() {
         let points = layer.iter().enumerate().map(|(x, y)| ((x as f64 + 0.5) * step / 1000.0, *y));
-        chart.draw_series(AreaSeries::new(points, 0.0, colour(i, keys.len()))).map_err(|e| failed(&e))?;
+        chart.draw_series(AreaSeries::new(points, 0.0, colour(i, keys.len())))?;
     }
     // The legend in the order of the layers, the topmost first, beside the plot.
     let shown = (0..layers.len()).rev().filter(|i| *i < keys.len() || rates[*i].iter().any(|b| *b > 0.0));
@@ -111,31 +124,12 @@
         let (x, y) = (900, 50 + 20 * row as i32);
         let name = keys.get(i).map_or("all others", |k| k).to_string();
         let mark = Rectangle::new([(x, y), (x + 12, y + 12)], colour.filled());
-        area.draw(&mark).map_err(|e| failed(&e))?;
+        area.draw(&mark)?;
         let text = Text::new(name, (x + 18, y + 1), ("sans-serif", 13));
-        area.draw(&text).map_err(|e| failed(&e))?;
+        area.draw(&text)?;
     }
-    area.present().map_err(|e| failed(&e))
+    Ok(area.present()?)
 }
 
 #[cfg(test)]
-mod tests {
-    use super::rates;
-
-    #[test]
-    fn every_byte_is_drawn_once() {
-        let keys = vec!["a".to_string()];
-        let span = |key: &str, start, end, bytes| (key.to_string(), start, end, bytes);
-        let spans = [
-            span("a", 1_000, 61_000, 6000),
-            span("a", 5_000, 5_000, 77),
-            span("b", 60_999, 61_000, 5),
-            span("b", 1_000, 1_001, 11),
-        ];
-        let (first, step, rates) = rates(&keys, &spans);
-        assert_eq!(first, 1000);
-        let sum = |row: &[f64]| row.iter().sum::<f64>() * step / 1000.0;
-        assert!((sum(&rates[0]) - 6077.0).abs() < 1e-6, "{}", sum(&rates[0]));
-        assert!((sum(&rates[1]) - 16.0).abs() < 1e-6, "{}", sum(&rates[1]));
-    }
-}
+mod tests;
--- a/crates/deckproxy-lab/src/flows/query.rs
+++ b/crates/deckproxy-lab/src/flows/query.rs
@@ -3,6 +3,7 @@
 //! `or` binds least, then `and`, then `not`; parentheses group. A fault is told with its column.
 
 use super::record::Record;
+use crate::error::LabError;
 use ipnet::IpNet;
 use winnow::ascii::{multispace0, multispace1};
 use winnow::combinator::{alt, cut_err, delimited, not, opt, peek, preceded, repeat, terminated};
@@ -244,6 +245,11 @@
 /// Deepest nesting that is read: what is deeper would only try the stack.
 const DEEPEST: usize = 64;
 
+/// Reads the filter of the option `--where`.
+pub fn from_option(text: &str) -> Result<Filter, LabError> {
+    parse(text).map_err(|fault| LabError::argument("--where", fault))
+}
+
 /// Reads a filter; the error shows the column at which it is none, and what was wanted there.
 pub fn parse(text: &str) -> Result<Filter, String> {
     let deep = text.matches('(').count() + text.matches("not").count();
@@ -269,84 +275,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    fn record() -> Record {
-        Record {
-            leg: "client".into(),
-            class: "page".into(),
-            client: Some("10.1.2.0/24".parse().unwrap()),
-            link: "south".into(),
-            out: 2_000_000,
-            requests: 7,
-            p99: 12_500,
-            ..Record::default()
-        }
-    }
-
-    fn takes(text: &str) -> bool {
-        parse(text).unwrap_or_else(|e| panic!("{e}")).takes(&record())
-    }
-
-    #[test]
-    fn fields_and_units_and_words_bind_as_they_should() {
-        let good = [
-            "class = page",
-            "class=page and out > 1.9MB",
-            "client in 10.0.0.0/8 and not class = once",
-            "class = once or class = page and requests >= 7",
-            "(class = once or class = page) and p99 < 13ms",
-            "p99 > 0.012s",
-            "link ~ out and link != \"north side\"",
-            "not not class=page",
-            "client = 10.1.2.0/24;",
-            "box = \"\"",
-        ];
-        good.iter().for_each(|text| assert!(takes(text), "{text}"));
-        let bad = [
-            "class != page",
-            "client in 10.1.2.3",
-            "out <= 1999kB",
-            "class = once and class = page or back > 0",
-        ];
-        bad.iter().for_each(|text| assert!(!takes(text), "{text}"));
-    }
-
-    #[test]
-    fn a_fault_names_its_column_and_what_was_wanted() {
-        let cases = [
-            ("clas = page", 1, "a field: client"),
-            ("class page", 7, "=, != or ~"),
-            ("class = page and", 17, "a field"),
-            ("out > much", 7, "a number"),
-            ("out > 5MBx", 10, "a number"),
-            ("client in 10.0.0.0/40", 11, "an address or prefix"),
-            ("(class = page", 14, ") at the end"),
-            ("class = \"page", 14, "\" at the end"),
-            ("class = page classy", 14, "and, or, or the end"),
-            ("not", 4, "a field"),
-            ("", 1, "a field"),
-        ];
-        for (text, column, wanted) in cases {
-            let fault = parse(text).unwrap_err();
-            let first = fault.lines().next().unwrap();
-            assert!(
-                first.starts_with(&format!("column {column}: ")) && first.contains(wanted),
-                "{text}: {fault}"
-            );
-        }
-        assert!(parse(&"(".repeat(100_000)).unwrap_err().contains("are the most"));
-    }
-
-    proptest! {
-        #![proptest_config(ProptestConfig { cases: 500, rng_seed: proptest::test_runner::RngSeed::Fixed(5), ..Default::default() })]
-
-        #[test]
-        fn any_text_is_read_or_refused(text in "[a-z0-9 ()=<>!~\"./]{0,60}", more in ".{0,20}") {
-            let _ = parse(&text);
-            let _ = parse(&format!("class = page and {more}"));
-        }
-    }
-}
+mod tests;
--- a/crates/deckproxy-lab/src/flows/record.rs
+++ b/crates/deckproxy-lab/src/flows/record.rs
@@ -1,5 +1,6 @@
 //! A stored record: what one flow was, in words.
 
+use crate::error::LabError;
 use deckproxy_flow::codec::elements::{self, NONE, Own};
 use deckproxy_flow::codec::{Element, Value};
 use ipnet::IpNet;
@@ -8,6 +9,7 @@
 use std::io::{self, BufRead, BufReader};
 use std::net::IpAddr;
 use std::path::{Path, PathBuf};
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// One flow as it is stored.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -130,9 +132,30 @@
     }
 }
 
+/// The last second that RFC 3339 can write: 9999-12-31T23:59:59Z, in Unix time.
+const LAST_SECOND: u64 = 253_402_300_799;
+
+/// A time in Unix ms as RFC 3339 text with milliseconds.
+///
+/// A time after the year 9999, which an exporter may send, has no such text: its number is shown.
+pub fn shown_time(unix_ms: u64) -> String {
+    representable(unix_ms)
+        .map_or_else(|| format!("{unix_ms} ms"), |time| humantime::format_rfc3339_millis(time).to_string())
+}
+
+/// The same to the second.
+pub fn shown_second(unix_ms: u64) -> String {
+    representable(unix_ms)
+        .map_or_else(|| format!("{unix_ms} ms"), |time| humantime::format_rfc3339_seconds(time).to_string())
+}
+
+fn representable(unix_ms: u64) -> Option<SystemTime> {
+    (unix_ms / 1000 <= LAST_SECOND).then(|| UNIX_EPOCH + Duration::from_millis(unix_ms))
+}
+
 /// The files of a folder, in the order of time.
-pub fn files(folder: &Path) -> Result<Vec<PathBuf>, String> {
-    let all = fs::read_dir(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
+pub fn files(folder: &Path) -> Result<Vec<PathBuf>, LabError> {
+    let all = fs::read_dir(folder).map_err(LabError::file(folder))?;
     let ours = |path: &PathBuf| {
         let name = path.file_name().and_then(|n| n.to_str()).unwrap_or("");
         name.starts_with("flows-") && name.ends_with(".jsonl")
@@ -144,17 +167,17 @@
 
 /// Hands over all records of a folder. A line that is none is told with its place, once a file, and passed over: the
 /// last one may be half written. Gives how many those were.
-pub fn each(folder: &Path, mut take: impl FnMut(Record)) -> Result<usize, String> {
+pub fn each(folder: &Path, mut take: impl FnMut(Record)) -> Result<usize, LabError> {
     let mut bad = 0;
     for path in files(folder)? {
         let shown = path.display();
-        let lines = BufReader::new(File::open(&path).map_err(|e| format!("{shown}: {e}"))?).lines();
+        let lines = BufReader::new(File::open(&path).map_err(LabError::file(&path))?).lines();
         let mut told = false;
         for (i, line) in lines.enumerate() {
             let line: Result<Record, String> = match line {
                 Ok(line) => serde_json::from_str(&line).map_err(|e| e.to_string()),
                 Err(e) if e.kind() == io::ErrorKind::InvalidData => Err("not UTF-8".to_string()),
-                Err(e) => return Err(format!("{shown}: {e}")),
+                Err(e) => return Err(LabError::file(&path)(e)),
             };
             match line {
                 Ok(record) => take(record),
--- a/crates/deckproxy-lab/src/flows/top.rs
+++ b/crates/deckproxy-lab/src/flows/top.rs
@@ -2,6 +2,8 @@
 
 use super::record::{Record, each};
 use super::{plot, query};
+use crate::error::LabError;
+use crate::output::print_line;
 use clap::ValueEnum;
 use comfy_table::{CellAlignment, Table};
 use std::collections::HashMap;
@@ -108,13 +110,17 @@
 }
 
 /// Sums and shows.
-pub fn run(options: &Options) -> Result<(), String> {
-    let filter = options.filter.as_deref().map(query::parse).transpose()?;
+pub fn run(options: &Options) -> Result<(), LabError> {
+    let filter = options.filter.as_deref().map(query::from_option).transpose()?;
     let now = SystemTime::now();
-    let limit = |text: &Option<String>| text.as_deref().map(|text| time(text, now)).transpose();
-    let (from, to) = (limit(&options.from)?.unwrap_or(0), limit(&options.to)?.unwrap_or(u64::MAX));
+    let limit = |name: &'static str, text: &Option<String>| {
+        let time = text.as_deref().map(|text| time(text, now)).transpose();
+        time.map_err(|fault| LabError::argument(name, fault))
+    };
+    let from = limit("--from", &options.from)?.unwrap_or(0);
+    let to = limit("--to", &options.to)?.unwrap_or(u64::MAX);
     if from >= to {
-        return Err("--from is not before --to".to_string());
+        return Err(LabError::argument("--from", "is not before --to"));
     }
     let by = options.by;
     let mut sums: HashMap<String, Sum> = HashMap::new();
@@ -172,7 +178,9 @@
         let mut csv = csv::Writer::from_writer(std::io::stdout());
         let written =
             csv.write_record(head).and_then(|()| rows.iter().try_for_each(|r| csv.write_record(cells(r))));
-        written.and_then(|()| csv.flush().map_err(Into::into)).map_err(|e| e.to_string())?;
+        written
+            .and_then(|()| csv.flush().map_err(Into::into))
+            .map_err(|e| LabError::output("standard output", e))?;
     } else {
         let mut table = Table::new();
         table.set_header(head);
@@ -180,17 +188,17 @@
             table.add_row(cells(row));
         }
         table.column_iter_mut().skip(1).for_each(|c| c.set_cell_alignment(CellAlignment::Right));
-        println!("{table}");
+        print_line!("{table}");
         if count > rows.len() {
-            println!("and {} more", count - rows.len());
+            print_line!("and {} more", count - rows.len());
         }
         if folded > 0 {
-            println!(
+            print_line!(
                 "{folded} of the bytes are known by wider prefixes or by class alone: the meter was full"
             );
         }
         if lost > 0 {
-            println!(
+            print_line!(
                 "gateways tell of {lost} flows ({lost_bytes} bytes) that were dropped while a collector was gone"
             );
         }
@@ -199,21 +207,10 @@
         eprintln!("{bad} lines are no records");
     }
     if count == 0 {
-        return Err(format!("no record of this kind in {}", options.dir.display()));
+        return Err(LabError::NoRecords { folder: options.dir.clone() });
     }
     Ok(())
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn times_are_absolute_or_a_while_ago() {
-        let now = UNIX_EPOCH + Duration::from_secs(1_764_576_000);
-        assert_eq!(time("2025-12-01T08:00:00Z", now), Ok(1_764_576_000_000));
-        assert_eq!(time("15m", now), Ok(1_764_575_100_000));
-        assert_eq!(time("-1h", now), Ok(1_764_572_400_000));
-        assert!(time("soon", now).unwrap_err().contains("wanted a time"));
-    }
-}
+mod tests;
--- a/crates/deckproxy-lab/src/main.rs
+++ b/crates/deckproxy-lab/src/main.rs
@@ -3,15 +3,21 @@
 
 mod demo;
 mod drills;
+mod error;
 mod flows;
 mod measure;
 mod model;
+mod output;
 mod rig;
 mod traffic;
 
 use clap::{Parser, Subcommand};
+use std::ffi::OsString;
 use std::process::ExitCode;
 
+/// Exit code of a command that could not do its work: a bad option or file, a folder that takes no file.
+const COULD_NOT_RUN: u8 = 2;
+
 /// Demo, drills and experiments around the deckproxy gateway, on this machine's loopback addresses alone.
 #[derive(Debug, Parser)]
 #[command(name = "decklab", version)]
@@ -39,27 +45,31 @@
     #[command(hide = true, disable_help_flag = true)]
     Gateway {
         #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
-        words: Vec<std::ffi::OsString>,
+        arguments: Vec<OsString>,
     },
 }
 
 fn main() -> ExitCode {
-    match Cli::parse().command {
-        Command::Demo(options) => demo::run(&options),
-        Command::Drill(options) => drills::run(&options),
-        Command::Flows(options) => flows::run(&options),
-        Command::Model(options) => model::run(&options),
-        Command::Rig(options) => rig::run(&options),
-        Command::Measure(options) => measure::run(&options),
-        Command::Gateway { words } => {
-            let words = std::iter::once("deckproxy".into()).chain(words);
-            match deckproxy::program::main(words) {
-                Ok(code) => code,
-                Err(why) => {
-                    eprintln!("deckproxy: {why}");
-                    ExitCode::FAILURE
-                }
-            }
-        }
-    }
+    let (command, result) = match Cli::parse().command {
+        Command::Demo(options) => ("demo", demo::run(&options)),
+        Command::Drill(options) => ("drill", drills::run(&options)),
+        Command::Flows(options) => ("flows", flows::run(&options)),
+        Command::Model(options) => ("model", model::run(&options)),
+        Command::Rig(options) => ("rig", rig::run(&options)),
+        Command::Measure(options) => ("measure", measure::run(&options)),
+        Command::Gateway { arguments } => return gateway(arguments),
+    };
+    result.unwrap_or_else(|error| {
+        error.report(command);
+        ExitCode::from(COULD_NOT_RUN)
+    })
+}
+
+/// Runs the gateway as the program `deckproxy` does.
+fn gateway(arguments: Vec<OsString>) -> ExitCode {
+    let arguments = std::iter::once("deckproxy".into()).chain(arguments);
+    deckproxy::program::main(arguments).unwrap_or_else(|why| {
+        eprintln!("deckproxy: {why}");
+        ExitCode::FAILURE
+    })
 }
--- a/crates/deckproxy-lab/src/measure/cpu.rs
+++ b/crates/deckproxy-lab/src/measure/cpu.rs
@@ -1,6 +1,7 @@
 //! CPU of a gateway's loop for each request, of two gateways side by side under the same load.
 
 use super::{Options, show};
+use crate::output::print_line;
 use crate::traffic;
 use deckproxy_standins::Gateway;
 use deckproxy_standins::free_address;
@@ -22,7 +23,7 @@
     let draw = traffic::draw(0, 1, 60, 0.0, 0.0);
     let mut took: [Vec<f64>; 2] = Default::default();
     for round in 0..=ROUNDS {
-        let seed = seed + round as u64;
+        let seed = seed.wrapping_add(round as u64);
         let records = [Record::default(), Record::default()];
         let before = gateways.each_ref().map(|g| g.cpu_ns());
         let loads = [0, 1].map(|i| {
@@ -52,7 +53,7 @@
     show(&["", "µs a request, least", "median", "most"], &rows);
     ratios.sort_by(f64::total_cmp);
     let (first, second) = (names[0], names[1]);
-    println!(
+    print_line!(
         "{second} beside {first}, round by round: {:.3} in the median of {ROUNDS}, {:.3} to {:.3}",
         ratios[ROUNDS / 2],
         ratios[0],
@@ -62,7 +63,7 @@
 
 /// This build beside another one of the gateway.
 pub fn run(options: &Options, other: &Path) {
-    println!(
+    print_line!(
         "CPU of the gateway's loop per request, {} beside this build; {RATE} requests a second each",
         other.display()
     );
@@ -73,12 +74,12 @@
         site.gateway("this", free_address(), None),
     ];
     beside(["other", "this"], &gateways, options.seconds, options.seed, &record);
-    println!(
+    print_line!(
         "resident KB, other and this: {} and {}",
         gateways[0].usage().peak_memory_kb,
         gateways[1].usage().peak_memory_kb
     );
-    println!(
+    print_line!(
         "descriptors, other and this: {} and {}",
         gateways[0].usage().descriptors,
         gateways[1].usage().descriptors
--- a/crates/deckproxy-lab/src/measure/fleet.rs
+++ b/crates/deckproxy-lab/src/measure/fleet.rs
@@ -2,6 +2,7 @@
 //! request with and without it.
 
 use super::{Options, cpu, show};
+use crate::output::print_line;
 use deckproxy_fleet::view::Standing;
 use deckproxy_rig::plan::Plan;
 use deckproxy_rig::play::Rig;
@@ -25,7 +26,7 @@
 const MEANT: f64 = 2.0;
 
 fn processes(options: &Options) {
-    println!(
+    print_line!(
         "\nProbes a second of a cache, counted there, two observers wanted; processes on sockets, {} s each",
         options.seconds
     );
@@ -75,7 +76,7 @@
 }
 
 fn simulated(options: &Options) {
-    println!(
+    print_line!(
         "\nSimulated: 64 members, two observers each; what each instance sends, and probes beside those meant"
     );
     let mut rows = Vec::new();
@@ -99,7 +100,7 @@
 }
 
 fn agreement(options: &Options) {
-    println!(
+    print_line!(
         "\nSimulated: 16 instances, 20 runs; ms until all have taken a killed one for gone, hear each other after a split \
               of 6 s, and have the same board after it"
     );
@@ -108,7 +109,7 @@
         let net = Net { loss, doubled: 0.0, late: 10.0 };
         let mut took: [Vec<f64>; 3] = Default::default();
         for run in 0..20 {
-            let Some(mut sim) = met(16, options.seed + run, net) else { continue };
+            let Some(mut sim) = met(16, options.seed.wrapping_add(run), net) else { continue };
             sim.kill(5);
             let lost = |s: &Sim| {
                 s.running().into_iter().all(|i| s.fleet(i).standing_of(&name(5)) == Some(Standing::Lost))
@@ -152,7 +153,7 @@
 }
 
 fn request(options: &Options) {
-    println!(
+    print_line!(
         "\nCPU of the gateway's loop per request, alone and as one of a fleet of five; 1,000 requests a second each"
     );
     let record = Record::default();
@@ -165,7 +166,7 @@
         site.gateway("on", free_address(), Some(&operator(&at, 0))),
     ];
     cpu::beside(["off", "on"], &gateways, options.seconds, options.seed, &record);
-    println!(
+    print_line!(
         "resident KB, off and on: {} and {}",
         gateways[0].usage().peak_memory_kb,
         gateways[1].usage().peak_memory_kb
--- a/crates/deckproxy-lab/src/measure/flows.rs
+++ b/crates/deckproxy-lab/src/measure/flows.rs
@@ -2,6 +2,7 @@
 //! out.
 
 use super::{Options, cpu, show};
+use crate::output::print_line;
 use crate::traffic::Zipf;
 use deckproxy_flow::codec::Version;
 use deckproxy_flow::codec::elements::EXAMPLE_ENTERPRISE;
@@ -29,7 +30,7 @@
 }
 
 fn request(options: &Options) {
-    println!(
+    print_line!(
         "\nCPU of the gateway's loop per request, metered and exported or not, side by side; 1,000 requests a second each"
     );
     let record = Record::default();
@@ -42,7 +43,7 @@
     let gateways =
         [site.gateway("off", free_address(), None), site.gateway("on", free_address(), Some(&text))];
     cpu::beside(["off", "on"], &gateways, options.seconds, options.seed, &record);
-    println!(
+    print_line!(
         "resident KB, off and on: {} and {}",
         gateways[0].usage().peak_memory_kb,
         gateways[1].usage().peak_memory_kb
@@ -61,7 +62,7 @@
 }
 
 fn table(options: &Options) {
-    println!(
+    print_line!(
         "\n{UPDATES} updates of {CLIENTS} clients (Zipf, 0.9), a byte count each: bounded table and sketch beside a plain map"
     );
     let mut rng = Pcg64Mcg::seed_from_u64(options.seed);
@@ -136,7 +137,7 @@
 
 fn export() {
     const FLOWS: usize = 500_000;
-    println!("\nFlows encoded and handed over, one core, no socket");
+    print_line!("\nFlows encoded and handed over, one core, no socket");
     let mut rows = Vec::new();
     for (name, version, largest) in [
         ("IPFIX, 1,400 bytes", Version::Ipfix, 1400),
--- a/crates/deckproxy-lab/src/measure/mod.rs
+++ b/crates/deckproxy-lab/src/measure/mod.rs
@@ -7,7 +7,11 @@
 mod routes;
 mod sites;
 
+use crate::error::LabError;
+use crate::output::print_line;
 use clap::{Args, ValueEnum};
+use std::os::unix::fs::PermissionsExt;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 /// What is measured.
@@ -23,7 +27,7 @@
     seed: u64,
     /// With `program`: the other build of the gateway.
     #[arg(long, value_name = "PROGRAM", required_if_eq("name", "program"))]
-    beside: Option<std::path::PathBuf>,
+    beside: Option<PathBuf>,
 }
 
 #[derive(Clone, Copy, Debug, ValueEnum)]
@@ -43,16 +47,30 @@
 }
 
 /// Measures.
-pub fn run(options: &Options) -> ExitCode {
+pub fn run(options: &Options) -> Result<ExitCode, LabError> {
     match options.name {
         Name::Sites => sites::run(options),
         Name::Routes => routes::run(options),
         Name::Flows => flows::run(options),
         Name::Model => model::run(options),
         Name::Fleet => fleet::run(options),
-        Name::Program => options.beside.iter().for_each(|other| cpu::run(options, other)),
+        Name::Program => {
+            let other =
+                options.beside.as_deref().ok_or(LabError::argument("--beside", "a program is wanted"))?;
+            check_program(other)?;
+            cpu::run(options, other);
+        }
     }
-    ExitCode::SUCCESS
+    Ok(ExitCode::SUCCESS)
+}
+
+/// Whether a path names a program that can be started, before anything else is.
+fn check_program(path: &Path) -> Result<(), LabError> {
+    let metadata = std::fs::metadata(path).map_err(LabError::file(path))?;
+    if metadata.is_file() && metadata.permissions().mode() & 0o111 != 0 {
+        return Ok(());
+    }
+    Err(LabError::output(path.display(), "is no program that can be started"))
 }
 
 /// Prints a table.
@@ -62,5 +80,5 @@
     for row in rows {
         table.add_row(row.iter().cloned());
     }
-    println!("{table}");
+    print_line!("{table}");
 }
--- a/crates/deckproxy-lab/src/measure/sites.rs
+++ b/crates/deckproxy-lab/src/measure/sites.rs
@@ -1,6 +1,7 @@
 //! The gateway between sites: what crossing costs, what credit does, joining, recovery after a cut, memory.
 
 use super::{Options, show};
+use crate::output::print_line;
 use crate::traffic;
 use bytes::BytesMut;
 use deckproxy::protocol::link;
@@ -90,7 +91,9 @@
 }
 
 fn cost(options: &Options) {
-    println!("\nCrossing beside staying, 800 requests a second, objects of under 8 KB, no delay on the link");
+    print_line!(
+        "\nCrossing beside staying, 800 requests a second, objects of under 8 KB, no delay on the link"
+    );
     let pair = Pair::start("", true);
     // Both sites' caches are filled first.
     for site in 0..2 {
@@ -112,11 +115,11 @@
         ]);
     }
     show(&["requests", "served", "p50 ms", "p99 ms", "CPU ms, near + far", "served a CPU second"], &rows);
-    println!("a crossing request takes {:.2} times the CPU of one that stays", per_cpu[0] / per_cpu[1]);
+    print_line!("a crossing request takes {:.2} times the CPU of one that stays", per_cpu[0] / per_cpu[1]);
 }
 
 fn credit(options: &Options) {
-    println!(
+    print_line!(
         "\nSmall answers beside large ones (180 KB), link of 2 MB a second each connection, one connection"
     );
     let mixed: RequestGenerator = Arc::new(|rng| {
@@ -174,7 +177,7 @@
 }
 
 fn joining() {
-    println!("\n1000 requests of 40 clients for one object of the other site, all within a moment");
+    print_line!("\n1000 requests of 40 clients for one object of the other site, all within a moment");
     let pair = Pair::start("waiters: 2000", true);
     pair.sites[1].slow_origin(200);
     let object = format!("{:016x}", traffic::object(1, 3));
@@ -205,7 +208,7 @@
 }
 
 fn recovery(options: &Options) {
-    println!(
+    print_line!(
         "\nThe link is reset for 2 s; 400 crossing requests a second, clients come again while they have time"
     );
     let mut rows = Vec::new();
@@ -305,7 +308,9 @@
 }
 
 fn memory() {
-    println!("\nMemory of the near gateway with crossing requests open (for a far end that never answers)");
+    print_line!(
+        "\nMemory of the near gateway with crossing requests open (for a far end that never answers)"
+    );
     let record = Record::default();
     let site = Site::start(0, SiteConfig::default(), &record);
     let (at, far) = (free_address(), mute());
--- a/crates/deckproxy-lab/src/model/mod.rs
+++ b/crates/deckproxy-lab/src/model/mod.rs
@@ -2,6 +2,8 @@
 
 mod report;
 
+use crate::error::LabError;
+use crate::output::print_line;
 use clap::Args;
 use comfy_table::Table;
 use deckproxy_model::file::{self, Experiment};
@@ -109,32 +111,27 @@
 }
 
 /// Runs it.
-pub fn run(options: &Options) -> ExitCode {
-    match experiment(options) {
-        Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(1),
-        Err(why) => {
-            eprintln!("decklab model: {why}");
-            ExitCode::from(2)
-        }
-    }
+pub fn run(options: &Options) -> Result<ExitCode, LabError> {
+    Ok(if experiment(options)? { ExitCode::SUCCESS } else { ExitCode::from(1) })
 }
 
 /// The variants, each with each value that is swept.
-fn variants(experiment: &Experiment, sweep: Option<&str>) -> Result<Vec<(String, Scenario)>, String> {
+fn variants(experiment: &Experiment, sweep: Option<&str>) -> Result<Vec<(String, Scenario)>, LabError> {
+    let fault = |what: String| LabError::argument("--sweep", what);
     let Some(sweep) = sweep else { return Ok(experiment.variants.clone()) };
-    let (field, values) = sweep.split_once('=').ok_or("--sweep: FIELD=VALUES is wanted")?;
+    let (field, values) = sweep.split_once('=').ok_or_else(|| fault("FIELD=VALUES is wanted".to_string()))?;
     let pointer = format!("/{}", field.replace('.', "/"));
     let mut all = Vec::new();
     for (name, set) in &experiment.variants {
         for value in values.split(',') {
-            let mut json = serde_json::to_value(set).map_err(|e| e.to_string())?;
-            let place = json.pointer_mut(&pointer).ok_or(format!("--sweep: there is no field {field}"))?;
-            *place = serde_json::from_str(value).map_err(|_| format!("--sweep: {value:?} is no value"))?;
+            let mut json = serde_json::to_value(set).map_err(|e| fault(e.to_string()))?;
+            let place =
+                json.pointer_mut(&pointer).ok_or_else(|| fault(format!("there is no field {field}")))?;
+            *place = serde_json::from_str(value).map_err(|_| fault(format!("{value:?} is no value")))?;
             let set: Scenario =
-                serde_json::from_value(json).map_err(|e| format!("--sweep: {field}={value}: {e}"))?;
+                serde_json::from_value(json).map_err(|e| fault(format!("{field}={value}: {e}")))?;
             if let Some((field, what)) = set.faults_of().first() {
-                return Err(format!("--sweep: {field}: {what}"));
+                return Err(fault(format!("{field}: {what}")));
             }
             all.push((format!("{name} {field}={value}"), set));
         }
@@ -152,26 +149,36 @@
     folder.join(format!("run-{plain}-{seed}.json"))
 }
 
-fn experiment(options: &Options) -> Result<bool, String> {
+fn experiment(options: &Options) -> Result<bool, LabError> {
     if options.defaults {
-        println!("{}", serde_json::to_string_pretty(&Scenario::default()).map_err(|e| e.to_string())?);
+        print_line!(
+            "{}",
+            serde_json::to_string_pretty(&Scenario::default())
+                .map_err(|e| LabError::output("--defaults", e))?
+        );
         return Ok(true);
     }
-    let file = options.file.as_ref().ok_or("an experiment's file is wanted; see decklab model --help")?;
-    let shown = file.display();
-    let bytes = fs::read(file).map_err(|e| format!("{shown}: {e}"))?;
-    let experiment = file::read(&bytes)
-        .map_err(|faults| faults.iter().map(|f| format!("{shown}:{f}")).collect::<Vec<_>>().join("\n"))?;
+    let file =
+        options.file.as_ref().ok_or_else(|| LabError::argument("FILE", "an experiment's file is wanted"))?;
+    let bytes = fs::read(file).map_err(LabError::file(file))?;
+    let contents = |faults| LabError::Contents { path: file.clone(), faults };
+    let experiment = file::read(&bytes).map_err(contents)?;
+    let last_seed = options.seed.checked_add(options.seeds - 1).ok_or_else(|| {
+        LabError::argument(
+            "--seed",
+            format!("{} seeds from {} on are more than there are", options.seeds, options.seed),
+        )
+    })?;
     let variants = variants(&experiment, options.sweep.as_deref())?;
     if let Some(out) = &options.out {
-        fs::create_dir_all(out).map_err(|e| format!("{}: {e}", out.display()))?;
+        fs::create_dir_all(out).map_err(LabError::file(out))?;
         // All that is needed to play it again.
-        fs::write(out.join("experiment.textproto"), &bytes).map_err(|e| format!("{}: {e}", out.display()))?;
+        fs::write(out.join("experiment.textproto"), &bytes).map_err(LabError::file(out))?;
     }
     let plan: Vec<(String, Scenario)> = variants
         .iter()
         .flat_map(|(name, set)| {
-            let seeds = options.seed..options.seed + options.seeds;
+            let seeds = options.seed..=last_seed;
             seeds.map(|seed| (name.clone(), Scenario { seed, ..set.clone() }))
         })
         .collect();
@@ -180,7 +187,7 @@
         bar.set_style(style);
     }
     // Each run has its own random numbers: in parallel they come to the same as in a row.
-    let runs: Result<Vec<Run>, String> = plan
+    let runs: Result<Vec<Run>, LabError> = plan
         .par_iter()
         .map(|(name, set)| {
             if let Some(run) = options.out.as_ref().and_then(|out| stored(out, name, set)) {
@@ -196,13 +203,11 @@
             bar.inc(100 - done.min(100));
             let run = Run::of(name, set.clone(), record);
             if let Some(out) = &options.out {
-                let text = serde_json::to_vec(&run).map_err(|e| e.to_string())?;
+                let text = serde_json::to_vec(&run).map_err(|e| LabError::output(name, e))?;
                 let to = path(out, name, set.seed);
                 // A run that was cut off leaves no half of a record.
                 let part = to.with_extension("part");
-                fs::write(&part, text)
-                    .and_then(|()| fs::rename(&part, &to))
-                    .map_err(|e| format!("{}: {e}", to.display()))?;
+                fs::write(&part, text).and_then(|()| fs::rename(&part, &to)).map_err(LabError::file(&to))?;
             }
             Ok(run)
         })
@@ -212,7 +217,7 @@
     show(&experiment, &variants, &runs);
     if let Some(out) = &options.out {
         report::write(out, &experiment, &variants, &runs)?;
-        println!("records and report.html are in {}", out.display());
+        print_line!("records and report.html are in {}", out.display());
     }
     for run in runs.iter().filter(|r| r.rule_breaks > 0 && is_gateway(&r.scenario)).take(3) {
         let first = run.first_break.as_deref().unwrap_or("a check of its own");
@@ -220,7 +225,7 @@
     }
     let ok = runs.iter().filter(|r| is_gateway(&r.scenario)).all(|r| r.rule_breaks == 0 && !r.is_stuck());
     if options.json {
-        println!("{}", summary(&variants, &runs, ok));
+        print_line!("{}", summary(&variants, &runs, ok));
     }
     Ok(ok)
 }
@@ -258,7 +263,7 @@
 
 fn show(experiment: &Experiment, variants: &[(String, Scenario)], runs: &[Run]) {
     if !experiment.question.is_empty() {
-        println!("{}", experiment.question);
+        print_line!("{}", experiment.question);
     }
     let mut table = Table::new();
     table.set_header([
@@ -293,10 +298,10 @@
             all().map(|r| r.rule_breaks).sum::<u64>().to_string(),
         ]);
     }
-    println!("{table}");
+    print_line!("{table}");
     let (events, took) = runs.iter().fold((0, 0.0), |s, r| (s.0 + r.events, s.1 + r.took));
     let simulated: f64 = runs.iter().map(|r| r.scenario.seconds).sum();
-    println!(
+    print_line!(
         "{events} events, {:.2} million a second of one core, {:.2} s of it for a simulated second; what sites, troughs and \
          times are is in docs/operators/model.md",
         events as f64 / took.max(1e-9) / 1e6,
--- a/crates/deckproxy-lab/src/model/report.rs
+++ b/crates/deckproxy-lab/src/model/report.rs
@@ -1,6 +1,7 @@
 //! A folder's report: one page that needs nothing beside it.
 
 use super::{Run, of, word};
+use crate::error::LabError;
 use crate::flows::plot::COLOURS;
 use deckproxy_model::file::Experiment;
 use deckproxy_model::record::Point;
@@ -26,8 +27,8 @@
     experiment: &Experiment,
     variants: &[(String, Scenario)],
     runs: &[Run],
-) -> Result<(), String> {
-    let failed = |e: &dyn std::fmt::Display| format!("{}: {e}", folder.display());
+) -> Result<(), LabError> {
+    let failed = |e: &dyn std::fmt::Display| LabError::output(folder.display(), e);
     let mut csv = csv::Writer::from_path(folder.join("points.csv")).map_err(|e| failed(&e))?;
     let mut is_first = true;
     for run in runs {
@@ -98,8 +99,8 @@
 }
 
 /// A picture as SVG, with the times at which something is wrong.
-fn picture(title: &str, below: &str, lines: &[Line], set: &Scenario) -> Result<String, String> {
-    let failed = |e: &dyn std::fmt::Display| format!("{title}: {e}");
+fn picture(title: &str, below: &str, lines: &[Line], set: &Scenario) -> Result<String, LabError> {
+    let failed = |e: &dyn std::fmt::Display| LabError::output(title, e);
     let points = || lines.iter().flat_map(|(_, points)| points);
     let right = points().map(|p| p.0).fold(0.0, f64::max).max(1e-9);
     let top = points().map(|p| p.1).filter(|y| y.is_finite()).fold(0.0, f64::max).max(1e-9) * 1.05;
--- a/crates/deckproxy-lab/src/rig.rs
+++ b/crates/deckproxy-lab/src/rig.rs
@@ -1,5 +1,7 @@
 //! `decklab rig`: a plan played on several processes of the gateway.
 
+use crate::error::LabError;
+use crate::output::print_line;
 use crate::traffic;
 use clap::Args;
 use comfy_table::Table;
@@ -9,7 +11,7 @@
 use deckproxy_rig::play::{Played, play};
 use deckproxy_rig::shrink::shrink;
 use deckproxy_rig::{draw, timeline};
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 /// Which plan, and what becomes of it.
@@ -42,60 +44,64 @@
     out
 }
 
-/// Plays it.
-pub fn run(options: &Options) -> ExitCode {
-    let mut plan = match &options.file {
-        None => {
-            let seed = options.seed.unwrap_or(1);
-            let mut plan = Plan { seconds: options.seconds as f64, seed, ..Plan::default() };
-            plan.question = format!("Drawn from seed {seed}");
-            plan.faults = draw::any(seed, &plan);
-            plan
-        }
-        Some(path) => {
-            let shown = path.display();
-            let bytes = match std::fs::read(path) {
-                Ok(bytes) => bytes,
-                Err(e) => {
-                    eprintln!("decklab rig: {shown}: {e}");
-                    return ExitCode::from(2);
-                }
-            };
-            match plan::read(&bytes) {
-                Ok(plan) => plan,
-                Err(faults) => {
-                    faults.iter().for_each(|fault| eprintln!("{shown}:{fault}"));
-                    return ExitCode::from(2);
-                }
-            }
-        }
+/// The plan of the file, or one drawn from the seed.
+fn plan(options: &Options) -> Result<Plan, LabError> {
+    let Some(path) = &options.file else {
+        let seed = options.seed.unwrap_or(1);
+        let mut plan = Plan { seconds: options.seconds as f64, seed, ..Plan::default() };
+        plan.question = format!("Drawn from seed {seed}");
+        plan.faults = draw::any(seed, &plan);
+        return Ok(plan);
     };
+    let bytes = std::fs::read(path).map_err(LabError::file(path))?;
+    let contents = |faults| LabError::Contents { path: path.clone(), faults };
+    let mut plan = plan::read(&bytes).map_err(contents)?;
     plan.seed = options.seed.unwrap_or(plan.seed);
-    println!(
+    Ok(plan)
+}
+
+/// Creates a folder, and sees that it takes a file.
+fn create_folder(folder: &Path) -> Result<(), LabError> {
+    let probe = folder.join(".decklab");
+    std::fs::create_dir_all(folder)
+        .and_then(|()| std::fs::write(&probe, ""))
+        .and_then(|()| std::fs::remove_file(&probe))
+        .map_err(LabError::file(folder))
+}
+
+/// Plays it.
+pub fn run(options: &Options) -> Result<ExitCode, LabError> {
+    let plan = plan(options)?;
+    // A folder that takes no file is found out before the run, not after it.
+    if let Some(folder) = &options.out {
+        create_folder(folder)?;
+    }
+    print_line!(
         "{} instances in {} zones, {} caches in each, {} requests a second for {} s",
-        plan.instances, plan.zones, plan.caches, plan.rate, plan.seconds
+        plan.instances,
+        plan.zones,
+        plan.caches,
+        plan.rate,
+        plan.seconds
     );
     let (played, figures) = once(&plan, true);
     let broken = broken(&played, &figures);
     show(&played, &figures);
     broken.iter().for_each(|what| eprintln!("broken: {what}"));
-    if let Some(folder) = &options.out
-        && let Err(e) = write(folder, &played, &figures)
-    {
-        eprintln!("decklab rig: {}: {e}", folder.display());
-        return ExitCode::from(2);
+    if let Some(folder) = &options.out {
+        write(folder, &played, &figures).map_err(LabError::file(folder))?;
     }
     if broken.is_empty() {
-        return ExitCode::SUCCESS;
+        return Ok(ExitCode::SUCCESS);
     }
     if options.shrink > 0 {
         let breaks = |smaller: &Plan| {
-            println!("without some: {} of {} faults", smaller.faults.len(), plan.faults.len());
+            print_line!("without some: {} of {} faults", smaller.faults.len(), plan.faults.len());
             let (played, figures) = once(smaller, false);
             !self::broken(&played, &figures).is_empty()
         };
         let (small, played) = shrink(&plan, options.shrink, breaks);
-        println!(
+        print_line!(
             "after {played} runs, {} of {} faults are left:\n{}",
             small.faults.len(),
             plan.faults.len(),
@@ -104,18 +110,18 @@
         let folder = options.out.clone().unwrap_or_else(|| PathBuf::from("."));
         let path = folder.join("smallest.textproto");
         match std::fs::write(&path, small.text()) {
-            Ok(()) => println!("plays again by: decklab rig {}", path.display()),
+            Ok(()) => print_line!("plays again by: decklab rig {}", path.display()),
             Err(e) => eprintln!("decklab rig: {}: {e}", path.display()),
         }
     }
-    ExitCode::FAILURE
+    Ok(ExitCode::FAILURE)
 }
 
 fn once(plan: &Plan, aloud: bool) -> (Played, Figures) {
     let draw = if plan.throng { overloaded::draw() } else { traffic::draw(0, 1, 600, 0.0, 0.06) };
     let played = play(plan, &draw, |at, what| {
         if aloud {
-            println!("{at:7.2} s  {what}");
+            print_line!("{at:7.2} s  {what}");
         }
     });
     let figures = judge(&played);
@@ -146,7 +152,7 @@
     if played.plan.throng {
         overload(played, &mut table);
     }
-    println!("{table}");
+    print_line!("{table}");
     if played.plan.throng {
         return;
     }
@@ -154,7 +160,7 @@
     let mut by: Vec<_> = by.iter().collect();
     by.sort();
     let by: Vec<String> = by.iter().map(|(i, [asked, got])| format!("i{i} {got} of {asked}")).collect();
-    println!("served by instance: {}", by.join(", "));
+    print_line!("served by instance: {}", by.join(", "));
 }
 
 /// What came of a throng.
@@ -178,13 +184,12 @@
     }
 }
 
-fn write(folder: &std::path::Path, played: &Played, figures: &Figures) -> std::io::Result<()> {
-    std::fs::create_dir_all(folder)?;
+fn write(folder: &Path, played: &Played, figures: &Figures) -> std::io::Result<()> {
     std::fs::write(folder.join("timeline.html"), timeline::page(played, figures))?;
     std::fs::write(folder.join("plan.textproto"), played.plan.text())?;
     for (i, log) in played.logs.iter().enumerate() {
         std::fs::write(folder.join(format!("i{i}.log")), log)?;
     }
-    println!("the page of the run: {}", folder.join("timeline.html").display());
+    print_line!("the page of the run: {}", folder.join("timeline.html").display());
     Ok(())
 }
--- a/crates/deckproxy-rig/src/load_generator.rs
+++ b/crates/deckproxy-rig/src/load_generator.rs
@@ -120,7 +120,8 @@
     pub fn start(coming: &LoadSettings, doors: &[Endpoint], record: &Record) -> Self {
         let running = Arc::new(AtomicBool::new(true));
         let tries: Arc<Mutex<Vec<Try>>> = Arc::default();
-        let threads = (0..HANDS).map(|hand| {
+        // A thread without clients would have nobody to send for.
+        let threads = (0..HANDS.min(coming.clients)).map(|hand| {
             let (running, tries) = (running.clone(), tries.clone());
             let own: Vec<usize> = (0..coming.clients).filter(|i| i % HANDS == hand).collect();
             let mut one = Hand {
