--- a/crates/deckproxy-lab/src/measure/sites.rs
+++ b/crates/deckproxy-lab/src/measure/sites.rs
@@ -298,7 +298,7 @@
                             }
                             _ => continue,
                         };
-                        let _ = stream.write_all(&link::frame(&say.into()));
+                        let _ = stream.write_all(&link::encode_frame(&say.into()));
                     }
                 }
             });
--- a/crates/deckproxy-model/src/hosts.rs
+++ b/crates/deckproxy-model/src/hosts.rs
@@ -8,9 +8,9 @@
 use ahash::AHashMap;
 use bytes::Bytes;
 use deckproxy::protocol::config;
-use deckproxy::protocol::downstream::{Answer, Call};
-use deckproxy::protocol::feed::{Entry, News, Phase};
-use deckproxy::protocol::upstream::{self, Reply, Word};
+use deckproxy::protocol::downstream::{Answer, Call, ObjectId};
+use deckproxy::protocol::feed::{FeedEvent, KnownEvents, MemberEntry, NumberedEvent, Phase};
+use deckproxy::protocol::upstream::{self, Reply, Status};
 use deckproxy::routing::{self, ConnectionFailure, Router};
 use deckproxy_recovery::admission::{self, Admission, Ended, Verdict};
 use rand::RngExt;
@@ -65,7 +65,7 @@
 /// How an attempt ended at a member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Back {
-    pub word: Word,
+    pub word: Status,
     /// When the copy was given out, Unix ms.
     pub issued: Option<f64>,
     /// What the member reports: requests held, busy share.
@@ -131,7 +131,7 @@
     config::read(whole.to_string().as_bytes()).expect("a configuration that is made here")
 }
 
-fn entry(listed: &Listed) -> Entry {
+fn entry(listed: &Listed) -> MemberEntry {
     let kind = if listed.cache {
         "box"
     } else if listed.origin {
@@ -139,7 +139,7 @@
     } else {
         "parent"
     };
-    Entry {
+    MemberEntry {
         id: listed.name.clone(),
         address: Some(address(listed.member)),
         zone: if listed.cache { "edge" } else { "hub" }.into(),
@@ -204,7 +204,7 @@
                     if sent { ConnectionFailure::Reset } else { ConnectionFailure::NotSent },
                 );
             }
-            Host::Plain(p) => p.ended(now, key, if sent { None } else { Some(Word::Full) }),
+            Host::Plain(p) => p.ended(now, key, if sent { None } else { Some(Status::Rejected) }),
         }
     }
 
@@ -213,7 +213,7 @@
         match self {
             Host::Gateway(g) => {
                 let entries = listed.iter().map(entry).collect();
-                g.feed(now, News::Members { whole: false, entries, dropped: 0 });
+                g.feed(now, FeedEvent::Members { complete: false, entries, unreadable: 0 });
             }
             Host::Plain(p) => p.members(listed),
         }
@@ -222,7 +222,7 @@
     /// The feed tells a purge.
     pub fn purged(&mut self, now: Micros, object: u64, at: Micros) {
         if let Host::Gateway(g) = self {
-            g.feed(now, News::PurgeObject(object, clock(at)));
+            g.feed(now, FeedEvent::PurgeObject { object, at: clock(at) });
         }
     }
 
@@ -281,7 +281,8 @@
 impl Gateway {
     fn new(now: Micros, set: &Scenario, position: usize, seed: u64, listed: &[Listed]) -> Self {
         let conf = configuration(set, position).conf;
-        let known = News::Members { whole: true, entries: listed.iter().map(entry).collect(), dropped: 0 };
+        let known =
+            FeedEvent::Members { complete: true, entries: listed.iter().map(entry).collect(), unreadable: 0 };
         let door = (set.host == Which::Recovery).then(|| {
             let class = |worth, refusable| admission::Class { worth, refusable, least: 100.0 };
             // Only what a new try does no harm to may be refused: a write that may have run is not known here.
@@ -289,7 +290,12 @@
             Admission::new(admission::Settings { classes, ..admission::Settings::default() }, seed)
         });
         let mut gateway = Gateway {
-            router: Router::new(clock(now), conf, seed, (1, vec![(1, known)])),
+            router: Router::new(
+                clock(now),
+                conf,
+                seed,
+                KnownEvents { last: 1, events: vec![NumberedEvent { number: 1, event: known }] },
+            ),
             door,
             open: AHashMap::new(),
             event: 1,
@@ -300,9 +306,9 @@
         gateway
     }
 
-    fn feed(&mut self, now: Micros, news: News) {
+    fn feed(&mut self, now: Micros, news: FeedEvent) {
         self.event += 1;
-        self.router.feed_event(clock(now), self.event, news, false);
+        self.router.feed_event(clock(now), NumberedEvent { number: self.event, event: news }, false);
     }
 
     fn request(&mut self, now: Micros, of: TryNo, client: u64, wish: &Wish, allow: f64, write: u64) {
@@ -323,14 +329,14 @@
         let call = Call {
             name: format!("{of:x}-{:x}", self.names).into(),
             class: wish.class.name().into(),
-            allow,
-            key: keyed.then(|| format!("{write:x}").into()),
-            object: (Box::default(), wish.object),
+            timeout: allow,
+            idempotency_key: keyed.then(|| format!("{write:x}").into()),
+            object: ObjectId { text: Box::default(), number: wish.object },
             part: None,
             group: 0,
-            size: Some(wish.size),
-            have: None,
-            again: false,
+            size_kb: Some(wish.size),
+            cached_tag: None,
+            is_retry: false,
             body: Bytes::new(),
         };
         self.router.request(clock(now), CLIENT, of, call);
@@ -350,9 +356,10 @@
     }
 
     fn reply(&mut self, now: Micros, key: Key, back: &Back) {
-        let copy = back.issued.map(|at| upstream::Copy { issued: Some(at), tag: Box::default() });
+        let copy = back.issued.map(|at| upstream::CopyInfo { issued: Some(at), tag: Box::default() });
         let report = vec![("busy_reqs".into(), back.report[0]), ("cpu_share".into(), back.report[1])];
-        let reply = Reply { id: Box::default(), word: back.word, report, copy, body: Bytes::new() };
+        let reply =
+            Reply { id: Box::default(), status: back.word, load_report: report, copy, body: Bytes::new() };
         self.router.reply(clock(now), key, reply);
     }
 
@@ -373,8 +380,8 @@
                         size: wish.size,
                         class: wish.class,
                         source,
-                        keep: options.keep > 0,
-                        age: options.age,
+                        keep: options.copy_rank > 0,
+                        age: options.max_age,
                         join: options.join,
                         write,
                     };
@@ -390,10 +397,10 @@
                 }
                 routing::Effect::Answer { id, answer, .. } => {
                     let (ended, back) = match answer {
-                        Answer::Served(_) | Answer::Unchanged => (Ended::Served, 0.0),
-                        Answer::Refused(back) => (Ended::Refused, back),
+                        Answer::Served(_) | Answer::NotModified => (Ended::Served, 0.0),
+                        Answer::Rejected(back) => (Ended::Refused, back),
                         Answer::Failed => (Ended::Failed, 0.0),
-                        Answer::Unusable(why) => panic!("a request that can't be used: {why}"),
+                        Answer::Invalid(why) => panic!("a request that can't be used: {why}"),
                     };
                     let back = self.ended(now, id, ended, back);
                     let answer = match ended {
@@ -546,12 +553,12 @@
     }
 
     /// An attempt ended by a word; none: it may have run.
-    fn ended(&mut self, now: Micros, key: Key, word: Option<Word>) {
+    fn ended(&mut self, now: Micros, key: Key, word: Option<Status>) {
         let Some(of) = self.release(key) else { return };
         let Some(asked) = self.open.get(&of).copied() else { return };
         match word {
-            Some(Word::Ok | Word::Unchanged) => self.finish(of, Answered::Served),
-            Some(Word::Miss | Word::Full) => self.send(now, of, Some(asked.member)),
+            Some(Status::Ok | Status::NotModified) => self.finish(of, Answered::Served),
+            Some(Status::Miss | Status::Rejected) => self.send(now, of, Some(asked.member)),
             _ if asked.wish.class == Class::Page => self.send(now, of, Some(asked.member)),
             _ => self.finish(of, Answered::Failed),
         }
--- a/crates/deckproxy-model/src/world.rs
+++ b/crates/deckproxy-model/src/world.rs
@@ -11,7 +11,7 @@
 use crate::{Micros, clock, micros, stream};
 use ahash::AHashMap;
 use deckproxy::protocol::feed::Phase;
-use deckproxy::protocol::upstream::Word;
+use deckproxy::protocol::upstream::Status;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use std::time::Instant;
@@ -514,7 +514,7 @@
                     let m = &mut self.members[member as usize];
                     if m.up && !m.hung {
                         let report = m.report(&self.set.members);
-                        let back = Back { word: Word::Alive(true), issued: None, report };
+                        let back = Back { word: Status::Health(true), issued: None, report };
                         self.queue.push(self.now + 2 * way, Event::Reply(g, life, key, back));
                     } else if !m.up {
                         self.queue.push(self.now + 2 * way, Event::Broke(g, life, key, false));
@@ -564,7 +564,7 @@
         let gateway = &mut self.gateways[g as usize];
         if let Some((job, no)) = gateway.attempts.remove(&key) {
             let job = self.jobs[job];
-            if let (true, Word::Ok, Some(issued)) = (job.no == no, back.word, back.issued)
+            if let (true, Status::Ok, Some(issued)) = (job.no == no, back.word, back.issued)
                 && let Some((purged, told)) = gateway.purged.get(&job.order.object).copied()
                 && issued < clock(purged)
                 && job.sent > told + micros(PURGE_GRACE)
@@ -680,7 +680,7 @@
         let member = self.jobs[place].member;
         let m = &mut self.members[member as usize];
         if !m.has_room(&self.set.members) {
-            return self.finish(place, Word::Full, None);
+            return self.finish(place, Status::Rejected, None);
         }
         m.waiting.push_back(place);
         self.begin(member);
@@ -728,13 +728,13 @@
         }
         let m = &mut self.members[member as usize];
         if m.gray > 0.0 && self.work[member as usize].random::<f64>() < m.gray {
-            return self.finish(place, Word::Error, None);
+            return self.finish(place, Status::Error, None);
         }
         if m.kind == Kind::Origin {
             if job.order.class != Class::Page {
                 self.write(&job);
             }
-            return self.finish(place, Word::Ok, Some(self.now));
+            return self.finish(place, Status::Ok, Some(self.now));
         }
         self.serve(place);
     }
@@ -783,7 +783,7 @@
                 if self.falls(place) {
                     return;
                 }
-                return self.finish(place, Word::Ok, Some(issued));
+                return self.finish(place, Status::Ok, Some(issued));
             }
         }
         let source = match m.kind {
@@ -792,7 +792,7 @@
             Kind::Origin => None,
         };
         let Some(source) = source else {
-            return self.finish(place, Word::Miss, None);
+            return self.finish(place, Status::Miss, None);
         };
         if self.falls(place) {
             return;
@@ -834,17 +834,17 @@
         let job = self.jobs[place];
         let m = &self.members[job.member as usize];
         if !m.up || m.epoch != job.life {
-            return self.finish(place, Word::Error, None);
+            return self.finish(place, Status::Error, None);
         }
         self.enqueue(place);
     }
 
     /// A job has its end: the answer goes to the gateway, or to who asked for the fill.
-    fn finish(&mut self, place: JobNo, word: Word, issued: Option<Micros>) {
+    fn finish(&mut self, place: JobNo, word: Status, issued: Option<Micros>) {
         let job = self.jobs[place];
         self.drop_job(place);
         let set = &self.set.members;
-        let kb = if word == Word::Ok { job.order.size } else { 0.3 };
+        let kb = if word == Status::Ok { job.order.size } else { 0.3 };
         let m = &mut self.members[job.member as usize];
         let sent = m.put_out(self.now, kb, set);
         // Who waits for the same fill has its end too.
@@ -865,7 +865,7 @@
                     at = free.max(sent) + micros(kb / (set.inlet * carries.max(1e-3)) * 1000.0);
                     self.inlet[to.location].0 = at;
                 }
-                let issued = if word == Word::Ok { issued.unwrap_or(0).max(1) } else { 0 };
+                let issued = if word == Status::Ok { issued.unwrap_or(0).max(1) } else { 0 };
                 self.queue.push(at + micros(way), Event::Filled(asker, no, issued));
             }
         }
@@ -885,7 +885,7 @@
         if issued > 0 && (job.order.keep || m.kind == Kind::Parent) && job.order.class == Class::Page {
             m.store.put(object, issued);
         }
-        let word = if issued > 0 { Word::Ok } else { Word::Error };
+        let word = if issued > 0 { Status::Ok } else { Status::Error };
         let young =
             |order: &Order, now: Micros| order.age <= 0.0 || now.saturating_sub(issued) <= micros(order.age);
         for waiter in std::iter::once(place).chain(waiters) {
--- a/crates/deckproxy/src/program/attempts.rs
+++ b/crates/deckproxy/src/program/attempts.rs
@@ -141,8 +141,8 @@
                 }
                 // To nothing that is in flight any more.
                 Ok(Some((None, _))) => {}
-                Err(why) => {
-                    self.fail_upstream(now, id, why);
+                Err(error) => {
+                    self.fail_upstream(now, id, &error.to_string());
                     return false;
                 }
             }
@@ -163,7 +163,7 @@
         }
         let member = self.router.member_name(member);
         let event = match reply {
-            Some((key, reply)) => Event::MemberReplied { member, key: *key, word: reply.word, bytes },
+            Some((key, reply)) => Event::MemberReplied { member, key: *key, word: reply.status, bytes },
             None => Event::MemberBytesReceived { member, bytes },
         };
         self.subsystems.notify(&context(now, &self.router), &event);
--- a/crates/deckproxy/src/program/client_messages.rs
+++ b/crates/deckproxy/src/program/client_messages.rs
@@ -2,7 +2,7 @@
 
 use crate::program::gateway::{Gateway, context};
 use crate::program::subsystem::{Event, RequestKey, Verdict};
-use crate::protocol::downstream::{self, Answer, Broken, Call, Message};
+use crate::protocol::downstream::{self, Answer, Call, Message, ProtocolError, RequestError};
 use crate::routing::ClientId;
 use crate::transport::client::Client;
 use crate::transport::clock;
@@ -28,7 +28,7 @@
                     break;
                 }
                 Ok(Some(message)) => self.handle_message(clock::now(), id, message, bytes),
-                Err(broken) => self.handle_broken(now, id, &broken, bytes),
+                Err(error) => self.handle_protocol_error(now, id, &error, bytes),
             }
             if self.clients.get(&id).is_some_and(Client::is_overfull) {
                 self.drain_client(now, id, "it reads none of its refusals");
@@ -37,16 +37,16 @@
     }
 
     /// Takes bytes that can't be decoded: answers them if they name a request, and drains the connection.
-    fn handle_broken(&mut self, now: f64, id: ClientId, broken: &Broken, bytes: usize) {
-        let event = match broken.id {
+    fn handle_protocol_error(&mut self, now: f64, id: ClientId, fault: &ProtocolError, bytes: usize) {
+        let event = match fault.request_id {
             Some(request) => Event::RequestReceived { client: id, id: request, class: "", bytes },
             None => Event::ClientBytesReceived { client: id, bytes },
         };
         self.notify(now, &event);
-        if let Some(request) = broken.id {
-            self.enqueue_answer(now, (id, request), &Answer::Unusable(broken.why), Admitted::No);
+        if let Some(request) = fault.request_id {
+            self.enqueue_answer(now, (id, request), &Answer::Invalid(fault.error), Admitted::No);
         }
-        self.drain_client(now, id, broken.why);
+        self.drain_client(now, id, fault.error.as_str());
     }
 
     /// Handles a client's message of that size in bytes.
@@ -56,10 +56,10 @@
             Message::Call(request, call) => {
                 Event::RequestReceived { client: id, id: *request, class: &call.class, bytes }
             }
-            Message::Unusable(request, _) => {
+            Message::Invalid(request, _) => {
                 Event::RequestReceived { client: id, id: *request, class: "", bytes }
             }
-            Message::Ping(_) | Message::Abort(_) | Message::Ignored => {
+            Message::Ping(_) | Message::Cancel(_) | Message::Ignored => {
                 Event::ClientBytesReceived { client: id, bytes }
             }
         };
@@ -67,8 +67,8 @@
         match message {
             Message::Call(request, call) => self.handle_request(now, (id, request), *call, full),
             Message::Ping(request) => self.handle_ping(now, id, request),
-            Message::Abort(requests) => self.handle_cancellation(now, id, requests),
-            Message::Unusable(request, why) => self.handle_unusable(now, id, request, why),
+            Message::Cancel(requests) => self.handle_cancellation(now, id, requests),
+            Message::Invalid(request, error) => self.handle_invalid(now, id, request, error),
             Message::Ignored => {}
         }
     }
@@ -85,9 +85,9 @@
         let Some(client) = self.clients.get_mut(&id) else { return };
         if !client.follows(request) {
             // The protocol has ids start at 1 and count up.
-            let why = "message ids do not start at 1 and count up";
-            self.enqueue_answer(now, key, &Answer::Unusable(why), Admitted::No);
-            return self.drain_client(now, id, why);
+            let error = RequestError::IdOutOfSequence;
+            self.enqueue_answer(now, key, &Answer::Invalid(error), Admitted::No);
+            return self.drain_client(now, id, error.as_str());
         }
         // During a shutdown a request that is rejected at once is soon with another gateway. The bound on all bytes
         // comes before the client's own on open requests.
@@ -95,7 +95,7 @@
         let admitted = self.clients.get_mut(&id).is_some_and(|client| !rejecting && !full && client.admit());
         if !admitted {
             self.router.counters.rejected += 1;
-            self.enqueue_answer(now, key, &Answer::Refused(0.0), Admitted::No);
+            self.enqueue_answer(now, key, &Answer::Rejected(0.0), Admitted::No);
             return self.flush_client(now, id);
         }
         match self.subsystems.request(&context(now, &self.router), key, &call) {
@@ -103,7 +103,7 @@
             Verdict::Taken => {}
             Verdict::Answer(answer) => {
                 match answer {
-                    Answer::Unusable(_) => self.router.counters.invalid += 1,
+                    Answer::Invalid(_) => self.router.counters.invalid += 1,
                     _ => self.router.counters.count(&answer),
                 }
                 self.answer_client(now, id, request, &answer);
@@ -116,7 +116,7 @@
         let ready = !self.is_shutting_down();
         let Some(client) = self.clients.get_mut(&id) else { return };
         client.follows(request);
-        client.push(downstream::ready(request, ready));
+        client.push(downstream::encode_ready(request, ready));
         self.notify(now, &Event::PingAnswered { client: id });
         self.flush_client(now, id);
     }
@@ -137,11 +137,11 @@
         }
     }
 
-    fn handle_unusable(&mut self, now: f64, id: ClientId, request: u32, why: &'static str) {
+    fn handle_invalid(&mut self, now: f64, id: ClientId, request: u32, error: RequestError) {
         let Some(client) = self.clients.get_mut(&id) else { return };
         client.follows(request);
         self.router.counters.invalid += 1;
-        self.enqueue_answer(now, (id, request), &Answer::Unusable(why), Admitted::No);
+        self.enqueue_answer(now, (id, request), &Answer::Invalid(error), Admitted::No);
         self.flush_client(now, id);
     }
 
--- a/crates/deckproxy/src/program/clients.rs
+++ b/crates/deckproxy/src/program/clients.rs
@@ -33,7 +33,7 @@
     /// come behind all else.
     fn read_client(&mut self, now: f64, id: ClientId) {
         let began = clock::now();
-        for _ in 0..limits::CLIENT_AHEAD {
+        for _ in 0..limits::CLIENT_READ_AHEAD {
             let Some(client) = self.clients.get_mut(&id) else { return };
             if !client.stream.is_readable() {
                 return;
@@ -45,7 +45,9 @@
                 Progress::More => self.decode_messages(now, id),
             }
             // A closing connection's data is only dropped, and a flood of small messages must not delay others.
-            if self.clients.get(&id).is_none_or(Client::is_closing) || clock::now() - began > limits::NEWS {
+            if self.clients.get(&id).is_none_or(Client::is_closing)
+                || clock::now() - began > limits::CLIENT_READ_AGE
+            {
                 break;
             }
         }
@@ -64,7 +66,7 @@
     /// even if the kernel has not reported it, as a turn took long or the process had no core.
     pub(super) fn read_client_before_send(&mut self, now: f64, id: ClientId) {
         let Some(client) = self.clients.get_mut(&id) else { return };
-        if clock::now() - client.heard() > limits::NEWS {
+        if clock::now() - client.heard() > limits::CLIENT_READ_AGE {
             client.stream.doubt();
         }
         self.read_client(now, id);
@@ -91,7 +93,7 @@
         client.begin_close();
         self.router.counters.invalid += 1;
         self.log_peer(&format!("a client's connection closes: {why}"));
-        self.timers.schedule(now + limits::CLOSING, TimerTask::LingerExpired(id));
+        self.timers.schedule(now + limits::CLOSING_INTERVAL, TimerTask::LingerExpired(id));
         self.flush_client(now, id);
     }
 
@@ -113,7 +115,7 @@
     pub(super) fn linger_expired(&mut self, now: f64, id: ClientId) {
         match self.clients.get(&id) {
             Some(client) if !client.is_shut() && self.router.owes_to(id) => {
-                self.timers.schedule(now + limits::CLOSING, TimerTask::LingerExpired(id));
+                self.timers.schedule(now + limits::CLOSING_INTERVAL, TimerTask::LingerExpired(id));
             }
             Some(client) if client.still_comes(now) => {
                 self.timers.schedule(now + limits::LINGER, TimerTask::LingerExpired(id));
--- a/crates/deckproxy/src/program/effects.rs
+++ b/crates/deckproxy/src/program/effects.rs
@@ -33,7 +33,7 @@
                 let name = self.router.member_name(member);
                 let event = Event::AttemptSent { key, client, class: &call.class, member: name };
                 self.subsystems.notify(&context(now, &self.router), &event);
-                let parts = upstream::ask(&call, &options);
+                let parts = upstream::encode_attempt(&call, &options);
                 let message = Message::Ask { parts, unsent: unsent_timeout };
                 self.send_attempt(now, (key, member, endpoint), &call.name, message);
             }
--- a/crates/deckproxy/src/program/eviction.rs
+++ b/crates/deckproxy/src/program/eviction.rs
@@ -38,7 +38,7 @@
         let mut unproven =
             self.clients.iter().filter(|(_, client)| !client.is_proven() && !client.is_closing()).peekable();
         let first = unproven.peek().map(|(id, client)| (**id, now - client.opened()));
-        let overdue = first.filter(|(_, age)| *age > limits::CLIENT_YOUNG).map(|(id, _)| id);
+        let overdue = first.filter(|(_, age)| *age > limits::CLIENT_MIN_AGE).map(|(id, _)| id);
         let young = first.filter(|_| reason == EvictionReason::Internal).map(|(id, _)| id);
         let crowded = unproven.count() >= self.bounds.clients / 2;
         let idle =
--- a/crates/deckproxy/src/program/feed.rs
+++ b/crates/deckproxy/src/program/feed.rs
@@ -3,7 +3,7 @@
 use crate::program::connections::{EvictionReason, ReadySource};
 use crate::program::gateway::Gateway;
 use crate::program::timer_task::TimerTask;
-use crate::protocol::feed::Line;
+use crate::protocol::feed::FeedLine;
 use crate::protocol::limits;
 use crate::transport::feed::Feed;
 use crate::transport::stream::{Progress, Stream, is_exhausted};
@@ -66,13 +66,9 @@
             let Some(feed) = &mut self.feed else { return false };
             let complete = match feed.take_line(now) {
                 Ok(None) => return true,
-                Ok(Some(Ok(line))) => self.take_feed_line(now, line),
-                Ok(Some(Err(why))) => {
-                    self.log_peer(&format!("a line of the feed was dropped: {why}"));
-                    continue;
-                }
-                Err(why) => {
-                    self.reconnect_feed_later(now, why);
+                Ok(Some(line)) => self.take_feed_line(now, line),
+                Err(error) => {
+                    self.reconnect_feed_later(now, &error.to_string());
                     return false;
                 }
             };
@@ -84,22 +80,25 @@
     }
 
     /// Handles a line. Returns false where events before it are missing and the feed was not polled for them yet.
-    fn take_feed_line(&mut self, now: f64, line: Line) -> bool {
+    fn take_feed_line(&mut self, now: f64, line: FeedLine) -> bool {
         match line {
-            Line::Last(last) => {
+            FeedLine::Last(last) => {
                 if last > self.router.last_event() && !self.is_gap_final() {
                     return false;
                 }
-                self.feed_backoff = limits::FEED_BACKOFF.0;
+                self.feed_backoff = limits::FEED_BACKOFF_INITIAL;
             }
-            Line::Event(number, event) => {
+            FeedLine::Event(event) => {
                 let accept_gap = self.feed_gap_polled == Some(self.router.last_event());
-                if !self.router.feed_event(now, number, event, accept_gap) && !self.is_gap_final() {
+                if !self.router.feed_event(now, event, accept_gap) && !self.is_gap_final() {
                     return false;
                 }
-                self.feed_backoff = limits::FEED_BACKOFF.0;
+                self.feed_backoff = limits::FEED_BACKOFF_INITIAL;
                 self.apply_effects(now);
             }
+            FeedLine::Unreadable(error) => {
+                self.log_peer(&format!("a line of the feed was dropped: {error}"));
+            }
         }
         true
     }
@@ -117,6 +116,6 @@
         }
         self.log_peer(&format!("control feed: {why}"));
         self.timers.schedule(now + self.feed_backoff, TimerTask::ConnectFeed);
-        self.feed_backoff = (self.feed_backoff * 2.0).min(limits::FEED_BACKOFF.1);
+        self.feed_backoff = (self.feed_backoff * 2.0).min(limits::FEED_BACKOFF_MAX);
     }
 }
--- a/crates/deckproxy/src/program/files.rs
+++ b/crates/deckproxy/src/program/files.rs
@@ -31,6 +31,12 @@
     }
 }
 
+impl From<config::ConfigError> for FileError {
+    fn from(error: config::ConfigError) -> Self {
+        FileError::Unusable(error.to_string())
+    }
+}
+
 impl From<String> for FileError {
     fn from(what: String) -> Self {
         FileError::Unusable(what)
--- a/crates/deckproxy/src/program/fleet.rs
+++ b/crates/deckproxy/src/program/fleet.rs
@@ -5,7 +5,7 @@
     ClientIdentities, Context, Effect, Effects, Event, OpenRequests, RequestKey, Subsystem, Verdict,
 };
 use crate::protocol::downstream::{Answer, Call};
-use crate::protocol::upstream::Word;
+use crate::protocol::upstream::Status;
 use crate::routing::{AttemptKey, Router};
 use crate::transport::clock;
 use deckproxy_control::interface::{self, Lifecycle};
@@ -229,7 +229,7 @@
             Event::AttemptSent { key, member, .. } if self.core.tries() => self.trial_sent(key, member),
             Event::MemberReplied { key: Some(key), word, .. } if !self.trial_attempts.is_empty() => {
                 // A full member, or one that has no copy, is not faulty.
-                self.trial_ended(key, !matches!(word, Word::Error));
+                self.trial_ended(key, !matches!(word, Status::Error));
             }
             Event::AttemptEnded { key, outcome } if !self.trial_attempts.is_empty() => match outcome {
                 Outcome::Failed => self.trial_ended(key, false),
@@ -249,17 +249,17 @@
         let asked = Asked {
             client,
             class,
-            object: call.object.1,
-            left: call.allow,
-            size: call.size,
-            again: call.again,
+            object: call.object.number,
+            left: call.timeout,
+            size: call.size_kb,
+            again: call.is_retry,
         };
         match self.core.request(clock::steady(), asked) {
             Some(overload::Verdict::Pass(ticket)) => {
                 admission.open.insert(request, ticket);
                 Verdict::Pass
             }
-            Some(overload::Verdict::Refuse(retry_after)) => Verdict::Answer(Answer::Refused(retry_after)),
+            Some(overload::Verdict::Refuse(retry_after)) => Verdict::Answer(Answer::Rejected(retry_after)),
             None => Verdict::Pass,
         }
     }
@@ -269,14 +269,14 @@
         let admission = self.admission.as_mut()?;
         let ticket = admission.open.remove(request)?;
         let (ended, retry_after) = match answer {
-            Answer::Served(_) | Answer::Unchanged => (Ended::Served, 0.0),
-            Answer::Refused(retry_after) => (Ended::Refused, *retry_after),
+            Answer::Served(_) | Answer::NotModified => (Ended::Served, 0.0),
+            Answer::Rejected(retry_after) => (Ended::Refused, *retry_after),
             Answer::Failed => (Ended::Failed, 0.0),
             // That says nothing of the load.
-            Answer::Unusable(_) => return None,
+            Answer::Invalid(_) => return None,
         };
         let retry_after = self.core.ended(clock::steady(), &ticket, ended, retry_after);
-        (ended == Ended::Refused && admission.sends_retry_after).then_some(Answer::Refused(retry_after))
+        (ended == Ended::Refused && admission.sends_retry_after).then_some(Answer::Rejected(retry_after))
     }
 
     fn poll(&mut self, _: &Context<'_>, out: &mut Effects) {
--- a/crates/deckproxy/src/program/flows.rs
+++ b/crates/deckproxy/src/program/flows.rs
@@ -4,7 +4,7 @@
 use crate::program::subsystem::{
     Context, Effect, Effects, Event, FIRST_LINK_CLIENT, Note, Subsystem, micros, outcome_of,
 };
-use crate::protocol::upstream::Word;
+use crate::protocol::upstream::Status;
 use crate::routing::{AttemptKey, ClientId};
 use crate::transport::clock;
 use crate::transport::outbox::Written;
@@ -59,13 +59,13 @@
     until: Option<f64>,
 }
 
-fn reply_outcome(word: Word) -> Outcome {
+fn reply_outcome(word: Status) -> Outcome {
     match word {
-        Word::Ok | Word::Unchanged => Outcome::Served,
-        Word::Miss => Outcome::Missed,
-        Word::Full => Outcome::Refused,
-        Word::Over => Outcome::Cut,
-        Word::Error | Word::Alive(_) => Outcome::Failed,
+        Status::Ok | Status::NotModified => Outcome::Served,
+        Status::Miss => Outcome::Missed,
+        Status::Rejected => Outcome::Refused,
+        Status::Expired => Outcome::Cut,
+        Status::Error | Status::Health(_) => Outcome::Failed,
     }
 }
 
@@ -202,7 +202,14 @@
     }
 
     /// An answer came from a member, of so many bytes; `key` none: to nothing that is out.
-    fn member_answered(&mut self, now: f64, member: &str, key: Option<AttemptKey>, word: Word, bytes: usize) {
+    fn member_answered(
+        &mut self,
+        now: f64,
+        member: &str,
+        key: Option<AttemptKey>,
+        word: Status,
+        bytes: usize,
+    ) {
         let outcome = reply_outcome(word);
         let attempts = &mut self.attempts;
         let own = key.is_some_and(|k| attempts.ended(&mut self.meter, micros(now), k, outcome, bytes as u64));
--- a/crates/deckproxy/src/program/gateway.rs
+++ b/crates/deckproxy/src/program/gateway.rs
@@ -199,7 +199,7 @@
             listen: config.listen,
             feed_address: config.feed,
             feed: None,
-            feed_backoff: limits::FEED_BACKOFF.0,
+            feed_backoff: limits::FEED_BACKOFF_INITIAL,
             feed_gap_polled: None,
             ready: VecDeque::new(),
             accept_pending: true,
@@ -265,7 +265,7 @@
         let links = self.site_links.as_ref().map_or(0, |links| links.holds());
         let collectors = self.collectors.as_ref().map_or(0, |collectors| collectors.holds());
         let bodies = self.router.body_bytes() + self.subsystems.buffered_bytes();
-        buffered + bodies + links + collectors > self.bounds.bytes
+        buffered + bodies + links + collectors > self.bounds.buffered
     }
 
     /// Numbers a new connection.
--- a/crates/deckproxy/src/program/housekeeping.rs
+++ b/crates/deckproxy/src/program/housekeeping.rs
@@ -51,7 +51,7 @@
         } else if client.is_overdue(now) {
             // What it asked for before is still answered.
             self.drain_client(now, id, "it keeps a message waiting");
-        } else if client.is_idle() && idle > limits::CLIENT_IDLE {
+        } else if client.is_idle() && idle > limits::CLIENT_IDLE_TIMEOUT {
             self.close_idle_client(now, id);
         }
     }
--- a/crates/deckproxy/src/program/recovery.rs
+++ b/crates/deckproxy/src/program/recovery.rs
@@ -85,14 +85,14 @@
         // A request of an unknown class is left to the router, which answers it as unusable.
         let Some(class) = self.classes.get(&call.class).copied() else { return Verdict::Pass };
         let client = self.identities.identity(request.0);
-        match self.admission.request(cx.now, client, class, call.object.1, call.allow) {
+        match self.admission.request(cx.now, client, class, call.object.number, call.timeout) {
             admission::Verdict::Pass => {
-                self.open.insert(request, call.object.1);
+                self.open.insert(request, call.object.number);
                 Verdict::Pass
             }
             admission::Verdict::Refuse(retry_after) => {
                 let retry_after = if self.sends_retry_after { retry_after } else { 0.0 };
-                Verdict::Answer(Answer::Refused(retry_after))
+                Verdict::Answer(Answer::Rejected(retry_after))
             }
         }
     }
@@ -101,15 +101,15 @@
     fn answer(&mut self, cx: &Context<'_>, request: RequestKey, answer: &Answer) -> Option<Answer> {
         let object = self.open.remove(request)?;
         let (ended, retry_after) = match answer {
-            Answer::Served(_) | Answer::Unchanged => (Ended::Served, 0.0),
-            Answer::Refused(retry_after) => (Ended::Refused, *retry_after),
+            Answer::Served(_) | Answer::NotModified => (Ended::Served, 0.0),
+            Answer::Rejected(retry_after) => (Ended::Refused, *retry_after),
             Answer::Failed => (Ended::Failed, 0.0),
             // That says nothing of the load.
-            Answer::Unusable(_) => return None,
+            Answer::Invalid(_) => return None,
         };
         let client = self.identities.identity(request.0);
         let retry_after = self.admission.ended(cx.now, client, object, ended, retry_after);
-        (ended == Ended::Refused && self.sends_retry_after).then_some(Answer::Refused(retry_after))
+        (ended == Ended::Refused && self.sends_retry_after).then_some(Answer::Rejected(retry_after))
     }
 
     fn summary(&mut self) -> String {
--- a/crates/deckproxy/src/program/reload.rs
+++ b/crates/deckproxy/src/program/reload.rs
@@ -32,7 +32,7 @@
         if let Some(feed) = self.feed.take() {
             feed.stream.close(&self.handle);
         }
-        self.feed_backoff = limits::FEED_BACKOFF.0;
+        self.feed_backoff = limits::FEED_BACKOFF_INITIAL;
         self.connect_feed(now);
     }
 }
--- a/crates/deckproxy/src/program/shutdown.rs
+++ b/crates/deckproxy/src/program/shutdown.rs
@@ -15,7 +15,7 @@
         }
         info!(self.log, "told to end"; "open" => self.router.unanswered(), "clients" => self.clients.len());
         self.shutdown = ShutdownPhase::Draining;
-        self.timers.schedule(now + limits::STRAGGLERS, TimerTask::RejectNewRequests);
+        self.timers.schedule(now + limits::DRAIN_ACCEPT, TimerTask::RejectNewRequests);
         self.notify(now, &Event::ShutdownBegan);
         // The fleet's other instances are notified at once, and the address is free for a successor.
         self.apply_effects(now);
@@ -23,7 +23,7 @@
             socket.close(&self.handle);
         }
         let longest = self.router.conf().settings.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
-        let last = longest.min(limits::LONGEST_COUNTED) + limits::STRAGGLERS - limits::LAST_CALL;
+        let last = longest.min(limits::DRAIN_DEADLINE) + limits::DRAIN_ACCEPT - limits::DRAIN_MARGIN;
         self.timers.schedule(now + last, TimerTask::FailOpenRequests);
     }
 
--- a/crates/deckproxy/src/program/site_links.rs
+++ b/crates/deckproxy/src/program/site_links.rs
@@ -42,7 +42,7 @@
             return self.log_peer("a link is turned away: too many connections");
         }
         // A short send buffer: what is more urgent must not wait behind much. Fails only where the socket is gone.
-        let _ = socket2::SockRef::from(&socket).set_send_buffer_size(limits::LINK_SENDING);
+        let _ = socket2::SockRef::from(&socket).set_send_buffer_size(limits::LINK_SEND_BUFFER);
         let id = self.next_connection_id();
         let Some(links) = &mut self.site_links else { return };
         let ready = move |gateway: &mut Gateway, readiness| gateway.link_ready(id, readiness);
@@ -203,7 +203,7 @@
             let broken = link.line.flush().is_err();
             let left = link.line.stream.queued();
             self.subsystems.link_bytes_sent(&context(now, &self.router), id, before - left);
-            if broken || left > limits::LINK_STUCK || link.line.closing && left == 0 {
+            if broken || left > limits::LINK_STALLED || link.line.closing && left == 0 {
                 return self.close_link(now, id);
             }
             let piece = link.line.takes_pieces().then(|| self.subsystems.body_piece(id)).flatten();
--- a/crates/deckproxy/src/program/sites.rs
+++ b/crates/deckproxy/src/program/sites.rs
@@ -4,8 +4,8 @@
     Context, Effect, Effects, Event, FIRST_LINK_CLIENT, LinkId, Note, OpenRequests, RequestKey, Subsystem,
     Verdict, outcome_of,
 };
-use crate::protocol::downstream::{Answer, Call};
-use crate::protocol::upstream::Copy;
+use crate::protocol::downstream::{Answer, Call, RequestError};
+use crate::protocol::upstream::CopyInfo;
 use crate::protocol::{limits, link};
 use crate::routing::ClientId;
 use bytes::Bytes;
@@ -79,18 +79,18 @@
 }
 
 /// What forwarding a request to another site takes; the error says why the request can't be used.
-fn forwarding(cx: &Context<'_>, call: &Call, path: Vec<String>) -> Result<Want, &'static str> {
+fn forwarding(cx: &Context<'_>, call: &Call, path: Vec<String>) -> Result<Want, RequestError> {
     let class = cx.router.validate(call)?;
     let settings = &cx.router.conf().settings;
     let rules = &settings.classes[class];
     let safe = rules.idempotency == interface::Idempotency::Idempotent;
     Ok(Want {
-        object: call.object.1,
-        expires: cx.now + call.allow.min(rules.deadline),
+        object: call.object.number,
+        expires: cx.now + call.timeout.min(rules.deadline),
         repeat: if safe { Repeat::Safe } else { Repeat::Never },
         joins: settings.join_fills && safe && !rules.write && !rules.stream,
         rank: rank(&settings.classes, class),
-        ask: link::ask(call, path),
+        ask: link::ask_from_call(call, path),
     })
 }
 
@@ -161,23 +161,23 @@
         let path = ask.path.clone();
         let site = path.last().cloned();
         out.push_back(Effect::Notify(Note::LinkRequestBegan { run, class: ask.class.clone(), site }));
-        let call = match link::call(ask) {
+        let call = match link::call_from_ask(ask) {
             Ok(call) if !cx.full => call,
-            Ok(_) => return self.answer_link(cx, run, Answer::Refused(0.0), None, out),
-            Err(why) => return self.answer_link(cx, run, Answer::Unusable(why), None, out),
+            Ok(_) => return self.answer_link(cx, run, Answer::Rejected(0.0), None, out),
+            Err(why) => return self.answer_link(cx, run, Answer::Invalid(why), None, out),
         };
-        match self.site.place(cx.now, &call.class, call.group, call.object.1, &path) {
+        match self.site.place(cx.now, &call.class, call.group, call.object.number, &path) {
             Place::Here => {
                 out.push_back(Effect::Route { client: FIRST_LINK_CLIENT + run, call: Box::new(call) })
             }
             Place::Nowhere(why) => {
                 out.push_back(Effect::LogPeer(format!("a request over a link is turned away: {why}")));
-                self.answer_link(cx, run, Answer::Unusable(why), None, out);
+                self.answer_link(cx, run, Answer::Invalid(RequestError::NoSite(why)), None, out);
             }
             Place::Over(site) => {
                 let path = path.into_iter().chain([self.site.setup().own.clone()]).collect();
                 match forwarding(cx, &call, path) {
-                    Err(why) => self.answer_link(cx, run, Answer::Unusable(why), None, out),
+                    Err(why) => self.answer_link(cx, run, Answer::Invalid(why), None, out),
                     Ok(want) => {
                         let token = self.token(Owner::Run(run));
                         self.transit_requests.insert(run, token);
@@ -194,16 +194,16 @@
         cx: &Context<'_>,
         run: Run,
         answer: Answer,
-        copy: Option<Copy>,
+        copy: Option<CopyInfo>,
         out: &mut Effects,
     ) {
         out.push_back(Effect::Notify(Note::LinkRequestEnded { run, outcome: outcome_of(&answer) }));
         let (word, cooldown, body) = match answer {
             Answer::Served(body) => (Word::Served, 0.0, body),
-            Answer::Unchanged => (Word::Unchanged, 0.0, Bytes::new()),
-            Answer::Refused(cooldown) => (Word::Refused, cooldown, Bytes::new()),
+            Answer::NotModified => (Word::Unchanged, 0.0, Bytes::new()),
+            Answer::Rejected(cooldown) => (Word::Refused, cooldown, Bytes::new()),
             Answer::Failed => (Word::Failed, 0.0, Bytes::new()),
-            Answer::Unusable(_) => (Word::Unusable, 0.0, Bytes::new()),
+            Answer::Invalid(_) => (Word::Unusable, 0.0, Bytes::new()),
         };
         let issued = copy.as_ref().and_then(|c| c.issued);
         let tag = copy.map_or(String::new(), |c| c.tag.into());
@@ -216,15 +216,17 @@
         let sends_retry_after = cx.router.conf().settings.retry_after;
         let (answer, copy) = match reply {
             Reply::Served(body, issued, tag) => {
-                (Answer::Served(body), Some(Copy { issued, tag: tag.into() }))
+                (Answer::Served(body), Some(CopyInfo { issued, tag: tag.into() }))
+            }
+            Reply::Unchanged(issued, tag) => {
+                (Answer::NotModified, Some(CopyInfo { issued, tag: tag.into() }))
             }
-            Reply::Unchanged(issued, tag) => (Answer::Unchanged, Some(Copy { issued, tag: tag.into() })),
             Reply::Refused(wait) if sends_retry_after => {
-                (Answer::Refused(wait.min(longest_retry_after)), None)
+                (Answer::Rejected(wait.min(longest_retry_after)), None)
             }
-            Reply::Refused(_) => (Answer::Refused(0.0), None),
+            Reply::Refused(_) => (Answer::Rejected(0.0), None),
             Reply::Failed => (Answer::Failed, None),
-            Reply::Unusable => (Answer::Unusable("the other site can't use it"), None),
+            Reply::Unusable => (Answer::Invalid(RequestError::InvalidAtOtherSite), None),
         };
         match self.owners.remove(&token) {
             Some(Owner::Client((client, id))) => {
@@ -297,10 +299,10 @@
 
     /// Forwards a client's request over a link, where it is for another site.
     fn request(&mut self, cx: &Context<'_>, request: RequestKey, call: &Call, out: &mut Effects) -> Verdict {
-        let place = self.site.place(cx.now, &call.class, call.group, call.object.1, &[]);
+        let place = self.site.place(cx.now, &call.class, call.group, call.object.number, &[]);
         let Place::Over(site) = place else { return Verdict::Pass };
         match forwarding(cx, call, vec![self.site.setup().own.clone()]) {
-            Err(why) => Verdict::Answer(Answer::Unusable(why)),
+            Err(why) => Verdict::Answer(Answer::Invalid(why)),
             Ok(want) => {
                 let token = self.token(Owner::Client(request));
                 self.client_requests.insert(request, token);
@@ -318,7 +320,7 @@
         cx: &Context<'_>,
         client: ClientId,
         answer: Answer,
-        copy: Option<Copy>,
+        copy: Option<CopyInfo>,
         out: &mut Effects,
     ) {
         self.answer_link(cx, client - FIRST_LINK_CLIENT, answer, copy, out);
--- a/crates/deckproxy/src/program/subsystem.rs
+++ b/crates/deckproxy/src/program/subsystem.rs
@@ -5,7 +5,7 @@
 //! neither the loop nor the other subsystems, so that each can be read, tested and switched off alone.
 
 use crate::protocol::downstream::{Answer, Call};
-use crate::protocol::upstream::{Copy, Word};
+use crate::protocol::upstream::{CopyInfo, Status};
 use crate::routing::{AttemptKey, ClientId, Router};
 use crate::transport::outbox::Written;
 use bytes::Bytes;
@@ -131,7 +131,7 @@
         /// What it answered; none if that is not in flight any more.
         key: Option<AttemptKey>,
         /// The answer's result code.
-        word: Word,
+        word: Status,
         /// Size of the message.
         bytes: usize,
     },
@@ -389,7 +389,7 @@
     }
 
     /// Takes the answer to a request that was given to the router by [`Effect::Route`], and the copy it came from.
-    fn routed(&mut self, _: &Context<'_>, _: ClientId, _: Answer, _: Option<Copy>, _: &mut Effects) {}
+    fn routed(&mut self, _: &Context<'_>, _: ClientId, _: Answer, _: Option<CopyInfo>, _: &mut Effects) {}
 
     /// Takes a frame that came on a link.
     fn frame(&mut self, _: &Context<'_>, _: LinkId, _: Frame, _: &mut Effects) {}
@@ -531,9 +531,9 @@
 /// The outcome that an answer to a client means for flows.
 pub fn outcome_of(answer: &Answer) -> Outcome {
     match answer {
-        Answer::Served(_) | Answer::Unchanged => Outcome::Served,
-        Answer::Refused(_) => Outcome::Refused,
+        Answer::Served(_) | Answer::NotModified => Outcome::Served,
+        Answer::Rejected(_) => Outcome::Refused,
         Answer::Failed => Outcome::Failed,
-        Answer::Unusable(_) => Outcome::Unusable,
+        Answer::Invalid(_) => Outcome::Unusable,
     }
 }
--- a/crates/deckproxy/src/program/subsystems.rs
+++ b/crates/deckproxy/src/program/subsystems.rs
@@ -6,7 +6,7 @@
 use crate::program::sites::Sites;
 use crate::program::subsystem::{Context, Effect, Effects, Event, LinkId, RequestKey, Subsystem, Verdict};
 use crate::protocol::downstream::{Answer, Call};
-use crate::protocol::upstream::Copy;
+use crate::protocol::upstream::CopyInfo;
 use crate::routing::{ClientId, Router};
 use deckproxy_flow::work::{Micros, Scheduler, TaskId};
 use deckproxy_operator::Operator;
@@ -159,7 +159,7 @@
     }
 
     /// Takes the answer to a request that came over a link and was served by the router.
-    pub fn routed(&mut self, cx: &Context<'_>, client: ClientId, answer: Answer, copy: Option<Copy>) {
+    pub fn routed(&mut self, cx: &Context<'_>, client: ClientId, answer: Answer, copy: Option<CopyInfo>) {
         if let Some(sites) = &mut self.sites {
             sites.routed(cx, client, answer, copy, &mut self.effects);
         }
--- a/crates/deckproxy/src/program/upstream_pool.rs
+++ b/crates/deckproxy/src/program/upstream_pool.rs
@@ -37,8 +37,8 @@
         if let Some(id) = self.reusable_upstream(now, pool.idle, name) {
             return Some(id);
         }
-        let most = self.bounds.links;
-        if self.upstreams.len() < most - most / limits::SHARE_FROM
+        let most = self.bounds.member_connections;
+        if self.upstreams.len() < most - most / limits::SHARING_RESERVE
             && pool.connecting < limits::CONNECTING
             && let Some(id) = self.connect_upstream(now, member, endpoint)
         {
@@ -97,7 +97,7 @@
             // An idle connection with half of an answer that nobody waits for is not to be shared.
             (link.load() > 0 || link.stream.input.is_empty())
                 && link.load() < streams
-                && link.stream.queued() < limits::MEMBER_OUTGOING
+                && link.stream.queued() < limits::MEMBER_WRITE_BUFFER
                 && link.takes(name)
         };
         let pool = self.upstream_pools.get(&member).into_iter().flatten();
@@ -110,7 +110,7 @@
 
     /// Opens a connection to a member; none if the kernel refuses, or no place or descriptor can be freed for it.
     fn connect_upstream(&mut self, now: f64, member: MemberId, endpoint: Endpoint) -> Option<UpstreamId> {
-        if self.upstreams.len() >= self.bounds.links {
+        if self.upstreams.len() >= self.bounds.member_connections {
             let oldest = self.longest_idle_upstream()?;
             self.close_upstream(oldest);
         }
--- a/crates/deckproxy/src/protocol/config.rs
+++ b/crates/deckproxy/src/protocol/config.rs
@@ -1,12 +1,20 @@
 //! The configuration that a gateway reads at its start.
 
-use crate::protocol::feed::{self, News};
+use crate::protocol::feed::{self, EventError, KnownEvents};
 use deckproxy_settings::Conf;
 use serde_json::Value;
 use std::collections::BTreeMap;
+use std::fmt;
 use std::net::SocketAddr;
 
-/// All that a gateway is told at its start.
+/// Descriptors where the configuration sets no limit.
+const DEFAULT_SOCKETS: f64 = 1024.0;
+/// Memory in MB where the configuration sets no limit.
+const DEFAULT_MEMORY: f64 = 192.0;
+/// Numbers from here on are left as they are written.
+const LARGEST_INTEGER: f64 = 1e15;
+
+/// The configuration of a gateway.
 #[derive(Debug)]
 pub struct Config {
     /// Its name.
@@ -23,71 +31,142 @@
     pub memory: f64,
     /// The settings.
     pub conf: Conf,
-    /// The number of the last event known, and the events.
-    pub known: (u64, Vec<(u64, News)>),
+    /// The feed's events that it knows from the start.
+    pub known: KnownEvents,
 }
 
-/// Reads the configuration; the error names the field.
-pub fn read(text: &[u8]) -> Result<Config, String> {
-    let root: Value =
-        serde_json::from_slice(text).map_err(|e| format!("the configuration is no JSON: {e}"))?;
-    let string = |name: &str| root[name].as_str().ok_or(format!("configuration field {name}: no text"));
-    let address = |name: &str| -> Result<SocketAddr, String> {
-        let text = string(name)?;
-        text.parse().map_err(|_| format!("configuration field {name}: {text:?} is no address"))
-    };
-    let settings = root.get("settings").filter(|s| s.is_object());
-    let mut pairs = BTreeMap::new();
-    flatten(String::new(), settings.ok_or("configuration field settings: no object")?, &mut pairs);
-    let pairs = pairs.iter().map(|(path, value)| (path.as_str(), value.as_str()));
-    let conf = deckproxy_settings::read_pairs(pairs).map_err(|e| format!("configuration: {e}"))?;
-    let events = root["known"]["events"].as_array().map_or(&[][..], Vec::as_slice);
-    let events = events.iter().map(feed::event).collect::<Result<Vec<_>, _>>();
-    let events = events.map_err(|e| format!("configuration field known: {e}"))?;
-    let last = root["known"]["n"].as_u64().or(events.last().map(|e| e.0)).unwrap_or(0);
-    let limit = |name: &str, usual: f64| match root["limits"].get(name) {
-        None => Ok(usual),
-        Some(v) => {
-            v.as_f64().filter(|x| *x > 0.0).ok_or(format!("configuration field limits.{name}: no number"))
+/// Why a configuration can't be used.
+#[derive(Debug)]
+pub enum ConfigError {
+    /// It is not JSON.
+    NotJson(serde_json::Error),
+    /// A field is not of the kind that it must be of.
+    Field {
+        /// The field's path.
+        field: String,
+        /// What it should be, as `no text`.
+        fault: &'static str,
+    },
+    /// A field is not a socket address.
+    NotAnAddress {
+        /// The field.
+        field: &'static str,
+        /// Its text.
+        text: String,
+    },
+    /// The settings can't be used; what their reader says.
+    Settings(String),
+    /// An event that is known from the start can't be read.
+    Known(EventError),
+}
+
+impl fmt::Display for ConfigError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ConfigError::NotJson(error) => write!(f, "the configuration is no JSON: {error}"),
+            ConfigError::Field { field, fault } => write!(f, "configuration field {field}: {fault}"),
+            ConfigError::NotAnAddress { field, text } => {
+                write!(f, "configuration field {field}: {text:?} is no address")
+            }
+            ConfigError::Settings(error) => write!(f, "configuration: {error}"),
+            ConfigError::Known(error) => write!(f, "configuration field known: {error}"),
         }
-    };
-    let seed = match &root["seed"] {
-        Value::String(text) => u64::from_str_radix(text, 16).ok(),
-        other => other.as_u64(),
-    };
+    }
+}
+
+impl std::error::Error for ConfigError {}
+
+impl ConfigError {
+    fn field(field: &str, fault: &'static str) -> ConfigError {
+        ConfigError::Field { field: field.to_string(), fault }
+    }
+}
+
+/// Reads the configuration.
+///
+/// # Errors
+/// It is not JSON, or a field is missing or not allowed; the error names the field.
+pub fn read(text: &[u8]) -> Result<Config, ConfigError> {
+    let root: Value = serde_json::from_slice(text).map_err(ConfigError::NotJson)?;
+    let conf = settings(&root)?;
+    let known = known_events(&root["known"])?;
     Ok(Config {
         name: root["name"].as_str().unwrap_or_default().to_string(),
-        listen: address("listen")?,
-        feed: if root["feed"].is_null() { None } else { Some(address("feed")?) },
-        seed: seed.ok_or("configuration field seed: no number")?,
-        sockets: limit("sockets", 1024.0)? as usize,
-        memory: limit("memory_mb", 192.0)?,
+        listen: address(&root, "listen")?,
+        feed: if root["feed"].is_null() { None } else { Some(address(&root, "feed")?) },
+        seed: seed(&root["seed"]).ok_or_else(|| ConfigError::field("seed", "no number"))?,
+        sockets: limit(&root, "sockets", DEFAULT_SOCKETS)? as usize,
+        memory: limit(&root, "memory_mb", DEFAULT_MEMORY)?,
         conf,
-        known: (last, events),
+        known,
     })
 }
 
+fn settings(root: &Value) -> Result<Conf, ConfigError> {
+    let settings = root.get("settings").filter(|settings| settings.is_object());
+    let settings = settings.ok_or_else(|| ConfigError::field("settings", "no object"))?;
+    let mut pairs = BTreeMap::new();
+    flatten(String::new(), settings, &mut pairs);
+    let pairs = pairs.iter().map(|(path, value)| (path.as_str(), value.as_str()));
+    deckproxy_settings::read_pairs(pairs).map_err(|error| ConfigError::Settings(error.to_string()))
+}
+
+fn known_events(known: &Value) -> Result<KnownEvents, ConfigError> {
+    let events = known["events"].as_array().map_or(&[][..], Vec::as_slice);
+    let events: Result<Vec<_>, _> = events.iter().map(feed::decode_event).collect();
+    let events = events.map_err(ConfigError::Known)?;
+    let last = known["n"].as_u64().or(events.last().map(|event| event.number)).unwrap_or(0);
+    Ok(KnownEvents { last, events })
+}
+
+fn address(root: &Value, field: &'static str) -> Result<SocketAddr, ConfigError> {
+    let text = root[field].as_str().ok_or_else(|| ConfigError::field(field, "no text"))?;
+    text.parse().map_err(|_| ConfigError::NotAnAddress { field, text: text.to_string() })
+}
+
+/// A limit that must be above 0 where it is given.
+fn limit(root: &Value, name: &str, default: f64) -> Result<f64, ConfigError> {
+    let Some(value) = root["limits"].get(name) else { return Ok(default) };
+    let number = value.as_f64().filter(|number| *number > 0.0);
+    number.ok_or_else(|| ConfigError::field(&format!("limits.{name}"), "no number"))
+}
+
+/// The seed: a number, or a text of hex digits.
+fn seed(value: &Value) -> Option<u64> {
+    match value {
+        Value::String(text) => u64::from_str_radix(text, 16).ok(),
+        other => other.as_u64(),
+    }
+}
+
 /// Writes an object as pairs of path and value, as the settings' text has them: a list of plain values joined
 /// with commas, a list of objects under its places with their count.
 fn flatten(path: String, value: &Value, out: &mut BTreeMap<String, String>) {
     let below = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
     match value {
-        Value::Object(fields) => fields.iter().for_each(|(name, v)| flatten(below(name), v, out)),
+        Value::Object(fields) => {
+            for (name, field) in fields {
+                flatten(below(name), field, out);
+            }
+        }
         Value::Array(items) if items.iter().any(Value::is_object) => {
             out.insert(below("count"), items.len().to_string());
-            items.iter().enumerate().for_each(|(i, v)| flatten(below(&i.to_string()), v, out));
+            for (position, item) in items.iter().enumerate() {
+                flatten(below(&position.to_string()), item, out);
+            }
         }
         Value::Array(items) => {
-            let items: Vec<String> = items.iter().map(plain).collect();
+            let items: Vec<String> = items.iter().map(scalar).collect();
             out.insert(path, items.join(","));
         }
         other => {
-            out.insert(path, plain(other));
+            out.insert(path, scalar(other));
         }
     }
 }
 
-fn plain(value: &Value) -> String {
+/// A plain value as the settings' text has it.
+fn scalar(value: &Value) -> String {
     match value {
         Value::String(text) => text.replace([' ', ','], "_"),
         Value::Null => String::new(),
@@ -96,10 +175,10 @@
     }
 }
 
-/// A number as the settings' text has it: whole ones may be written with a fraction of zero.
+/// A number as the settings' text has it: integers may be written with a fraction of zero.
 pub(super) fn number(text: &str) -> String {
     match text.parse::<f64>() {
-        Ok(x) if x.fract() == 0.0 && x.abs() < 1e15 => format!("{x:.0}"),
+        Ok(number) if number.fract() == 0.0 && number.abs() < LARGEST_INTEGER => format!("{number:.0}"),
         _ => text.to_string(),
     }
 }
--- /dev/null
+++ b/crates/deckproxy/src/protocol/downstream/decode.rs
@@ -0,0 +1,193 @@
+//! Decoding of clients' messages.
+
+use crate::protocol::downstream::error::{ProtocolError, RequestError};
+use crate::protocol::downstream::framing::{Scanner, skip_value};
+use crate::protocol::downstream::message::{Call, Message, ObjectId};
+use crate::protocol::limits;
+use bytes::{Bytes, BytesMut};
+use rmp::decode;
+
+/// Elements of a request's array, and its kind on the wire.
+const REQUEST: (u32, u32) = (4, 0);
+/// Elements of a notification's array, and its kind on the wire.
+const NOTIFICATION: (u32, u32) = (3, 2);
+/// Hex digits of a name.
+const NAME_DIGITS: usize = 16;
+
+/// Finds the messages in a stream of bytes.
+#[derive(Debug, Default)]
+pub struct Decoder {
+    scanner: Scanner,
+}
+
+impl Decoder {
+    /// Takes the next message off the buffer, if it is complete.
+    ///
+    /// # Errors
+    /// What comes can't be decoded: it, and all that follows, is of no use.
+    pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<Message>, ProtocolError> {
+        match self.scanner.scan(buffer) {
+            Ok(None) => Ok(None),
+            Ok(Some(length)) => {
+                let complete = buffer.split_to(length);
+                self.scanner = Scanner::default();
+                message(&complete).map(Some)
+            }
+            Err(error) => Err(ProtocolError { error, request_id: head(buffer).map(|(id, _)| id) }),
+        }
+    }
+
+    /// Bytes that are missing at least, where so many have come.
+    pub fn lacks(&self, have: usize) -> usize {
+        self.scanner.missing(have)
+    }
+}
+
+/// Reads a text where there is one.
+fn text<'a>(rest: &mut &'a [u8]) -> Result<&'a str, RequestError> {
+    let (text, after) = decode::read_str_from_slice(*rest).map_err(|_| RequestError::NotAText)?;
+    *rest = after;
+    Ok(text)
+}
+
+/// The number of elements and the kind of a message.
+fn kind(rest: &mut &[u8]) -> Option<(u32, u32)> {
+    let count = decode::read_array_len(rest).ok()?;
+    let kind = decode::read_int(rest).ok()?;
+    Some((count, kind))
+}
+
+/// The id of a request, and what follows; none where the message is no request.
+fn head(bytes: &[u8]) -> Option<(u32, &[u8])> {
+    let mut rest = bytes;
+    if kind(&mut rest)? != REQUEST {
+        return None;
+    }
+    let id = decode::read_int(&mut rest).ok()?;
+    Some((id, rest))
+}
+
+fn message(complete: &[u8]) -> Result<Message, ProtocolError> {
+    match head(complete) {
+        Some((id, rest)) => Ok(request(id, rest).unwrap_or_else(|error| Message::Invalid(id, error))),
+        None => notification(complete).map_err(|error| ProtocolError { error, request_id: None }),
+    }
+}
+
+fn notification(complete: &[u8]) -> Result<Message, RequestError> {
+    let mut rest = complete;
+    if kind(&mut rest).ok_or(RequestError::NotAMessage)? != NOTIFICATION {
+        return Err(RequestError::UnknownMessageKind);
+    }
+    if text(&mut rest) != Ok("abort") {
+        return Ok(Message::Ignored);
+    }
+    let count = decode::read_array_len(&mut rest).map_err(|_| RequestError::CancelWithoutIds)?;
+    let ids = (0..count).map(|_| decode::read_int(&mut rest).map_err(|_| RequestError::CancelOfNoId));
+    ids.collect::<Result<_, _>>().map(Message::Cancel)
+}
+
+fn request(id: u32, mut rest: &[u8]) -> Result<Message, RequestError> {
+    let method = text(&mut rest)?;
+    if method == "ping" {
+        return Ok(Message::Ping(id));
+    }
+    if !matches!(decode::read_array_len(&mut rest), Ok(2)) {
+        return Err(RequestError::BadParameters);
+    }
+    let mut call = Call {
+        name: "".into(),
+        class: method.into(),
+        timeout: 0.0,
+        idempotency_key: None,
+        object: ObjectId { text: "".into(), number: 0 },
+        part: None,
+        group: 0,
+        size_kb: None,
+        cached_tag: None,
+        is_retry: false,
+        body: Bytes::new(),
+    };
+    let fields = decode::read_map_len(&mut rest).map_err(|_| RequestError::FieldsNotAMap)?;
+    for _ in 0..fields {
+        field(&mut call, &mut rest)?;
+    }
+    if call.name.is_empty() || call.object.text.is_empty() || call.timeout <= 0.0 {
+        return Err(RequestError::FieldMissing);
+    }
+    call.body = body(rest)?;
+    Ok(Message::Call(id, Box::new(call)))
+}
+
+/// Reads one field into the request. The names are the protocol's; what is not known is skipped.
+fn field(call: &mut Call, rest: &mut &[u8]) -> Result<(), RequestError> {
+    let Ok(name) = text(rest) else {
+        skip_value(rest)?;
+        return skip_value(rest);
+    };
+    match name {
+        "ref" => call.name = object_id(text(rest)?, "ref")?.text,
+        "lookup" => call.object = object_id(text(rest)?, "lookup")?,
+        "allow" => call.timeout = number(text(rest)?, "allow")?,
+        "room" => call.size_kb = Some(number(text(rest)?, "room")?).filter(|kb| *kb > 0.0),
+        "seg" => call.part = Some(integer(text(rest)?, "seg")?),
+        "bucket" => {
+            let group = integer(text(rest)?, "bucket")?;
+            call.group =
+                Some(group).filter(|group| *group < limits::GROUPS).ok_or(RequestError::Field("bucket"))?;
+        }
+        "dup" => {
+            if text(rest)? != "1" {
+                return Err(RequestError::Field("dup"));
+            }
+            call.is_retry = true;
+        }
+        "replay" => call.idempotency_key = Some(token(text(rest)?, "replay")?),
+        "etag" => call.cached_tag = Some(token(text(rest)?, "etag")?),
+        _ => skip_value(rest)?,
+    }
+    Ok(())
+}
+
+fn body(mut rest: &[u8]) -> Result<Bytes, RequestError> {
+    let length = decode::read_bin_len(&mut rest).map_err(|_| RequestError::BodyNotBinary)? as usize;
+    if length > limits::CLIENT_BODY {
+        return Err(RequestError::BodyTooLarge);
+    }
+    // A slice would keep the buffer alive that it came in, many times what is counted for it.
+    let body = rest.get(..length).ok_or(RequestError::BodyCutShort)?;
+    Ok(Bytes::copy_from_slice(body))
+}
+
+/// A name of 16 lower-case hex digits.
+pub(in crate::protocol) fn object_id(text: &str, field: &'static str) -> Result<ObjectId, RequestError> {
+    let is_digit = |byte: u8| matches!(byte, b'0'..=b'9' | b'a'..=b'f');
+    if text.len() != NAME_DIGITS || !text.bytes().all(is_digit) {
+        return Err(RequestError::Field(field));
+    }
+    let number = u64::from_str_radix(text, 16).map_err(|_| RequestError::Field(field))?;
+    Ok(ObjectId { text: text.into(), number })
+}
+
+/// A number in the protocol's form: digits, perhaps a point and digits. What else could be read as a number, as a sign,
+/// an exponent or a word, would be passed on to members in another form than it came in.
+fn number(text: &str, field: &'static str) -> Result<f64, RequestError> {
+    let is_digits = |part: &str| !part.is_empty() && part.bytes().all(|byte| byte.is_ascii_digit());
+    let (integer, fraction) = text.split_once('.').unwrap_or((text, "0"));
+    let is_plain = text.len() <= limits::DIGITS && is_digits(integer) && is_digits(fraction);
+    text.parse().ok().filter(|_| is_plain).ok_or(RequestError::Field(field))
+}
+
+/// A whole number; one with leading zeros would be passed on in another form than it came in.
+fn integer(text: &str, field: &'static str) -> Result<u32, RequestError> {
+    let is_digits = text.bytes().all(|byte| byte.is_ascii_digit());
+    let is_plain = is_digits && (text.len() == 1 || !text.starts_with('0'));
+    text.parse().ok().filter(|_| is_plain).ok_or(RequestError::Field(field))
+}
+
+/// A text that can stand in the members' lists of fields.
+pub(in crate::protocol) fn token(text: &str, field: &'static str) -> Result<Box<str>, RequestError> {
+    let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.:/".contains(&byte);
+    let fits = !text.is_empty() && text.len() <= limits::FIELD && text.bytes().all(is_plain);
+    if fits { Ok(text.into()) } else { Err(RequestError::Field(field)) }
+}
--- /dev/null
+++ b/crates/deckproxy/src/protocol/downstream/message.rs
@@ -0,0 +1,70 @@
+//! Messages between clients and the gateway.
+
+use crate::protocol::downstream::error::RequestError;
+use bytes::Bytes;
+
+/// The name of an object.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ObjectId {
+    /// As it came and is passed on: 16 hex digits.
+    pub text: Box<str>,
+    /// The number that the digits stand for.
+    pub number: u64,
+}
+
+/// A client's request.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Call {
+    /// The client's name for it, 16 hex digits; passed on to members.
+    pub name: Box<str>,
+    /// The name of its class.
+    pub class: Box<str>,
+    /// How long the client waits for the answer, ms.
+    pub timeout: f64,
+    /// The idempotency key, where the class has one.
+    pub idempotency_key: Option<Box<str>>,
+    /// The object.
+    pub object: ObjectId,
+    /// The part of the object, if named.
+    pub part: Option<u32>,
+    /// The object's group.
+    pub group: u32,
+    /// The part's size in KB, if named.
+    pub size_kb: Option<f64>,
+    /// The tag of the copy that the client has cached.
+    pub cached_tag: Option<Box<str>>,
+    /// The client marks it as a retry.
+    pub is_retry: bool,
+    /// The body.
+    pub body: Bytes,
+}
+
+/// A message from a client.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Message {
+    /// A request, under the client's id.
+    Call(u32, Box<Call>),
+    /// The question whether the gateway is ready.
+    Ping(u32),
+    /// Requests that the client cancels.
+    Cancel(Vec<u32>),
+    /// An invalid request, and what is wrong with it.
+    Invalid(u32, RequestError),
+    /// A notification without meaning here.
+    Ignored,
+}
+
+/// A final answer.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Answer {
+    /// Served, with the body.
+    Served(Bytes),
+    /// The client's cached copy is current.
+    NotModified,
+    /// Rejected, with the time after which to retry in ms; below 1: none is named.
+    Rejected(f64),
+    /// Failed.
+    Failed,
+    /// The request was invalid.
+    Invalid(RequestError),
+}
--- a/crates/deckproxy/src/protocol/feed.rs
+++ b/crates/deckproxy/src/protocol/feed.rs
@@ -1,8 +1,11 @@
-//! The control feed: one JSON object a line, and each second a line that holds the last number alone.
+//! The control feed: one JSON object a line, and each second a line that holds the last event's number alone.
 
 use crate::protocol::limits;
 use bytes::{Bytes, BytesMut};
 use serde_json::Value;
+use std::fmt;
+use std::net::SocketAddr;
+use std::num::ParseIntError;
 
 /// A member's state as the feed names it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -15,13 +18,13 @@
     Gone,
 }
 
-/// One line of the list of members.
+/// One entry of the list of members.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct MemberEntry {
     /// Its id.
     pub id: Box<str>,
     /// Where it listens.
-    pub address: Option<std::net::SocketAddr>,
+    pub address: Option<SocketAddr>,
     /// The name of its zone.
     pub zone: Box<str>,
     /// The name of its kind.
@@ -30,44 +33,118 @@
     pub cell: u32,
     /// Its state.
     pub phase: Phase,
-    /// Its size.
+    /// Its size; 1 where none is given.
     pub size: f64,
-    /// The Unix millisecond of a late start.
+    /// When its process started, Unix ms, if lately.
     pub started: Option<f64>,
 }
 
-/// What an event tells.
+/// An event of the feed.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
-    /// The list of members, whole or what has changed; and how many entries could not be read.
+pub enum FeedEvent {
+    /// The list of members, complete or what has changed.
     Members {
-        /// It is the whole list.
-        whole: bool,
+        /// It is the complete list.
+        complete: bool,
         /// The entries.
-        entries: Vec<Entry>,
-        /// Entries that could not be read.
-        dropped: usize,
+        entries: Vec<MemberEntry>,
+        /// How many entries could not be read.
+        unreadable: usize,
     },
     /// A purge of one object.
-    PurgeObject(u64, f64),
-    /// A purge of a whole group.
-    PurgeGroup(u32, f64),
-    /// Something this version does not know.
+    PurgeObject {
+        /// The object's number.
+        object: u64,
+        /// When it was purged, Unix ms.
+        at: f64,
+    },
+    /// A purge of a whole group of objects.
+    PurgeGroup {
+        /// The group.
+        group: u32,
+        /// When it was purged, Unix ms.
+        at: f64,
+    },
+    /// An event that this version does not know.
     Unknown,
-    /// It can't be read; only its number counts.
-    Unreadable(String),
+    /// An event that can't be read; only its number counts.
+    Unreadable(EventError),
+}
+
+/// An event with its number; numbers count up by one.
+#[derive(Clone, Debug, PartialEq)]
+pub struct NumberedEvent {
+    /// Its number.
+    pub number: u64,
+    /// The event.
+    pub event: FeedEvent,
+}
+
+/// The events that a gateway knows at its start.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct KnownEvents {
+    /// The number of the last event.
+    pub last: u64,
+    /// The events, in order.
+    pub events: Vec<NumberedEvent>,
 }
 
 /// A line.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Line {
-    /// An event and its number.
-    Event(u64, News),
+pub enum FeedLine {
+    /// An event.
+    Event(NumberedEvent),
     /// The number of the last event.
     Last(u64),
+    /// A line that can't be read.
+    Unreadable(EventError),
+}
+
+/// Why a line or an event can't be read.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum EventError {
+    /// The line is not JSON; what the parser says.
+    NotJson(String),
+    /// An event has no number.
+    NumberMissing,
+    /// A list has no members.
+    MembersMissing,
+    /// A purge has no time.
+    PurgeTimeMissing,
+    /// A purge's key is not a hex number.
+    PurgeKey(ParseIntError),
+    /// A purge names neither an object nor a group.
+    PurgeOfNothing,
+}
+
+impl fmt::Display for EventError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            EventError::NotJson(what) => f.write_str(what),
+            EventError::NumberMissing => f.write_str("an event without its number"),
+            EventError::MembersMissing => f.write_str("a list without its members"),
+            EventError::PurgeTimeMissing => f.write_str("a purge without its time"),
+            EventError::PurgeKey(what) => what.fmt(f),
+            EventError::PurgeOfNothing => f.write_str("a purge of nothing"),
+        }
+    }
+}
+
+impl std::error::Error for EventError {}
+
+/// A line has no end within the limit: nothing that follows can be decoded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LineTooLong;
+
+impl fmt::Display for LineTooLong {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str("a line over the limit")
+    }
 }
 
-/// Encodes the subscription from the event after a number.
+impl std::error::Error for LineTooLong {}
+
+/// Encodes the subscription to the events after that number.
 pub fn subscribe(last: u64) -> Bytes {
     format!("SUB {last}\n").into()
 }
@@ -75,76 +152,95 @@
 /// Finds the lines in a stream of bytes.
 #[derive(Debug, Default)]
 pub struct Decoder {
+    /// How far the next line was searched for its end.
     searched: usize,
 }
 
 impl Decoder {
-    /// Takes the next line off the buffer; `Some(Err)` is a line that can't be read, `Err` a line without end.
-    #[allow(clippy::type_complexity)]
-    pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<Result<Line, String>>, &'static str> {
-        let Some(end) = buffer[self.searched..].iter().position(|b| *b == b'\n') else {
+    /// Takes the next line off the buffer, if it is complete.
+    ///
+    /// # Errors
+    /// The line is longer than [`limits::FEED_LINE`].
+    pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<FeedLine>, LineTooLong> {
+        let Some(end) = buffer[self.searched..].iter().position(|byte| *byte == b'\n') else {
             self.searched = buffer.len();
-            return if buffer.len() > limits::FEED_LINE { Err("a line over the limit") } else { Ok(None) };
+            return if buffer.len() > limits::FEED_LINE { Err(LineTooLong) } else { Ok(None) };
         };
         let line = buffer.split_to(self.searched + end + 1);
         self.searched = 0;
-        Ok(Some(self::line(&line)))
+        Ok(Some(decode_line(&line).unwrap_or_else(FeedLine::Unreadable)))
     }
 }
 
-fn line(bytes: &[u8]) -> Result<Line, String> {
-    let value: Value = serde_json::from_slice(bytes).map_err(|e| e.to_string())?;
+fn decode_line(bytes: &[u8]) -> Result<FeedLine, EventError> {
+    let value: Value =
+        serde_json::from_slice(bytes).map_err(|error| EventError::NotJson(error.to_string()))?;
     match value.as_u64() {
-        Some(last) => Ok(Line::Last(last)),
-        None => event(&value).map(|(n, news)| Line::Event(n, news)),
+        Some(last) => Ok(FeedLine::Last(last)),
+        None => decode_event(&value).map(FeedLine::Event),
     }
 }
 
-/// Reads one event; only one without a number is an error.
-pub fn event(value: &Value) -> Result<(u64, News), String> {
-    let number = value["n"].as_u64().ok_or("an event without its number")?;
-    Ok((number, news(value).unwrap_or_else(News::Unreadable)))
+/// Decodes one event.
+///
+/// # Errors
+/// The event has no number; one that can't be read otherwise is [`FeedEvent::Unreadable`].
+pub fn decode_event(value: &Value) -> Result<NumberedEvent, EventError> {
+    let number = value["n"].as_u64().ok_or(EventError::NumberMissing)?;
+    Ok(NumberedEvent { number, event: event(value).unwrap_or_else(FeedEvent::Unreadable) })
 }
 
-fn news(value: &Value) -> Result<News, String> {
-    Ok(if let Some(list) = value.get("members") {
-        let entries = list["members"].as_array().ok_or("a list without its members")?;
-        let read: Vec<Entry> = entries.iter().filter_map(entry).collect();
-        let whole = list["complete"].as_bool().unwrap_or(false);
-        News::Members { whole, dropped: entries.len() - read.len(), entries: read }
+fn event(value: &Value) -> Result<FeedEvent, EventError> {
+    if let Some(list) = value.get("members") {
+        member_list(list)
     } else if let Some(purge) = value.get("purge") {
-        let at = purge["at"].as_f64().ok_or("a purge without its time")?;
-        let key = purge["key"].as_str().map(|key| u64::from_str_radix(key, 16).map_err(|e| e.to_string()));
-        match (key.transpose()?, purge["group"].as_u64().and_then(|g| u32::try_from(g).ok())) {
-            (Some(key), _) => News::PurgeObject(key, at),
-            (None, Some(group)) => News::PurgeGroup(group, at),
-            (None, None) => return Err("a purge of nothing".to_string()),
-        }
+        purge_event(purge)
     } else {
-        News::Unknown
-    })
+        Ok(FeedEvent::Unknown)
+    }
 }
 
-fn entry(value: &Value) -> Option<Entry> {
+fn member_list(list: &Value) -> Result<FeedEvent, EventError> {
+    let all = list["members"].as_array().ok_or(EventError::MembersMissing)?;
+    let entries: Vec<MemberEntry> = all.iter().filter_map(member_entry).collect();
+    let complete = list["complete"].as_bool().unwrap_or(false);
+    Ok(FeedEvent::Members { complete, unreadable: all.len() - entries.len(), entries })
+}
+
+fn purge_event(purge: &Value) -> Result<FeedEvent, EventError> {
+    let at = purge["at"].as_f64().ok_or(EventError::PurgeTimeMissing)?;
+    if let Some(key) = purge["key"].as_str() {
+        let object = u64::from_str_radix(key, 16).map_err(EventError::PurgeKey)?;
+        return Ok(FeedEvent::PurgeObject { object, at });
+    }
+    let group = purge["group"].as_u64().and_then(|group| u32::try_from(group).ok());
+    group.map(|group| FeedEvent::PurgeGroup { group, at }).ok_or(EventError::PurgeOfNothing)
+}
+
+fn member_entry(value: &Value) -> Option<MemberEntry> {
     let text = |name: &str| value[name].as_str().unwrap_or_default();
     let id = text("id");
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b"-_.:".contains(&b);
-    if id.is_empty() || id.len() > limits::FIELD || !id.bytes().all(plain) {
+    let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.:".contains(&byte);
+    if id.is_empty() || id.len() > limits::FIELD || !id.bytes().all(is_plain) {
         return None;
     }
-    Some(Entry {
+    Some(MemberEntry {
         id: id.into(),
         address: text("host_port").parse().ok(),
         zone: text("locality").into(),
         kind: text("flavor").into(),
-        cell: value["cell"].as_u64().and_then(|n| u32::try_from(n).ok()).unwrap_or(0),
-        phase: match text("phase") {
-            "Ready" => Phase::Ready,
-            "Terminating" => Phase::Terminating,
-            "Gone" => Phase::Gone,
-            _ => return None,
-        },
-        size: value["size"].as_f64().filter(|s| s.is_finite() && *s > 0.0).unwrap_or(1.0),
-        started: value["up_since_ms"].as_f64().filter(|t| *t > 0.0),
+        cell: value["cell"].as_u64().and_then(|cell| u32::try_from(cell).ok()).unwrap_or(0),
+        phase: phase(text("phase"))?,
+        size: value["size"].as_f64().filter(|size| size.is_finite() && *size > 0.0).unwrap_or(1.0),
+        started: value["up_since_ms"].as_f64().filter(|at| *at > 0.0),
     })
 }
+
+fn phase(name: &str) -> Option<Phase> {
+    match name {
+        "Ready" => Some(Phase::Ready),
+        "Terminating" => Some(Phase::Terminating),
+        "Gone" => Some(Phase::Gone),
+        _ => None,
+    }
+}
--- a/crates/deckproxy/src/protocol/link.rs
+++ b/crates/deckproxy/src/protocol/link.rs
@@ -1,46 +1,73 @@
 //! Links between gateways: a length of four bytes, then a protobuf frame of `deckproxy_sites::frame`.
 
-use crate::protocol::downstream::{self, Call};
+use crate::protocol::downstream::{self, Call, RequestError};
 use crate::protocol::limits;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use deckproxy_sites::frame::{Ask, Frame};
 use prost::Message;
+use std::fmt;
 
 /// Bytes of a frame's length.
 const LENGTH: usize = 4;
 
+/// What is wrong with a frame: nothing that follows on its connection can be decoded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum FrameError {
+    /// Its length is over the limit.
+    TooLong,
+    /// It is not a protobuf frame.
+    Unreadable,
+}
+
+impl fmt::Display for FrameError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            FrameError::TooLong => "a frame over the limit",
+            FrameError::Unreadable => "a frame that can't be read",
+        })
+    }
+}
+
+impl std::error::Error for FrameError {}
+
 /// Finds the frames in a stream of bytes.
 #[derive(Debug, Default)]
 pub struct Decoder;
 
+/// The length of the frame that starts here, if that much has come.
+fn frame_length(bytes: &[u8]) -> Option<usize> {
+    let length = bytes.first_chunk::<LENGTH>()?;
+    Some(u32::from_be_bytes(*length) as usize)
+}
+
 impl Decoder {
-    /// Takes the next frame off the buffer, if it is there whole. Its length is looked at before room is made for it.
-    pub fn next(&self, buffer: &mut BytesMut) -> Result<Option<Frame>, &'static str> {
-        let Some(length) = buffer.get(..LENGTH) else { return Ok(None) };
-        let length = u32::from_be_bytes([length[0], length[1], length[2], length[3]]) as usize;
+    /// Takes the next frame off the buffer, if it is complete. Its length is checked before anything is reserved for it.
+    ///
+    /// # Errors
+    /// What comes can't be decoded: it, and all that follows, is of no use.
+    pub fn next(&self, buffer: &mut BytesMut) -> Result<Option<Frame>, FrameError> {
+        let Some(length) = frame_length(buffer) else { return Ok(None) };
         if length > limits::LINK_FRAME {
-            return Err("a frame over the limit");
+            return Err(FrameError::TooLong);
         }
         if buffer.len() < LENGTH + length {
             return Ok(None);
         }
         buffer.advance(LENGTH);
-        let frame =
-            Frame::decode(buffer.split_to(length).freeze()).map_err(|_| "a frame that can't be read")?;
-        // A later version may say what is not known here; it counts as nothing said.
-        Ok(Some(frame))
+        let frame = buffer.split_to(length).freeze();
+        // What a later version says and is not known here is dropped by the decoder.
+        Frame::decode(frame).map(Some).map_err(|_| FrameError::Unreadable)
     }
 
     /// Bytes that are missing at least.
     pub fn lacks(&self, buffer: &[u8]) -> usize {
-        let length =
-            buffer.get(..LENGTH).map_or(0, |l| u32::from_be_bytes([l[0], l[1], l[2], l[3]]) as usize);
+        let length = frame_length(buffer).unwrap_or(0);
         (LENGTH + length.min(limits::LINK_FRAME)).saturating_sub(buffer.len())
     }
 }
 
 /// Encodes a frame.
-pub fn frame(frame: &Frame) -> Bytes {
+pub fn encode_frame(frame: &Frame) -> Bytes {
     let length = frame.encoded_len();
     let mut bytes = BytesMut::with_capacity(LENGTH + length);
     bytes.put_u32(length as u32);
@@ -49,54 +76,57 @@
     bytes.freeze()
 }
 
-/// A client's request as it crosses; number and time left are filled in when it is sent.
-pub fn ask(call: &Call, path: Vec<String>) -> Ask {
+/// A client's request as it is forwarded to another site; its number and remaining time are set when it is sent.
+pub fn ask_from_call(call: &Call, path: Vec<String>) -> Ask {
     Ask {
         number: 0,
         name: call.name.to_string(),
         class: call.class.to_string(),
-        allow: call.allow,
-        key: call.key.as_deref().map(str::to_string),
-        object: call.object.0.to_string(),
+        allow: call.timeout,
+        key: call.idempotency_key.as_deref().map(str::to_string),
+        object: call.object.text.to_string(),
         part: call.part,
         group: call.group,
-        size: call.size,
-        have: call.have.as_deref().map(str::to_string),
+        size: call.size_kb,
+        have: call.cached_tag.as_deref().map(str::to_string),
         path,
-        // What is kept for a repeat must not keep the whole buffer alive that it came in.
         body: call.body.clone(),
     }
 }
 
-/// A request that came over a link, held to the same rules as a client's.
-pub fn call(ask: Ask) -> Result<Call, &'static str> {
-    let key = ask.key.as_deref().map(|key| downstream::word(key, "key")).transpose()?;
-    let have = ask.have.as_deref().map(|have| downstream::word(have, "have")).transpose()?;
+/// A request that another site forwarded, held to the same rules as a client's.
+///
+/// # Errors
+/// A field is not allowed; fields are named as in the frame.
+pub fn call_from_ask(ask: Ask) -> Result<Call, RequestError> {
+    let idempotency_key = ask.key.as_deref().map(|key| downstream::token(key, "key")).transpose()?;
+    let cached_tag = ask.have.as_deref().map(|tag| downstream::token(tag, "have")).transpose()?;
     if ask.class.len() > limits::FIELD {
-        return Err("class");
+        return Err(RequestError::Field("class"));
     }
     if ask.group >= limits::GROUPS {
-        return Err("group");
+        return Err(RequestError::Field("group"));
     }
     if ask.body.len() > limits::CLIENT_BODY {
-        return Err("the body is over the limit");
+        return Err(RequestError::BodyTooLarge);
     }
-    let size = ask.size.filter(|kb| *kb > 0.0);
-    if size.is_some_and(|kb| !kb.is_finite()) || !ask.allow.is_finite() || ask.allow <= 0.0 {
-        return Err("size or allow is out of range");
+    let size_kb = ask.size.filter(|kb| *kb > 0.0);
+    if size_kb.is_some_and(|kb| !kb.is_finite()) || !ask.allow.is_finite() || ask.allow <= 0.0 {
+        return Err(RequestError::SizeOrTimeoutOutOfRange);
     }
     Ok(Call {
-        name: downstream::hex(&ask.name, "name")?.0,
+        name: downstream::object_id(&ask.name, "name")?.text,
         class: ask.class.into(),
-        allow: ask.allow,
-        key,
-        object: downstream::hex(&ask.object, "object")?,
+        timeout: ask.allow,
+        idempotency_key,
+        object: downstream::object_id(&ask.object, "object")?,
         part: ask.part,
         group: ask.group,
-        size,
-        have,
-        // It is counted where the client asked.
-        again: false,
+        size_kb,
+        cached_tag,
+        // Retries are counted at the site that the client asked.
+        is_retry: false,
+        // A slice would keep the frame alive that it came in.
         body: Bytes::copy_from_slice(&ask.body),
     })
 }
--- a/crates/deckproxy/src/protocol/mod.rs
+++ b/crates/deckproxy/src/protocol/mod.rs
@@ -1,4 +1,5 @@
-//! Decoders and encoders of all that is spoken on the sockets, without I/O. Names as the wire has them stay here.
+//! Decoders and encoders of all protocols on the sockets, without I/O. The names on the wire end here: they are mapped to
+//! the terms of the code where they are parsed.
 
 pub mod config;
 pub mod downstream;
--- a/crates/deckproxy/src/protocol/shape.rs
+++ b/crates/deckproxy/src/protocol/shape.rs
@@ -72,7 +72,7 @@
     };
     if faults.is_empty() && !partial {
         // What only the whole tells: a feed's event without its number, and the like.
-        faults.extend(config::read(text.as_bytes()).err().map(|what| (0, what)));
+        faults.extend(config::read(text.as_bytes()).err().map(|error| (0, error.to_string())));
     }
     faults.sort();
     if faults.is_empty() {
--- /dev/null
+++ b/crates/deckproxy/src/protocol/upstream/decode.rs
@@ -0,0 +1,216 @@
+//! Decoding of members' answers.
+//!
+//! The decoder is this project's own: it keeps its position in a message, checks each length before anything is
+//! reserved for it, and gives bodies as slices of what was read.
+
+use crate::protocol::limits;
+use crate::protocol::upstream::message::{CopyInfo, Reply, Status};
+use bytes::{Bytes, BytesMut};
+use std::fmt;
+use std::ops::Range;
+
+/// What is wrong with a member's answer: nothing that follows on its connection can be decoded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReplyError {
+    /// A string does not end where its length says.
+    UnterminatedString,
+    /// A line that should be a length is not one.
+    NoLength,
+    /// A string is longer than the limit.
+    StringTooLong,
+    /// The value is not an answer.
+    NotAReply,
+    /// A field is not UTF-8.
+    NotAText,
+    /// The status is not known.
+    UnknownStatus,
+    /// A served answer has no body.
+    BodyMissing,
+}
+
+impl fmt::Display for ReplyError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            ReplyError::UnterminatedString => "a string without its end",
+            ReplyError::NoLength => "no length",
+            ReplyError::StringTooLong => "a string over the limit",
+            ReplyError::NotAReply => "not an answer",
+            ReplyError::NotAText => "not a text",
+            ReplyError::UnknownStatus => "an unknown word",
+            ReplyError::BodyMissing => "an answer without its body",
+        })
+    }
+}
+
+impl std::error::Error for ReplyError {}
+
+/// Digits in a length, with some to spare.
+const LENGTH_DIGITS: usize = 16;
+/// What ends a line and a string.
+const LINE_END: &[u8; 2] = b"\r\n";
+
+/// Position of an answer's request name or health check tag.
+const ID: usize = 0;
+/// Position of its status.
+const STATUS: usize = 1;
+/// Position of its fields.
+const FIELDS: usize = 2;
+/// Position of its body.
+const BODY: usize = 3;
+
+/// Finds the answers in a stream of bytes.
+#[derive(Debug, Default)]
+pub struct Decoder {
+    /// Where the next line or string starts.
+    position: usize,
+    /// How far that line was searched for its end.
+    searched: usize,
+    /// Strings still to come; 0 between messages.
+    strings_left: usize,
+    /// Length of the string that starts at `position`, once its line was read.
+    length: Option<usize>,
+    /// The strings of the present message.
+    strings: Vec<Range<usize>>,
+}
+
+impl Decoder {
+    /// Takes the next answer off the buffer, if it is complete.
+    ///
+    /// # Errors
+    /// What comes can't be decoded: it, and all that follows, is of no use.
+    pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<Reply>, ReplyError> {
+        loop {
+            if let Some(length) = self.length {
+                if !self.take_string(buffer, length)? {
+                    return Ok(None);
+                }
+                if self.strings_left == 0 {
+                    let complete = buffer.split_to(self.position).freeze();
+                    let strings = std::mem::take(self).strings;
+                    return reply(&complete, &strings).map(Some);
+                }
+            } else if !self.take_line(buffer)? {
+                return Ok(None);
+            }
+        }
+    }
+
+    /// Takes the string of that length, if it is complete.
+    fn take_string(&mut self, buffer: &[u8], length: usize) -> Result<bool, ReplyError> {
+        let end = self.position + length;
+        let after = end + LINE_END.len();
+        if buffer.len() < after {
+            return Ok(false);
+        }
+        if &buffer[end..after] != LINE_END {
+            return Err(ReplyError::UnterminatedString);
+        }
+        self.strings.push(self.position..end);
+        (self.position, self.searched, self.length) = (after, after, None);
+        self.strings_left -= 1;
+        Ok(true)
+    }
+
+    /// Takes the line of a length, if it is complete.
+    fn take_line(&mut self, buffer: &[u8]) -> Result<bool, ReplyError> {
+        let from = self.searched.max(self.position);
+        let Some(offset) = buffer[from..].windows(LINE_END.len()).position(|pair| pair == LINE_END) else {
+            // The last byte may be half of a line's end.
+            self.searched = buffer.len().saturating_sub(1).max(self.position);
+            let too_long = buffer.len() - self.position > LENGTH_DIGITS;
+            return if too_long { Err(ReplyError::NoLength) } else { Ok(false) };
+        };
+        let end = from + offset;
+        let line = &buffer[self.position..end];
+        let number = length_in(line).ok_or(ReplyError::NoLength)?;
+        (self.position, self.searched) = (end + LINE_END.len(), end + LINE_END.len());
+        match (self.strings_left, line.first()) {
+            (0, Some(b'*')) if (2..=limits::MEMBER_STRINGS).contains(&number) => self.strings_left = number,
+            (1.., Some(b'$')) => {
+                let limit = if self.strings.len() == BODY { limits::OBJECT } else { limits::MEMBER_TEXT };
+                if number > limit {
+                    return Err(ReplyError::StringTooLong);
+                }
+                self.length = Some(number);
+            }
+            _ => return Err(ReplyError::NotAReply),
+        }
+        Ok(true)
+    }
+
+    /// Bytes that are missing at least, where so many have come.
+    pub fn lacks(&self, have: usize) -> usize {
+        self.length.map_or(0, |length| (self.position + length + LINE_END.len()).saturating_sub(have))
+    }
+}
+
+/// The length in a line, behind its first byte.
+fn length_in(line: &[u8]) -> Option<usize> {
+    let digits = std::str::from_utf8(line.get(1..)?).ok()?;
+    let is_plain = digits.bytes().all(|byte| byte.is_ascii_digit()) && digits.len() < LENGTH_DIGITS;
+    digits.parse().ok().filter(|_| is_plain)
+}
+
+fn reply(complete: &Bytes, strings: &[Range<usize>]) -> Result<Reply, ReplyError> {
+    let text = |position: usize| match strings.get(position) {
+        Some(range) => std::str::from_utf8(&complete[range.clone()]).map_err(|_| ReplyError::NotAText),
+        None => Ok(""),
+    };
+    let id = text(ID)?;
+    let status = status(text(STATUS)?)?;
+    if status == Status::Ok && strings.len() <= BODY {
+        return Err(ReplyError::BodyMissing);
+    }
+    let fields = text(FIELDS)?;
+    let served = matches!(status, Status::Ok | Status::NotModified);
+    Ok(Reply {
+        id: id.into(),
+        status,
+        load_report: load_report(fields),
+        copy: if served { copy_info(fields) } else { None },
+        body: body(complete, strings.get(BODY)),
+    })
+}
+
+fn status(word: &str) -> Result<Status, ReplyError> {
+    Ok(match word {
+        "200" => Status::Ok,
+        "304" => Status::NotModified,
+        "404" => Status::Miss,
+        "503" => Status::Rejected,
+        "500" => Status::Error,
+        "504" => Status::Expired,
+        "alive" => Status::Health(true),
+        "dead" => Status::Health(false),
+        _ => return Err(ReplyError::UnknownStatus),
+    })
+}
+
+fn body(complete: &Bytes, range: Option<&Range<usize>>) -> Bytes {
+    let Some(range) = range else { return Bytes::new() };
+    if range.len() < limits::SMALL_BODY {
+        // A slice would keep the buffer alive that it came in, many times its size.
+        return Bytes::copy_from_slice(&complete[range.clone()]);
+    }
+    complete.slice(range.clone())
+}
+
+/// Names and values of the load reports among the fields.
+fn load_report(fields: &str) -> Vec<(Box<str>, f64)> {
+    let fields = fields.split(',').filter_map(|field| field.split_once('='));
+    let reports = fields.filter(|(name, _)| *name == "rep");
+    let values = reports.flat_map(|(_, all)| all.split(';')).filter_map(|value| value.split_once(':'));
+    let number = |text: &str| text.parse::<f64>().ok().filter(|number| number.is_finite());
+    values.filter_map(|(name, value)| number(value).map(|value| (name.into(), value))).collect()
+}
+
+/// What the fields say of a copy, if they name its time or its tag.
+fn copy_info(fields: &str) -> Option<CopyInfo> {
+    let value_of = |wanted| {
+        let mut fields = fields.split(',').filter_map(|field| field.split_once('='));
+        fields.find(|(name, _)| *name == wanted).map(|(_, value)| value)
+    };
+    let issued = value_of("issued").and_then(|text| text.parse::<f64>().ok()).filter(|at| at.is_finite());
+    let tag = value_of("entity").unwrap_or("");
+    (issued.is_some() || !tag.is_empty()).then(|| CopyInfo { issued, tag: tag.into() })
+}
--- a/crates/deckproxy/src/routing/actions.rs
+++ b/crates/deckproxy/src/routing/actions.rs
@@ -2,7 +2,7 @@
 
 use crate::protocol::downstream::Answer;
 use crate::protocol::limits;
-use crate::protocol::upstream::Orders;
+use crate::protocol::upstream::AttemptOptions;
 use crate::routing::attempt_key::attempt_key;
 use crate::routing::deadline::Deadline;
 use crate::routing::effect::Effect;
@@ -30,24 +30,24 @@
     fn carry_out(&mut self, now: f64, action: Action) {
         match action {
             Action::Lookup { request, member, deadline } => {
-                self.send_attempt(now, request, member, deadline, Orders::default());
+                self.send_attempt(now, request, member, deadline, AttemptOptions::default());
             }
             Action::Get { request, member, deadline, source, copy_rank, max_age, options } => {
                 let source = self.members.name(source).filter(|_| source != member).map(Into::into);
-                let options = Orders {
+                let options = AttemptOptions {
                     source,
-                    keep: copy_rank,
-                    age: max_age,
+                    copy_rank,
+                    max_age,
                     join: options.join,
-                    held_only: options.cached_only,
+                    cached_only: options.cached_only,
                     no_parent_copy: options.no_parent_copy,
                     renew: options.renew,
-                    wait: 0.0,
+                    timeout: 0.0,
                 };
                 self.send_attempt(now, request, member, deadline, options);
             }
             Action::Reject { request, retry_after } => {
-                self.finish(request, Answer::Refused(retry_after).into());
+                self.finish(request, Answer::Rejected(retry_after).into());
             }
             Action::Fail { request } => self.finish(request, Answer::Failed.into()),
             Action::Cancel { request, attempt } => {
@@ -55,7 +55,7 @@
             }
             // Never at once: a timer that is always due would block the event loop.
             Action::Timer { token, at } => {
-                self.timers.schedule(at.max(now + limits::TICK), Deadline::Control(token));
+                self.timers.schedule(at.max(now + limits::MIN_TIMER_DELAY), Deadline::Control(token));
             }
             Action::HealthCheck(member) => self.health_check(now, member),
             Action::CloseIdle(member) => self.effects.push_back(Effect::CloseIdle(member)),
--- a/crates/deckproxy/src/routing/attempts.rs
+++ b/crates/deckproxy/src/routing/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts: sending them, and how they end.
 
 use crate::protocol::downstream::Answer;
-use crate::protocol::upstream::{Orders, Reply, Word};
+use crate::protocol::upstream::{AttemptOptions, Reply, Status};
 use crate::routing::attempt_key::{AttemptKey, attempt_key, request_of};
 use crate::routing::completion::FinalAnswer;
 use crate::routing::counters;
@@ -40,7 +40,7 @@
         request: RequestId,
         member: MemberId,
         until: f64,
-        options: Orders,
+        options: AttemptOptions,
     ) {
         let unfinished = self.requests.is_unfinished(request);
         self.check_invariant(unfinished, "no attempt for a request that has ended");
@@ -62,7 +62,7 @@
         let (client, call) = (open.client, Rc::clone(&open.call));
         let unsent_timeout = self.conf.limits.unsent.min(self.retry_window(now, open));
         self.timers.schedule(until, Deadline::Attempt(key));
-        let options = Orders { wait: until - now, ..options };
+        let options = AttemptOptions { timeout: until - now, ..options };
         let effect = Effect::SendAttempt { key, member, endpoint, client, call, options, unsent_timeout };
         self.effects.push_back(effect);
     }
@@ -78,23 +78,23 @@
 
     /// An attempt or a health check was answered.
     pub fn reply(&mut self, now: f64, key: AttemptKey, reply: Reply) {
-        let values = reply.report.iter().map(|(name, value)| (&**name, *value));
+        let values = reply.load_report.iter().map(|(name, value)| (&**name, *value));
         let load = deckproxy_settings::load(values);
         if let Some(member) = self.health_checks.remove(&key) {
-            return self.health_checked(now, member, reply.word == Word::Alive(true), load);
+            return self.health_checked(now, member, reply.status == Status::Health(true), load);
         }
         let copy = reply.copy;
         // That a copy is still current is believed only of the one that the client named.
-        let client_copy = self.requests.of_attempt(key).and_then(|open| open.call.have.as_ref());
+        let client_copy = self.requests.of_attempt(key).and_then(|open| open.call.cached_tag.as_ref());
         let named = client_copy.is_some() && client_copy == copy.as_ref().map(|copy| &copy.tag);
-        let (ending, answer) = match reply.word {
-            Word::Ok => (AttemptEnding::Served, Some(Answer::Served(reply.body))),
-            Word::Unchanged if named => (AttemptEnding::Served, Some(Answer::Unchanged)),
-            Word::Miss => (AttemptEnding::Miss, None),
-            Word::Full => (AttemptEnding::Rejected, None),
-            Word::Over => (AttemptEnding::NotSent, None),
+        let (ending, answer) = match reply.status {
+            Status::Ok => (AttemptEnding::Served, Some(Answer::Served(reply.body))),
+            Status::NotModified if named => (AttemptEnding::Served, Some(Answer::NotModified)),
+            Status::Miss => (AttemptEnding::Miss, None),
+            Status::Rejected => (AttemptEnding::Rejected, None),
+            Status::Expired => (AttemptEnding::NotSent, None),
             // A health check's status under an attempt's id, or a copy other than the client's, prove nothing.
-            Word::Error | Word::Alive(_) | Word::Unchanged => (AttemptEnding::Error, None),
+            Status::Error | Status::Health(_) | Status::NotModified => (AttemptEnding::Error, None),
         };
         let answer = answer.map(|answer| FinalAnswer { answer, copy });
         self.end_attempt(now, key, AttemptResult { ending, answer, load });
--- a/crates/deckproxy/src/routing/completion.rs
+++ b/crates/deckproxy/src/routing/completion.rs
@@ -1,7 +1,7 @@
 //! Final answers: each request gets one, and leaves the table once nothing of it is in flight.
 
 use crate::protocol::downstream::Answer;
-use crate::protocol::upstream::Copy;
+use crate::protocol::upstream::CopyInfo;
 use crate::routing::effect::Effect;
 use crate::routing::router::Router;
 use deckproxy_control::interface::RequestId;
@@ -11,7 +11,7 @@
     /// The answer.
     pub(super) answer: Answer,
     /// The copy, where the member named one.
-    pub(super) copy: Option<Copy>,
+    pub(super) copy: Option<CopyInfo>,
 }
 
 impl From<Answer> for FinalAnswer {
--- a/crates/deckproxy/src/routing/counters.rs
+++ b/crates/deckproxy/src/routing/counters.rs
@@ -34,9 +34,9 @@
     /// Counts a final answer.
     pub fn count(&mut self, answer: &Answer) {
         match answer {
-            Answer::Served(_) | Answer::Unchanged => self.served += 1,
-            Answer::Refused(_) => self.rejected += 1,
-            Answer::Failed | Answer::Unusable(_) => self.failed += 1,
+            Answer::Served(_) | Answer::NotModified => self.served += 1,
+            Answer::Rejected(_) => self.rejected += 1,
+            Answer::Failed | Answer::Invalid(_) => self.failed += 1,
         }
     }
 }
--- a/crates/deckproxy/src/routing/effect.rs
+++ b/crates/deckproxy/src/routing/effect.rs
@@ -1,7 +1,7 @@
 //! What the router asks its owner to do.
 
 use crate::protocol::downstream::{Answer, Call};
-use crate::protocol::upstream::{Copy, Orders};
+use crate::protocol::upstream::{AttemptOptions, CopyInfo};
 use crate::routing::attempt_key::AttemptKey;
 use crate::routing::members::Endpoint;
 use deckproxy_control::interface::MemberId;
@@ -35,7 +35,7 @@
         /// The request.
         call: Rc<Call>,
         /// Options of this attempt.
-        options: Orders,
+        options: AttemptOptions,
         /// Time after which it is cancelled if none of it is written, ms.
         unsent_timeout: f64,
     },
@@ -64,7 +64,7 @@
         /// The answer.
         answer: Answer,
         /// The copy that it was served from, where the member named one.
-        copy: Option<Copy>,
+        copy: Option<CopyInfo>,
     },
     /// The feed announced a purge, to be forwarded to other sites: of an object or, where there is none, of a group.
     Purged {
--- a/crates/deckproxy/src/routing/feed_events.rs
+++ b/crates/deckproxy/src/routing/feed_events.rs
@@ -1,6 +1,6 @@
 //! Events of the control feed: changes of the list of members, and purges.
 
-use crate::protocol::feed::{Entry, News};
+use crate::protocol::feed::{FeedEvent, MemberEntry, NumberedEvent};
 use crate::routing::effect::Effect;
 use crate::routing::router::Router;
 use deckproxy_control::interface::{Event, Lifecycle, ListKind, Member, MemberId};
@@ -8,7 +8,8 @@
 impl Router {
     /// The feed sent an event. One that came before is passed over. Returns whether it followed the last one; if some
     /// are missing it is not taken, unless `gaps` says that they can't be had.
-    pub fn feed_event(&mut self, now: f64, number: u64, event: News, gaps: bool) -> bool {
+    pub fn feed_event(&mut self, now: f64, numbered: NumberedEvent, gaps: bool) -> bool {
+        let NumberedEvent { number, event } = numbered;
         if number <= self.last_event {
             return true;
         }
@@ -21,24 +22,24 @@
     }
 
     /// Carries out an event; `complete_list` is how a complete list in it is to be read.
-    pub(super) fn take_feed_event(&mut self, now: f64, event: News, complete_list: ListKind) {
+    pub(super) fn take_feed_event(&mut self, now: f64, event: FeedEvent, complete_list: ListKind) {
         match event {
-            News::Members { whole: true, entries, dropped } => {
-                self.take_members(now, complete_list, &entries, dropped);
+            FeedEvent::Members { complete: true, entries, unreadable } => {
+                self.take_members(now, complete_list, &entries, unreadable);
             }
-            News::Members { whole: false, entries, dropped } => {
-                self.take_members(now, ListKind::Delta, &entries, dropped);
+            FeedEvent::Members { complete: false, entries, unreadable } => {
+                self.take_members(now, ListKind::Delta, &entries, unreadable);
             }
-            News::PurgeObject(object, at) => self.take_purge(now, Some(object), 0, at),
-            News::PurgeGroup(group, at) => self.take_purge(now, None, group, at),
-            News::Unknown => {}
-            News::Unreadable(why) => {
+            FeedEvent::PurgeObject { object, at } => self.take_purge(now, Some(object), 0, at),
+            FeedEvent::PurgeGroup { group, at } => self.take_purge(now, None, group, at),
+            FeedEvent::Unknown => {}
+            FeedEvent::Unreadable(why) => {
                 self.effects.push_back(Effect::Log(format!("an event of the feed can't be read: {why}")));
             }
         }
     }
 
-    fn take_members(&mut self, now: f64, kind: ListKind, entries: &[Entry], unreadable: usize) {
+    fn take_members(&mut self, now: f64, kind: ListKind, entries: &[MemberEntry], unreadable: usize) {
         let (zones, kinds) = (&self.conf.zones, &self.conf.kinds);
         let members: Vec<Member> =
             entries.iter().filter_map(|entry| self.members.take(entry, zones, kinds)).collect();
--- a/crates/deckproxy/src/routing/health_checks.rs
+++ b/crates/deckproxy/src/routing/health_checks.rs
@@ -19,7 +19,7 @@
         };
         self.counters.health_checks += 1;
         self.health_checks.insert(key, member);
-        self.timers.schedule(now + limits::PROBE, Deadline::HealthCheck(key));
+        self.timers.schedule(now + limits::HEALTH_CHECK_TIMEOUT, Deadline::HealthCheck(key));
         self.effects.push_back(Effect::SendHealthCheck { key, member, endpoint });
     }
 
--- a/crates/deckproxy/src/routing/intake.rs
+++ b/crates/deckproxy/src/routing/intake.rs
@@ -1,6 +1,6 @@
 //! Intake of requests: validation, limits, and the entry in the table.
 
-use crate::protocol::downstream::{Answer, Call};
+use crate::protocol::downstream::{Answer, Call, RequestError};
 use crate::protocol::limits;
 use crate::routing::deadline::Deadline;
 use crate::routing::effect::{ClientId, Effect};
@@ -12,22 +12,22 @@
 const SLACK_SHARE: f64 = 0.5;
 
 impl Router {
-    /// The class of a request, as its position in the settings; the error says why the request is invalid.
-    pub fn validate(&self, call: &Call) -> Result<usize, &'static str> {
-        let class = self.classes.get(&call.class).copied().ok_or("an unknown class")?;
+    /// The class of a request, as its position in the settings; the error says what is wrong with it.
+    pub fn validate(&self, call: &Call) -> Result<usize, RequestError> {
+        let class = self.classes.get(&call.class).copied().ok_or(RequestError::UnknownClass)?;
         let settings = &self.conf.settings;
         let rules = &settings.classes[class];
-        if call.key.is_some() != (rules.idempotency == Idempotency::Keyed) {
-            return Err("replay: in keyed classes and in no other");
+        if call.idempotency_key.is_some() != (rules.idempotency == Idempotency::Keyed) {
+            return Err(RequestError::IdempotencyKey);
         }
-        if call.allow > rules.deadline + limits::SOCKET_SLACK {
-            return Err("allow is over the class's longest time");
+        if call.timeout > rules.deadline + limits::SOCKET_SLACK {
+            return Err(RequestError::TimeoutOutOfRange);
         }
         // A size that takes so long would also be learned as the class's.
-        let paced_size = call.size.filter(|_| settings.transfer_rate > 0.0);
+        let paced_size = call.size_kb.filter(|_| settings.transfer_rate > 0.0);
         let sending_time = paced_size.map_or(0.0, |kb| kb / settings.transfer_rate * 1000.0);
-        if sending_time > rules.deadline * limits::LARGEST {
-            return Err("room is out of range");
+        if sending_time > rules.deadline * limits::TRANSFER_DEADLINES {
+            return Err(RequestError::SizeOutOfRange);
         }
         Ok(class)
     }
@@ -36,22 +36,22 @@
     pub fn request(&mut self, now: f64, client: ClientId, id: u32, call: Call) {
         let class = match self.validate(&call) {
             Ok(class) => class,
-            Err(why) => return self.answer_invalid(client, id, why),
+            Err(error) => return self.answer_invalid(client, id, error),
         };
         if self.requests.has_name(&call.name) {
             // Attempts go by this name on the members' connections: two of one name can't be told apart.
-            return self.answer_invalid(client, id, "ref is in use");
+            return self.answer_invalid(client, id, RequestError::NameInUse);
         }
         if self.requests.len() >= self.conf.limits.open {
             self.counters.rejected += 1;
-            return self.answer_unopened(client, id, Answer::Refused(0.0));
+            return self.answer_unopened(client, id, Answer::Rejected(0.0));
         }
         self.open(now, client, id, call, class);
     }
 
-    fn answer_invalid(&mut self, client: ClientId, id: u32, why: &'static str) {
+    fn answer_invalid(&mut self, client: ClientId, id: u32, error: RequestError) {
         self.counters.invalid += 1;
-        self.answer_unopened(client, id, Answer::Unusable(why));
+        self.answer_unopened(client, id, Answer::Invalid(error));
     }
 
     /// Answers a request that has no entry in the table.
@@ -65,13 +65,13 @@
         let free = self.requests.is_free(id, client, client_id);
         self.check_invariant(free, "a request's id is free");
         self.counters.accepted += 1;
-        let deadline = now + call.allow.min(self.conf.settings.classes[class].deadline);
+        let deadline = now + call.timeout.min(self.conf.settings.classes[class].deadline);
         let request = Request {
             id,
-            object: call.object.1,
+            object: call.object.number,
             part: call.part.unwrap_or(0),
             group: call.group,
-            size: call.size,
+            size: call.size_kb,
             class,
             deadline,
         };
--- a/crates/deckproxy/src/routing/members.rs
+++ b/crates/deckproxy/src/routing/members.rs
@@ -1,6 +1,6 @@
 //! The list of members as the feed sends it, and the numbers by which the decision module knows them.
 
-use crate::protocol::feed::{Entry, Phase};
+use crate::protocol::feed::{MemberEntry, Phase};
 use deckproxy_control::interface::{Lifecycle, Member, MemberId};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -66,7 +66,7 @@
 
 impl Members {
     /// Takes one entry of the list; none if its zone or kind is not in the settings.
-    pub fn take(&mut self, entry: &Entry, zones: &[String], kinds: &[String]) -> Option<Member> {
+    pub fn take(&mut self, entry: &MemberEntry, zones: &[String], kinds: &[String]) -> Option<Member> {
         let (zone, kind) = (position(zones, &entry.zone)?, position(kinds, &entry.kind)?);
         let id = self.id_of(&entry.id);
         let endpoint = entry.address.map(|address| Endpoint { address, started: entry.started });
--- a/crates/deckproxy/src/routing/router.rs
+++ b/crates/deckproxy/src/routing/router.rs
@@ -4,7 +4,7 @@
 //! module decides on, ends attempts and requests whose time is over, and checks invariants on the way. Its parts by
 //! concern are the other modules of this folder.
 
-use crate::protocol::feed::News;
+use crate::protocol::feed::{KnownEvents, NumberedEvent};
 use crate::routing::attempt_key::AttemptKey;
 use crate::routing::counters::Counters;
 use crate::routing::deadline::Deadline;
@@ -45,7 +45,7 @@
 
 impl Router {
     /// A router that has just started and knows the feed's events so far.
-    pub fn new(now: f64, conf: Conf, seed: u64, known: (u64, Vec<(u64, News)>)) -> Self {
+    pub fn new(now: f64, conf: Conf, seed: u64, known: KnownEvents) -> Self {
         let classes = conf.classes.iter().enumerate().map(|(i, name)| (name.as_str().into(), i)).collect();
         let mut router = Router {
             control: Control::new(conf.settings.clone(), seed),
@@ -63,11 +63,11 @@
             counters: Counters::default(),
         };
         router.notify_control(now, Event::Started);
-        for (number, event) in known.1 {
+        for NumberedEvent { number, event } in known.events {
             router.last_event = router.last_event.max(number);
             router.take_feed_event(now, event, ListKind::Cached);
         }
-        router.last_event = router.last_event.max(known.0);
+        router.last_event = router.last_event.max(known.last);
         router
     }
 
--- a/crates/deckproxy/src/transport/client.rs
+++ b/crates/deckproxy/src/transport/client.rs
@@ -1,6 +1,6 @@
 //! A client's connection.
 
-use crate::protocol::downstream::{self, Answer, Broken, Decoder, Message};
+use crate::protocol::downstream::{self, Answer, Decoder, Message, ProtocolError};
 use crate::protocol::limits;
 use crate::transport::outbox::{Outgoing, Written};
 use crate::transport::stream::{Progress, Stream};
@@ -84,7 +84,7 @@
 
     /// Whether it leaves more refusals and pongs unread than it may.
     pub fn is_overfull(&self) -> bool {
-        !self.closing && self.refusals > limits::CLIENT_REFUSALS
+        !self.closing && self.refusals > limits::CLIENT_REJECTIONS
     }
 
     /// Whether the rest of a message is still to come.
@@ -105,7 +105,7 @@
     /// Whether it keeps a message waiting for so long: its first one, or the rest of one that has begun.
     pub fn is_overdue(&self, now: f64) -> bool {
         let waiting = if self.is_proven() { self.partial } else { Some(self.opened) };
-        !self.closing && waiting.is_some_and(|since| now - since > limits::CLIENT_PROMPT)
+        !self.closing && waiting.is_some_and(|since| now - since > limits::CLIENT_READ_TIMEOUT)
     }
 
     /// Takes the id of a message. Tells whether it follows the one before.
@@ -126,7 +126,7 @@
     }
 
     /// The next message that has come whole.
-    pub fn take_message(&mut self) -> Result<Option<Message>, Broken> {
+    pub fn take_message(&mut self) -> Result<Option<Message>, ProtocolError> {
         if self.closing {
             self.partial = None;
             self.stream.input.clear();
@@ -147,7 +147,7 @@
 
     /// Counts a request as open. Tells whether there was room for it.
     pub fn admit(&mut self) -> bool {
-        let room = self.open < limits::CLIENT_OPEN;
+        let room = self.open < limits::CLIENT_REQUESTS;
         self.open += usize::from(room);
         room
     }
@@ -164,7 +164,7 @@
 
     /// Whether it has read nothing of what waits for it for so long, whatever it goes on sending.
     pub fn is_stalled(&self, now: f64) -> bool {
-        self.stuck.is_some_and(|since| now - since > limits::CLIENT_STALL)
+        self.stuck.is_some_and(|since| now - since > limits::CLIENT_WRITE_TIMEOUT)
     }
 
     /// Since when nothing came or went.
@@ -175,7 +175,7 @@
     /// Appends the answer to an admitted request, or to one that was not.
     pub fn answer(&mut self, id: u32, answer: &Answer, admitted: bool) {
         let key = if admitted { COUNTED } else { OTHER };
-        self.append(Outgoing { key, parts: downstream::answer(id, answer) });
+        self.append(Outgoing { key, parts: downstream::encode_answer(id, answer) });
     }
 
     /// Appends bytes that answer no request.
@@ -194,7 +194,7 @@
     pub fn release(&mut self) -> bool {
         self.open = self.open.saturating_sub(1);
         self.taken_back += 1;
-        self.taken_back > limits::CLIENT_TAKEN_BACK
+        self.taken_back > limits::CLIENT_CANCELLATIONS
     }
 
     /// Whether the other side was told that nothing more comes.
@@ -205,7 +205,8 @@
     /// Whether something still comes on a connection that was shut, though not for ever: closed over what comes it would
     /// be reset, and what the other side has not read yet taken back (lingering close).
     pub fn still_comes(&self, now: f64) -> bool {
-        self.shut.is_some_and(|since| now - since < limits::CLOSING && now - self.moved < limits::LINGER)
+        self.shut
+            .is_some_and(|since| now - since < limits::CLOSING_INTERVAL && now - self.moved < limits::LINGER)
     }
 
     /// Where it is closing, nothing is owed on it and all is written, tells the other side that nothing more comes. Tells
--- a/crates/deckproxy/src/transport/feed.rs
+++ b/crates/deckproxy/src/transport/feed.rs
@@ -1,6 +1,6 @@
 //! The connection to the control feed.
 
-use crate::protocol::feed::{self, Decoder, Line};
+use crate::protocol::feed::{self, Decoder, FeedLine, LineTooLong};
 use crate::transport::outbox::{Outgoing, Written};
 use crate::transport::stream::{Progress, Stream};
 use std::io;
@@ -36,8 +36,7 @@
     }
 
     /// The next line, as the decoder gives it.
-    #[allow(clippy::type_complexity)]
-    pub fn take_line(&mut self, now: f64) -> Result<Option<Result<Line, String>>, &'static str> {
+    pub fn take_line(&mut self, now: f64) -> Result<Option<FeedLine>, LineTooLong> {
         let line = self.decoder.next(&mut self.stream.input)?;
         match line {
             Some(_) => self.heard = now,
--- a/crates/deckproxy/src/transport/line.rs
+++ b/crates/deckproxy/src/transport/line.rs
@@ -1,7 +1,7 @@
 //! Connections of links between gateways.
 
 use crate::protocol::limits;
-use crate::protocol::link::{self, Decoder};
+use crate::protocol::link::{self, Decoder, FrameError};
 use crate::transport::listener::Listener;
 use crate::transport::outbox::{Outgoing, Written};
 use crate::transport::stream::{Ledger, Progress, Stream};
@@ -45,7 +45,7 @@
     }
 
     /// The next frame that has come whole.
-    pub fn take_frame(&mut self) -> Result<Option<Frame>, &'static str> {
+    pub fn take_frame(&mut self) -> Result<Option<Frame>, FrameError> {
         if self.closing {
             self.stream.input.clear();
             return Ok(None);
@@ -69,12 +69,12 @@
         if key != OTHER {
             self.waiting.insert(key);
         }
-        self.stream.push(Outgoing::whole(key, link::frame(frame)));
+        self.stream.push(Outgoing::whole(key, link::encode_frame(frame)));
     }
 
     /// Whether a further piece of a body may be put there.
     pub fn takes_pieces(&self) -> bool {
-        !self.closing && self.stream.queued() < limits::LINK_OUTGOING
+        !self.closing && self.stream.queued() < limits::LINK_WRITE_BUFFER
     }
 
     /// Attempts of which no byte was written; they never will be.
--- a/crates/deckproxy/src/transport/member.rs
+++ b/crates/deckproxy/src/transport/member.rs
@@ -1,6 +1,6 @@
 //! A connection to a member. It carries many attempts, and knows of each whether it was written whole.
 
-use crate::protocol::upstream::{self, Decoder, Reply};
+use crate::protocol::upstream::{self, Decoder, Reply, ReplyError};
 use crate::transport::outbox::{Outgoing, Written};
 use crate::transport::stream::{Progress, Stream};
 use bytes::Bytes;
@@ -107,7 +107,7 @@
 
     /// Appends a probe.
     pub fn probe(&mut self, key: u64, name: Box<str>, now: f64) {
-        let message = Outgoing::whole(key, upstream::probe(&name));
+        let message = Outgoing::whole(key, upstream::encode_health_check(&name));
         self.add(key, name, message, false, now);
     }
 
@@ -151,7 +151,7 @@
         }
         let cut = self.stream.cut().is_some_and(|cut| cut.key == key);
         if ask.quits {
-            self.stream.push(Outgoing::whole(OTHER, upstream::quit(&ask.name)));
+            self.stream.push(Outgoing::whole(OTHER, upstream::encode_cancel(&ask.name)));
         }
         self.given_up.insert(ask.name);
         let silent = ask.written.is_some_and(|at| self.heard < at && now - at > patience);
@@ -178,7 +178,7 @@
     }
 
     /// The next answer that has come whole, and the key of what it answers; none for what was given up.
-    pub fn take_reply(&mut self, now: f64) -> Result<Option<(Option<u64>, Reply)>, &'static str> {
+    pub fn take_reply(&mut self, now: f64) -> Result<Option<(Option<u64>, Reply)>, ReplyError> {
         let Some(reply) = self.decoder.next(&mut self.stream.input)? else {
             self.stream.lacks = self.decoder.lacks(self.stream.input.len());
             self.stream.trim(std::mem::take(&mut self.taken));
--- a/crates/deckproxy/tests/closing.rs
+++ b/crates/deckproxy/tests/closing.rs
@@ -257,12 +257,12 @@
     let stream = Stream::accepted(&events.handle(), &Rc::default(), socket, |(), _| {}).unwrap();
     let mut client = transport::Client::new(stream, 0.0);
     let mut id = 0;
-    while client.holds() < limits::CLIENT_REFUSALS {
+    while client.holds() < limits::CLIENT_REJECTIONS {
         assert!(!client.is_overfull(), "{} bytes", client.holds());
         id += 1;
-        client.answer(id, &downstream::Answer::Refused(0.0), false);
+        client.answer(id, &downstream::Answer::Rejected(0.0), false);
     }
-    client.answer(id + 1, &downstream::Answer::Refused(0.0), false);
+    client.answer(id + 1, &downstream::Answer::Rejected(0.0), false);
     assert!(client.is_overfull());
     // What the kernel has is not held here; answers to open requests are bounded by their number.
     client.flush(1.0, |_| {}).unwrap();
--- a/crates/deckproxy/tests/codecs.rs
+++ b/crates/deckproxy/tests/codecs.rs
@@ -1,9 +1,9 @@
 //! Properties of the decoders: any split gives the same values, and no bytes make them panic or grow.
 
 use bytes::{Bytes, BytesMut};
-use deckproxy::protocol::downstream::{self, Answer, Broken, Call, Message};
-use deckproxy::protocol::feed::{self, Line, News};
-use deckproxy::protocol::upstream::{self, Orders, Reply, Word};
+use deckproxy::protocol::downstream::{self, Answer, Call, Message, ObjectId, ProtocolError, RequestError};
+use deckproxy::protocol::feed::{self, FeedEvent, FeedLine, NumberedEvent};
+use deckproxy::protocol::upstream::{self, AttemptOptions, Reply, ReplyError, Status};
 use deckproxy::protocol::{config, limits};
 use proptest::prelude::*;
 use rmpv::Value;
@@ -22,7 +22,7 @@
     all
 }
 
-fn messages(bytes: &[u8], cuts: &[usize]) -> Vec<Result<Message, Broken>> {
+fn messages(bytes: &[u8], cuts: &[usize]) -> Vec<Result<Message, ProtocolError>> {
     let mut decoder = downstream::Decoder::default();
     let mut broken = false;
     in_pieces(bytes, cuts, |buffer| {
@@ -44,7 +44,7 @@
     })
 }
 
-fn replies(bytes: &[u8], cuts: &[usize]) -> Vec<Result<Reply, &'static str>> {
+fn replies(bytes: &[u8], cuts: &[usize]) -> Vec<Result<Reply, ReplyError>> {
     let mut decoder = upstream::Decoder::default();
     let mut broken = false;
     in_pieces(bytes, cuts, |buffer| {
@@ -67,12 +67,12 @@
     })
 }
 
-fn lines(bytes: &[u8], cuts: &[usize]) -> Vec<Option<Line>> {
+fn lines(bytes: &[u8], cuts: &[usize]) -> Vec<FeedLine> {
     let mut decoder = feed::Decoder::default();
     in_pieces(bytes, cuts, |buffer| {
         let mut got = Vec::new();
         while let Ok(Some(line)) = decoder.next(buffer) {
-            got.push(line.ok());
+            got.push(line);
         }
         got
     })
@@ -131,7 +131,7 @@
         prop_assert_eq!(whole.len(), bodies.len());
         for (message, (id, object, size, _)) in whole.iter().zip(&bodies) {
             let Ok(Message::Call(got, call)) = message else { panic!("{message:?}") };
-            prop_assert_eq!((*got, call.object.1, call.body.len()), (*id, *object, *size));
+            prop_assert_eq!((*got, call.object.number, call.body.len()), (*id, *object, *size));
         }
         prop_assert_eq!(messages(&bytes, &cuts), whole);
     }
@@ -167,8 +167,8 @@
         cuts in prop::collection::vec(any::<usize>(), 0..12),
     ) {
         let words = [
-            ("200", Word::Ok), ("304", Word::Unchanged), ("404", Word::Miss), ("503", Word::Full),
-            ("500", Word::Error), ("504", Word::Over),
+            ("200", Status::Ok), ("304", Status::NotModified), ("404", Status::Miss), ("503", Status::Rejected),
+            ("500", Status::Error), ("504", Status::Expired),
         ];
         let mut bytes = Vec::new();
         for (id, word, size) in &answers {
@@ -182,8 +182,8 @@
         prop_assert_eq!(whole.len(), answers.len());
         for (reply, (id, word, size)) in whole.iter().zip(&answers) {
             let reply = reply.as_ref().unwrap();
-            prop_assert_eq!((&*reply.id, reply.word, reply.body.len()), (id.as_str(), words[*word].1, *size));
-            prop_assert_eq!(&reply.report, &[("inflight".into(), 7.0), ("util".into(), 0.61)]);
+            prop_assert_eq!((&*reply.id, reply.status, reply.body.len()), (id.as_str(), words[*word].1, *size));
+            prop_assert_eq!(&reply.load_report, &[("inflight".into(), 7.0), ("util".into(), 0.61)]);
         }
         prop_assert_eq!(replies(&bytes, &cuts), whole);
     }
@@ -203,13 +203,14 @@
 fn limits_hold_before_anything_is_kept() {
     let broken = |bytes: &[u8]| messages(bytes, &[]).pop().unwrap().unwrap_err();
     let nested: Vec<u8> = std::iter::repeat_n(0x91, 2000).collect();
-    assert_eq!(broken(&nested).why, "a message over the limit");
+    assert_eq!(broken(&nested).error, RequestError::MessageTooLarge);
+    assert_eq!(broken(&nested).error.to_string(), "a message over the limit");
     // Lengths far beyond what came are refused on sight.
     assert_eq!(
         broken(b"\x94\x00\x05\xdb\xff\xff\xff\xff"),
-        Broken { why: "a message over the limit", id: Some(5) }
+        ProtocolError { error: RequestError::MessageTooLarge, request_id: Some(5) }
     );
-    assert_eq!(broken(b"\x94\x00\x05\xdf\xff\xff\xff\xff").id, Some(5));
+    assert_eq!(broken(b"\x94\x00\x05\xdf\xff\xff\xff\xff").request_id, Some(5));
     for bad in ["*9\r\n", "*1\r\n", "*-1\r\n", "$3\r\n", "*4\r\n$4097\r\n", "*4\r\n$99999999999999999999\r\n"]
     {
         assert!(replies(bad.as_bytes(), &[])[0].is_err(), "{bad}");
@@ -225,52 +226,60 @@
     let call = Call {
         name: "9b1f03aa5c7e2d41".into(),
         class: "page".into(),
-        allow: 1500.0,
-        key: Some("5c0f".into()),
-        object: ("7f3a9c21e0b4d655".into(), 0x7f3a_9c21_e0b4_d655),
+        timeout: 1500.0,
+        idempotency_key: Some("5c0f".into()),
+        object: ObjectId { text: "7f3a9c21e0b4d655".into(), number: 0x7f3a_9c21_e0b4_d655 },
         part: Some(3),
         group: 17,
-        size: Some(412.5),
-        have: Some("4be0".into()),
-        again: true,
+        size_kb: Some(412.5),
+        cached_tag: Some("4be0".into()),
+        is_retry: true,
         body: Bytes::from_static(b"body"),
     };
-    let text = |orders: &Orders| {
-        let all: Vec<u8> = upstream::ask(&call, orders).iter().flat_map(|p| p.to_vec()).collect();
+    let text = |orders: &AttemptOptions| {
+        let all: Vec<u8> = upstream::encode_attempt(&call, orders).iter().flat_map(|p| p.to_vec()).collect();
         String::from_utf8(all).unwrap()
     };
     let fields = "lane=page,name=7f3a9c21e0b4d655,piece=3,ttl=1499,dedupe=5c0f,mine=4be0";
-    let plain = text(&Orders { wait: 1499.9, ..Orders::default() });
+    let plain = text(&AttemptOptions { timeout: 1499.9, ..AttemptOptions::default() });
     let head = format!("*4\r\n$3\r\nASK\r\n$16\r\n9b1f03aa5c7e2d41\r\n${}\r\n{fields}\r\n", fields.len());
     assert_eq!(plain, format!("{head}$4\r\nbody\r\n"));
-    let all = text(&Orders {
-        wait: 0.2,
+    let all = text(&AttemptOptions {
+        timeout: 0.2,
         source: Some("p-1".into()),
-        keep: 2,
-        age: 0.4,
+        copy_rank: 2,
+        max_age: 0.4,
         join: true,
-        held_only: true,
+        cached_only: true,
         no_parent_copy: true,
         renew: true,
     });
     assert!(
         all.contains(",ttl=1,dedupe=5c0f,miss=p-1,prio=2,within=1,f=merge+local+skip+revalidate,mine=4be0")
     );
-    assert!(text(&Orders { age: 1234.9, ..Orders::default() }).contains(",within=1234,"), "rounded down");
+    assert!(
+        text(&AttemptOptions { max_age: 1234.9, ..AttemptOptions::default() }).contains(",within=1234,"),
+        "rounded down"
+    );
 }
 
 #[test]
 fn probes_and_withdrawals_are_words_of_one_argument() {
-    assert_eq!(upstream::probe("p1"), &b"*2\r\n$4\r\nINFO\r\n$2\r\np1\r\n"[..]);
-    assert_eq!(upstream::quit("9b1f"), &b"*2\r\n$4\r\nQUIT\r\n$4\r\n9b1f\r\n"[..]);
+    assert_eq!(upstream::encode_health_check("p1"), &b"*2\r\n$4\r\nINFO\r\n$2\r\np1\r\n"[..]);
+    assert_eq!(upstream::encode_cancel("9b1f"), &b"*2\r\n$4\r\nQUIT\r\n$4\r\n9b1f\r\n"[..]);
     // Answers to probes come with or without fields and body.
     for (text, alive, report) in [
         ("*2\r\n$2\r\np1\r\n$5\r\nalive\r\n", true, vec![]),
         ("*3\r\n$2\r\np1\r\n$4\r\ndead\r\n$1\r\n-\r\n", false, vec![]),
         ("*4\r\n$2\r\np1\r\n$5\r\nalive\r\n$10\r\nrep=x1:0.5\r\n$0\r\n\r\n", true, vec![("x1".into(), 0.5)]),
     ] {
-        let want =
-            Reply { id: "p1".into(), word: Word::Alive(alive), report, copy: None, body: Bytes::new() };
+        let want = Reply {
+            id: "p1".into(),
+            status: Status::Health(alive),
+            load_report: report,
+            copy: None,
+            body: Bytes::new(),
+        };
         assert_eq!(replies(text.as_bytes(), &[3, 9]), [Ok(want)]);
     }
     assert!(replies(b"*2\r\n$2\r\np1\r\n$3\r\n200\r\n", &[])[0].is_err(), "served without a body");
@@ -286,15 +295,21 @@
         value.to_string()
     };
     let body = Bytes::from(vec![1, 2]);
-    assert_eq!(read(downstream::answer(7, &Answer::Served(body))), "[1, 7, nil, [[1, 2], {}]]");
-    assert_eq!(read(downstream::answer(7, &Answer::Unchanged)), "[1, 7, nil, [[], {\"notmod\": \"1\"}]]");
+    assert_eq!(read(downstream::encode_answer(7, &Answer::Served(body))), "[1, 7, nil, [[1, 2], {}]]");
+    assert_eq!(
+        read(downstream::encode_answer(7, &Answer::NotModified)),
+        "[1, 7, nil, [[], {\"notmod\": \"1\"}]]"
+    );
     assert_eq!(
-        read(downstream::answer(7, &Answer::Refused(120.7))),
+        read(downstream::encode_answer(7, &Answer::Rejected(120.7))),
         "[1, 7, [\"Shed\", {\"cooldown\": \"120\"}], nil]"
     );
-    assert_eq!(read(downstream::answer(7, &Answer::Refused(0.0))), "[1, 7, [\"Shed\", {}], nil]");
-    assert_eq!(read(downstream::answer(7, &Answer::Failed)), "[1, 7, [\"Fault\", {}], nil]");
-    assert_eq!(read([downstream::ready(8, true), Bytes::new(), Bytes::new()]), "[1, 8, nil, [true, {}]]");
+    assert_eq!(read(downstream::encode_answer(7, &Answer::Rejected(0.0))), "[1, 7, [\"Shed\", {}], nil]");
+    assert_eq!(read(downstream::encode_answer(7, &Answer::Failed)), "[1, 7, [\"Fault\", {}], nil]");
+    assert_eq!(
+        read([downstream::encode_ready(8, true), Bytes::new(), Bytes::new()]),
+        "[1, 8, nil, [true, {}]]"
+    );
 }
 
 #[test]
@@ -309,11 +324,18 @@
         "\n43\n"
     );
     let all = lines(text.as_bytes(), &[10, 200]);
-    let Some(Line::Event(41, News::Members { whole: false, entries, dropped: 0 })) = &all[0] else {
+    let FeedLine::Event(NumberedEvent {
+        number: 41,
+        event: FeedEvent::Members { complete: false, entries, unreadable: 0 },
+    }) = &all[0]
+    else {
         panic!("{all:?}")
     };
     assert_eq!((&*entries[0].id, entries[0].size, entries[0].started), ("s-00c41f7a", 4.0, None));
-    assert_eq!(all[1], Some(Line::Event(42, News::PurgeObject(0x7f3a_9c21_e0b4_d655, 1_764_576_000_123.0))));
-    assert_eq!(all[2], Some(Line::Event(43, News::PurgeGroup(17, 1_764_576_000_480.0))));
-    assert_eq!(all[3], Some(Line::Last(43)));
+    let purge = |number, event| FeedLine::Event(NumberedEvent { number, event });
+    let object = FeedEvent::PurgeObject { object: 0x7f3a_9c21_e0b4_d655, at: 1_764_576_000_123.0 };
+    assert_eq!(all[1], purge(42, object));
+    let group = FeedEvent::PurgeGroup { group: 17, at: 1_764_576_000_480.0 };
+    assert_eq!(all[2], purge(43, group));
+    assert_eq!(all[3], FeedLine::Last(43));
 }
--- a/crates/deckproxy/tests/endings.rs
+++ b/crates/deckproxy/tests/endings.rs
@@ -2,8 +2,8 @@
 
 use bytes::Bytes;
 use deckproxy::protocol::config;
-use deckproxy::protocol::downstream::{Answer, Call};
-use deckproxy::protocol::upstream::{Reply, Word};
+use deckproxy::protocol::downstream::{Answer, Call, ObjectId, RequestError};
+use deckproxy::protocol::upstream::{Reply, Status};
 use deckproxy::routing::counters::ENDINGS;
 use deckproxy::routing::{AttemptKey, ConnectionFailure, Effect, Router};
 use serde_json::json;
@@ -42,14 +42,14 @@
     Call {
         name: format!("{name:016x}").into(),
         class: class.into(),
-        allow: 1000.0,
-        key: None,
-        object: ("000000000000002a".into(), 42),
+        timeout: 1000.0,
+        idempotency_key: None,
+        object: ObjectId { text: "000000000000002a".into(), number: 42 },
         part: None,
         group: 0,
-        size: Some(10.0),
-        have: None,
-        again: false,
+        size_kb: Some(10.0),
+        cached_tag: None,
+        is_retry: false,
         body: Bytes::new(),
     }
 }
@@ -69,11 +69,11 @@
     }
 }
 
-fn reply(word: Word) -> Reply {
+fn reply(word: Status) -> Reply {
     Reply {
         id: "0000000000000001".into(),
-        word,
-        report: Vec::new(),
+        status: word,
+        load_report: Vec::new(),
         copy: None,
         body: Bytes::from_static(b"body"),
     }
@@ -92,7 +92,7 @@
     assert_eq!(router.counters.endings.iter().sum::<u64>(), 1, "{what}");
     let after = effects(&mut router);
     let again = after.iter().any(|e| matches!(e, Effect::SendAttempt { .. }));
-    let refused = after.iter().any(|e| matches!(e, Effect::Answer { answer: Answer::Refused(_), .. }));
+    let refused = after.iter().any(|e| matches!(e, Effect::Answer { answer: Answer::Rejected(_), .. }));
     let failed = after.iter().any(|e| matches!(e, Effect::Answer { answer: Answer::Failed, .. }));
     assert_eq!(again || refused, never_ran, "{what}: {after:?}");
     assert_eq!(failed, !never_ran, "{what}: {after:?}");
@@ -107,12 +107,14 @@
     row("broke after it was written whole", "reset", false, |r, k| {
         r.connection_failed(NOW, k, ConnectionFailure::Reset)
     });
-    row("a miss", "miss", true, |r, k| r.reply(NOW, k, reply(Word::Miss)));
-    row("full", "full", true, |r, k| r.reply(NOW, k, reply(Word::Full)));
-    row("over already", "moot", true, |r, k| r.reply(NOW, k, reply(Word::Over)));
-    row("an error", "error", false, |r, k| r.reply(NOW, k, reply(Word::Error)));
-    row("a copy that holds and nobody named", "error", false, |r, k| r.reply(NOW, k, reply(Word::Unchanged)));
-    row("a probe's word", "error", false, |r, k| r.reply(NOW, k, reply(Word::Alive(true))));
+    row("a miss", "miss", true, |r, k| r.reply(NOW, k, reply(Status::Miss)));
+    row("full", "full", true, |r, k| r.reply(NOW, k, reply(Status::Rejected)));
+    row("over already", "moot", true, |r, k| r.reply(NOW, k, reply(Status::Expired)));
+    row("an error", "error", false, |r, k| r.reply(NOW, k, reply(Status::Error)));
+    row("a copy that holds and nobody named", "error", false, |r, k| {
+        r.reply(NOW, k, reply(Status::NotModified))
+    });
+    row("a probe's word", "error", false, |r, k| r.reply(NOW, k, reply(Status::Health(true))));
     row("silence until its time was over", "timeout", false, |r, k| {
         r.tick(NOW + 1000.0);
         let withdraw = r.next_effect();
@@ -132,7 +134,7 @@
     router.request(NOW, 1, 7, call("once", 1));
     let after = effects(&mut router);
     assert_eq!(after.len(), 1, "{after:?}");
-    assert!(matches!(after[0], Effect::Answer { answer: Answer::Refused(_), .. }), "{after:?}");
+    assert!(matches!(after[0], Effect::Answer { answer: Answer::Rejected(_), .. }), "{after:?}");
     assert!(count(&router, "connect_failed") >= 1);
 }
 
@@ -153,8 +155,8 @@
 fn served_is_told_to_the_client_first_and_once() {
     let mut router = router();
     let key = begin(&mut router);
-    router.reply(NOW + 5.0, key, reply(Word::Ok));
-    router.reply(NOW + 6.0, key, reply(Word::Ok));
+    router.reply(NOW + 5.0, key, reply(Status::Ok));
+    router.reply(NOW + 6.0, key, reply(Status::Ok));
     let answer = Answer::Served(Bytes::from_static(b"body"));
     assert_eq!(effects(&mut router), [Effect::Answer { client: 1, id: 7, answer, copy: None }]);
     assert_eq!((count(&router, "ok"), router.unanswered()), (1, 0));
@@ -171,7 +173,7 @@
     router.cancel(NOW + 5.0, 1, 7);
     assert!(matches!(&effects(&mut router)[..], [Effect::CancelAttempt { key: k, .. }] if *k == key));
     // Its answer crosses: it counts as the ending, and reaches nobody.
-    router.reply(NOW + 6.0, key, reply(Word::Ok));
+    router.reply(NOW + 6.0, key, reply(Status::Ok));
     router.attempt_cancelled(NOW + 6.0, key, true);
     assert!(effects(&mut router).is_empty());
     assert_eq!((router.counters.cancelled, count(&router, "ok"), count(&router, "cancelled")), (1, 1, 0));
@@ -185,7 +187,7 @@
     let mut router = router();
     begin(&mut router);
     router.request(NOW, 2, 7, call("page", 1));
-    let answer = Answer::Unusable("ref is in use");
+    let answer = Answer::Invalid(RequestError::NameInUse);
     assert_eq!(effects(&mut router), [Effect::Answer { client: 2, id: 7, answer, copy: None }]);
 }
 
@@ -223,6 +225,6 @@
     let config = config::read(text.to_string().as_bytes()).unwrap();
     let mut router = Router::new(NOW, config.conf, config.seed, config.known);
     router.request(NOW, 1, 7, call("page", 1));
-    let refused = Effect::Answer { client: 1, id: 7, answer: Answer::Refused(0.0), copy: None };
+    let refused = Effect::Answer { client: 1, id: 7, answer: Answer::Rejected(0.0), copy: None };
     assert_eq!(effects(&mut router), [refused]);
 }
--- a/crates/deckproxy/tests/links.rs
+++ b/crates/deckproxy/tests/links.rs
@@ -50,7 +50,7 @@
 
     #[test]
     fn frames_are_read_however_they_are_split(frames in frames(), cuts in prop::collection::vec(1usize..700, 1..60)) {
-        let bytes: Vec<u8> = frames.iter().flat_map(|f| link::frame(f).to_vec()).collect();
+        let bytes: Vec<u8> = frames.iter().flat_map(|f| link::encode_frame(f).to_vec()).collect();
         let (mut buffer, mut read, mut rest) = (BytesMut::new(), Vec::new(), &bytes[..]);
         for cut in cuts.iter().cycle() {
             let (now, later) = rest.split_at(rest.len().min(*cut));
@@ -83,10 +83,10 @@
     fn an_ask_is_a_call_or_refused(name in ".{0,20}", class in ".{0,200}", allow in any::<f64>(), group in any::<u32>(), size in prop::option::of(any::<f64>())) {
         let object = "00000000000000aa".to_string();
         let ask = Ask { name, class, allow, group, size, object, ..Ask::default() };
-        if let Ok(call) = link::call(ask) {
-            prop_assert!(call.allow.is_finite() && call.allow > 0.0);
+        if let Ok(call) = link::call_from_ask(ask) {
+            prop_assert!(call.timeout.is_finite() && call.timeout > 0.0);
             prop_assert!(call.group < limits::GROUPS && call.name.len() == 16 && call.class.len() <= limits::FIELD);
-            prop_assert!(call.size.is_none_or(|kb| kb.is_finite() && kb > 0.0));
+            prop_assert!(call.size_kb.is_none_or(|kb| kb.is_finite() && kb > 0.0));
         }
     }
 }
@@ -96,17 +96,17 @@
     let call = downstream::Call {
         name: "9b1f03aa5c7e2d41".into(),
         class: "post".into(),
-        allow: 1234.0,
-        key: Some("k-1".into()),
-        object: ("7f3a9c21e0b4d655".into(), 0x7f3a_9c21_e0b4_d655),
+        timeout: 1234.0,
+        idempotency_key: Some("k-1".into()),
+        object: downstream::ObjectId { text: "7f3a9c21e0b4d655".into(), number: 0x7f3a_9c21_e0b4_d655 },
         part: Some(3),
         group: 17,
-        size: Some(412.5),
-        have: Some("t1".into()),
-        again: false,
+        size_kb: Some(412.5),
+        cached_tag: Some("t1".into()),
+        is_retry: false,
         body: Bytes::from_static(b"write"),
     };
-    assert_eq!(link::call(link::ask(&call, vec!["north".into()])), Ok(call));
+    assert_eq!(link::call_from_ask(link::ask_from_call(&call, vec!["north".into()])), Ok(call));
 }
 
 #[test]
--- a/crates/deckproxy/tests/parts.rs
+++ b/crates/deckproxy/tests/parts.rs
@@ -1,7 +1,7 @@
 //! The small parts without sockets: what waits to be written, timers, the list of members.
 
 use bytes::Bytes;
-use deckproxy::protocol::feed::{Entry, Phase};
+use deckproxy::protocol::feed::{MemberEntry, Phase};
 use deckproxy::routing::members::Members;
 use deckproxy::routing::timers::Timers;
 use deckproxy::transport::outbox::{Outbox, Outgoing, Written};
@@ -127,8 +127,8 @@
     assert_eq!(timers.next_deadline(), None);
 }
 
-fn line(id: &str, address: Option<&str>, phase: Phase) -> Entry {
-    Entry {
+fn line(id: &str, address: Option<&str>, phase: Phase) -> MemberEntry {
+    MemberEntry {
         id: id.into(),
         address: address.map(|a| a.parse().unwrap()),
         zone: "edge one".into(),
--- a/crates/deckproxy/tests/routing.rs
+++ b/crates/deckproxy/tests/routing.rs
@@ -3,9 +3,9 @@
 
 use bytes::Bytes;
 use deckproxy::protocol::config;
-use deckproxy::protocol::downstream::{Answer, Call};
-use deckproxy::protocol::feed::{Entry, News, Phase};
-use deckproxy::protocol::upstream::{Reply, Word};
+use deckproxy::protocol::downstream::{Answer, Call, ObjectId};
+use deckproxy::protocol::feed::{FeedEvent, KnownEvents, MemberEntry, NumberedEvent, Phase};
+use deckproxy::protocol::upstream::{Reply, Status};
 use deckproxy::routing::{AttemptKey, ConnectionFailure, Effect, Router};
 use proptest::prelude::*;
 use serde_json::json;
@@ -50,9 +50,9 @@
     ("s-5", "hub", "origin"),
 ];
 
-fn entry(at: usize, phase: Phase, started: Option<f64>) -> Entry {
+fn entry(at: usize, phase: Phase, started: Option<f64>) -> MemberEntry {
     let (id, zone, kind) = MEMBERS[at];
-    Entry {
+    MemberEntry {
         id: id.into(),
         address: Some("127.0.0.1:9".parse().unwrap()),
         zone: zone.into(),
@@ -64,6 +64,10 @@
     }
 }
 
+fn numbered(number: u64, event: FeedEvent) -> NumberedEvent {
+    NumberedEvent { number, event }
+}
+
 fn router() -> Router {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "aimMs": 500.0, "deadlineMs": 1500.0, "effect": effect, "group": "all",
@@ -88,7 +92,13 @@
         NOW,
         config.conf,
         config.seed,
-        (1, vec![(1, News::Members { whole: true, entries, dropped: 0 })]),
+        KnownEvents {
+            last: 1,
+            events: vec![NumberedEvent {
+                number: 1,
+                event: FeedEvent::Members { complete: true, entries, unreadable: 0 },
+            }],
+        },
     )
 }
 
@@ -138,7 +148,7 @@
                     let seen = self.requests.get_mut(&(client, id)).unwrap();
                     assert!(!seen.over, "a second answer");
                     assert!(self.now <= seen.due + SLACK, "{} ms late", self.now - seen.due);
-                    let refused = matches!(answer, Answer::Refused(_));
+                    let refused = matches!(answer, Answer::Rejected(_));
                     assert!(!(refused && seen.class == 2 && seen.may_have_run), "a refusal that may do harm");
                     seen.over = true;
                 }
@@ -166,14 +176,14 @@
                 let call = Call {
                     name,
                     class: ["page", "post", "once"][class].into(),
-                    allow: f64::from(allow),
-                    key: Some("k".into()),
-                    object: (format!("{object:016x}").into(), object),
+                    timeout: f64::from(allow),
+                    idempotency_key: Some("k".into()),
+                    object: ObjectId { text: format!("{object:016x}").into(), number: object },
                     part: None,
                     group: 3,
-                    size: Some(20.0),
-                    have: None,
-                    again: false,
+                    size_kb: Some(20.0),
+                    cached_tag: None,
+                    is_retry: false,
                     body: Bytes::from_static(b"body"),
                 };
                 self.router.request(self.now, client, id, call);
@@ -191,12 +201,25 @@
             Step::Reply(at, word) => {
                 let Some(at) = pick(at, self.out.len()) else { return };
                 let (key, id) = self.out.pop_nth(at);
-                let words =
-                    [Word::Ok, Word::Miss, Word::Miss, Word::Full, Word::Error, Word::Over, Word::Unchanged];
+                let words = [
+                    Status::Ok,
+                    Status::Miss,
+                    Status::Miss,
+                    Status::Rejected,
+                    Status::Error,
+                    Status::Expired,
+                    Status::NotModified,
+                ];
                 let word = words[usize::from(word)];
-                let runs = matches!(word, Word::Ok | Word::Error | Word::Unchanged);
+                let runs = matches!(word, Status::Ok | Status::Error | Status::NotModified);
                 self.requests.get_mut(&id).unwrap().may_have_run |= runs;
-                let reply = Reply { id: "".into(), word, report: Vec::new(), copy: None, body: Bytes::new() };
+                let reply = Reply {
+                    id: "".into(),
+                    status: word,
+                    load_report: Vec::new(),
+                    copy: None,
+                    body: Bytes::new(),
+                };
                 self.router.reply(self.now, key, reply);
             }
             Step::ConnectionFailure(at, sent) => {
@@ -214,8 +237,7 @@
                 self.event += 1;
                 assert!(self.router.feed_event(
                     self.now,
-                    self.event,
-                    News::PurgeObject(object, self.now - 50.0),
+                    numbered(self.event, FeedEvent::PurgeObject { object, at: self.now - 50.0 }),
                     false
                 ));
             }
@@ -228,8 +250,8 @@
                     _ => (Phase::Ready, None),
                 };
                 let entries = vec![entry(at, phase, started)];
-                let news = News::Members { whole: false, entries, dropped: 0 };
-                assert!(self.router.feed_event(self.now, self.event, news, false));
+                let news = FeedEvent::Members { complete: false, entries, unreadable: 0 };
+                assert!(self.router.feed_event(self.now, numbered(self.event, news), false));
             }
         }
         self.settle();
@@ -293,7 +315,7 @@
     let mut router = router();
     let mut now = NOW;
     let mut most = BTreeMap::new();
-    let listed = |id: u64, phase: Phase, started: f64| Entry {
+    let listed = |id: u64, phase: Phase, started: f64| MemberEntry {
         id: format!("s-{id:08x}").into(),
         ..entry(0, phase, Some(started))
     };
@@ -302,22 +324,30 @@
         now += 250.0;
         event += 1;
         let entries = vec![listed(generation, Phase::Ready, now), listed(generation - 1, Phase::Gone, now)];
-        assert!(router.feed_event(now, event, News::Members { whole: false, entries, dropped: 0 }, false));
+        assert!(router.feed_event(
+            now,
+            numbered(event, FeedEvent::Members { complete: false, entries, unreadable: 0 }),
+            false
+        ));
         event += 1;
-        assert!(router.feed_event(now, event, News::PurgeObject(generation, now), false));
+        assert!(router.feed_event(
+            now,
+            numbered(event, FeedEvent::PurgeObject { object: generation, at: now }),
+            false
+        ));
         for n in 0..20u32 {
             let object = generation * 20 + u64::from(n);
             let call = Call {
                 name: format!("{object:016x}").into(),
                 class: "page".into(),
-                allow: 1000.0,
-                key: None,
-                object: (format!("{object:016x}").into(), object),
+                timeout: 1000.0,
+                idempotency_key: None,
+                object: ObjectId { text: format!("{object:016x}").into(), number: object },
                 part: None,
                 group: 0,
-                size: Some(10.0),
-                have: None,
-                again: false,
+                size_kb: Some(10.0),
+                cached_tag: None,
+                is_retry: false,
                 body: Bytes::from_static(b"body"),
             };
             router.request(now, generation, n, call);
@@ -325,12 +355,16 @@
         while let Some(effect) = router.next_effect() {
             let Effect::SendAttempt { key, call, .. } = effect else { continue };
             // One in seven is never answered, one in five breaks.
-            match call.object.1 % 35 {
+            match call.object.number % 35 {
                 n if n % 7 == 0 => {}
                 n if n % 5 == 0 => router.connection_failed(now, key, ConnectionFailure::Reset),
                 _ => {
-                    let (id, word, body) = (call.name.clone(), Word::Ok, Bytes::new());
-                    router.reply(now, key, Reply { id, word, report: Vec::new(), copy: None, body });
+                    let (id, word, body) = (call.name.clone(), Status::Ok, Bytes::new());
+                    router.reply(
+                        now,
+                        key,
+                        Reply { id, status: word, load_report: Vec::new(), copy: None, body },
+                    );
                 }
             }
         }
@@ -366,15 +400,15 @@
         let object = u64::from(n) * 0x0123_4567_89ab;
         let call = Call {
             name: format!("h{from}-{n}").into(),
-            allow: 1000.0,
-            object: (format!("{object:016x}").into(), object),
+            timeout: 1000.0,
+            object: ObjectId { text: format!("{object:016x}").into(), number: object },
             part: None,
             group: 0,
-            size: Some(10.0),
+            size_kb: Some(10.0),
             class: "page".into(),
-            key: None,
-            have: None,
-            again: false,
+            idempotency_key: None,
+            cached_tag: None,
+            is_retry: false,
             body: Bytes::new(),
         };
         router.request(now, 1, from + n, call);
@@ -383,8 +417,8 @@
                 out.push(router.member_name(member).to_string());
                 let reply = Reply {
                     id: "".into(),
-                    word: Word::Ok,
-                    report: Vec::new(),
+                    status: Status::Ok,
+                    load_report: Vec::new(),
                     copy: None,
                     body: Bytes::from_static(b"x"),
                 };
@@ -410,20 +444,23 @@
     let held = asked(&mut router, NOW + 30.0, 100);
     assert!(held.iter().all(|m| m == "s-2"), "{held:?}");
     // The list has it drain; that it is held back no more does not bring it back.
-    let drains =
-        News::Members { whole: false, entries: vec![entry(0, Phase::Terminating, None)], dropped: 0 };
-    assert!(router.feed_event(NOW + 40.0, 2, drains, false));
+    let drains = FeedEvent::Members {
+        complete: false,
+        entries: vec![entry(0, Phase::Terminating, None)],
+        unreadable: 0,
+    };
+    assert!(router.feed_event(NOW + 40.0, numbered(2, drains), false));
     router.set_ejected(NOW + 50.0, &[]);
     let drained = asked(&mut router, NOW + 60.0, 200);
     assert!(drained.iter().all(|m| m == "s-2"), "{drained:?}");
     // What the list tells while it is held back holds it back no less.
     router.set_ejected(NOW + 70.0, &[one, two]);
-    let ready = News::Members {
-        whole: true,
+    let ready = FeedEvent::Members {
+        complete: true,
         entries: (0..MEMBERS.len()).map(|at| entry(at, Phase::Ready, None)).collect(),
-        dropped: 0,
+        unreadable: 0,
     };
-    assert!(router.feed_event(NOW + 80.0, 3, ready, false));
+    assert!(router.feed_event(NOW + 80.0, numbered(3, ready), false));
     router.set_ejected(NOW + 90.0, &[one]);
     let again = asked(&mut router, NOW + 100.0, 300);
     assert!(again.iter().all(|m| m == "s-2"), "{again:?}");
--- a/crates/deckproxy/tests/sites.rs
+++ b/crates/deckproxy/tests/sites.rs
@@ -480,7 +480,7 @@
         [(hello("east", 1), "this is site"), (hello("south", 9), "version 1 of the link protocol")]
     {
         let mut stream = TcpStream::connect(at).unwrap();
-        stream.write_all(&link::frame(&frame)).unwrap();
+        stream.write_all(&link::encode_frame(&frame)).unwrap();
         let told = heard(&stream);
         let bye = told.iter().any(|f| matches!(&f.say, Some(Say::Bye(bye)) if bye.why.contains(why)));
         assert!(bye, "{told:?}");
@@ -498,7 +498,7 @@
     let gateway = setup.start_limited("ulimit -n 32");
     let _silent = gateway.fill_descriptors(32);
     let mut stream = TcpStream::connect(at).unwrap();
-    stream.write_all(&link::frame(&hello("east", 1))).unwrap();
+    stream.write_all(&link::encode_frame(&hello("east", 1))).unwrap();
     let told = heard(&stream);
     assert!(told.iter().any(|f| matches!(&f.say, Some(Say::Bye(_)))), "{told:?}");
 }
@@ -508,9 +508,9 @@
     let mut two = Two::start();
     let at: SocketAddr =
         two.south.setup.operator.as_ref().unwrap().split('"').nth(3).unwrap().parse().unwrap();
-    let mut good = link::frame(&hello("south", 1)).to_vec();
+    let mut good = link::encode_frame(&hello("south", 1)).to_vec();
     // A hello, then what no near end says.
-    good.extend(link::frame(&Say::Hello(Hello::default()).into()));
+    good.extend(link::encode_frame(&Say::Hello(Hello::default()).into()));
     let cases: [&[u8]; 5] =
         [b"\xff\xff\xff\xffrest", b"\0\0\0\x05nodes", &[0; 64], b"GET / HTTP/1.1\r\n\r\n", &good];
     let id = two.client.request_object(SOUTHERN);
