--- a/crates/deckproxy-standins/src/feed.rs
+++ b/crates/deckproxy-standins/src/feed.rs
@@ -1,6 +1,7 @@
 //! A control feed whose lines a test writes by hand.
 
-use crate::wait::PATIENCE;
+use crate::wait::{PATIENCE, unix_ms};
+use serde_json::{Value, json};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{Receiver, channel};
@@ -58,6 +59,16 @@
 ///
 /// # Panics
 /// If it can't be written.
-pub fn send_line(mut subscriber: &TcpStream, line: &serde_json::Value) {
+pub fn send_line(mut subscriber: &TcpStream, line: &Value) {
     subscriber.write_all(format!("{line}\n").as_bytes()).unwrap();
 }
+
+/// The event with this number that purges a group now.
+pub fn group_purge(number: u64, group: u64) -> Value {
+    json!({"n": number, "purge": {"group": group, "at": unix_ms()}})
+}
+
+/// The event with this number that changes these entries of the member list.
+pub fn member_update(number: u64, entries: &[Value]) -> Value {
+    json!({"n": number, "members": {"revision": number, "complete": false, "members": entries}})
+}
--- a/crates/deckproxy-standins/src/lib.rs
+++ b/crates/deckproxy-standins/src/lib.rs
@@ -24,10 +24,10 @@
 pub mod wait;
 
 pub use client::{Answer, Client, fresh_name};
-pub use feed::{Feed, send_line};
+pub use feed::{Feed, group_purge, member_update, send_line};
 pub use gateway::{Gateway, Usage};
 pub use gateway_setup::{Setup, complete_member_list, settings};
 pub use member::{Member, MemberEvent, MemberRequest, entry};
 pub use stalled_listener::StalledListener;
-pub use test_site::{SubscribedGateway, TestSite};
+pub use test_site::{OBJECT, SubscribedGateway, TestSite};
 pub use wait::{PATIENCE, QUIET, free_address, unix_ms, until};
--- a/crates/deckproxy-standins/src/member.rs
+++ b/crates/deckproxy-standins/src/member.rs
@@ -187,6 +187,16 @@
         self.send(request.connection, &Self::encode(&request.id, status, fields, body));
     }
 
+    /// Answers the next request as a miss, and returns it.
+    ///
+    /// # Panics
+    /// If none comes in time.
+    pub fn answer_miss(&self) -> MemberRequest {
+        let request = self.next_request();
+        self.answer(&request, "404", &[]);
+        request
+    }
+
     /// Answers a request whose connection may have been closed.
     pub fn try_answer(&self, request: &MemberRequest, status: &str, body: &[u8]) {
         let stream = self.connections.lock().unwrap().get(&request.connection).cloned();
--- a/crates/deckproxy-standins/src/test_site.rs
+++ b/crates/deckproxy-standins/src/test_site.rs
@@ -4,12 +4,15 @@
 use crate::feed::Feed;
 use crate::gateway::Gateway;
 use crate::gateway_setup::Setup;
-use crate::member::{Member, MemberEvent, MemberRequest};
+use crate::member::{Member, MemberEvent, MemberRequest, entry};
 use crate::wait::{QUIET, until};
-use std::net::TcpStream;
+use std::net::{SocketAddr, TcpStream};
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// An object that tests request.
+pub const OBJECT: &str = "7f3a9c21e0b4d655";
+
 /// A gateway that has subscribed to its control feed.
 pub struct SubscribedGateway {
     /// The gateway.
@@ -42,6 +45,17 @@
         }
     }
 
+    /// Starts the four members, a gateway that knows them, and a client of that.
+    ///
+    /// # Panics
+    /// If the gateway isn't ready in time.
+    pub fn start_with_client() -> (Self, Gateway, Client) {
+        let site = Self::start();
+        let gateway = site.setup().start();
+        let client = gateway.client();
+        (site, gateway, client)
+    }
+
     /// Their entries in the member list.
     pub fn entries(&self) -> Vec<serde_json::Value> {
         vec![
@@ -57,6 +71,15 @@
         Setup::knowing(&self.entries())
     }
 
+    /// The configuration of a gateway that knows the parent, the origin, and as the only cache a member at this address.
+    pub fn setup_with_cache_at(&self, address: SocketAddr) -> Setup {
+        Setup::knowing(&[
+            entry("s-00000009", address, "edge", "box", "Ready"),
+            self.parent.entry("hub", "parent", "Ready"),
+            self.origin.entry("hub", "origin", "Ready"),
+        ])
+    }
+
     /// Starts a gateway that has subscribed to its control feed, with a client.
     ///
     /// # Panics
@@ -96,6 +119,57 @@
         None
     }
 
+    /// Has a client request an object, which a cache answers with this body, and expects that the client is served.
+    /// Returns that cache and the request that it received.
+    ///
+    /// # Panics
+    /// If no cache receives the request or the client isn't served in time.
+    pub fn serve_object(&self, client: &mut Client, object: &str, body: &[u8]) -> (&Member, MemberRequest) {
+        let id = client.request_object(object);
+        let (cache, request) = self.next_request();
+        cache.answer(&request, "200", body);
+        client.expect_served(id, body);
+        (cache, request)
+    }
+
+    /// Has a client send a write without an idempotency key, which the origin answers, and expects that the client is
+    /// served. Returns the request that the origin received.
+    ///
+    /// # Panics
+    /// If the origin doesn't receive the request or the client isn't served in time.
+    pub fn serve_write(&self, client: &mut Client, body: &[u8], answer: &[u8]) -> MemberRequest {
+        let id = client.send_request("once", &[("lookup", OBJECT)], body);
+        let request = self.origin.next_request();
+        self.origin.answer(&request, "200", answer);
+        client.expect_served(id, answer);
+        request
+    }
+
+    /// Has a client request an object that the cache misses, so that the client's request leads a fill. Returns its id,
+    /// the cache, and the fill that the cache received.
+    ///
+    /// # Panics
+    /// If no cache receives the request and the fill in time.
+    pub fn start_fill(&self, leader: &mut Client, object: &str) -> (u64, &Member, MemberRequest) {
+        let id = leader.request_object(object);
+        let (cache, lookup) = self.next_request();
+        cache.answer(&lookup, "404", &[]);
+        (id, cache, cache.next_request())
+    }
+
+    /// Has a client request an object of a purge group, and returns whether the cache was asked for a copy of bounded
+    /// age, as it is after a purge.
+    ///
+    /// # Panics
+    /// If no cache receives the request or the client isn't served in time.
+    pub fn is_bound_by_purge(&self, client: &mut Client, group: u32) -> bool {
+        let id = client.send_request("page", &[("lookup", OBJECT), ("bucket", &group.to_string())], &[]);
+        let (cache, request) = self.next_request();
+        cache.answer(&request, "200", b"x");
+        client.expect_served(id, b"x");
+        request.field("within").is_some()
+    }
+
     /// A request that either cache has received; earlier events are skipped.
     fn received_request(&self) -> Option<(&Member, MemberRequest)> {
         self.caches.iter().find_map(|cache| {
--- a/crates/deckproxy/tests/clients.rs
+++ b/crates/deckproxy/tests/clients.rs
@@ -5,13 +5,9 @@
 use rmpv::Value;
 use std::time::{Duration, Instant};
 
-const OBJECT: &str = "7f3a9c21e0b4d655";
-
 #[test]
 fn a_request_in_single_bytes_is_served() {
-    let world = TestSite::start();
-    let gateway = world.setup().start();
-    let mut client = gateway.client();
+    let (world, _gateway, mut client) = TestSite::start_with_client();
     let (id, bytes) = client.encode_request("page", &[("lookup", OBJECT)], &[]);
     bytes.iter().for_each(|b| client.send(&[*b]));
     let (cache, ask) = world.next_request();
@@ -40,9 +36,7 @@
 
 #[test]
 fn an_oversized_request_is_answered_before_its_connection_closes() {
-    let world = TestSite::start();
-    let gateway = world.setup().start();
-    let mut client = gateway.client();
+    let (_world, _gateway, mut client) = TestSite::start_with_client();
     client.send(b"\x94\x00\x07\xa4page\x92\x80\xc6\x7f\xff\xff\xff");
     client.expect_error(7, "Unusable");
     client.expect_closed();
@@ -50,9 +44,7 @@
 
 #[test]
 fn requests_that_can_not_be_used_get_an_error_and_the_connection_goes_on() {
-    let world = TestSite::start();
-    let gateway = world.setup().start();
-    let mut client = gateway.client();
+    let (world, _gateway, mut client) = TestSite::start_with_client();
     let bad = [
         ("video", vec![("lookup", OBJECT)], 0),
         ("page", vec![("lookup", "no hex at all!!!")], 0),
@@ -87,18 +79,13 @@
     client.send_value(&Value::Array(vec![0.into(), id.into(), "page".into(), Value::Nil]));
     client.expect_error(id, "Unusable");
     client.send_value(&Value::Array(vec![2.into(), "unknown".into(), Value::Array(vec![])]));
-    let id = client.request_object(OBJECT);
-    let (cache, ask) = world.next_request();
-    cache.answer(&ask, "200", b"after");
-    client.expect_served(id, b"after");
+    world.serve_object(&mut client, OBJECT, b"after");
     assert!(world.origin.request_if_any().is_none(), "nothing of it went out");
 }
 
 #[test]
 fn message_ids_that_do_not_count_up_from_1_end_the_connection_once_all_is_answered() {
-    let world = TestSite::start();
-    let gateway = world.setup().start();
-    let mut client = gateway.client();
+    let (world, gateway, mut client) = TestSite::start_with_client();
     let first = client.request_object(OBJECT);
     let (cache, ask) = world.next_request();
     client.encode_request("page", &[], &[]);
@@ -123,15 +110,13 @@
     let gateway = world.setup().start();
     let start = Instant::now();
     let mut good = gateway.client();
-    let id = good.ping();
-    assert_eq!(good.next_answer(), (id, Answer::Ready(true)));
+    good.expect_ready();
     let mut silent: Vec<Client> = (0..20).map(|_| gateway.client()).collect();
     let mut half = gateway.client();
     let (_, bytes) = half.encode_request("page", &[("lookup", OBJECT)], &[1; 500]);
     half.send(&bytes[..40]);
     let mut begun = gateway.client();
-    let id = begun.ping();
-    assert_eq!(begun.next_answer(), (id, Answer::Ready(true)));
+    begun.expect_ready();
     begun.send(&bytes[..40]);
     let mut trickle = gateway.client();
     for byte in &bytes[..100] {
@@ -142,17 +127,12 @@
     }
     silent.iter_mut().chain([&mut half, &mut begun, &mut trickle]).for_each(Client::expect_closed);
     assert!(start.elapsed() < Duration::from_millis(3000), "{:?}", start.elapsed());
-    let id = good.request_object(OBJECT);
-    let (cache, ask) = world.next_request();
-    cache.answer(&ask, "200", b"still");
-    good.expect_served(id, b"still");
+    world.serve_object(&mut good, OBJECT, b"still");
 }
 
 #[test]
 fn a_client_that_takes_back_all_it_asks_for_is_closed() {
-    let world = TestSite::start();
-    let gateway = world.setup().start();
-    let mut client = gateway.client();
+    let (_world, _gateway, mut client) = TestSite::start_with_client();
     for _ in 0..1000 {
         let (id, bytes) = client.encode_request("page", &[("lookup", OBJECT)], &[]);
         if client.try_send(&bytes).is_err() || client.try_cancel(id).is_err() {
@@ -170,17 +150,13 @@
     let gateway = setup.start();
     let mut kept: Vec<Client> = (0..10).map(|_| gateway.client()).collect();
     for client in &mut kept {
-        let id = client.ping();
-        assert_eq!(client.next_answer(), (id, Answer::Ready(true)));
+        client.expect_ready();
     }
     let _silent: Vec<Client> = (0..200).map(|_| gateway.client()).collect();
     let start = Instant::now();
     kept.push(gateway.client());
     for client in &mut kept {
-        let id = client.request_object(OBJECT);
-        let (cache, ask) = world.next_request();
-        cache.answer(&ask, "200", b"good");
-        client.expect_served(id, b"good");
+        world.serve_object(client, OBJECT, b"good");
     }
     assert!(start.elapsed() < Duration::from_millis(1500), "{:?}", start.elapsed());
     assert!(gateway.usage().descriptors <= 96, "{:?}", gateway.usage());
@@ -188,9 +164,7 @@
 
 #[test]
 fn a_body_of_60_mb_is_turned_away_by_its_length() {
-    let world = TestSite::start();
-    let gateway = world.setup().start();
-    let mut client = gateway.client();
+    let (_world, gateway, mut client) = TestSite::start_with_client();
     let (id, mut bytes) = client.encode_request("page", &[("lookup", OBJECT)], &[]);
     bytes.truncate(bytes.len() - 2);
     bytes.extend([0xc6, 3, 0x93, 0x87, 0]);
@@ -204,9 +178,7 @@
 
 #[test]
 fn a_33rd_open_request_is_refused_and_room_comes_back() {
-    let world = TestSite::start();
-    let gateway = world.setup().start();
-    let mut client = gateway.client();
+    let (world, _gateway, mut client) = TestSite::start_with_client();
     let ids: Vec<u64> = (0..32).map(|i| client.send_request("once", &[("lookup", OBJECT)], &[i])).collect();
     let mut asks: Vec<MemberRequest> = ids.iter().map(|_| world.origin.next_request()).collect();
     asks.sort_by_key(|a| a.body.clone());
@@ -214,17 +186,12 @@
     client.expect_error(over, "Shed");
     world.origin.answer(&asks[0], "200", b"one");
     client.expect_served(ids[0], b"one");
-    let id = client.send_request("once", &[("lookup", OBJECT)], b"x");
-    let ask = world.origin.next_request();
-    world.origin.answer(&ask, "200", b"next");
-    client.expect_served(id, b"next");
+    world.serve_write(&mut client, b"x", b"next");
 }
 
 #[test]
 fn an_open_id_used_again_closes_the_connection() {
-    let world = TestSite::start();
-    let gateway = world.setup().start();
-    let mut client = gateway.client();
+    let (world, _gateway, mut client) = TestSite::start_with_client();
     let (_, bytes) = client.encode_request("page", &[("lookup", OBJECT)], &[]);
     client.send(&bytes);
     let (cache, ask) = world.next_request();
@@ -235,9 +202,7 @@
 
 #[test]
 fn an_aborted_request_is_given_up_at_the_cache_and_never_answered() {
-    let world = TestSite::start();
-    let gateway = world.setup().start();
-    let mut client = gateway.client();
+    let (world, _gateway, mut client) = TestSite::start_with_client();
     let id = client.request_object(OBJECT);
     let (cache, ask) = world.next_request();
     client.cancel(id);
@@ -255,14 +220,10 @@
     let world = TestSite::start();
     let gateway = world.setup().start();
     let mut leader = gateway.client();
-    leader.request_object(OBJECT);
-    let (cache, ask) = world.next_request();
-    cache.answer(&ask, "404", &[]);
-    let fill = cache.next_request();
+    let (_, cache, fill) = world.start_fill(&mut leader, OBJECT);
     let mut waiter = gateway.client();
     let id = waiter.request_object(OBJECT);
-    let look_up = cache.next_request();
-    cache.answer(&look_up, "404", &[]);
+    let look_up = cache.answer_miss();
     assert!(cache.request_if_any().is_none(), "it waits");
     drop(leader);
     cache.expect_cancelled(&fill.id);
@@ -274,9 +235,7 @@
 
 #[test]
 fn the_deadline_counts_from_the_last_byte() {
-    let world = TestSite::start();
-    let gateway = world.setup().start();
-    let mut client = gateway.client();
+    let (world, _gateway, mut client) = TestSite::start_with_client();
     let (id, bytes) = client.encode_request("page", &[("lookup", OBJECT), ("allow", "300")], &[]);
     let (most, last) = bytes.split_at(bytes.len() - 1);
     client.send(most);
@@ -339,8 +298,7 @@
     let mut all = Vec::new();
     for _ in 0..100 {
         let mut client = gateway.client();
-        let id = client.ping();
-        assert_eq!(client.next_answer(), (id, Answer::Ready(true)));
+        client.expect_ready();
         all.push(client);
         assert!(gateway.usage().descriptors <= 96, "{:?}", gateway.usage());
     }
@@ -383,10 +341,7 @@
     let world = TestSite::start();
     let gateway = world.setup().start();
     let mut first = gateway.client();
-    let id = first.send_request("once", &[("lookup", OBJECT)], b"x");
-    let ask = world.origin.next_request();
-    world.origin.answer(&ask, "200", b"done");
-    first.expect_served(id, b"done");
+    world.serve_write(&mut first, b"x", b"done");
     world.origin.stop_reading();
     let body = vec![1u8; 48_000];
     let mut clients: Vec<Client> = (0..100).map(|_| gateway.client()).collect();
@@ -446,9 +401,7 @@
 
 #[test]
 fn a_flood_from_some_clients_delays_no_deadline_of_another() {
-    let world = TestSite::start();
-    let gateway = world.setup().start();
-    let mut client = gateway.client();
+    let (world, gateway, mut client) = TestSite::start_with_client();
     let stop = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
     let floods: Vec<_> = (0..6)
         .map(|_| {
--- a/crates/deckproxy/tests/closing.rs
+++ b/crates/deckproxy/tests/closing.rs
@@ -12,12 +12,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const OBJECT: &str = "7f3a9c21e0b4d655";
-
 fn proven(gateway: &Gateway) -> Client {
     let mut client = gateway.client();
-    let ping = client.ping();
-    assert_eq!(client.next_answer(), (ping, Answer::Ready(true)));
+    client.expect_ready();
     client
 }
 
@@ -166,9 +163,7 @@
 
 #[test]
 fn told_twice_to_end_and_to_read_its_configuration_it_ends_as_told_once() {
-    let world = TestSite::start();
-    let mut gateway = world.setup().start();
-    let mut client = gateway.client();
+    let (world, mut gateway, mut client) = TestSite::start_with_client();
     let id = client.request_object(OBJECT);
     let (cache, ask) = world.next_request();
     gateway.pause();
@@ -185,9 +180,7 @@
 
 #[test]
 fn a_flood_behind_what_can_not_be_used_takes_back_no_answer() {
-    let world = TestSite::start();
-    let gateway = world.setup().start();
-    let mut client = gateway.client();
+    let (world, gateway, mut client) = TestSite::start_with_client();
     let id = client.request_object(OBJECT);
     let (cache, ask) = world.next_request();
     let mut handle = client.stream_handle();
@@ -208,9 +201,7 @@
 /// All is written and the connection shut, but most of the answer waits in the gateway's kernel for its slow reader.
 #[test]
 fn who_goes_on_sending_and_reads_slowly_has_its_answer_before_the_close() {
-    let world = TestSite::start();
-    let gateway = world.setup().start();
-    let mut client = gateway.client();
+    let (world, gateway, mut client) = TestSite::start_with_client();
     socket2::SockRef::from(&client.stream_handle()).set_recv_buffer_size(8 * 1024).unwrap();
     let id = client.request_object(OBJECT);
     let (cache, ask) = world.next_request();
--- a/crates/deckproxy/tests/cold.rs
+++ b/crates/deckproxy/tests/cold.rs
@@ -71,8 +71,7 @@
     fn new(gateway: Gateway, number: usize) -> Self {
         let mut client = gateway.client();
         // It says something at once: the others start before it asks, and who stays silent for 2 s is closed.
-        let ping = client.ping();
-        assert_eq!(client.next_answer(), (ping, Answer::Ready(true)));
+        client.expect_ready();
         Process { gateway, client, ids: Vec::new(), objects: (number as u64 + 1) << 32 }
     }
 
@@ -160,7 +159,7 @@
 
     let since = unix_ms();
     let entry = cold.entry(zone, kind, size, since);
-    let event = json!({"n": 2, "members": {"revision": 2, "complete": false, "members": [entry]}});
+    let event = member_update(2, std::slice::from_ref(&entry));
     let start = Instant::now();
     for step in 0..100_u32 {
         let at = Duration::from_millis(10) * step;
--- a/crates/deckproxy/tests/drains.rs
+++ b/crates/deckproxy/tests/drains.rs
@@ -3,22 +3,17 @@
 
 mod common;
 use common::*;
-use serde_json::{Value, json};
+use serde_json::json;
 use std::io::Read;
 use std::time::{Duration, Instant};
 
-const OBJECT: &str = "7f3a9c21e0b4d655";
 /// Longer than the settings allow after word of a drain.
 const GRACE: Duration = Duration::from_millis(560);
 
-fn news(number: u64, entry: &Value) -> Value {
-    json!({"n": number, "members": {"revision": number, "complete": false, "members": [entry]}})
-}
-
 /// Waits until a purge told behind it binds: by then the gateway has heard all that was told before.
 fn heard(world: &TestSite, client: &mut Client, line: &std::net::TcpStream, number: u64) {
     let group = 200 + number;
-    send_line(line, &json!({"n": number, "purge": {"group": group, "at": unix_ms()}}));
+    send_line(line, &group_purge(number, group));
     until("what was told before is known", || {
         let fields = [("lookup", "0000000000000001"), ("bucket", &*group.to_string())];
         let id = client.send_request("page", &fields, &[]);
@@ -40,7 +35,7 @@
     let caches =
         [world.caches[0].entry("edge", "box", "Ready"), world.caches[1].entry("edge", "box", "Ready")];
     let entries = [&caches[..], &[parent, slow]].concat();
-    setup.events = vec![json!({"n": 1, "members": {"revision": 1, "complete": true, "members": entries}})];
+    setup.events = vec![complete_member_list(&entries)];
     // The handshake has the time that the kernel takes for its second try, and so has what waits for it.
     setup.settings["limits"]["connectTimeoutMs"] = json!(8000.0);
     setup.settings["services"][2]["deadlineMs"] = json!(3000.0);
@@ -51,7 +46,7 @@
     let id = client.send_request("once", &[("lookup", OBJECT), ("allow", "3000")], b"waits");
     late.wait_for_handshake();
     let drain = entry("s-00000009", late.address, "hub", "origin", "Terminating");
-    send_line(&line, &news(2, &drain));
+    send_line(&line, &member_update(2, &[drain]));
     let told = Instant::now();
     let mut up = late.accept();
     assert!(told.elapsed() > GRACE, "it came up after the drain's time: {:?}", told.elapsed());
@@ -71,12 +66,9 @@
     let world = TestSite::start();
     let SubscribedGateway { gateway: _gateway, mut client, subscription: line, .. } =
         world.start_subscribed();
-    let id = client.request_object(OBJECT);
-    let (cache, ask) = world.next_request();
-    cache.answer(&ask, "404", &[]);
-    let fill = cache.next_request();
+    let (id, cache, fill) = world.start_fill(&mut client, OBJECT);
     assert_eq!(fill.field("miss"), Some(&*world.parent.id));
-    send_line(&line, &news(2, &world.parent.entry("hub", "parent", "Terminating")));
+    send_line(&line, &member_update(2, &[world.parent.entry("hub", "parent", "Terminating")]));
     let told = Instant::now();
     let mut other = Client::connect(client.stream_handle().peer_addr().unwrap());
     heard(&world, &mut other, &line, 3);
@@ -94,16 +86,12 @@
 fn the_lead_passed_on_goes_to_no_cache_that_drains_meanwhile() {
     let world = TestSite::start();
     let SubscribedGateway { gateway, client: mut leader, subscription: line, .. } = world.start_subscribed();
-    leader.request_object(OBJECT);
-    let (cache, ask) = world.next_request();
-    cache.answer(&ask, "404", &[]);
-    let fill = cache.next_request();
+    let (_, cache, fill) = world.start_fill(&mut leader, OBJECT);
     let mut waiter = gateway.client();
     let id = waiter.request_object(OBJECT);
-    let look_up = cache.next_request();
-    cache.answer(&look_up, "404", &[]);
+    let look_up = cache.answer_miss();
     until("it waits", || cache.request_if_any().is_none());
-    send_line(&line, &news(2, &cache.entry("edge", "box", "Terminating")));
+    send_line(&line, &member_update(2, &[cache.entry("edge", "box", "Terminating")]));
     let told = Instant::now();
     let mut other = gateway.client();
     heard(&world, &mut other, &line, 3);
--- a/crates/deckproxy/tests/feed.rs
+++ b/crates/deckproxy/tests/feed.rs
@@ -9,27 +9,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const OBJECT: &str = "7f3a9c21e0b4d655";
-
-fn purge(number: u64, group: u32) -> serde_json::Value {
-    json!({"n": number, "purge": {"group": group, "at": unix_ms()}})
-}
-
-/// Whether what is sent for a group now is bound by a purge.
-fn is_bound(world: &TestSite, client: &mut Client, group: u32) -> bool {
-    let id = client.send_request("page", &[("lookup", OBJECT), ("bucket", &group.to_string())], &[]);
-    let (cache, ask) = world.next_request();
-    cache.answer(&ask, "200", b"x");
-    client.expect_served(id, b"x");
-    ask.field("within").is_some()
-}
-
 #[test]
 fn a_gateway_is_ready_and_serves_without_the_feed() {
-    let world = TestSite::start();
-    let gateway = world.setup().start();
-    let mut client = gateway.client();
-    assert!(!is_bound(&world, &mut client, 1));
+    let (world, _gateway, mut client) = TestSite::start_with_client();
+    assert!(!world.is_bound_by_purge(&mut client, 1));
 }
 
 #[test]
@@ -37,19 +20,19 @@
     let world = TestSite::start();
     let SubscribedGateway { gateway: _gateway, mut client, feed, subscription: line } =
         world.start_subscribed();
-    send_line(&line, &purge(2, 5));
-    until("the purge is known", || is_bound(&world, &mut client, 5));
+    send_line(&line, &group_purge(2, 5));
+    until("the purge is known", || world.is_bound_by_purge(&mut client, 5));
     drop(line);
     let (from, line) = feed.accept();
     assert_eq!(from, 2);
     // Told again, or cut in pieces: it counts once and whole.
-    send_line(&line, &purge(2, 6));
-    let text = format!("{}\n", purge(3, 7));
+    send_line(&line, &group_purge(2, 6));
+    let text = format!("{}\n", group_purge(3, 7));
     let (a, b) = text.split_at(20);
     (&line).write_all(a.as_bytes()).unwrap();
     (&line).write_all(b.as_bytes()).unwrap();
-    until("the purge is known", || is_bound(&world, &mut client, 7));
-    assert!(!is_bound(&world, &mut client, 6), "an event of a number that was told before");
+    until("the purge is known", || world.is_bound_by_purge(&mut client, 7));
+    assert!(!world.is_bound_by_purge(&mut client, 6), "an event of a number that was told before");
 }
 
 #[test]
@@ -57,20 +40,20 @@
     let world = TestSite::start();
     let SubscribedGateway { gateway: _gateway, mut client, feed, subscription: line } =
         world.start_subscribed();
-    send_line(&line, &purge(4, 5));
+    send_line(&line, &group_purge(4, 5));
     let (from, line) = feed.accept();
     assert_eq!(from, 1, "2 and 3 are missing");
     // The feed has them no more: what follows still counts.
-    send_line(&line, &purge(4, 5));
-    until("the purge is known", || is_bound(&world, &mut client, 5));
+    send_line(&line, &group_purge(4, 5));
+    until("the purge is known", || world.is_bound_by_purge(&mut client, 5));
     // A heartbeat with a later number tells of missing ones too.
     send_line(&line, &json!(9));
     let (from, line) = feed.accept();
     assert_eq!(from, 4);
     for number in 5..=9 {
-        send_line(&line, &purge(number, 10));
+        send_line(&line, &group_purge(number, 10));
     }
-    until("the purges are known", || is_bound(&world, &mut client, 10));
+    until("the purges are known", || world.is_bound_by_purge(&mut client, 10));
 }
 
 #[test]
@@ -85,8 +68,8 @@
     send_line(&line, &json!({"n": 3, "members": {"complete": true}}));
     send_line(&line, &json!({"n": 4, "members": {"complete": false, "members": [{"id": "s,1"}, 7, {}]}}));
     send_line(&line, &json!({"n": 5, "later": {"version": 2}}));
-    send_line(&line, &purge(6, 5));
-    until("the purge is known", || is_bound(&world, &mut client, 5));
+    send_line(&line, &group_purge(6, 5));
+    until("the purge is known", || world.is_bound_by_purge(&mut client, 5));
 }
 
 #[test]
@@ -124,7 +107,7 @@
         drop(line);
     }
     let mut client = gateway.client();
-    assert!(!is_bound(&world, &mut client, 5));
+    assert!(!world.is_bound_by_purge(&mut client, 5));
 }
 
 /// It was taken for silent before it could have said anything, and so was each one after it.
@@ -158,8 +141,7 @@
     let mut idle: Vec<Client> = Vec::new();
     until("none is left", || {
         let mut client = gateway.client();
-        let id = client.ping();
-        assert_eq!(client.next_answer(), (id, Answer::Ready(true)));
+        client.expect_ready();
         idle.push(client);
         gateway.usage().descriptors >= 32
     });
--- a/crates/deckproxy/tests/flows.rs
+++ b/crates/deckproxy/tests/flows.rs
@@ -7,8 +7,6 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-const OBJECT: &str = "7f3a9c21e0b4d655";
-
 fn file(collectors: &[(SocketAddr, &str)], more: &str) -> String {
     let collectors: String = collectors
         .iter()
--- a/crates/deckproxy/tests/leaving.rs
+++ b/crates/deckproxy/tests/leaving.rs
@@ -9,7 +9,6 @@
 use std::thread;
 use std::time::Duration;
 
-const OBJECT: &str = "7f3a9c21e0b4d655";
 /// Longer than a client may be gone before a further attempt is a broken rule.
 const GONE: Duration = Duration::from_millis(120);
 
@@ -20,10 +19,7 @@
 /// Has a write served, so that a connection to the origin rests: what is sent next is written at once.
 fn warm(world: &TestSite, gateway: &Gateway) -> Client {
     let mut client = gateway.client();
-    let id = client.send_request("once", &[("lookup", OBJECT)], b"warm");
-    let ask = world.origin.next_request();
-    world.origin.answer(&ask, "200", b"warm");
-    client.expect_served(id, b"warm");
+    world.serve_write(&mut client, b"warm", b"warm");
     client
 }
 
@@ -33,19 +29,29 @@
     gateway: &Gateway,
 ) -> (&'a Member, Client, MemberRequest, Client, String) {
     let mut leader = gateway.client();
-    leader.request_object(OBJECT);
-    let (cache, ask) = world.next_request();
-    cache.answer(&ask, "404", &[]);
-    let fill = cache.next_request();
+    let (_, cache, fill) = world.start_fill(&mut leader, OBJECT);
     let mut waiter = gateway.client();
     waiter.request_object(OBJECT);
-    let look_up = cache.next_request();
-    cache.answer(&look_up, "404", &[]);
+    let look_up = cache.answer_miss();
     // Answered by now: a ping behind it was heard after the miss.
     until("it waits", || cache.request_if_any().is_none());
     (cache, leader, fill, waiter, look_up.id)
 }
 
+/// Reports the attempts that the caches receive in a short while, and expects that none was for a client that had left.
+fn expect_no_late_attempts(world: &TestSite, mut checker: CancellationChecker) {
+    while let Some((_, ask)) = world.request_if_any() {
+        checker.attempt_began(&ask.id, now());
+    }
+    assert!(checker.late_attempts().is_empty(), "sent for a client that left: {:?}", checker.late_attempts());
+}
+
+/// Has a new client send a write, and expects that this is the next request that the origin receives.
+fn expect_next_write_is_of_new_client(world: &TestSite, gateway: &Gateway) {
+    let ask = world.serve_write(&mut gateway.client(), b"there", b"done");
+    assert_eq!(ask.body, b"there");
+}
+
 #[test]
 fn a_waiter_that_left_does_not_lead_where_the_leaders_failure_is_heard_first() {
     let world = TestSite::start();
@@ -61,10 +67,7 @@
     // The leader leads on, and nobody is sent for the one that left.
     let (_, next) = world.next_request();
     assert_eq!(next.id, fill.id);
-    while let Some((_, ask)) = world.request_if_any() {
-        judge.attempt_began(&ask.id, now());
-    }
-    assert!(judge.late_attempts().is_empty(), "sent for a client that left: {:?}", judge.late_attempts());
+    expect_no_late_attempts(&world, judge);
 }
 
 #[test]
@@ -72,15 +75,11 @@
     let world = TestSite::start();
     let gateway = world.setup().start();
     let mut leader = gateway.client();
-    leader.request_object(OBJECT);
-    let (cache, ask) = world.next_request();
-    cache.answer(&ask, "404", &[]);
-    let fill = cache.next_request();
+    let (_, cache, fill) = world.start_fill(&mut leader, OBJECT);
     let mut waiter = gateway.client();
     // It has so little time that its wait ends long before the leader's fill.
     waiter.send_request("page", &[("lookup", OBJECT), ("allow", "700")], &[]);
-    let look_up = cache.next_request();
-    cache.answer(&look_up, "404", &[]);
+    let look_up = cache.answer_miss();
     until("it waits", || cache.request_if_any().is_none());
     gateway.pause();
     drop(waiter);
@@ -91,10 +90,7 @@
     gateway.resume();
     cache.answer(&fill, "200", b"filled");
     leader.expect_served(1, b"filled");
-    while let Some((_, ask)) = world.request_if_any() {
-        judge.attempt_began(&ask.id, now());
-    }
-    assert!(judge.late_attempts().is_empty(), "sent for a client that left: {:?}", judge.late_attempts());
+    expect_no_late_attempts(&world, judge);
 }
 
 #[test]
@@ -125,19 +121,12 @@
     drop(client);
     thread::sleep(GONE);
     gateway.resume();
-    let mut other = gateway.client();
-    let id = other.send_request("once", &[("lookup", OBJECT)], b"there");
-    let ask = world.origin.next_request();
-    assert_eq!(ask.body, b"there");
-    world.origin.answer(&ask, "200", b"done");
-    other.expect_served(id, b"done");
+    expect_next_write_is_of_new_client(&world, &gateway);
 }
 
 #[test]
 fn what_a_client_takes_back_is_heard_behind_answers_that_it_leaves_unread() {
-    let world = TestSite::start();
-    let gateway = world.setup().start();
-    let mut client = gateway.client();
+    let (world, gateway, mut client) = TestSite::start_with_client();
     // The kernel holds little for a client that does not read.
     socket2::SockRef::from(&client.stream_handle()).set_recv_buffer_size(64 * 1024).unwrap();
     let body = vec![7u8; 240_000];
@@ -163,11 +152,9 @@
 
 #[test]
 fn an_attempt_that_waits_for_its_connection_is_taken_off_when_its_client_leaves() {
-    let world = TestSite::start();
+    let _world = TestSite::start();
     let mut late = StalledListener::start();
-    let mut setup = world.setup();
-    let entries = vec![entry("s-00000009", late.address, "hub", "origin", "Ready")];
-    setup.events = vec![json!({"n": 1, "members": {"revision": 1, "complete": true, "members": entries}})];
+    let mut setup = Setup::knowing(&[entry("s-00000009", late.address, "hub", "origin", "Ready")]);
     // The handshake has the time that the kernel takes for its second try.
     setup.settings["limits"]["connectTimeoutMs"] = json!(8000.0);
     setup.settings["rules"]["drainGraceMs"] = json!(8000.0);
@@ -177,8 +164,7 @@
     let mut client = gateway.client();
     client.send_request("once", &[("lookup", OBJECT), ("allow", "8000")], b"left");
     let mut other = gateway.client();
-    let ping = other.ping();
-    assert_eq!(other.next_answer(), (ping, Answer::Ready(true)));
+    other.expect_ready();
     late.wait_for_handshake();
     gateway.pause();
     let mut origin = late.accept();
@@ -202,13 +188,7 @@
 fn an_attempt_whose_connection_did_not_come_up_goes_nowhere_else_for_a_client_that_left() {
     let world = TestSite::start();
     let late = StalledListener::start();
-    let mut setup = world.setup();
-    let entries = vec![
-        entry("s-00000009", late.address, "edge", "box", "Ready"),
-        world.parent.entry("hub", "parent", "Ready"),
-        world.origin.entry("hub", "origin", "Ready"),
-    ];
-    setup.events = vec![json!({"n": 1, "members": {"revision": 1, "complete": true, "members": entries}})];
+    let setup = world.setup_with_cache_at(late.address);
     let gateway = setup.start();
     let mut client = gateway.client();
     // Its connection to the parent rests then.
@@ -223,11 +203,6 @@
     // The connect time-out of 400 ms passes meanwhile.
     thread::sleep(Duration::from_millis(450));
     gateway.resume();
-    let mut other = gateway.client();
-    let id = other.send_request("once", &[("lookup", OBJECT)], b"there");
-    let ask = world.origin.next_request();
-    assert_eq!(ask.body, b"there");
-    world.origin.answer(&ask, "200", b"done");
-    other.expect_served(id, b"done");
+    expect_next_write_is_of_new_client(&world, &gateway);
     assert!(world.parent.request_if_any().is_none(), "sent for a client that left");
 }
--- a/crates/deckproxy/tests/lifecycle.rs
+++ b/crates/deckproxy/tests/lifecycle.rs
@@ -7,8 +7,6 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-const OBJECT: &str = "7f3a9c21e0b4d655";
-
 #[test]
 fn told_to_end_it_serves_what_it_holds_and_the_stragglers_and_ends_by_itself() {
     let world = TestSite::start();
@@ -81,10 +79,7 @@
     drop(gateway);
     let gateway = setup.start();
     let mut client = gateway.client();
-    let id = client.request_object(OBJECT);
-    let (cache, ask) = world.next_request();
-    cache.answer(&ask, "200", b"again");
-    client.expect_served(id, b"again");
+    world.serve_object(&mut client, OBJECT, b"again");
 }
 
 #[test]
@@ -127,9 +122,7 @@
 
 #[test]
 fn told_to_end_it_writes_all_to_a_slow_reader_first() {
-    let world = TestSite::start();
-    let mut gateway = world.setup().start();
-    let mut client = gateway.client();
+    let (world, mut gateway, mut client) = TestSite::start_with_client();
     let body = vec![5u8; 240_000];
     for _ in 0..32 {
         client.request_object(OBJECT);
@@ -159,10 +152,7 @@
     for _ in 0..4 {
         drop(feed.accept());
     }
-    let id = client.request_object(OBJECT);
-    let (cache, ask) = world.next_request();
-    cache.answer(&ask, "200", b"served");
-    client.expect_served(id, b"served");
+    world.serve_object(&mut client, OBJECT, b"served");
     gateway.signal("TERM");
     assert_eq!(gateway.wait_for_exit(), Some(0));
 }
--- a/crates/deckproxy/tests/members.rs
+++ b/crates/deckproxy/tests/members.rs
@@ -6,14 +6,9 @@
 use serde_json::json;
 use std::time::{Duration, Instant};
 
-const OBJECT: &str = "7f3a9c21e0b4d655";
-
 /// Asks and answers once, so that the connection is up; tells which cache holds the object.
 fn warm<'a>(world: &'a TestSite, client: &mut Client) -> (&'a Member, u64) {
-    let id = client.request_object(OBJECT);
-    let (cache, ask) = world.next_request();
-    cache.answer(&ask, "200", b"warm");
-    client.expect_served(id, b"warm");
+    let (cache, ask) = world.serve_object(client, OBJECT, b"warm");
     (cache, ask.connection)
 }
 
@@ -32,18 +27,11 @@
 fn a_handshake_that_does_not_end_fails_in_time_and_never_ran() {
     let world = TestSite::start();
     let late = StalledListener::start();
-    let mut setup = world.setup();
-    let entries = vec![
-        entry("s-00000009", late.address, "edge", "box", "Ready"),
-        world.parent.entry("hub", "parent", "Ready"),
-        world.origin.entry("hub", "origin", "Ready"),
-    ];
-    setup.events = vec![json!({"n": 1, "members": {"revision": 1, "complete": true, "members": entries}})];
+    let setup = world.setup_with_cache_at(late.address);
     let gateway = setup.start();
     let mut client = gateway.client();
     // Once it has answered, the gateway holds this client's descriptor.
-    let ping = client.ping();
-    assert_eq!(client.next_answer(), (ping, Answer::Ready(true)));
+    client.expect_ready();
     let before = gateway.usage().descriptors;
     let start = Instant::now();
     let id = client.request_object(OBJECT);
@@ -57,9 +45,7 @@
 
 #[test]
 fn a_silent_member_ends_at_the_deadline_and_its_connection_is_not_trusted_again() {
-    let world = TestSite::start();
-    let gateway = world.setup().start();
-    let mut client = gateway.client();
+    let (world, _gateway, mut client) = TestSite::start_with_client();
     let (cache, conn) = warm(&world, &mut client);
     let start = Instant::now();
     let id = client.request_object(OBJECT);
@@ -79,9 +65,7 @@
 
 #[test]
 fn a_connection_closed_while_idle_costs_nothing() {
-    let world = TestSite::start();
-    let gateway = world.setup().start();
-    let mut client = gateway.client();
+    let (world, gateway, mut client) = TestSite::start_with_client();
     for _ in 0..3 {
         let (cache, conn) = warm(&world, &mut client);
         let before = gateway.usage().descriptors;
@@ -118,9 +102,7 @@
 
 #[test]
 fn an_answer_that_can_not_be_read_ends_only_the_attempt_it_came_to() {
-    let world = TestSite::start();
-    let gateway = world.setup().start();
-    let mut client = gateway.client();
+    let (world, _gateway, mut client) = TestSite::start_with_client();
     let all = asked(&world, &mut client, 10);
     world.origin.send(all[3].1.connection, b"$5\r\nnoise\r\n");
     // The class may not be repeated once it may have run.
@@ -152,9 +134,7 @@
 
 #[test]
 fn an_answer_that_comes_byte_by_byte_is_whole() {
-    let world = TestSite::start();
-    let gateway = world.setup().start();
-    let mut client = gateway.client();
+    let (world, _gateway, mut client) = TestSite::start_with_client();
     let id = client.request_object(OBJECT);
     let (cache, ask) = world.next_request();
     for byte in Member::encode(&ask.id, "200", "entity=t,issued=1", b"one\r\n*4\r\ntwo") {
@@ -165,9 +145,7 @@
 
 #[test]
 fn an_answer_broken_off_in_its_body_is_a_reset() {
-    let world = TestSite::start();
-    let gateway = world.setup().start();
-    let mut client = gateway.client();
+    let (world, _gateway, mut client) = TestSite::start_with_client();
     let id = client.request_object(OBJECT);
     let (cache, ask) = world.next_request();
     let bytes = Member::encode(&ask.id, "200", "-", &[7; 5000]);
@@ -181,9 +159,7 @@
 
 #[test]
 fn a_member_that_vanishes_costs_only_its_own_requests() {
-    let world = TestSite::start();
-    let gateway = world.setup().start();
-    let mut client = gateway.client();
+    let (world, _gateway, mut client) = TestSite::start_with_client();
     let objects: Vec<String> = (0..20u64).map(|i| format!("{:016x}", i * 0x0101_0101_0101)).collect();
     let ids: Vec<u64> = objects.iter().map(|o| client.request_object(o)).collect();
     let asks: Vec<(&Member, MemberRequest)> = ids.iter().map(|_| world.next_request()).collect();
@@ -233,7 +209,7 @@
         other.entry("edge", "box", "Gone"),
         entry("s-0000000a", cache.address, "edge", "box", "Ready"),
     ];
-    send_line(&line, &json!({"n": 2, "members": {"revision": 2, "complete": false, "members": members}}));
+    send_line(&line, &member_update(2, &members));
     // The old member's idle connection ends, though the address is the same.
     cache.expect_closed();
     let id = client.request_object(OBJECT);
@@ -322,10 +298,7 @@
     let mut again = cache.entry("edge", "box", "Ready");
     again["up_since_ms"] = json!(unix_ms() - 60_000);
     let other = world.other_cache(cache).entry("edge", "box", "Terminating");
-    send_line(
-        &line,
-        &json!({"n": 2, "members": {"revision": 2, "complete": false, "members": [again, other]}}),
-    );
+    send_line(&line, &member_update(2, &[again, other]));
     until("requests go by a new connection", || {
         let (_, now) = warm(&world, &mut client);
         now != conn
@@ -334,13 +307,8 @@
 
 #[test]
 fn half_of_an_answer_on_a_resting_connection_spoils_no_later_one() {
-    let world = TestSite::start();
-    let gateway = world.setup().start();
-    let mut client = gateway.client();
-    let id = client.send_request("once", &[("lookup", OBJECT)], b"x");
-    let ask = world.origin.next_request();
-    world.origin.answer(&ask, "200", b"done");
-    client.expect_served(id, b"done");
+    let (world, _gateway, mut client) = TestSite::start_with_client();
+    let ask = world.serve_write(&mut client, b"x", b"done");
     world.origin.send(ask.connection, b"*4\r\n$16\r\n0123");
     // What must not run twice would be lost behind it.
     let id = client.send_request("once", &[("lookup", OBJECT)], b"y");
@@ -397,9 +365,7 @@
 /// It came behind the fill under the same name, and was taken for its end: the next attempt went out beside it.
 #[test]
 fn a_second_answer_to_a_look_up_ends_no_fill() {
-    let world = TestSite::start();
-    let gateway = world.setup().start();
-    let mut client = gateway.client();
+    let (world, _gateway, mut client) = TestSite::start_with_client();
     let id = client.request_object(OBJECT);
     let (cache, ask) = world.next_request();
     cache.answer(&ask, "404", &[]);
@@ -413,9 +379,7 @@
 
 #[test]
 fn a_second_answer_to_a_write_ends_no_repeat_of_it() {
-    let world = TestSite::start();
-    let gateway = world.setup().start();
-    let mut client = gateway.client();
+    let (world, _gateway, mut client) = TestSite::start_with_client();
     let id = client.send_request("post", &[("lookup", OBJECT), ("replay", "5c0f6e1a2b3d4c59")], b"write");
     let ask = world.origin.next_request();
     world.origin.answer(&ask, "500", &[]);
@@ -440,7 +404,7 @@
     setup.settings["services"][1]["deadlineMs"] = long;
     setup.settings["services"][1]["dedupWindowMs"] = json!(700.0);
     let entries = [entry("s-00000009", origin.address, "hub", "origin", "Ready")];
-    setup.events = vec![json!({"n": 1, "members": {"revision": 1, "complete": true, "members": entries}})];
+    setup.events = vec![complete_member_list(&entries)];
     let gateway = setup.start();
     let mut client = gateway.client();
     let key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
--- a/crates/deckproxy/tests/migrate.rs
+++ b/crates/deckproxy/tests/migrate.rs
@@ -217,10 +217,7 @@
         let gateway = Gateway::spawn(&std::fs::read_to_string(path).unwrap(), setup.listen);
         until("the gateway listens", || std::net::TcpStream::connect(setup.listen).is_ok());
         let mut client = gateway.client();
-        let id = client.request_object("7f3a9c21e0b4d655");
-        let (cache, ask) = world.next_request();
-        cache.answer(&ask, "200", b"x");
-        client.expect_served(id, b"x");
+        world.serve_object(&mut client, "7f3a9c21e0b4d655", b"x");
     }
     // A value out of range is refused at the start, with field, value and what is allowed.
     let mut bad: Value = serde_json::from_slice(&std::fs::read(&new).unwrap()).unwrap();
--- a/crates/deckproxy/tests/reload.rs
+++ b/crates/deckproxy/tests/reload.rs
@@ -5,21 +5,6 @@
 use serde_json::json;
 use std::io::Read;
 
-const OBJECT: &str = "7f3a9c21e0b4d655";
-
-fn purge(number: u64, group: u32) -> serde_json::Value {
-    json!({"n": number, "purge": {"group": group, "at": unix_ms()}})
-}
-
-/// Whether what is sent for a group now is bound by a purge.
-fn is_bound(world: &TestSite, client: &mut Client, group: u32) -> bool {
-    let id = client.send_request("page", &[("lookup", OBJECT), ("bucket", &group.to_string())], &[]);
-    let (cache, ask) = world.next_request();
-    cache.answer(&ask, "200", b"x");
-    client.expect_served(id, b"x");
-    ask.field("within").is_some()
-}
-
 #[test]
 fn the_feed_moves_and_what_is_open_stays() {
     let world = TestSite::start();
@@ -29,8 +14,8 @@
     let gateway = setup.start();
     let mut client = gateway.client();
     let (_, line) = old.accept();
-    send_line(&line, &purge(2, 5));
-    until("the purge is known", || is_bound(&world, &mut client, 5));
+    send_line(&line, &group_purge(2, 5));
+    until("the purge is known", || world.is_bound_by_purge(&mut client, 5));
     let held = client.request_object(OBJECT);
     let (cache, ask) = world.next_request();
     setup.feed = new.address;
@@ -44,8 +29,8 @@
     // The old connection is closed, and nothing asks there again.
     line.set_read_timeout(Some(PATIENCE)).unwrap();
     assert!(matches!((&line).read(&mut [0]), Ok(0) | Err(_)));
-    send_line(&lines[2], &purge(3, 6));
-    until("the purge is known", || is_bound(&world, &mut client, 6));
+    send_line(&lines[2], &group_purge(3, 6));
+    until("the purge is known", || world.is_bound_by_purge(&mut client, 6));
     cache.answer(&ask, "200", b"held");
     client.expect_served(held, b"held");
 }
@@ -67,8 +52,8 @@
         gateway.reload(text.as_deref());
         until(why, || gateway.log().contains(why));
     }
-    send_line(&line, &purge(2, 5));
-    until("the old feed still tells", || is_bound(&world, &mut client, 5));
+    send_line(&line, &group_purge(2, 5));
+    until("the old feed still tells", || world.is_bound_by_purge(&mut client, 5));
     drop(line);
     assert_eq!(feed.accept().0, 2);
 }
--- a/crates/deckproxy/tests/restart.rs
+++ b/crates/deckproxy/tests/restart.rs
@@ -8,7 +8,6 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const OBJECT: &str = "7f3a9c21e0b4d655";
 const PROCESSES: usize = 24;
 
 /// How long a process takes until it says that it is ready, ms: as the front asks, again and again.
@@ -62,10 +61,7 @@
     // And each serves, from the list in its configuration.
     for gateway in &next {
         let mut client = gateway.client();
-        let id = client.request_object(OBJECT);
-        let (cache, ask) = world.next_request();
-        cache.answer(&ask, "200", b"there");
-        client.expect_served(id, b"there");
+        world.serve_object(&mut client, OBJECT, b"there");
     }
     // Those of before hear that their connections are gone.
     for client in &clients {
--- a/crates/deckproxy/tests/serving.rs
+++ b/crates/deckproxy/tests/serving.rs
@@ -4,13 +4,9 @@
 use common::*;
 use serde_json::json;
 
-const OBJECT: &str = "7f3a9c21e0b4d655";
-
 #[test]
 fn a_hit_passes_all_fields_and_the_bytes_unchanged() {
-    let world = TestSite::start();
-    let gateway = world.setup().start();
-    let mut client = gateway.client();
+    let (world, _gateway, mut client) = TestSite::start_with_client();
     let body: Vec<u8> = (0..240_000u32).map(|i| (i * 7 + i / 251) as u8).collect();
     let name = fresh_name();
     let fields = [("ref", name.as_str()), ("lookup", OBJECT), ("seg", "3"), ("bucket", "17"), ("extra", "x")];
@@ -32,9 +28,7 @@
 
 #[test]
 fn after_a_miss_one_request_leads_the_fill_and_the_other_waits_for_it() {
-    let world = TestSite::start();
-    let gateway = world.setup().start();
-    let mut client = gateway.client();
+    let (world, _gateway, mut client) = TestSite::start_with_client();
     let first = client.request_object(OBJECT);
     let (cache, look_up) = world.next_request();
     cache.answer(&look_up, "404", &[]);
@@ -45,8 +39,7 @@
         (Some("s-00000003"), Some("2"), Some("merge"))
     );
     let second = client.request_object(OBJECT);
-    let look_up = cache.next_request();
-    cache.answer(&look_up, "404", &[]);
+    let look_up = cache.answer_miss();
     assert!(cache.request_if_any().is_none(), "the second waits");
     cache.answer(&fill, "200", b"filled");
     client.expect_served(first, b"filled");
@@ -58,9 +51,7 @@
 
 #[test]
 fn a_clients_copy_that_holds_is_told_without_bytes() {
-    let world = TestSite::start();
-    let gateway = world.setup().start();
-    let mut client = gateway.client();
+    let (world, _gateway, mut client) = TestSite::start_with_client();
     let id = client.send_request("page", &[("lookup", OBJECT), ("etag", "4be0c1927d55a6f3")], &[]);
     let (cache, ask) = world.next_request();
     assert_eq!(ask.field("mine"), Some("4be0c1927d55a6f3"));
@@ -89,9 +80,7 @@
 
 #[test]
 fn a_copy_that_holds_proves_nothing_to_a_client_without_one() {
-    let world = TestSite::start();
-    let gateway = world.setup().start();
-    let mut client = gateway.client();
+    let (world, _gateway, mut client) = TestSite::start_with_client();
     let id = client.request_object(OBJECT);
     let (cache, ask) = world.next_request();
     cache.answer(&ask, "304", &[]);
@@ -103,9 +92,7 @@
 
 #[test]
 fn a_keyed_write_whose_origin_resets_goes_again_with_its_key() {
-    let world = TestSite::start();
-    let gateway = world.setup().start();
-    let mut client = gateway.client();
+    let (world, _gateway, mut client) = TestSite::start_with_client();
     let body: Vec<u8> = (0..48_000u32).map(|i| (i % 253) as u8).collect();
     let id = client.send_request("post", &[("lookup", OBJECT), ("replay", "5c0f6e1a2b3d4c59")], &body);
     let ask = world.origin.next_request();
@@ -119,9 +106,7 @@
 
 #[test]
 fn a_write_that_may_have_run_and_has_no_key_is_failed_not_refused() {
-    let world = TestSite::start();
-    let gateway = world.setup().start();
-    let mut client = gateway.client();
+    let (world, _gateway, mut client) = TestSite::start_with_client();
     let id = client.send_request("once", &[("lookup", OBJECT)], b"x");
     let ask = world.origin.next_request();
     world.origin.reset(ask.connection);
@@ -131,9 +116,7 @@
 
 #[test]
 fn a_keyed_request_without_its_key_is_not_sent_anywhere() {
-    let world = TestSite::start();
-    let gateway = world.setup().start();
-    let mut client = gateway.client();
+    let (world, _gateway, mut client) = TestSite::start_with_client();
     let id = client.send_request("post", &[("lookup", OBJECT)], b"x");
     client.expect_error(id, "Unusable");
     assert!(world.origin.request_if_any().is_none());
@@ -161,9 +144,7 @@
 
 #[test]
 fn answers_come_in_any_order() {
-    let world = TestSite::start();
-    let gateway = world.setup().start();
-    let mut client = gateway.client();
+    let (world, _gateway, mut client) = TestSite::start_with_client();
     let objects = ["7f3a9c21e0b4d655", "7f3a9c21e0b4d656", "7f3a9c21e0b4d657"];
     let ids = objects.map(|o| client.request_object(o));
     let asks = ids.map(|_| world.next_request());
@@ -215,7 +196,7 @@
     let first = client.request_object(OBJECT);
     let (cache, ask) = world.next_request();
     let draining = cache.entry("edge", "box", "Terminating");
-    send_line(&line, &json!({"n": 2, "members": {"revision": 2, "complete": false, "members": [draining]}}));
+    send_line(&line, &member_update(2, &[draining]));
     let other = world.other_cache(cache);
     // Whatever still goes to the draining one was sent before the news came.
     until("requests go to the other cache", || {
--- a/crates/deckproxy/tests/sites.rs
+++ b/crates/deckproxy/tests/sites.rs
@@ -99,10 +99,7 @@
     cache.answer(&ask, "200", b"from the south");
     two.client.expect_served(id, b"from the south");
     // Own objects stay here.
-    let id = two.client.request_object("a000000000000001");
-    let (cache, ask) = two.north.world.next_request();
-    cache.answer(&ask, "200", b"own");
-    two.client.expect_served(id, b"own");
+    two.north.world.serve_object(&mut two.client, "a000000000000001", b"own");
     assert!(two.south.world.request_if_any().is_none());
 }
 
@@ -116,7 +113,7 @@
             entry(id, free_address(), if id.ends_with(['1', '2']) { "edge" } else { "hub" }, kind(id), "Gone")
         })
         .collect();
-    let list = serde_json::json!({"n": 2, "members": {"revision": 2, "complete": false, "members": entries}});
+    let list = member_update(2, &entries);
     send_line(&two.south.line, &list);
     let mut client = two.north.gateway.client();
     let mut own = two.south.gateway.client();
@@ -217,10 +214,7 @@
     });
     let mut client = north.gateway.client();
     for n in 0..5 {
-        let id = client.request_object(&format!("b00000000000000{n}"));
-        let (cache, ask) = south.world.next_request();
-        cache.answer(&ask, "200", b"by the other way");
-        client.expect_served(id, b"by the other way");
+        south.world.serve_object(&mut client, &format!("b00000000000000{n}"), b"by the other way");
     }
 }
 
@@ -250,10 +244,7 @@
     let (cache, ask) = two.south.world.next_request();
     cache.answer(&ask, "200", &large);
     std::thread::sleep(Duration::from_millis(50));
-    let second = two.client.request_object("b000000000000002");
-    let (cache, ask) = two.south.world.next_request();
-    cache.answer(&ask, "200", b"small");
-    two.client.expect_served(second, b"small");
+    two.south.world.serve_object(&mut two.client, "b000000000000002", b"small");
     two.client.expect_served(first, &large);
 }
 
@@ -298,10 +289,7 @@
     let mut within = None;
     until("the south asks for no older copy", || {
         let mut own = two.south.gateway.client();
-        let id = own.request_object(SOUTHERN);
-        let (cache, ask) = two.south.world.next_request();
-        cache.answer(&ask, "200", b"new");
-        own.expect_served(id, b"new");
+        let (_, ask) = two.south.world.serve_object(&mut own, SOUTHERN, b"new");
         within = ask.field("within").and_then(|w| w.parse::<u64>().ok());
         within.is_some()
     });
@@ -325,10 +313,7 @@
     let two = Two::start();
     let within = |two: &Two| {
         let mut own = two.north.gateway.client();
-        let id = own.request_object("a000000000000001");
-        let (cache, ask) = two.north.world.next_request();
-        cache.answer(&ask, "200", b"own");
-        own.expect_served(id, b"own");
+        let (_, ask) = two.north.world.serve_object(&mut own, "a000000000000001", b"own");
         ask.field("within").and_then(|w| w.parse::<u64>().ok())
     };
     until("the south is heard", || two.north.gateway.log().contains("all peers are heard"));
@@ -344,10 +329,7 @@
 fn copies_answer_here_while_they_are_trusted_and_else_the_home_does() {
     let mut two = Two::start_with("mode: COPIES");
     until("the south is heard", || two.north.gateway.log().contains("all peers are heard"));
-    let id = two.client.request_object(SOUTHERN);
-    let (cache, ask) = two.north.world.next_request();
-    cache.answer(&ask, "200", b"copy");
-    two.client.expect_served(id, b"copy");
+    two.north.world.serve_object(&mut two.client, SOUTHERN, b"copy");
     two.shim.set_state(LinkState::Silent);
     until("the north doubts", || two.north.gateway.log().matches("is not heard").count() == 2);
     let id = two.client.request_object(SOUTHERN);
@@ -377,10 +359,7 @@
     up(&south, "east");
     up(&east, "north");
     let mut client = north.gateway.client();
-    let id = client.request_object("c000000000000001");
-    let (cache, ask) = east.world.next_request();
-    cache.answer(&ask, "200", b"from the east");
-    client.expect_served(id, b"from the east");
+    east.world.serve_object(&mut client, "c000000000000001", b"from the east");
     let id = client.request_object("d000000000000001");
     assert!(matches!(client.next_answer(), (got, Answer::Error(..)) if got == id), "it would come back");
     // A log line may be read later than the answer.
@@ -392,10 +371,7 @@
     );
     until("the east asks for no older copy", || {
         let mut own = east.gateway.client();
-        let id = own.request_object("c000000000000001");
-        let (cache, ask) = east.world.next_request();
-        cache.answer(&ask, "200", b"new");
-        own.expect_served(id, b"new");
+        let (_, ask) = east.world.serve_object(&mut own, "c000000000000001", b"new");
         ask.field("within").is_some()
     });
 }
@@ -411,10 +387,7 @@
     until("the fault is told", || two.north.gateway.log().contains("no peer is named"));
     two.north.gateway.reload_operator(&text.replace("prefix: \"b\"", "prefix: \"e\""));
     until("the routes are taken", || two.north.gateway.log().contains("routes and peers are taken"));
-    let id = two.client.request_object("b000000000000009");
-    let (own, own_ask) = two.north.world.next_request();
-    own.answer(&own_ask, "200", b"here now");
-    two.client.expect_served(id, b"here now");
+    two.north.world.serve_object(&mut two.client, "b000000000000009", b"here now");
     cache.answer(&ask, "200", b"as it went out");
     two.client.expect_served(open, b"as it went out");
     // Without the peer its links close, and with it they come back.
