--- a/crates/deckproxy-lab/src/demo.rs
+++ b/crates/deckproxy-lab/src/demo.rs
@@ -60,7 +60,7 @@
         "{} gateways in 2 zones, 3 caches in each, a parent, an origin and the feeds run on loopback",
         plan.instances
     );
-    let draw = traffic::draw(0, 1, 2000, 0.0, 0.04);
+    let draw = traffic::requests(0, 1, 2000, 0.0, 0.04);
     let played = play(&plan, &draw, |at, what| print_line!("{at:5.1} s  {what}"));
     let figures = judge(&played);
     let v = &figures.verdict;
@@ -106,7 +106,7 @@
         "3 caches, a parent, an origin and the control feed run on loopback; the gateway listens on {at}"
     );
     let mut gateway = site.gateway("n1", at, operator.as_deref());
-    let draw = traffic::draw(0, 1, 2000, 0.0, 0.04);
+    let draw = traffic::requests(0, 1, 2000, 0.0, 0.04);
     let rate = f64::from(options.rate);
     let load = Load::new(0, at, options.clients as usize, rate, options.seed, &draw);
     let callers = LoadClients::start(load, &record);
--- a/crates/deckproxy-lab/src/drills/fleet.rs
+++ b/crates/deckproxy-lab/src/drills/fleet.rs
@@ -17,7 +17,7 @@
     plan.question =
         "A fleet of five in two zones while instances are killed, paused, restarted and cut off".to_string();
     plan.faults = partings(options.seed, plan.seconds, plan.instances);
-    let draw = traffic::draw(0, 1, 600, 0.0, 0.06);
+    let draw = traffic::requests(0, 1, 600, 0.0, 0.06);
     let mut played = play(&plan, &draw, |_, _| {});
     if let Some(spoil) = options.spoil {
         put_wrong(&mut played, spoil);
--- a/crates/deckproxy-lab/src/drills/flows.rs
+++ b/crates/deckproxy-lab/src/drills/flows.rs
@@ -74,7 +74,7 @@
         &operator(&[&flaky, &first]),
     );
     until("the gateway serves", || std::net::TcpStream::connect(at).is_ok());
-    let draw = traffic::draw(0, 1, 400, 0.0, 0.1);
+    let draw = traffic::requests(0, 1, 400, 0.0, 0.1);
     let steady = Load { first_address: Some(STEADY), ..Load::new(0, at, 10, RATE, options.seed, &draw) };
     let hasty = Load {
         first_address: Some(HASTY),
--- a/crates/deckproxy-lab/src/drills/recovery.rs
+++ b/crates/deckproxy-lab/src/drills/recovery.rs
@@ -90,7 +90,7 @@
     let at = free_address();
     let mut gateway = site.gateway("n1", at, operator);
     // So many objects that most are asked for once.
-    let draw = traffic::draw(0, 1, 200_000, 0.0, 0.02);
+    let draw = traffic::requests(0, 1, 200_000, 0.0, 0.02);
     let load = Load { retry_policy: patience, ..Load::new(0, at, CLIENTS, RATE, options.seed, &draw) };
     let callers = LoadClients::start(load, &record);
     let start = Instant::now();
--- a/crates/deckproxy-lab/src/flows/follow.rs
+++ b/crates/deckproxy-lab/src/flows/follow.rs
@@ -45,7 +45,7 @@
             let lines = complete_lines(&path, from).map_err(LabError::file(&path))?;
             for line in lines.lines() {
                 let Ok(record) = serde_json::from_str::<Record>(line) else { continue };
-                if filter.as_ref().is_none_or(|f| f.takes(&record))
+                if filter.as_ref().is_none_or(|f| f.matches(&record))
                     && writeln!(out, "{}", shown(&record)).is_err()
                 {
                     // The reader of standard output has closed it.
--- a/crates/deckproxy-lab/src/flows/mod.rs
+++ b/crates/deckproxy-lab/src/flows/mod.rs
@@ -1,6 +1,7 @@
-//! `decklab flows`: a collector that stores what gateways tell, and what operators ask of it.
+//! `decklab flows`: a collector that stores the flows that gateways export, and queries over them.
 
 mod collect;
+mod filter;
 mod follow;
 pub mod plot;
 mod query;
--- a/crates/deckproxy-lab/src/flows/plot/tests.rs
+++ b/crates/deckproxy-lab/src/flows/plot/tests.rs
@@ -1,7 +1,7 @@
 use super::rates;
 
 #[test]
-fn every_byte_is_drawn_once() {
+fn stacked_rates_add_up_to_the_bytes_of_the_spans() {
     let keys = vec!["a".to_string()];
     let span = |key: &str, start, end, bytes| (key.to_string(), start, end, bytes);
     let spans = [
--- a/crates/deckproxy-lab/src/flows/query.rs
+++ b/crates/deckproxy-lab/src/flows/query.rs
@@ -1,8 +1,8 @@
-//! Filters over records: `class = page and client in 10.0.0.0/8 and out > 1MB`.
+//! The language of filters over records: `class = page and client in 10.0.0.0/8 and out > 1MB`.
 //!
-//! `or` binds least, then `and`, then `not`; parentheses group. A fault is told with its column.
+//! `or` binds least, then `and`, then `not`; parentheses group. A fault is reported with its column.
 
-use super::record::Record;
+use super::filter::{Filter, NumberField, NumberOperator, TextField, TextOperator};
 use crate::error::LabError;
 use ipnet::IpNet;
 use winnow::ascii::{multispace0, multispace1};
@@ -14,115 +14,12 @@
 
 type Input<'a> = LocatingSlice<&'a str>;
 
-/// A filter.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Filter {
-    /// Any of them.
-    Or(Vec<Filter>),
-    /// All of them.
-    And(Vec<Filter>),
-    /// Not it.
-    Not(Box<Filter>),
-    /// A text field is, or contains, a text.
-    Text(Text, Match, String),
-    /// A number beside another.
-    Number(Number, Compare, f64),
-    /// The client is within a prefix.
-    Within(IpNet),
-}
-
-/// A field with a text.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Text {
-    Class,
-    Box,
-    Link,
-    Result,
-    Leg,
-    Exporter,
-}
-
-/// How a text is held against another.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Match {
-    Is,
-    IsNot,
-    Contains,
-}
-
-/// A field with a number: bytes, requests, or ms.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Number {
-    Out,
-    Back,
-    Requests,
-    P99,
-    Folded,
-    Domain,
-}
-
-/// How a number is held against another.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Compare {
-    Is,
-    IsNot,
-    Less,
-    LessOr,
-    More,
-    MoreOr,
-}
-
-impl Filter {
-    /// Whether it lets a record through.
-    pub fn takes(&self, record: &Record) -> bool {
-        match self {
-            Filter::Or(any) => any.iter().any(|f| f.takes(record)),
-            Filter::And(all) => all.iter().all(|f| f.takes(record)),
-            Filter::Not(inner) => !inner.takes(record),
-            Filter::Within(net) => record.client.is_some_and(|client| net.contains(&client)),
-            Filter::Text(field, how, want) => {
-                let has = match field {
-                    Text::Class => &record.class,
-                    Text::Box => &record.member,
-                    Text::Link => &record.link,
-                    Text::Result => &record.result,
-                    Text::Leg => &record.leg,
-                    Text::Exporter => &record.exporter,
-                };
-                match how {
-                    Match::Is => has == want,
-                    Match::IsNot => has != want,
-                    Match::Contains => has.contains(want),
-                }
-            }
-            Filter::Number(field, how, want) => {
-                let has = match field {
-                    Number::Out => record.out as f64,
-                    Number::Back => record.back as f64,
-                    Number::Requests => record.requests as f64,
-                    Number::P99 => record.p99 as f64 / 1000.0,
-                    Number::Folded => f64::from(record.folded),
-                    Number::Domain => f64::from(record.domain),
-                };
-                match how {
-                    Compare::Is => has == *want,
-                    Compare::IsNot => has != *want,
-                    Compare::Less => has < *want,
-                    Compare::LessOr => has <= *want,
-                    Compare::More => has > *want,
-                    Compare::MoreOr => has >= *want,
-                }
-            }
-        }
-    }
-}
-
 fn wanted(what: &'static str) -> StrContext {
     StrContext::Expected(StrContextValue::Description(what))
 }
 
-/// A word of the language itself, which no field or text is.
-fn word<'a>(text: &'static str) -> impl Parser<Input<'a>, (), ErrMode<ContextError>> {
+/// A keyword of the language: no letter, digit or `_` may follow it.
+fn keyword<'a>(text: &'static str) -> impl Parser<Input<'a>, (), ErrMode<ContextError>> {
     let end = peek(not(one_of(|c: char| c.is_ascii_alphanumeric() || c == '_')));
     terminated(text, end).void()
 }
@@ -152,8 +49,8 @@
         "".value(1.0),
     ));
     let end = peek(not(one_of(|c: char| c.is_ascii_alphanumeric())));
-    let whole = terminated((digits, unit), end).map(|(n, times): (f64, f64)| n * times);
-    whole.context(wanted("a number, with kB, MB, GB, ms or s if wanted")).parse_next(input)
+    let value = terminated((digits, unit), end).map(|(n, times): (f64, f64)| n * times);
+    value.context(wanted("a number, with kB, MB, GB, ms or s if wanted")).parse_next(input)
 }
 
 fn net(input: &mut Input<'_>) -> ModalResult<IpNet> {
@@ -164,40 +61,45 @@
 }
 
 fn comparison(input: &mut Input<'_>) -> ModalResult<Filter> {
-    let of_text = alt((
-        word("class").value(Text::Class),
-        word("box").value(Text::Box),
-        word("link").value(Text::Link),
-        word("result").value(Text::Result),
-        word("leg").value(Text::Leg),
-        word("exporter").value(Text::Exporter),
+    let text_field = alt((
+        keyword("class").value(TextField::Class),
+        keyword("box").value(TextField::Box),
+        keyword("link").value(TextField::Link),
+        keyword("result").value(TextField::Result),
+        keyword("leg").value(TextField::Leg),
+        keyword("exporter").value(TextField::Exporter),
     ));
-    let of_number = alt((
-        word("out").value(Number::Out),
-        word("back").value(Number::Back),
-        word("requests").value(Number::Requests),
-        word("p99").value(Number::P99),
-        word("folded").value(Number::Folded),
-        word("domain").value(Number::Domain),
+    let number_field = alt((
+        keyword("out").value(NumberField::Out),
+        keyword("back").value(NumberField::Back),
+        keyword("requests").value(NumberField::Requests),
+        keyword("p99").value(NumberField::P99),
+        keyword("folded").value(NumberField::Folded),
+        keyword("domain").value(NumberField::Domain),
     ));
-    let how_text = alt(("!=".value(Match::IsNot), "=".value(Match::Is), "~".value(Match::Contains)))
-        .context(wanted("=, != or ~"));
-    let how_number = alt((
-        "!=".value(Compare::IsNot),
-        "<=".value(Compare::LessOr),
-        ">=".value(Compare::MoreOr),
-        "<".value(Compare::Less),
-        ">".value(Compare::More),
-        "=".value(Compare::Is),
+    let text_operator = alt((
+        "!=".value(TextOperator::NotEqual),
+        "=".value(TextOperator::Equal),
+        "~".value(TextOperator::Contains),
+    ))
+    .context(wanted("=, != or ~"));
+    let number_operator = alt((
+        "!=".value(NumberOperator::NotEqual),
+        "<=".value(NumberOperator::LessOrEqual),
+        ">=".value(NumberOperator::GreaterOrEqual),
+        "<".value(NumberOperator::Less),
+        ">".value(NumberOperator::Greater),
+        "=".value(NumberOperator::Equal),
     ))
     .context(wanted("=, !=, <, <=, > or >="));
-    let texts = (of_text, cut_err((preceded(multispace0, how_text), preceded(multispace0, text))))
-        .map(|(field, (how, want))| Filter::Text(field, how, want));
-    let numbers = (of_number, cut_err((preceded(multispace0, how_number), preceded(multispace0, number))))
-        .map(|(field, (how, want))| Filter::Number(field, how, want));
-    let within = alt((word("in"), "=".void())).context(wanted("in or ="));
+    let texts = (text_field, cut_err((preceded(multispace0, text_operator), preceded(multispace0, text))))
+        .map(|(field, (operator, wanted))| Filter::Text(field, operator, wanted));
+    let numbers =
+        (number_field, cut_err((preceded(multispace0, number_operator), preceded(multispace0, number))))
+            .map(|(field, (operator, wanted))| Filter::Number(field, operator, wanted));
+    let within = alt((keyword("in"), "=".void())).context(wanted("in or ="));
     let client = preceded(
-        word("client"),
+        keyword("client"),
         cut_err(preceded((multispace0, within, multispace0), net)).map(Filter::Within),
     );
     alt((texts, numbers, client))
@@ -212,11 +114,11 @@
         cut_err((multispace0, ')').context(wanted(") at the end of the group"))),
     );
     let negated =
-        preceded((word("not"), multispace0), cut_err(term)).map(|inner| Filter::Not(Box::new(inner)));
+        preceded((keyword("not"), multispace0), cut_err(term)).map(|inner| Filter::Not(Box::new(inner)));
     alt((group, negated, comparison)).parse_next(input)
 }
 
-/// Terms with a word between them.
+/// Filters with a keyword between them.
 fn joined<'a>(
     inner: fn(&mut Input<'a>) -> ModalResult<Filter>,
     between: &'static str,
@@ -224,7 +126,7 @@
 ) -> impl FnMut(&mut Input<'a>) -> ModalResult<Filter> {
     move |input| {
         let first = inner(input)?;
-        let more = preceded((multispace1, word(between), multispace0), cut_err(inner));
+        let more = preceded((multispace1, keyword(between), multispace0), cut_err(inner));
         let mut all: Vec<Filter> = repeat(0.., more).parse_next(input)?;
         if all.is_empty() {
             return Ok(first);
@@ -242,8 +144,8 @@
     joined(and, "or", Filter::Or)(input)
 }
 
-/// Deepest nesting that is read: what is deeper would only try the stack.
-const DEEPEST: usize = 64;
+/// Most parentheses and `not`s of a filter: each takes a level of the parser's stack.
+const MOST_NESTED: usize = 64;
 
 /// Reads the filter of the option `--where`.
 pub fn from_option(text: &str) -> Result<Filter, LabError> {
@@ -252,12 +154,12 @@
 
 /// Reads a filter; the error shows the column at which it is none, and what was wanted there.
 pub fn parse(text: &str) -> Result<Filter, String> {
-    let deep = text.matches('(').count() + text.matches("not").count();
-    if deep > DEEPEST {
-        return Err(format!("{deep} parentheses and nots; {DEEPEST} are the most"));
+    let nested = text.matches('(').count() + text.matches("not").count();
+    if nested > MOST_NESTED {
+        return Err(format!("{nested} parentheses and nots; {MOST_NESTED} are the most"));
     }
-    let mut whole = delimited(multispace0, or, (multispace0, opt(';'), multispace0));
-    whole.parse(LocatingSlice::new(text)).map_err(|e| {
+    let mut filter = delimited(multispace0, or, (multispace0, opt(';'), multispace0));
+    filter.parse(LocatingSlice::new(text)).map_err(|e| {
         let at = e.offset();
         let column = text[..at].chars().count() + 1;
         let wanted: Vec<String> = e
--- a/crates/deckproxy-lab/src/flows/query/tests.rs
+++ b/crates/deckproxy-lab/src/flows/query/tests.rs
@@ -1,4 +1,5 @@
-use super::*;
+use super::parse;
+use crate::flows::record::Record;
 use proptest::prelude::*;
 
 fn record() -> Record {
@@ -14,12 +15,12 @@
     }
 }
 
-fn takes(text: &str) -> bool {
-    parse(text).unwrap_or_else(|e| panic!("{e}")).takes(&record())
+fn matches(text: &str) -> bool {
+    parse(text).unwrap_or_else(|e| panic!("{e}")).matches(&record())
 }
 
 #[test]
-fn fields_and_units_and_words_bind_as_they_should() {
+fn filters_compare_fields_and_bind_by_precedence() {
     let good = [
         "class = page",
         "class=page and out > 1.9MB",
@@ -32,14 +33,14 @@
         "client = 10.1.2.0/24;",
         "box = \"\"",
     ];
-    good.iter().for_each(|text| assert!(takes(text), "{text}"));
+    good.iter().for_each(|text| assert!(matches(text), "{text}"));
     let bad =
         ["class != page", "client in 10.1.2.3", "out <= 1999kB", "class = once and class = page or back > 0"];
-    bad.iter().for_each(|text| assert!(!takes(text), "{text}"));
+    bad.iter().for_each(|text| assert!(!matches(text), "{text}"));
 }
 
 #[test]
-fn a_fault_names_its_column_and_what_was_wanted() {
+fn syntax_error_names_the_column_and_what_was_expected() {
     let cases = [
         ("clas = page", 1, "a field: client"),
         ("class page", 7, "=, != or ~"),
@@ -68,7 +69,7 @@
     #![proptest_config(ProptestConfig { cases: 500, rng_seed: proptest::test_runner::RngSeed::Fixed(5), ..Default::default() })]
 
     #[test]
-    fn any_text_is_read_or_refused(text in "[a-z0-9 ()=<>!~\"./]{0,60}", more in ".{0,20}") {
+    fn any_text_is_parsed_or_rejected(text in "[a-z0-9 ()=<>!~\"./]{0,60}", more in ".{0,20}") {
         let _ = parse(&text);
         let _ = parse(&format!("class = page and {more}"));
     }
--- a/crates/deckproxy-lab/src/flows/top.rs
+++ b/crates/deckproxy-lab/src/flows/top.rs
@@ -133,7 +133,7 @@
             return;
         }
         let within = record.end >= from && record.start < to;
-        if record.leg != by.leg() || !within || filter.as_ref().is_some_and(|f| !f.takes(&record)) {
+        if record.leg != by.leg() || !within || filter.as_ref().is_some_and(|f| !f.matches(&record)) {
             return;
         }
         folded = folded.saturating_add(if record.folded > 0 { record.out } else { 0 });
--- a/crates/deckproxy-lab/src/measure/cpu.rs
+++ b/crates/deckproxy-lab/src/measure/cpu.rs
@@ -20,7 +20,7 @@
 /// Has both serve the same load at the same time, so that what else the machine does meets both, and shows what a request
 /// costs. The first round fills the caches and counts for nothing. `record` is the site's, emptied between rounds.
 pub fn beside(names: [&str; 2], gateways: &[Gateway; 2], seconds: u64, seed: u64, record: &Record) {
-    let draw = traffic::draw(0, 1, 60, 0.0, 0.0);
+    let draw = traffic::requests(0, 1, 60, 0.0, 0.0);
     let mut took: [Vec<f64>; 2] = Default::default();
     for round in 0..=ROUNDS {
         let seed = seed.wrapping_add(round as u64);
--- a/crates/deckproxy-lab/src/measure/fleet.rs
+++ b/crates/deckproxy-lab/src/measure/fleet.rs
@@ -40,7 +40,7 @@
             seed: options.seed,
             ..Plan::default()
         };
-        let draw = crate::traffic::draw(0, 1, 100, 0.0, 0.0);
+        let draw = crate::traffic::requests(0, 1, 100, 0.0, 0.0);
         let each = |plan: &Plan| {
             let rig = Rig::start(plan, &draw);
             rig.until("all do their duties", |rig| {
--- a/crates/deckproxy-lab/src/measure/flows.rs
+++ b/crates/deckproxy-lab/src/measure/flows.rs
@@ -67,7 +67,7 @@
     );
     let mut rng = Pcg64Mcg::seed_from_u64(options.seed);
     let zipf = Zipf::new(CLIENTS, 0.9);
-    let draws: Vec<u32> = (0..UPDATES).map(|_| zipf.draw(&mut rng) as u32).collect();
+    let draws: Vec<u32> = (0..UPDATES).map(|_| zipf.sample(&mut rng) as u32).collect();
     let key = |meter: &Meter, n: u32| Key {
         client: Some(meter.client(address(n as usize))),
         class: 1,
--- a/crates/deckproxy-lab/src/rig.rs
+++ b/crates/deckproxy-lab/src/rig.rs
@@ -118,7 +118,7 @@
 }
 
 fn once(plan: &Plan, aloud: bool) -> (Played, Figures) {
-    let draw = if plan.throng { overloaded::draw() } else { traffic::draw(0, 1, 600, 0.0, 0.06) };
+    let draw = if plan.throng { overloaded::draw() } else { traffic::requests(0, 1, 600, 0.0, 0.06) };
     let played = play(plan, &draw, |at, what| {
         if aloud {
             print_line!("{at:7.2} s  {what}");
