--- a/crates/deckproxy-control/src/control.rs
+++ b/crates/deckproxy-control/src/control.rs
@@ -1,105 +1,172 @@
 //! Every decision of the router. Types, events and actions are in `interface.rs`; read that file first.
-//! The ordinary path: a request is looked up at the cache that a shared hash of its object picks in the
-//! location; after a miss one request per (object, part) leads a fill from the parent that the same hash
-//! picks over all listed parents, and the others wait for it. Everything else here treats trouble.
-
-use crate::interface::*;
-use std::collections::{BTreeMap, VecDeque};
+//!
+//! The ordinary path: a request is looked up at the cache that a shared hash of its object picks in the location.
+//! After a miss one request per object and part leads a fill from the parent that the same hash picks over all
+//! listed parents, and the others wait for it. Everything else handles faults and overload. `dispatch` is where a
+//! request begins, `attempt_sending` the one way out for attempts, `attempt_outcomes` what follows their end.
 
+mod admission;
+mod attempt_limits;
+mod attempt_outcomes;
+mod attempt_sending;
+mod capacity_estimate;
 mod collapsing;
+mod decay;
 mod dispatch;
-mod endpoints;
-mod gate;
+mod latency_inflation;
 mod load;
-mod ordering;
-mod outcomes;
-mod requests;
-mod sweep;
+mod member_list;
+mod member_order;
+mod member_state;
+mod outcome_accounting;
+mod outlier_ejection;
+mod periodic_timer;
+mod purge_bounds;
+mod rendezvous_hash;
+mod request_state;
+mod retry_budget;
+mod sending_times;
+mod shared_load;
+mod slow_start;
 mod tuning;
 
-use collapsing::*;
-use endpoints::*;
-use load::*;
-use ordering::*;
-use requests::*;
-use tuning::*;
+use crate::interface::{Action, Event, ListKind, MemberId, Millis, RequestId, Settings};
+use capacity_estimate::KindThroughput;
+use collapsing::{CollapsedFill, FillKey};
+use decay::DecayingSum;
+use latency_inflation::LatencyInflation;
+use member_state::MemberState;
+use purge_bounds::PurgeTarget;
+use request_state::{AttemptResult, PendingRequest};
+use retry_budget::RetryBudget;
+use sending_times::{ClassSendingTime, ObjectStats};
+use shared_load::SharedLoad;
+use std::collections::BTreeMap;
+use tuning::WATCH_RETRY_DELAY;
+
+/// Token of the periodic timer.
+const PERIODIC_TIMER: u64 = 0;
+/// Token of the timer that renews a broken subscription to the member list.
+const WATCH_TIMER: u64 = 1;
+
+/// The periodic timer.
+#[derive(Default)]
+struct TimerState {
+    is_armed: bool,
+    due_at: Millis,
+}
+
+/// Entries in the tables that grow with members and traffic.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct TableSizes {
+    /// Members that are listed, or remembered while they warm up.
+    pub members: usize,
+    /// Requests without a final answer, or with an attempt in flight.
+    pub requests: usize,
+    /// Fills that a request leads.
+    pub fills: usize,
+    /// Objects whose demand and sending time are known.
+    pub objects: usize,
+    /// Purges whose copies may not all be gone yet.
+    pub purges: usize,
+}
 
-/// One router.
+/// One router: a state machine without I/O.
 #[derive(Default)]
 pub struct Control {
-    s: Settings,
+    settings: Settings,
+    /// Clock time of the event that is handled.
     now: Millis,
-    acts: Vec<Action>,
-    peers: BTreeMap<MemberId, Peer>,
-    /// By class: mean sending time in ms, and the answers it comes from.
-    means: Vec<(f64, f64)>,
-    open: BTreeMap<RequestId, Open>,
-    table: BTreeMap<Key, Collapse>,
-    /// Instant of the last purge, by object, or by group where no object is named.
-    purged: BTreeMap<(Option<u64>, u32), Millis>,
-    /// Work asked for lately in all, and when that was brought up to date; what is known by object.
-    asked: (f64, Millis),
-    objects: BTreeMap<u64, Known>,
-    /// What members bear, by kind, where the list tells no sizes.
-    borne: BTreeMap<u32, Borne>,
-    /// The pace of answers by way of the origin.
-    origin_pace: Pace,
-    /// Attempts that draw on the location's link.
-    link: Shared,
-    retries: f64,
-    sweeping: bool,
-    sweep_due: Millis,
-    logs: u32,
+    /// Actions decided on so far for that event.
+    actions: Vec<Action>,
+    members: BTreeMap<MemberId, MemberState>,
+    /// By class.
+    class_sending_times: Vec<ClassSendingTime>,
+    pending: BTreeMap<RequestId, PendingRequest>,
+    collapsed_fills: BTreeMap<FillKey, CollapsedFill>,
+    /// Clock time of the last purge, by what it voids.
+    purges: BTreeMap<PurgeTarget, Millis>,
+    /// Sending time requested lately of all objects, in ms.
+    demand: DecayingSum,
+    objects: BTreeMap<u64, ObjectStats>,
+    /// By kind of member, where the list does not tell sizes.
+    kind_throughput: BTreeMap<u32, KindThroughput>,
+    /// Latency inflation of answers by way of the origin.
+    origin_latency: LatencyInflation,
+    /// Attempts in flight that draw on the location's link.
+    link: SharedLoad,
+    retry_budget: RetryBudget,
+    timer: TimerState,
+    /// Log lines written so far.
+    log_lines: u32,
 }
 
 impl Control {
-    /// A router that has just started. The seed is for decisions by chance; there are none so far.
+    /// A router that has just started. The seed is for decisions by chance, of which there are none so far.
     pub fn new(settings: Settings, _seed: u64) -> Self {
-        let means = settings.classes.iter().map(|c| (c.deadline / 10.0, 0.0)).collect();
-        Control { means, s: settings, retries: RETRY_MOST, ..Control::default() }
+        let class_sending_times = settings.classes.iter().map(ClassSendingTime::first_estimate).collect();
+        Control { class_sending_times, settings, ..Control::default() }
     }
 
-    /// Takes one event and appends what is to be done.
-    pub fn handle(&mut self, now: Millis, event: Event, acts: &mut Vec<Action>) {
+    /// Takes one event at clock time `now` and appends the actions to be carried out.
+    pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
+        self.handle_event(event);
+        self.arm_periodic_timer();
+        actions.append(&mut self.actions);
+    }
+
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Started if self.s.poll_member_list => self.acts.push(Action::WatchMembers(true)),
-            Event::Timer(1) => self.acts.push(Action::WatchMembers(true)),
-            Event::MemberList(ListKind::Failed, _) => {
-                self.acts.push(Action::Timer { token: 1, at: now + REWATCH });
-            }
-            Event::MemberList(kind, list) => self.members(kind, list),
-            Event::Request(r) => self.request(r),
-            Event::StreamStarted { request, attempt } => {
-                let o = self.open.get_mut(&request).into_iter();
-                o.for_each(|o| o.streaming |= o.out.iter().any(|a| a.no == attempt));
-            }
+            Event::Started if self.settings.poll_member_list => self.watch_members(),
+            Event::Timer(WATCH_TIMER) => self.watch_members(),
+            Event::MemberList(ListKind::Failed, _) => self.schedule_watch(),
+            Event::MemberList(kind, list) => self.update_members(kind, list),
+            Event::Request(request) => self.accept_request(request),
+            Event::StreamStarted { request, attempt } => self.mark_streaming(request, attempt),
             Event::AttemptEnded { request, attempt, member, ending, elapsed, finished, note, load } => {
-                self.outcome(request, attempt, Ended { member, ending, elapsed, note, load }, finished);
-            }
-            Event::ClientGone(id) => {
-                self.open.get_mut(&id).into_iter().for_each(|o| o.ended = true);
-                self.close(id);
-            }
-            Event::Timer(_) => self.sweep(),
-            Event::Purged { object, group, age } => {
-                let at = now - age.max(0.0);
-                let last =
-                    self.purged.entry((object, if object.is_some() { 0 } else { group })).or_insert(at);
-                *last = last.max(at);
-                self.purged.retain(|_, at| now <= *at + self.s.purge_settle_time);
+                let result = AttemptResult { member, ending, elapsed, note, load };
+                self.handle_outcome(request, attempt, result, finished);
             }
+            Event::ClientGone(request) => self.abandon(request),
+            Event::Timer(_) => self.run_periodic_tasks(),
+            Event::Purged { object, group, age } => self.record_purge(object, group, age),
             Event::HealthChecked { .. } | Event::PeerMessage(..) | Event::Started => {}
         }
-        if !self.sweeping && !self.open.is_empty() {
-            (self.sweeping, self.sweep_due) = (true, now + SWEEP);
-            self.acts.push(Action::Timer { token: 0, at: self.sweep_due });
+    }
+
+    fn watch_members(&mut self) {
+        self.actions.push(Action::WatchMembers(true));
+    }
+
+    fn schedule_watch(&mut self) {
+        let at = self.now + WATCH_RETRY_DELAY;
+        self.actions.push(Action::Timer { token: WATCH_TIMER, at });
+    }
+
+    fn mark_streaming(&mut self, id: RequestId, attempt_number: u32) {
+        if let Some(pending) = self.pending.get_mut(&id) {
+            let in_flight = pending.in_flight.iter().any(|attempt| attempt.number == attempt_number);
+            pending.is_streaming |= in_flight;
         }
-        acts.append(&mut self.acts);
     }
 
-    /// Sizes of what grows with what passes by: members, requests, fills, objects, purges.
-    pub fn sizes(&self) -> [usize; 5] {
-        [self.peers.len(), self.open.len(), self.table.len(), self.objects.len(), self.purged.len()]
+    /// Ends a request whose client has left.
+    fn abandon(&mut self, id: RequestId) {
+        if let Some(pending) = self.pending.get_mut(&id) {
+            pending.has_ended = true;
+        }
+        self.remove_if_settled(id);
+    }
+
+    /// Entries in the router's tables.
+    pub fn table_sizes(&self) -> TableSizes {
+        TableSizes {
+            members: self.members.len(),
+            requests: self.pending.len(),
+            fills: self.collapsed_fills.len(),
+            objects: self.objects.len(),
+            purges: self.purges.len(),
+        }
     }
 }
--- /dev/null
+++ b/crates/deckproxy-control/src/control/attempt_limits.rs
@@ -0,0 +1,64 @@
+//! The rules that every attempt must keep before it is sent.
+
+use super::Control;
+use super::request_state::{AttemptPlan, PendingRequest};
+use super::tuning::{DEDUP_MARGIN, TIME_LEFT_MIN};
+use crate::interface::{Class, Group, Idempotency, Member, MemberId};
+
+impl Control {
+    /// Whether an attempt may be sent by the limits of its request, by what may have run already, and by the settings
+    /// on whom this router may ask. Drains and slow start are checked before.
+    pub(super) fn is_permitted(&self, pending: &PendingRequest, plan: &AttemptPlan) -> bool {
+        self.is_within_limits(pending)
+            && self.may_run_again(pending, plan.member)
+            && self.is_reachable(&self.members[&plan.member].listed)
+    }
+
+    pub(super) fn class_of(&self, pending: &PendingRequest) -> &Class {
+        &self.settings.classes[pending.request.class]
+    }
+
+    /// Attempts in flight and in all, the deadline, and a stream that has begun.
+    fn is_within_limits(&self, pending: &PendingRequest) -> bool {
+        let may_hedge =
+            self.settings.hedged_requests && self.class_of(pending).idempotency == Idempotency::Idempotent;
+        let in_flight_max = if may_hedge { 2 } else { 1 };
+        let is_over = pending.has_ended || pending.is_streaming;
+        !is_over
+            && pending.in_flight.len() < in_flight_max
+            && pending.sends < self.settings.max_attempts
+            && pending.request.deadline - self.now >= TIME_LEFT_MIN
+    }
+
+    /// Whether a request that may have run can be sent again: only where its repetition has no effect.
+    fn may_run_again(&self, pending: &PendingRequest, to: MemberId) -> bool {
+        let Some(first) = pending.possible_run else { return true };
+        let class = self.class_of(pending);
+        match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::Keyed => {
+                let is_in_window = self.now < first.sent_at + class.dedup_window - DEDUP_MARGIN;
+                is_in_window && self.share_dedup_group(class.group, first.member, to)
+            }
+            Idempotency::NotIdempotent => false,
+        }
+    }
+
+    /// Whether two members drop each other's repetitions of a keyed request.
+    fn share_dedup_group(&self, group: Group, first: MemberId, second: MemberId) -> bool {
+        let same = |value: fn(&Member) -> u32| match (self.members.get(&first), self.members.get(&second)) {
+            (Some(first), Some(second)) => value(&first.listed) == value(&second.listed),
+            _ => false,
+        };
+        match group {
+            Group::All => true,
+            Group::Zone => same(|member| member.zone),
+            Group::Cell => same(|member| member.cell),
+        }
+    }
+
+    /// Caches are asked in the own location only, parents and the origin only where the settings allow it.
+    fn is_reachable(&self, member: &Member) -> bool {
+        self.is_local_cache(member) || self.settings.cache_bypass && !self.is_cache(member)
+    }
+}
--- /dev/null
+++ b/crates/deckproxy-control/src/control/attempt_outcomes.rs
@@ -0,0 +1,109 @@
+//! What follows the end of an attempt: the request's end, a wait, a fill or a retry.
+
+use super::Control;
+use super::collapsing::FillKey;
+use super::request_state::{Attempt, AttemptKind, AttemptResult, PossibleRun};
+use super::tuning::{HOP_ALLOWANCE, WAITER_TIMEOUT, WAITING_SENDS_MAX};
+use crate::interface::{Action, AttemptEnding, FillNote, Request, RequestId};
+
+/// Members at which a request was an error from which on it is not retried: it is its own fault then.
+const ERROR_MEMBERS_MAX: usize = 2;
+
+impl Control {
+    /// Takes the end of an attempt. `is_finished` tells that the request has its final answer.
+    pub(super) fn handle_outcome(
+        &mut self,
+        id: RequestId,
+        attempt_number: u32,
+        result: AttemptResult,
+        is_finished: bool,
+    ) {
+        let Some(pending) = self.pending.get_mut(&id) else { return };
+        let Some(attempt) = pending.take_attempt(attempt_number, result.member) else { return };
+        pending.has_ended |= is_finished || result.ending == AttemptEnding::Served;
+        if result.may_have_run() && pending.possible_run.is_none() {
+            let (sent_at, member) = (attempt.sent_at, attempt.plan.member);
+            pending.possible_run = Some(PossibleRun { sent_at, member });
+        }
+        // What failed at one member and is an error at the next may be the request's own fault.
+        let is_request_suspect = result.ending == AttemptEnding::Error && !pending.failed_members.is_empty();
+        let (request, has_ended) = (pending.request, pending.has_ended);
+        self.record_outcome(&attempt, &request, &result, is_request_suspect);
+        if has_ended {
+            return self.end_request(&request, &attempt, &result);
+        }
+        let is_lookup_miss = result.ending == AttemptEnding::Miss && attempt.plan.kind == AttemptKind::Lookup;
+        if self.is_left_to_other_attempt(id, is_lookup_miss) {
+            return;
+        }
+        if is_lookup_miss {
+            return self.handle_lookup_miss(&request, &attempt, result.note);
+        }
+        if result.note == FillNote::SourceLacks {
+            return self.give_up(id);
+        }
+        self.retry(&request, &attempt, &result, is_request_suspect);
+    }
+
+    /// Cancels what is in flight beside a final answer. The waiters of a fill need not wait for that.
+    fn end_request(&mut self, request: &Request, attempt: &Attempt, result: &AttemptResult) {
+        let pending = self.pending.get(&request.id).filter(|_| self.settings.cancellation);
+        if let Some(pending) = pending {
+            let cancel = |other: &Attempt| Action::Cancel { request: request.id, attempt: other.number };
+            self.actions.extend(pending.in_flight.iter().map(cancel));
+        }
+        if result.ending == AttemptEnding::Served && attempt.plan.kind != AttemptKind::Direct {
+            self.complete_fill(request.id, FillKey::of(request), attempt.plan.member);
+        }
+        self.remove_if_settled(request.id);
+    }
+
+    /// Whether the request waits, or another of its attempts decides. After a missed look-up only a fill does.
+    fn is_left_to_other_attempt(&self, id: RequestId, is_lookup_miss: bool) -> bool {
+        let Some(pending) = self.pending.get(&id) else { return true };
+        let decides = |other: &Attempt| !is_lookup_miss || other.plan.kind == AttemptKind::Fill;
+        pending.waiting_since.is_some() || pending.in_flight.iter().any(decides)
+    }
+
+    /// A miss leads or joins a fill. Where misses cannot join another router's fill that the miss notes, the request
+    /// waits for the object's sending time and is looked up again.
+    fn handle_lookup_miss(&mut self, request: &Request, attempt: &Attempt, note: FillNote) {
+        if self.waits_for_other_router(request, note) {
+            // The wait ends early: it counts as begun a waiter's time-out less the fill's time ago.
+            let since = self.now - WAITER_TIMEOUT + self.sending_time(request) + HOP_ALLOWANCE;
+            self.set_waiting_since(request.id, Some(since));
+            return;
+        }
+        self.handle_miss(request.id, attempt.plan.member);
+    }
+
+    fn waits_for_other_router(&self, request: &Request, note: FillNote) -> bool {
+        let Some(pending) = self.pending.get(&request.id) else { return false };
+        let is_filling_elsewhere = note == FillNote::Joined && !self.settings.join_fills;
+        is_filling_elsewhere
+            && pending.sends < WAITING_SENDS_MAX
+            && !self.has_time_for_one_attempt(pending)
+            && !self.collapsed_fills.contains_key(&FillKey::of(request))
+    }
+
+    /// Retries a failed attempt without the member at fault, if the budget and the client's time allow it.
+    fn retry(&mut self, request: &Request, attempt: &Attempt, result: &AttemptResult, is_suspect: bool) {
+        let Some(pending) = self.pending.get_mut(&request.id) else { return };
+        pending.failed_members.push(result.member_at_fault(attempt));
+        let failed = pending.failed_members.clone();
+        let is_hopeless = is_suspect && failed.len() > ERROR_MEMBERS_MAX;
+        if !self.retry_budget.is_available() || self.now >= request.deadline || is_hopeless {
+            return self.give_up(request.id);
+        }
+        self.retry_budget.take();
+        if attempt.plan.kind != AttemptKind::Fill {
+            return self.route(request.id);
+        }
+        let key = FillKey::of(request);
+        let fill = self.collapsed_fills.get(&key);
+        if fill.is_some_and(|fill| fill.leader == request.id && !fill.waiters.is_empty()) {
+            self.release_fill(request.id, key, failed);
+        }
+        self.handle_miss(request.id, attempt.plan.member);
+    }
+}
--- /dev/null
+++ b/crates/deckproxy-control/src/control/attempt_sending.rs
@@ -0,0 +1,110 @@
+//! Sending attempts: the one way out for look-ups, fills, retries, hedged requests and direct attempts.
+
+use super::Control;
+use super::request_state::{Attempt, AttemptKind, AttemptPlan, PendingRequest};
+use super::sending_times::fill_time;
+use super::tuning::{COPY_RANK, LATE_MULTIPLE};
+use crate::interface::{Action, GetOptions, Millis};
+
+impl Control {
+    /// Sends an attempt if all rules allow it; tells whether it was sent.
+    pub(super) fn try_send(&mut self, plan: AttemptPlan) -> bool {
+        let open = plan.endpoints().all(|member| self.accepts_attempts(member));
+        let Some(pending) = self.pending.get(&plan.request).filter(|_| open) else { return false };
+        if !self.is_permitted(pending, &plan) {
+            return false;
+        }
+        let attempt = self.new_attempt(pending, plan);
+        let action = self.action_of(pending, &plan);
+        let cost = self.slow_start_cost(pending.request.class);
+        self.actions.push(action);
+        self.book_send(&plan, cost);
+        self.add_link_transfers(attempt.link_transfers());
+        if let Some(pending) = self.pending.get_mut(&plan.request) {
+            pending.in_flight.push(attempt);
+            pending.sends += 1;
+        }
+        true
+    }
+
+    fn new_attempt(&self, pending: &PendingRequest, plan: AttemptPlan) -> Attempt {
+        let member_load = self.member_load(&self.members[&plan.member]);
+        let link_load = if plan.kind == AttemptKind::Lookup { 1.0 } else { self.link_load() };
+        let sending_time = self.sending_time(&pending.request);
+        let expected = fill_time(sending_time * member_load.max(link_load).max(1.0));
+        let leads_fill = plan.kind == AttemptKind::Fill && self.is_leader(plan.request);
+        Attempt {
+            number: pending.sends,
+            plan,
+            sent_at: self.now,
+            member_load,
+            sending_time,
+            sending_time_known: self.knows_sending_time(&pending.request),
+            is_trial: plan.endpoints().any(|member| self.members[&member].health.is_half_open),
+            uses_link: plan.kind == AttemptKind::Direct || leads_fill,
+            late_at: self.now + LATE_MULTIPLE * expected,
+            is_late: false,
+        }
+    }
+
+    /// A plain look-up where no purge binds the copy, and at the origin; else a get with its options.
+    fn action_of(&self, pending: &PendingRequest, plan: &AttemptPlan) -> Action {
+        let AttemptPlan { request, member, kind, .. } = *plan;
+        let deadline = pending.request.deadline;
+        let target = &self.members[&member].listed;
+        let purge_max_age = self.purge_max_age(&pending.request);
+        if kind == AttemptKind::Lookup && purge_max_age.is_none() || self.is_origin(target) {
+            return Action::Lookup { request, member, deadline };
+        }
+        let class = self.class_of(pending);
+        let keeps_copy = !class.write && self.is_local_cache(target);
+        Action::Get {
+            request,
+            member,
+            deadline,
+            source: plan.source.unwrap_or(member),
+            copy_rank: if keeps_copy { COPY_RANK } else { 0 },
+            max_age: purge_max_age.map_or(0.0, |age| allowed_age(age, class.freshness_lifetime)),
+            options: GetOptions {
+                join: self.settings.join_fills && kind != AttemptKind::Lookup,
+                cached_only: self.spares_origin(pending, plan),
+                ..GetOptions::default()
+            },
+        }
+    }
+
+    /// Whether the parent is asked only for what it has cached, as the origin or the location's link is overloaded.
+    /// What it lacks is given up at once.
+    fn spares_origin(&self, pending: &PendingRequest, plan: &AttemptPlan) -> bool {
+        let is_parent = plan.source.is_some_and(|source| self.is_parent(&self.members[&source].listed));
+        if plan.kind != AttemptKind::Fill || !is_parent {
+            return false;
+        }
+        let leads_over_full_link = self.is_leader(plan.request) && self.is_link_overloaded(pending);
+        self.is_origin_too_slow(pending) || leads_over_full_link
+    }
+
+    /// Books a send at the member and its source.
+    fn book_send(&mut self, plan: &AttemptPlan, slow_start_cost: Millis) {
+        let now = self.now;
+        for id in plan.endpoints() {
+            let Some(state) = self.members.get_mut(&id) else { continue };
+            state.slow_start_budget.spend(slow_start_cost);
+            state.in_flight.add(1.0, now);
+            state.last_used_at = now;
+            let health = &mut state.health;
+            health.trial_in_flight |= health.is_half_open;
+            if id == plan.member {
+                if health.unanswered_sends == 0 {
+                    health.unanswered_since = now;
+                }
+                health.unanswered_sends += 1;
+            }
+        }
+    }
+}
+
+/// The lower of the age that a purge allows and the freshness lifetime, where there is one.
+fn allowed_age(purge_max_age: Millis, freshness_lifetime: Millis) -> Millis {
+    if freshness_lifetime > 0.0 { purge_max_age.min(freshness_lifetime) } else { purge_max_age }
+}
--- /dev/null
+++ b/crates/deckproxy-control/src/control/capacity_estimate.rs
@@ -0,0 +1,78 @@
+//! The estimated capacity of a kind of member, where the member list does not tell sizes.
+
+use super::Control;
+use super::decay::decay_factor;
+use super::tuning::{BUSY_SHARE_MIN, CAPACITY_LEARNING_TIME, OBSERVATION_SPAN};
+use crate::interface::{Member, MemberId, Millis};
+
+/// What one member of a kind serves, the other routers' part estimated from this router's. All sums decay.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct KindThroughput {
+    /// Sending time of the answers served.
+    served: Millis,
+    /// When the observation began.
+    since: Millis,
+    updated_at: Millis,
+    /// Sum of the reported busy shares.
+    busy_share_sum: f64,
+    /// Number of the reported busy shares.
+    busy_share_reports: f64,
+}
+
+impl KindThroughput {
+    fn starting_at(now: Millis) -> Self {
+        KindThroughput {
+            served: 0.0,
+            since: now,
+            updated_at: now,
+            busy_share_sum: 0.0,
+            busy_share_reports: 0.0,
+        }
+    }
+
+    fn decay_to(&mut self, now: Millis) {
+        let kept = decay_factor(now - self.updated_at, OBSERVATION_SPAN);
+        self.served *= kept;
+        self.busy_share_sum *= kept;
+        self.busy_share_reports *= kept;
+        self.updated_at = now;
+    }
+
+    /// Answers at full rate that explain the throughput: those in flight on average over the busy share. Without
+    /// reports of the busy share it is the least that the member must have.
+    fn capacity(&self, now: Millis) -> Option<f64> {
+        let span = OBSERVATION_SPAN * (1.0 - decay_factor(self.updated_at - self.since, OBSERVATION_SPAN));
+        let reported = self.busy_share_reports > 0.0;
+        let busy_share = if reported { self.busy_share_sum / self.busy_share_reports } else { 1.0 };
+        let learned = now - self.since > CAPACITY_LEARNING_TIME;
+        learned.then(|| (self.served / span / busy_share.clamp(BUSY_SHARE_MIN, 1.0)).max(1.0))
+    }
+}
+
+impl Control {
+    /// A member's capacity in answers at full rate: listed, else estimated from what its kind serves.
+    pub(super) fn capacity(&self, member: &Member) -> Option<f64> {
+        if self.settings.weights_are_sizes {
+            return Some(member.weight);
+        }
+        self.kind_throughput.get(&member.kind)?.capacity(self.now)
+    }
+
+    /// Records sending time that a member served, and its reported busy share if there is one.
+    pub(super) fn record_throughput(&mut self, id: MemberId, served: Millis, busy_share: Option<f64>) {
+        if self.settings.weights_are_sizes {
+            return;
+        }
+        let Some(member) = self.members.get(&id).map(|state| state.listed) else { return };
+        let same_kind = self.pool_of(&member).filter(|state| state.listed.kind == member.kind).count();
+        let served_by_all = served * self.routers_sharing(&member) / (1.0 + same_kind as f64);
+        let entry = self.kind_throughput.entry(member.kind);
+        let throughput = entry.or_insert(KindThroughput::starting_at(self.now));
+        throughput.decay_to(self.now);
+        throughput.served += served_by_all;
+        if let Some(share) = busy_share {
+            throughput.busy_share_sum += share;
+            throughput.busy_share_reports += 1.0;
+        }
+    }
+}
--- a/crates/deckproxy-control/src/control/collapsing.rs
+++ b/crates/deckproxy-control/src/control/collapsing.rs
@@ -1,98 +1,147 @@
-//! Request collapsing: one leader per (object, part) fills, the others wait for it.
+//! Request collapsing: one leader per object and part fills, the other requests wait for it.
 
-use super::*;
+use super::Control;
+use super::request_state::{AttemptPlan, PendingRequest};
+use super::tuning::{HOP_ALLOWANCE, LARGE_SENDING_TIME, LATE_MULTIPLE, TIMER_PERIOD, WAITERS_MAX};
+use crate::interface::{MemberId, Request, RequestId};
+use std::collections::VecDeque;
 
-pub(super) type Key = (u64, u32);
+/// What one fill is for: a part of an object.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct FillKey {
+    object: u64,
+    part: u32,
+}
 
-pub(super) struct Collapse {
+impl FillKey {
+    /// The key of a request's fill.
+    pub(super) fn of(request: &Request) -> Self {
+        FillKey { object: request.object, part: request.part }
+    }
+}
+
+/// A fill with its leader, and the requests that wait for it.
+#[derive(Debug)]
+pub(super) struct CollapsedFill {
     pub(super) leader: RequestId,
+    /// The cache that is filled.
     pub(super) cache: MemberId,
     pub(super) waiters: VecDeque<RequestId>,
 }
 
 impl Control {
-    pub(super) fn leads(&self, id: RequestId) -> bool {
-        let key = self.open.get(&id).map(|o| (o.r.object, o.r.part));
-        key.and_then(|k| self.table.get(&k)).is_some_and(|e| e.leader == id)
+    /// Whether a request leads a fill.
+    pub(super) fn is_leader(&self, id: RequestId) -> bool {
+        let Some(pending) = self.pending.get(&id) else { return false };
+        let fill = self.collapsed_fills.get(&FillKey::of(&pending.request));
+        fill.is_some_and(|fill| fill.leader == id)
     }
 
-    /// After a miss at a cache: lead, wait, or join at once.
-    pub(super) fn missed(&mut self, id: RequestId, cache: MemberId) {
-        let Some(o) = self.open.get(&id) else { return };
-        // Too little time to wait for the next sweep counts like a large object.
-        let alone = self.s.join_fills && self.work(&o.r) >= LARGE || self.last_call(o);
-        let new = Collapse { leader: id, cache, waiters: VecDeque::new() };
-        let entry = self.table.entry((o.r.object, o.r.part)).or_insert(new);
-        if entry.leader == id || alone || entry.waiters.len() >= WAITERS_MOST {
-            let cache = entry.cache;
+    /// Decides after a miss at a cache: the request leads a fill, waits for the one that runs, or joins it at once.
+    pub(super) fn handle_miss(&mut self, id: RequestId, cache: MemberId) {
+        let Some(pending) = self.pending.get(&id) else { return };
+        let is_large = self.sending_time(&pending.request) >= LARGE_SENDING_TIME;
+        let cannot_wait = self.settings.join_fills && is_large || self.has_time_for_one_attempt(pending);
+        let new = CollapsedFill { leader: id, cache, waiters: VecDeque::new() };
+        let fill = self.collapsed_fills.entry(FillKey::of(&pending.request)).or_insert(new);
+        if fill.leader == id || cannot_wait || fill.waiters.len() >= WAITERS_MAX {
+            let cache = fill.cache;
             return self.fill(id, cache);
         }
-        entry.waiters.push_back(id);
-        if let Some(o) = self.open.get_mut(&id) {
-            o.waiting = Some(self.now);
+        fill.waiters.push_back(id);
+        self.set_waiting_since(id, Some(self.now));
+    }
+
+    pub(super) fn set_waiting_since(&mut self, id: RequestId, since: Option<f64>) {
+        if let Some(pending) = self.pending.get_mut(&id) {
+            pending.waiting_since = since;
         }
     }
 
-    /// Only one attempt's time is left.
-    pub(super) fn last_call(&self, o: &Open) -> bool {
-        o.r.deadline - self.now <= LATE * (self.work(&o.r) + WAY) + SWEEP
+    /// Whether a request has no more time than one attempt needs, so that it cannot wait for the next timer.
+    pub(super) fn has_time_for_one_attempt(&self, pending: &PendingRequest) -> bool {
+        let attempt_time = LATE_MULTIPLE * (self.sending_time(&pending.request) + HOP_ALLOWANCE);
+        pending.request.deadline - self.now <= attempt_time + TIMER_PERIOD
     }
 
-    /// A fill at a cache, from the first source that will do; else at the next cache; else past them.
+    /// Fills at a cache from the first source that takes it; else at the next cache; else past the caches.
     pub(super) fn fill(&mut self, id: RequestId, cache: MemberId) {
-        let Some(o) = self.open.get(&id) else { return };
-        let (r, bad) = (o.r, o.bad.clone());
-        let load = self.peers.get(&cache).map_or(0.0, |p| self.load(p));
-        if o.sends == 1 && self.too_late(o, self.work(&r) * load.max(1.0)) {
+        let Some(pending) = self.pending.get(&id) else { return };
+        let request = pending.request;
+        if pending.sends == 1 && self.is_too_late_at_load(pending, self.member_load_by_id(cache)) {
             return self.give_up(id);
         }
-        // On a crowded link nothing comes from the origin, and where notes do not tell that, nothing at all.
-        let full = self.leads(id) && self.link_full(o);
-        if full && self.origin_pace.due == 0.0 {
+        // On an overloaded link nothing comes from the origin, and where notes do not tell what does, nothing at all.
+        let spares_link = self.is_leader(id) && self.is_link_overloaded(pending);
+        if spares_link && !self.origin_latency.has_observations() {
             return self.give_up(id);
         }
-        let mut sources = self.brisk(id);
-        let others = self.caches(&r).into_iter().filter(|c| *c != cache);
-        sources.retain(|s| !full || self.origin() != Some(*s));
-        for at in std::iter::once(cache).chain(others.collect::<Vec<_>>()).filter(|c| !bad.contains(c)) {
-            if sources.iter().any(|s| !bad.contains(s) && self.emit(id, at, Some(*s), Kind::Fill)) {
-                if let Some(e) = self.table.get_mut(&(r.object, r.part)).filter(|e| e.leader == id) {
-                    e.cache = at;
-                }
-                return;
-            }
+        let mut sources = self.responsive_sources(id);
+        sources.retain(|source| !spares_link || self.origin() != Some(*source));
+        match self.send_fill(&request, cache, &sources) {
+            Some(filled) => self.set_leaders_cache(&request, filled),
+            None => self.send_past_caches(id),
         }
-        self.direct(id);
     }
 
-    /// A request stops waiting or leading. If it led, its waiters go to the filled cache, or one leads.
-    pub(super) fn pass_on(&mut self, id: RequestId, key: Key, filled: Option<MemberId>, bad: Vec<MemberId>) {
-        let Some(entry) = self.table.get_mut(&key) else { return };
-        entry.waiters.retain(|w| *w != id);
-        if entry.leader != id {
+    /// Sends a fill at the first pair of cache and source that takes it; returns the cache.
+    fn send_fill(&mut self, request: &Request, cache: MemberId, sources: &[MemberId]) -> Option<MemberId> {
+        let failed = self.pending.get(&request.id)?.failed_members.clone();
+        let others = self.caches_for(request).into_iter().filter(|other| *other != cache);
+        let mut caches = std::iter::once(cache).chain(others).filter(|cache| !failed.contains(cache));
+        let sources: Vec<MemberId> =
+            sources.iter().copied().filter(|source| !failed.contains(source)).collect();
+        caches.find(|cache| {
+            sources.iter().any(|source| self.try_send(AttemptPlan::fill(request.id, *cache, *source)))
+        })
+    }
+
+    /// Records where a leader fills.
+    fn set_leaders_cache(&mut self, request: &Request, cache: MemberId) {
+        let fill = self.collapsed_fills.get_mut(&FillKey::of(request));
+        if let Some(fill) = fill.filter(|fill| fill.leader == request.id) {
+            fill.cache = cache;
+        }
+    }
+
+    /// A request that was served by a cache leads no longer: its waiters look the object up there.
+    pub(super) fn complete_fill(&mut self, id: RequestId, key: FillKey, cache: MemberId) {
+        if !self.leave_waiters(id, key) {
             return;
         }
-        if let Some(cache) = filled {
-            for w in self.table.remove(&key).map(|e| e.waiters).unwrap_or_default() {
-                if let Some(o) = self.open.get_mut(&w) {
-                    o.waiting = None;
-                }
-                if !self.emit(w, cache, None, Kind::LookUp) {
-                    self.route(w);
-                }
+        let waiters = self.collapsed_fills.remove(&key).map(|fill| fill.waiters).unwrap_or_default();
+        for waiter in waiters {
+            self.set_waiting_since(waiter, None);
+            if !self.try_send(AttemptPlan::lookup(waiter, cache)) {
+                self.route(waiter);
             }
+        }
+    }
+
+    /// A request that was not served stops waiting or leading. If it led, its oldest waiter leads, without the
+    /// members that failed the request.
+    pub(super) fn release_fill(&mut self, id: RequestId, key: FillKey, failed: Vec<MemberId>) {
+        if !self.leave_waiters(id, key) {
             return;
         }
-        let Some(next) = entry.waiters.pop_front() else {
-            self.table.remove(&key);
+        let Some(fill) = self.collapsed_fills.get_mut(&key) else { return };
+        let Some(next) = fill.waiters.pop_front() else {
+            self.collapsed_fills.remove(&key);
             return;
         };
-        entry.leader = next;
-        let cache = entry.cache;
-        if let Some(o) = self.open.get_mut(&next) {
-            o.waiting = None;
-            o.bad.extend(bad);
+        fill.leader = next;
+        let cache = fill.cache;
+        if let Some(pending) = self.pending.get_mut(&next) {
+            pending.waiting_since = None;
+            pending.failed_members.extend(failed);
         }
         self.fill(next, cache);
     }
+
+    /// Removes a request from a fill's waiters; tells whether it leads that fill.
+    fn leave_waiters(&mut self, id: RequestId, key: FillKey) -> bool {
+        let Some(fill) = self.collapsed_fills.get_mut(&key) else { return false };
+        fill.waiters.retain(|waiter| *waiter != id);
+        fill.leader == id
+    }
 }
--- /dev/null
+++ b/crates/deckproxy-control/src/control/member_list.rs
@@ -0,0 +1,89 @@
+//! The member list: its updates, and the roles and pools of members.
+
+use super::Control;
+use super::member_state::MemberState;
+use crate::interface::{Lifecycle, ListKind, Member, MemberId};
+
+impl Control {
+    /// Takes a list of members, or the changed lines of one.
+    pub(super) fn update_members(&mut self, kind: ListKind, list: Vec<Member>) {
+        if kind != ListKind::Delta {
+            self.mark_unlisted_members_gone(&list);
+        }
+        for mut member in list {
+            // A weight that is no size must not count in the hash.
+            member.weight = if self.settings.weights_are_sizes { member.weight } else { 1.0 };
+            self.update_member(kind, member);
+        }
+        self.remove_gone_members();
+    }
+
+    fn mark_unlisted_members_gone(&mut self, list: &[Member]) {
+        for state in self.members.values_mut() {
+            if !list.iter().any(|member| member.id == state.listed.id) {
+                state.listed.lifecycle = Lifecycle::Gone;
+            }
+        }
+    }
+
+    fn update_member(&mut self, kind: ListKind, member: Member) {
+        let is_gone = member.lifecycle == Lifecycle::Gone;
+        match self.members.get_mut(&member.id) {
+            Some(state) if is_gone => state.listed.lifecycle = Lifecycle::Gone,
+            None if is_gone => {}
+            Some(state) if state.listed.started == member.started => state.listed = member,
+            _ => self.add_member(kind, member),
+        }
+    }
+
+    /// Adds a new process. One that warms up and that a starting router knows from its cached list may have been
+    /// sent to just before the router's own start, so it is left alone for a window.
+    fn add_member(&mut self, kind: ListKind, member: Member) {
+        let may_have_been_used = kind == ListKind::Cached && self.is_warming_up(&member);
+        let window = self.settings.cache_slow_start.overload_window;
+        let blocked_until = if may_have_been_used { self.now + window } else { f64::MIN };
+        self.members.insert(member.id, MemberState::new(member, self.now, blocked_until));
+    }
+
+    /// Removes members that left. One that left while it warmed up is kept: should the list take it back, its
+    /// slow-start budget is spent as before.
+    fn remove_gone_members(&mut self) {
+        let now = self.now;
+        let longest = self.settings.cache_slow_start.duration.max(self.settings.parent_slow_start.duration);
+        let is_new = |member: &Member| member.started.is_some_and(|started| now - started < longest);
+        self.members.retain(|_, state| state.listed.lifecycle != Lifecycle::Gone || is_new(&state.listed));
+    }
+
+    pub(super) fn is_parent(&self, member: &Member) -> bool {
+        self.settings.parent_kind == Some(member.kind)
+    }
+
+    pub(super) fn is_origin(&self, member: &Member) -> bool {
+        self.settings.origin_kind == Some(member.kind)
+    }
+
+    pub(super) fn is_cache(&self, member: &Member) -> bool {
+        !self.is_parent(member) && !self.is_origin(member)
+    }
+
+    /// Whether a member is a cache of this router's location.
+    pub(super) fn is_local_cache(&self, member: &Member) -> bool {
+        self.is_cache(member) && member.zone == self.settings.zone
+    }
+
+    /// The other ready members that stand in for a member: of its kind, or of its location for a cache.
+    pub(super) fn pool_of(&self, member: &Member) -> impl Iterator<Item = &MemberState> {
+        let (id, kind, zone, is_cache) = (member.id, member.kind, member.zone, self.is_cache(member));
+        let stands_in = move |other: &Member| {
+            if is_cache { self.is_cache(other) && other.zone == zone } else { other.kind == kind }
+        };
+        let ready = self.members.values().filter(|state| state.listed.lifecycle == Lifecycle::Ready);
+        ready.filter(move |state| state.listed.id != id && stands_in(&state.listed))
+    }
+
+    /// The origin, where one is listed as ready.
+    pub(super) fn origin(&self) -> Option<MemberId> {
+        let mut ready = self.members.values().filter(|state| state.listed.lifecycle == Lifecycle::Ready);
+        ready.find(|state| self.is_origin(&state.listed)).map(|state| state.listed.id)
+    }
+}
--- /dev/null
+++ b/crates/deckproxy-control/src/control/periodic_timer.rs
@@ -0,0 +1,173 @@
+//! The periodic timer: late attempts, silent members, and waiters whose wait is over.
+
+use super::Control;
+use super::collapsing::FillKey;
+use super::member_state::MemberState;
+use super::request_state::{Attempt, AttemptKind, AttemptPlan, PendingRequest};
+use super::sending_times::fill_time;
+use super::tuning::{
+    LATE_INFLATION, OBJECT_IDLE_TIME, OBJECTS_MAX, ORIGIN_LATENCY_SPAN, OWN_PAUSE, SILENT_SENDS, SILENT_TIME,
+    SILENT_TRIAL_SENDS, SLOW_SOURCE_INFLATION, TIMER_PERIOD, WAITER_TIMEOUT,
+};
+use super::{PERIODIC_TIMER, TimerState};
+use crate::interface::{Action, MemberId, RequestId};
+
+/// Late attempts that were found at one run of the timer.
+#[derive(Default)]
+struct LateAttempts {
+    all: Vec<Attempt>,
+    /// Those that may be hedged.
+    hedgeable: Vec<AttemptPlan>,
+}
+
+impl Control {
+    /// Asks for the next run, if requests are pending and none is due.
+    pub(super) fn arm_periodic_timer(&mut self) {
+        if !self.timer.is_armed && !self.pending.is_empty() {
+            self.timer = TimerState { is_armed: true, due_at: self.now + TIMER_PERIOD };
+            self.actions.push(Action::Timer { token: PERIODIC_TIMER, at: self.timer.due_at });
+        }
+    }
+
+    /// One run of the periodic timer.
+    pub(super) fn run_periodic_tasks(&mut self) {
+        self.timer.is_armed = false;
+        self.forgive_own_pause();
+        self.forget_idle_objects();
+        let late = self.mark_late_attempts();
+        for attempt in &late.all {
+            self.record_late_attempt(attempt);
+        }
+        self.hedge(late.hedgeable);
+        self.eject_silent_members();
+        self.resume_waiters();
+    }
+
+    /// A router that stood still itself received no answers: silence is counted anew.
+    fn forgive_own_pause(&mut self) {
+        if self.now - self.timer.due_at > OWN_PAUSE {
+            for state in self.members.values_mut() {
+                state.health.unanswered_since = self.now;
+            }
+        }
+    }
+
+    fn forget_idle_objects(&mut self) {
+        let now = self.now;
+        if self.objects.len() * 2 > OBJECTS_MAX {
+            self.objects.retain(|_, stats| now - stats.demand.updated_at() < OBJECT_IDLE_TIME);
+        }
+    }
+
+    /// Marks the attempts that became late. They draw on the location's link no longer: a late fill waits for a
+    /// source that does not send.
+    fn mark_late_attempts(&mut self) -> LateAttempts {
+        let mut late = LateAttempts::default();
+        for pending in self.pending.values_mut() {
+            let is_single = pending.in_flight.len() == 1 && !pending.has_ended;
+            for attempt in &mut pending.in_flight {
+                if attempt.is_late || self.now < attempt.late_at {
+                    continue;
+                }
+                attempt.is_late = true;
+                if is_single && attempt.sending_time_known {
+                    late.hedgeable.push(attempt.plan);
+                }
+                late.all.push(*attempt);
+                attempt.uses_link = false;
+            }
+        }
+        late
+    }
+
+    /// Books a late attempt: a fill shows that its source or, behind a parent that is not slow, the origin is slow.
+    fn record_late_attempt(&mut self, attempt: &Attempt) {
+        let (now, plan) = (self.now, attempt.plan);
+        let is_fill = plan.kind == AttemptKind::Fill;
+        let source = plan.source.and_then(|source| self.members.get(&source));
+        let is_source_slow = source.is_none_or(|state| state.inflation(now) > SLOW_SOURCE_INFLATION);
+        if is_fill && !is_source_slow && self.origin_latency.has_observations() {
+            let expected = fill_time(attempt.sending_time);
+            self.origin_latency.record(now - attempt.sent_at, expected, ORIGIN_LATENCY_SPAN, now);
+        }
+        let shown = attempt.latency_expectation().filter(|_| is_fill && attempt.sending_time_known);
+        if let Some(state) = shown.and_then(|shown| self.members.get_mut(&shown.member)) {
+            state.record_inflation(LATE_INFLATION, now);
+        }
+        self.add_link_transfers(-attempt.link_transfers());
+        if plan.kind != AttemptKind::Lookup
+            && let Some(state) = self.members.get_mut(&plan.member)
+        {
+            state.in_flight.add(-1.0, now);
+        }
+    }
+
+    /// Sends late attempts again at the same member where two may be in flight: that makes up for a lost answer.
+    fn hedge(&mut self, plans: Vec<AttemptPlan>) {
+        for plan in plans {
+            let may_hedge = self.settings.hedged_requests && self.retry_budget.is_available();
+            if may_hedge && self.try_send(plan) {
+                self.retry_budget.take();
+            }
+        }
+    }
+
+    /// Ejects silent members and cancels what is in flight there. The origin is never ejected.
+    fn eject_silent_members(&mut self) {
+        let silent = self.members.values().filter(|state| self.is_silent(state));
+        let silent: Vec<MemberId> = silent.map(|state| state.listed.id).collect();
+        for member in silent {
+            self.eject(member, "silent");
+            self.cancel_attempts_at(member);
+        }
+    }
+
+    fn is_silent(&self, state: &MemberState) -> bool {
+        let health = &state.health;
+        let sends = if health.is_half_open { SILENT_TRIAL_SENDS } else { SILENT_SENDS };
+        health.unanswered_sends >= sends
+            && self.now - health.unanswered_since > SILENT_TIME
+            && !self.is_origin(&state.listed)
+    }
+
+    fn cancel_attempts_at(&mut self, member: MemberId) {
+        if !self.settings.cancellation {
+            return;
+        }
+        for (id, pending) in &self.pending {
+            if pending.has_ended || pending.is_streaming {
+                continue;
+            }
+            let at_member = pending.in_flight.iter().filter(|attempt| attempt.plan.member == member);
+            let cancel = |attempt: &Attempt| Action::Cancel { request: *id, attempt: attempt.number };
+            self.actions.extend(at_member.map(cancel));
+        }
+    }
+
+    /// Fills for the waiters whose wait is over; where the fill has ended, they are routed anew.
+    fn resume_waiters(&mut self) {
+        let due = self.pending.values().filter(|pending| self.is_wait_over(pending));
+        let due: Vec<RequestId> = due.map(|pending| pending.request.id).collect();
+        for id in due {
+            self.resume_waiter(id);
+        }
+    }
+
+    fn is_wait_over(&self, pending: &PendingRequest) -> bool {
+        let timed_out = |since: f64| self.now - since >= WAITER_TIMEOUT;
+        pending.waiting_since.is_some_and(|since| timed_out(since) || self.has_time_for_one_attempt(pending))
+    }
+
+    fn resume_waiter(&mut self, id: RequestId) {
+        // One that came to lead meanwhile waits no longer.
+        let pending = self.pending.get_mut(&id);
+        let Some(pending) = pending.filter(|pending| pending.waiting_since.is_some()) else { return };
+        pending.waiting_since = None;
+        let Some(fill) = self.collapsed_fills.get_mut(&FillKey::of(&pending.request)) else {
+            return self.route(id);
+        };
+        fill.waiters.retain(|waiter| *waiter != id);
+        let cache = fill.cache;
+        self.fill(id, cache);
+    }
+}
--- /dev/null
+++ b/crates/deckproxy-control/src/control/sending_times.rs
@@ -0,0 +1,81 @@
+//! How long answers take to send: told by their size, else learned by object, else by class.
+
+use super::Control;
+use super::decay::DecayingSum;
+use super::request_state::Attempt;
+use super::tuning::{
+    FIRST_ESTIMATE_DIVISOR, FIRST_ESTIMATE_WEIGHT, HOP_ALLOWANCE, MEAN_ANSWERS_MAX, QUICKER_HIT_WEIGHT,
+    SLOWER_HIT_WEIGHT,
+};
+use crate::interface::{Class, Millis, Request};
+
+/// What is known of an object.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct ObjectStats {
+    /// Sending time requested lately, in ms.
+    pub(super) demand: DecayingSum,
+    /// Sending time of one part as learned from hits, where sizes are not told.
+    pub(super) sending_time: Option<Millis>,
+}
+
+/// The mean sending time of a class's answers.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ClassSendingTime {
+    mean: Millis,
+    /// Answers that the mean comes from.
+    answers: f64,
+}
+
+impl ClassSendingTime {
+    /// The first estimate, from the class's deadline.
+    pub(super) fn first_estimate(class: &Class) -> Self {
+        ClassSendingTime { mean: class.deadline / FIRST_ESTIMATE_DIVISOR, answers: 0.0 }
+    }
+
+    /// The mean, in ms.
+    pub(super) fn mean(&self) -> Millis {
+        self.mean
+    }
+
+    /// Takes one more answer into the mean.
+    pub(super) fn learn(&mut self, sending_time: Millis) {
+        self.answers = (self.answers + 1.0).min(MEAN_ANSWERS_MAX);
+        self.mean += (sending_time - self.mean) / (self.answers + FIRST_ESTIMATE_WEIGHT);
+    }
+}
+
+/// Time that a fill, or an answer straight from its source, should take: its sending and two hops.
+pub(super) fn fill_time(sending_time: Millis) -> Millis {
+    sending_time + 2.0 * HOP_ALLOWANCE
+}
+
+impl Control {
+    /// Sending time of a request's answer.
+    pub(super) fn sending_time(&self, request: &Request) -> Millis {
+        let rate = self.settings.transfer_rate;
+        if let Some(kilobytes) = request.size
+            && rate > 0.0
+        {
+            return kilobytes / rate * 1000.0;
+        }
+        let learned = self.objects.get(&request.object).and_then(|stats| stats.sending_time);
+        learned.unwrap_or(self.class_sending_times[request.class].mean())
+    }
+
+    /// Whether the sending time of a request's answer is told or learned of its object, not only of its class.
+    pub(super) fn knows_sending_time(&self, request: &Request) -> bool {
+        let learned = |stats: &ObjectStats| stats.sending_time.is_some();
+        request.size.is_some() || self.objects.get(&request.object).is_some_and(learned)
+    }
+
+    /// Learns from a hit how long an object takes to send, the cache's load divided out.
+    pub(super) fn learn_sending_time(&mut self, request: &Request, attempt: &Attempt, elapsed: Millis) {
+        let sending_time = elapsed.max(1.0) / attempt.member_load.max(1.0);
+        self.class_sending_times[request.class].learn(sending_time);
+        if let Some(stats) = self.objects.get_mut(&request.object) {
+            let previous = stats.sending_time.unwrap_or(sending_time);
+            let weight = if sending_time < previous { QUICKER_HIT_WEIGHT } else { SLOWER_HIT_WEIGHT };
+            stats.sending_time = Some(previous + weight * (sending_time - previous));
+        }
+    }
+}
--- /dev/null
+++ b/crates/deckproxy-control/src/control/slow_start.rs
@@ -0,0 +1,99 @@
+//! Slow start: how much is sent to a member whose process started lately.
+
+use super::Control;
+use super::rendezvous_hash::mix64;
+use super::tuning::{GOLDEN_FRACTION, SLOW_START_SEND_COST, SLOW_START_SHARE};
+use crate::interface::{Member, MemberId, Millis, SlowStart};
+
+/// What this router may send to a member that warms up.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct SlowStartTerms {
+    pub(super) rule: SlowStart,
+    /// This router's position among all.
+    pub(super) position: u32,
+    /// This router's part of the member's capacity, in answers at full rate.
+    pub(super) capacity_part: f64,
+    /// Cost of the dearest class's send, ms.
+    pub(super) dearest_send: Millis,
+}
+
+/// This router's part of a member's slow-start budget, in ms of sending time.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct SlowStartBudget {
+    /// What was not spent; none before the first use.
+    balance: Option<Millis>,
+    updated_at: Millis,
+}
+
+impl SlowStartBudget {
+    /// A budget that was not used before that time.
+    pub(super) fn starting_at(now: Millis) -> Self {
+        SlowStartBudget { balance: None, updated_at: now }
+    }
+
+    /// Takes the cost of a send.
+    pub(super) fn spend(&mut self, cost: Millis) {
+        self.balance = self.balance.map(|balance| balance - cost);
+    }
+
+    /// Whether this router has a turn at a member that warms up.
+    ///
+    /// What the rule allows at the member's present capacity comes in evenly. A turn is up once the balance holds
+    /// the dearest send, and lapses a window later, so that lulls save nothing up. The first balances are spread by
+    /// the golden ratio, so that the turns of any run of router positions come one after the other.
+    pub(super) fn has_turn(&mut self, member: &Member, terms: &SlowStartTerms, now: Millis) -> bool {
+        let SlowStartTerms { rule, position, capacity_part, dearest_send } = *terms;
+        let age = (now - member.started.unwrap_or(now)).max(0.0);
+        let capacity = rule.initial_share + (1.0 - rule.initial_share) * age / rule.duration;
+        let rate = SLOW_START_SHARE * rule.overload_multiple * capacity * capacity_part;
+        let member_shift = mix64(u64::from(member.id)) as f64 / u64::MAX as f64;
+        let first = dearest_send * (f64::from(position) * GOLDEN_FRACTION + member_shift).fract();
+        let earned = rate * (now - self.updated_at).max(0.0);
+        let balance = self.balance.unwrap_or(first) + earned;
+        let lapsed_turns = ((balance - rate * rule.overload_window) / dearest_send).floor().max(0.0);
+        let balance = balance - lapsed_turns * dearest_send;
+        self.balance = Some(balance);
+        self.updated_at = now.max(self.updated_at);
+        balance >= dearest_send
+    }
+}
+
+impl Control {
+    fn slow_start_rule(&self, member: &Member) -> SlowStart {
+        if self.is_cache(member) { self.settings.cache_slow_start } else { self.settings.parent_slow_start }
+    }
+
+    /// Whether a member started so lately that it warms up. The origin never does.
+    pub(super) fn is_warming_up(&self, member: &Member) -> bool {
+        let duration = self.slow_start_rule(member).duration;
+        !self.is_origin(member) && member.started.is_some_and(|at| self.now - at < duration)
+    }
+
+    /// Cost of a class's send in slow-start budgets.
+    pub(super) fn slow_start_cost(&self, class: usize) -> Millis {
+        self.class_sending_times[class].mean() * SLOW_START_SEND_COST
+    }
+
+    /// Whether a member takes a new attempt: it is listed as ready, not ejected and, while it warms up, this router
+    /// has a turn.
+    pub(super) fn accepts_attempts(&mut self, id: MemberId) -> bool {
+        let Some(state) = self.members.get(&id).filter(|state| state.is_usable(self.now)) else {
+            return false;
+        };
+        let member = state.listed;
+        if !self.is_warming_up(&member) {
+            return true;
+        }
+        let terms = SlowStartTerms {
+            rule: self.slow_start_rule(&member),
+            position: self.settings.position,
+            capacity_part: self.capacity(&member).unwrap_or(1.0) / self.routers_sharing(&member),
+            dearest_send: (0..self.class_sending_times.len())
+                .map(|class| self.slow_start_cost(class))
+                .fold(1.0, f64::max),
+        };
+        let now = self.now;
+        let state = self.members.get_mut(&id);
+        state.is_some_and(|state| state.slow_start_budget.has_turn(&member, &terms, now))
+    }
+}
--- a/crates/deckproxy/src/routing/router.rs
+++ b/crates/deckproxy/src/routing/router.rs
@@ -17,9 +17,6 @@
 use deckproxy_settings::Conf;
 use std::collections::{HashMap, VecDeque};
 
-/// Names of the decision module's tables, in the order of `Control::sizes`.
-const CONTROL_TABLES: [&str; 5] = ["peers", "deciding", "filling", "objects", "purges"];
-
 /// The router of one gateway.
 pub struct Router {
     pub(super) control: Control,
@@ -123,7 +120,14 @@
             ("probing", self.health_checks.len()),
             ("timers", self.timers.len()),
         ];
-        own.into_iter().chain(CONTROL_TABLES.into_iter().zip(self.control.sizes()))
+        let decisions = self.control.table_sizes();
+        own.into_iter().chain([
+            ("peers", decisions.members),
+            ("deciding", decisions.requests),
+            ("filling", decisions.fills),
+            ("objects", decisions.objects),
+            ("purges", decisions.purges),
+        ])
     }
 
     /// The number of the feed's last event.
