--- a/crates/deckproxy-control/src/control/load.rs
+++ b/crates/deckproxy-control/src/control/load.rs
@@ -72,12 +72,13 @@
         let in_flight = report.in_flight.or_else(|| self.in_flight_by_busy_share(state, &report));
         let now = self.now;
         if let Some(state) = self.members.get_mut(&id) {
-            state.busy_share = report.cpu.map(|value| TimedValue { value, at: now }).or(state.busy_share);
+            state.busy_share =
+                report.busy_share.map(|value| TimedValue { value, at: now }).or(state.busy_share);
             if let Some(in_flight) = in_flight {
                 state.in_flight.report(in_flight, now);
             }
         }
-        self.record_throughput(id, 0.0, report.cpu);
+        self.record_throughput(id, 0.0, report.busy_share);
         if let Some(fullness) = report.link.filter(|_| self.is_local_cache(&member)) {
             let capacity = self.link_capacity();
             let transfers = capacity.map_or(fullness + self.link.own(), |capacity| fullness * capacity);
@@ -88,7 +89,7 @@
     /// Attempts in flight as a member's busy share tells them, where its size is listed. A saturated member may have
     /// more, so its share is only taken as a lower bound.
     fn in_flight_by_busy_share(&self, state: &MemberState, report: &LoadReport) -> Option<f64> {
-        let busy_share = report.cpu.filter(|_| self.settings.weights_are_sizes)?;
+        let busy_share = report.busy_share.filter(|_| self.settings.weights_are_sizes)?;
         let in_flight = busy_share * state.listed.weight;
         let estimated = state.in_flight.total(self.routers_sharing(&state.listed), self.now);
         (busy_share < BUSY_SHARE_SATURATED || in_flight > estimated).then_some(in_flight)
--- a/crates/deckproxy-control/tests/trouble.rs
+++ b/crates/deckproxy-control/tests/trouble.rs
@@ -517,7 +517,8 @@
         for object in 0..30 {
             let request = rig.ask(SMALL, object, 0);
             let Some((_, member, _)) = rig.sends().first().copied() else { continue };
-            let load = Some(LoadReport { in_flight: Some(80.0), cpu: Some(busy), ..LoadReport::default() });
+            let load =
+                Some(LoadReport { in_flight: Some(80.0), busy_share: Some(busy), ..LoadReport::default() });
             rig.answer((request, 0), member, (AttemptEnding::Served, FillNote::Hit), 50.0, load);
         }
         let request = rig.ask(SMALL, 100, 0);
@@ -602,7 +603,7 @@
             if out.len() > 50
                 && let Some((request, attempt, member)) = out.pop_front()
             {
-                let load = Some(LoadReport { cpu: Some(busy), ..LoadReport::default() });
+                let load = Some(LoadReport { busy_share: Some(busy), ..LoadReport::default() });
                 let (ending, note, elapsed, finished) = (AttemptEnding::Served, FillNote::Hit, 60.0, true);
                 rig.event(Event::AttemptEnded {
                     request,
@@ -982,7 +983,7 @@
         });
         rig.now += 3000.0;
         let (id, member) = miss(&mut rig, 100);
-        let load = Some(LoadReport { cpu: Some(0.3), link, ..LoadReport::default() });
+        let load = Some(LoadReport { busy_share: Some(0.3), link, ..LoadReport::default() });
         rig.answer((id, 1), member, (AttemptEnding::Served, note), elapsed, load);
         miss(&mut rig, 101);
         rig.cached_only() != Some(false)
@@ -1003,7 +1004,7 @@
         let held = [rig.ask(SMALL, 5, 0), rig.ask(SMALL, 5, 0)];
         let first = rig.sends()[0].1;
         rig.now += 380.0;
-        let load = busy.map(|cpu| LoadReport { cpu: Some(cpu), ..LoadReport::default() });
+        let load = busy.map(|cpu| LoadReport { busy_share: Some(cpu), ..LoadReport::default() });
         rig.answer((held[1], 0), first, (AttemptEnding::Served, FillNote::Hit), 60.0, load);
         rig.ask(SMALL, 5, 0);
         rig.sends()[0].1 != first
--- a/crates/deckproxy-settings/src/lib.rs
+++ b/crates/deckproxy-settings/src/lib.rs
@@ -57,7 +57,7 @@
         match name {
             "busy_reqs" | "inflight" => load.in_flight = Some(value),
             "x1" => load.link = Some(value),
-            "cpu_share" | "util" => load.cpu = Some(value),
+            "cpu_share" | "util" => load.busy_share = Some(value),
             _ => {}
         }
     }
--- a/crates/deckproxy-settings/tests/settings.rs
+++ b/crates/deckproxy-settings/tests/settings.rs
@@ -38,7 +38,7 @@
     );
     assert_eq!(conf.settings.parent_slow_start.overload_window, 1500.0);
     let load = settings::load([("busy_reqs", 3.0), ("x1", 0.5)]).unwrap();
-    assert_eq!((load.in_flight, load.link, load.cpu), (Some(3.0), Some(0.5), None));
+    assert_eq!((load.in_flight, load.link, load.busy_share), (Some(3.0), Some(0.5), None));
     assert_eq!(settings::load([]), None);
     for bad in [
         "groupSize=many",
@@ -56,7 +56,7 @@
 #[test]
 fn a_load_report_is_read_by_either_name_of_its_values() {
     let load = settings::load([("inflight", 7.0), ("util", 0.61), ("unknown", 1.0)]).unwrap();
-    assert_eq!((load.in_flight, load.link, load.cpu), (Some(7.0), None, Some(0.61)));
+    assert_eq!((load.in_flight, load.link, load.busy_share), (Some(7.0), None, Some(0.61)));
 }
 
 #[test]
