--- a/crates/deckproxy-lab/src/measure/model.rs
+++ b/crates/deckproxy-lab/src/measure/model.rs
@@ -1,14 +1,14 @@
 //! The model's queue of events beside a binary heap.
 
 use super::{Options, show};
-use deckproxy_model::queue::{Heap, Queue, Wheel};
+use deckproxy_model::queue::{EventQueue, HeapQueue, TimingWheel};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::hint::black_box;
 use std::time::Instant;
 
 /// Takes the next event and adds one, as a run does: nanoseconds for both.
-fn hold(queue: &mut dyn Queue<[u64; 6]>, pending: usize, seed: u64) -> f64 {
+fn hold(queue: &mut dyn EventQueue<[u64; 6]>, pending: usize, seed: u64) -> f64 {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     // Spans as in a run: many short ways and works, some deadlines.
     let span = |rng: &mut Pcg64Mcg| match rng.random_range(0..10) {
@@ -34,8 +34,8 @@
 pub fn run(options: &Options) {
     let mut rows = Vec::new();
     for pending in [1000, 10_000, 100_000, 1_000_000, 10_000_000] {
-        let wheel = hold(&mut Wheel::default(), pending, options.seed);
-        let heap = hold(&mut Heap::default(), pending, options.seed);
+        let wheel = hold(&mut TimingWheel::default(), pending, options.seed);
+        let heap = hold(&mut HeapQueue::default(), pending, options.seed);
         rows.push(vec![
             pending.to_string(),
             format!("{wheel:.0}"),
--- a/crates/deckproxy-lab/src/model/mod.rs
+++ b/crates/deckproxy-lab/src/model/mod.rs
@@ -8,16 +8,15 @@
 use crate::error::LabError;
 use crate::output::print_line;
 use clap::Args;
-use deckproxy_model::file::{self, Experiment};
+use deckproxy_model::file::{self, Experiment, Variant};
 use deckproxy_model::scenario::Scenario;
-use deckproxy_model::world::World;
+use deckproxy_model::simulation::Simulation;
 use indicatif::{ProgressBar, ProgressStyle};
 use rayon::prelude::*;
 use run::Run;
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use sweep::Variant;
 
 /// Steps of the progress bar for each run.
 const PROGRESS_STEPS: u64 = 100;
@@ -126,7 +125,7 @@
         return Ok(run);
     }
     let mut done = 0;
-    let record = World::new(scenario).run(|share| {
+    let record = Simulation::new(scenario).run(|share| {
         let now = (share * PROGRESS_STEPS as f64) as u64;
         bar.inc(now.saturating_sub(done));
         done = done.max(now);
--- a/crates/deckproxy-lab/src/model/report.rs
+++ b/crates/deckproxy-lab/src/model/report.rs
@@ -2,12 +2,11 @@
 
 use super::run::Run;
 use super::summary::runs_of;
-use super::sweep::Variant;
 use crate::error::LabError;
 use crate::flows::plot::COLOURS;
-use deckproxy_model::file::Experiment;
+use deckproxy_model::file::{Experiment, Variant};
 use deckproxy_model::record::Point;
-use deckproxy_model::scenario::{Fault, What};
+use deckproxy_model::scenario::{Fault, FaultKind};
 use plotters::prelude::*;
 use std::fmt::Write;
 use std::fs;
@@ -29,15 +28,17 @@
 /// The curves of the report, drawn over time for each variant.
 const CURVES: [(&str, Value); 5] = [
     ("Share of what clients wanted that was served", |p| p.served as f64 / wanted(p)),
-    ("99th percentile of the time until served, ms", |p| p.p99),
-    ("Admitted attempts, for each request that was wanted", |p| (p.tries - p.turned) as f64 / wanted(p)),
-    ("Fills at the origin, for each request that was wanted", |p| p.origin as f64 / wanted(p)),
+    ("99th percentile of the time until served, ms", |p| p.p99_ms),
+    ("Admitted attempts, for each request that was wanted", |p| {
+        (p.client_attempts - p.admission_rejected) as f64 / wanted(p)
+    }),
+    ("Fills at the origin, for each request that was wanted", |p| p.origin_fills as f64 / wanted(p)),
     ("Work done for nobody, for each request that was wanted", |p| p.wasted as f64 / wanted(p)),
 ];
 
 /// What clients wanted in a step, one at least.
 fn wanted(point: &Point) -> f64 {
-    point.wanted.max(1) as f64
+    point.requests.max(1) as f64
 }
 
 /// Writes `points.csv` and `report.html`.
@@ -99,9 +100,10 @@
 
 /// A value over time, a point a second.
 fn curve(run: &Run, value: Value) -> Line {
-    let steps = ((CURVE_STEP_MS / run.scenario.step).round() as usize).max(1);
-    let point =
-        |chunk: &[Point]| (chunk[0].at / 1000.0, chunk.iter().map(value).sum::<f64>() / chunk.len() as f64);
+    let steps = ((CURVE_STEP_MS / run.scenario.record_interval_ms).round() as usize).max(1);
+    let point = |chunk: &[Point]| {
+        (chunk[0].start_ms / 1000.0, chunk.iter().map(value).sum::<f64>() / chunk.len() as f64)
+    };
     (run.variant.clone(), run.points.chunks(steps).map(point).collect())
 }
 
@@ -146,10 +148,10 @@
         .build_cartesian_2d(0.0..right, 0.0..top)?;
     chart.configure_mesh().disable_x_mesh().light_line_style(TRANSPARENT).x_desc(x_label).draw()?;
     for fault in faults {
-        let (from, to) = (fault.at / 1000.0, (fault.at + fault.lasts) / 1000.0);
+        let (from, to) = (fault.start_ms / 1000.0, (fault.start_ms + fault.duration_ms) / 1000.0);
         let grey = RGBColor(225, 225, 225).mix(0.7).filled();
         chart.draw_series([Rectangle::new([(from, 0.0), (to.min(right), top)], grey)])?;
-        let label = Text::new(fault_label(&fault.what), (from, top * 0.98), ("sans-serif", 11));
+        let label = Text::new(fault_label(&fault.kind), (from, top * 0.98), ("sans-serif", 11));
         chart.draw_series([label])?;
     }
     for (i, (name, points)) in lines.iter().enumerate() {
@@ -164,18 +166,18 @@
 }
 
 /// A fault's label in a picture.
-fn fault_label(what: &What) -> String {
-    match what {
-        What::Crash { share } => format!("{share} of caches crash"),
-        What::Hang { share } => format!("{share} of caches hang"),
-        What::Slow { share, times } => format!("{share} of caches {times} times slower"),
-        What::Gray { share, fails } => format!("{share} of caches fail {fails}"),
-        What::Site { site } => format!("site {site} lost"),
-        What::Origin { times } => format!("origin {times} times slower"),
-        What::Gateways => "gateways restart".to_string(),
-        What::Flash { times, .. } => format!("{times} times the load"),
-        What::Feed => "feed silent".to_string(),
-        What::Reports => "reports frozen".to_string(),
-        What::Flap { .. } => "links flap".to_string(),
+fn fault_label(kind: &FaultKind) -> String {
+    match kind {
+        FaultKind::Crash { share } => format!("{share} of caches crash"),
+        FaultKind::Hang { share } => format!("{share} of caches hang"),
+        FaultKind::Slow { share, slowdown } => format!("{share} of caches {slowdown} times slower"),
+        FaultKind::Gray { share, error_share } => format!("{share} of caches fail {error_share}"),
+        FaultKind::SiteLoss { site } => format!("site {site} lost"),
+        FaultKind::SlowOrigin { slowdown } => format!("origin {slowdown} times slower"),
+        FaultKind::GatewayRestarts => "gateways restart".to_string(),
+        FaultKind::FlashCrowd { load_factor, .. } => format!("{load_factor} times the load"),
+        FaultKind::SilentFeed => "feed silent".to_string(),
+        FaultKind::FrozenReports => "reports frozen".to_string(),
+        FaultKind::LinkFlap { .. } => "links flap".to_string(),
     }
 }
--- a/crates/deckproxy-lab/src/model/run.rs
+++ b/crates/deckproxy-lab/src/model/run.rs
@@ -2,7 +2,7 @@
 
 use crate::error::LabError;
 use deckproxy_model::record::{Point, Record, Recovery};
-use deckproxy_model::scenario::{Host, Scenario};
+use deckproxy_model::scenario::{BalancerKind, Scenario};
 use serde::{Deserialize, Serialize};
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -62,9 +62,12 @@
 
 /// From the first fault's beginning to the last one's end; a moment after a quarter of the run where there is none.
 fn fault_span(scenario: &Scenario) -> Span {
-    let spans = scenario.faults.iter().map(|fault| Span { from: fault.at, to: fault.at + fault.lasts });
+    let spans = scenario
+        .faults
+        .iter()
+        .map(|fault| Span { from: fault.start_ms, to: fault.start_ms + fault.duration_ms });
     let joined = spans.reduce(|a, b| Span { from: a.from.min(b.from), to: a.to.max(b.to) });
-    let quarter = scenario.seconds * 250.0;
+    let quarter = scenario.duration_seconds * 250.0;
     joined.unwrap_or(Span { from: quarter, to: quarter })
 }
 
@@ -73,7 +76,7 @@
     pub fn new(variant: &str, scenario: Scenario, record: Record) -> Self {
         let Span { from, to } = fault_span(&scenario);
         let Recovery { before, trough, after, seconds, amplification } = record.recovery(from, to);
-        let wanted = record.sum(|point| point.wanted);
+        let wanted = record.sum(|point| point.requests);
         Run {
             variant: variant.to_string(),
             seed: scenario.seed,
@@ -85,13 +88,13 @@
             after,
             amplification,
             seconds_to_recover: seconds,
-            p50: record.p50,
-            p99: record.p99,
-            rule_breaks: record.breaches.all() + record.broken_inside,
-            first_break: record.first,
+            p50: record.p50_ms,
+            p99: record.p99_ms,
+            rule_breaks: record.breaches.total() + record.gateway_violations,
+            first_break: record.first_breach,
             events: record.events,
-            took: record.took,
-            per_cache: record.per_cache,
+            took: record.wall_seconds,
+            per_cache: record.attempts_per_cache,
             points: record.points,
         }
     }
@@ -105,7 +108,7 @@
 
     /// Whether the gateway promises something for it: baselines may break what they like.
     pub fn is_gateway(&self) -> bool {
-        matches!(self.scenario.host, Host::Gateway | Host::Recovery)
+        matches!(self.scenario.balancer, BalancerKind::Gateway | BalancerKind::GatewayWithRecovery)
     }
 
     /// The stored result of the same variant, seed and scenario, if there is one.
--- a/crates/deckproxy-lab/src/model/summary.rs
+++ b/crates/deckproxy-lab/src/model/summary.rs
@@ -1,9 +1,9 @@
 //! What the runs of an experiment came to by variant: a table for people, a JSON object for programs.
 
 use super::run::Run;
-use super::sweep::Variant;
 use crate::output::print_line;
 use comfy_table::Table;
+use deckproxy_model::file::Variant;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde_json::{Map, Value, json};
@@ -77,7 +77,7 @@
     print_line!("{table}");
     let events: u64 = runs.iter().map(|run| run.events).sum();
     let took = runs.iter().fold(0.0, |sum, run| sum + run.took);
-    let simulated: f64 = runs.iter().map(|run| run.scenario.seconds).sum();
+    let simulated: f64 = runs.iter().map(|run| run.scenario.duration_seconds).sum();
     print_line!(
         "{events} events, {:.2} million a second of one core, {:.2} s of it for a simulated second; what sites, troughs and \
          times are is in docs/operators/model.md",
--- a/crates/deckproxy-lab/src/model/sweep.rs
+++ b/crates/deckproxy-lab/src/model/sweep.rs
@@ -1,33 +1,19 @@
 //! The variants of an experiment, and the option `--sweep` that multiplies them by the values of a field.
 
 use crate::error::LabError;
+use deckproxy_model::file::Variant;
 use deckproxy_model::scenario::Scenario;
 
-/// A variant of an experiment.
-#[derive(Clone, Debug)]
-pub struct Variant {
-    /// Its name in tables and files.
-    pub name: String,
-    /// What it runs.
-    pub scenario: Scenario,
-}
-
 /// The experiment's variants, each once for each value that is swept.
 ///
 /// # Errors
 ///
 /// The sweep is not `FIELD=VALUES`, there is no such field, or a value does not fit it.
-pub fn variants(variants: &[(String, Scenario)], sweep: Option<&str>) -> Result<Vec<Variant>, LabError> {
-    let Some(sweep) = sweep else {
-        let plain = |(name, scenario): &(String, Scenario)| Variant {
-            name: name.clone(),
-            scenario: scenario.clone(),
-        };
-        return Ok(variants.iter().map(plain).collect());
-    };
+pub fn variants(variants: &[Variant], sweep: Option<&str>) -> Result<Vec<Variant>, LabError> {
+    let Some(sweep) = sweep else { return Ok(variants.to_vec()) };
     let (field, values) = sweep.split_once('=').ok_or_else(|| fault("FIELD=VALUES is wanted"))?;
     let mut swept = Vec::new();
-    for (name, scenario) in variants {
+    for Variant { name, scenario } in variants {
         for value in values.split(',') {
             let scenario = with_field(scenario, field, value)?;
             swept.push(Variant { name: format!("{name} {field}={value}"), scenario });
@@ -44,8 +30,8 @@
     *place = serde_json::from_str(value).map_err(|_| fault(format!("{value:?} is no value")))?;
     let scenario: Scenario =
         serde_json::from_value(json).map_err(|e| fault(format!("{field}={value}: {e}")))?;
-    match scenario.faults_of().first() {
-        Some((field, what)) => Err(fault(format!("{field}: {what}"))),
+    match scenario.validate().first() {
+        Some(error) => Err(fault(error)),
         None => Ok(scenario),
     }
 }
--- a/crates/deckproxy-model/src/lib.rs
+++ b/crates/deckproxy-model/src/lib.rs
@@ -1,48 +1,53 @@
-//! A model of sites at sizes that sockets do not reach.
+//! A discrete-event simulation of sites, for sizes that real sockets cannot reach.
 //!
-//! Discrete events in simulated time, the same for the same seed. The gateways in it are the ones that are deployed: each
-//! is a `deckproxy::routing::router::Router` with the decision module inside, and `deckproxy-recovery` before it. What is
-//! modelled are the clients, caches, parents, origin, links, feed and faults around them.
+//! Time is simulated, and the same scenario and seed always give the same run. The gateways are the deployed ones: each
+//! runs a `deckproxy::routing::router::Router` with the decision module inside, optionally behind the admission control of
+//! `deckproxy-recovery`. Simulated are the clients, caches, parents, origins, links, control feed and faults around them.
 //!
+//! - [`scenario`]: a run's parameters; [`file`]: experiment files; [`expression`]: load schedules inside those files.
+//! - [`simulation`]: the event loop and everything that reacts to an event.
 //! - [`queue`]: pending events, in a timing wheel.
-//! - [`scenario`]: what is run, as data; [`file`]: experiments in files, [`expression`]s in them.
-//! - [`load`]: what clients ask for, and how they come again.
-//! - [`members`]: caches, parents and origin: cores, queues, copies, fills, cold starts.
-//! - [`hosts`]: what stands between clients and members: the gateway, or one of the plain baselines.
-//! - [`world`]: the run.
-//! - [`check`]: the five rules and the sums that must hold, held against what passed.
-//! - [`record`]: what a run leaves.
+//! - [`load`]: which requests clients send.
+//! - [`members`]: state of caches, parents and origins.
+//! - [`balancer`]: what distributes requests over members: the deployed gateway, or a plain baseline.
+//! - [`check`]: the invariants of a run, checked independently of the code under test.
+//! - [`record`]: the results of a run.
 #![forbid(unsafe_code)]
-#![allow(missing_docs, clippy::missing_panics_doc)]
 
+pub mod balancer;
 pub mod check;
 pub mod expression;
 pub mod file;
-pub mod hosts;
 pub mod load;
 pub mod members;
 pub mod queue;
 pub mod record;
 pub mod scenario;
-pub mod world;
+pub mod simulation;
 
-/// Simulated time in microseconds since the run began.
+/// Simulated time, or a span of it, in microseconds; times count from the beginning of the run.
 pub type Micros = u64;
 
-/// Microseconds of so many milliseconds.
+/// Unix time of the beginning of every run, in milliseconds. Any fixed value will do.
+const RUN_START_UNIX_MS: f64 = 1_700_000_000_000.0;
+
+/// Converts milliseconds to the nearest whole microseconds; negative values become 0.
 pub fn micros(ms: f64) -> Micros {
     (ms * 1000.0).round().max(0.0) as Micros
 }
 
-/// The clock that gateways are shown, Unix ms, for a simulated time: any fixed beginning will do.
-pub fn clock(at: Micros) -> f64 {
-    1_700_000_000_000.0 + at as f64 / 1000.0
+/// The Unix time in milliseconds that gateways see at a simulated time.
+pub fn unix_ms(at: Micros) -> f64 {
+    RUN_START_UNIX_MS + at as f64 / 1000.0
 }
 
-/// The random numbers of one entity: adding another one changes none of its draws.
-pub fn stream(seed: u64, kind: u64, index: u64) -> rand_pcg::Pcg64Mcg {
-    // splitmix64 over the three, so that neighbours share nothing.
-    let mut x = seed ^ kind.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ index.wrapping_mul(0xd1b5_4a32_d192_ed03);
+/// The random number generator of one entity and purpose. Adding another entity changes none of its draws.
+///
+/// `purpose` and `index` select the generator among those of a `seed`; any values are allowed.
+pub fn random_stream(seed: u64, purpose: u64, index: u64) -> rand_pcg::Pcg64Mcg {
+    // splitmix64 over all three values, so that neighbouring streams are unrelated.
+    let mut x =
+        seed ^ purpose.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ index.wrapping_mul(0xd1b5_4a32_d192_ed03);
     for _ in 0..2 {
         x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
         x = (x ^ x >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
