--- a/crates/deckproxy-adapter/src/host.rs
+++ b/crates/deckproxy-adapter/src/host.rs
@@ -14,7 +14,9 @@
 
 impl Instance {
     fn load(&self, values: &[f32]) -> Option<LoadReport> {
-        settings::load(self.report.iter().map(String::as_str).zip(values.iter().map(|v| f64::from(*v))))
+        settings::read_load_report(
+            self.report.iter().map(String::as_str).zip(values.iter().map(|v| f64::from(*v))),
+        )
     }
 }
 
@@ -54,9 +56,9 @@
     fn step(&mut self, now: f64, id: u16, event: WireEvent, out: &mut Vec<Action>) -> Result<(), String> {
         let event = match event {
             WireEvent::Start { seed, conf } => {
-                let conf = settings::read(&conf)?;
+                let conf = settings::read(&conf).map_err(|error| error.to_string())?;
                 let control = Control::new(conf.settings, seed);
-                self.instances.insert(id, Instance { control, report: conf.report });
+                self.instances.insert(id, Instance { control, report: conf.report_fields });
                 Event::Started
             }
             WireEvent::Destroy => {
--- a/crates/deckproxy-settings/src/keys.rs
+++ b/crates/deckproxy-settings/src/keys.rs
@@ -1,122 +1,152 @@
-//! The keys that are read, and what each may hold.
+//! The keys that are read, and the values that each may have.
 
-/// What a key may hold.
+use std::fmt;
+
+/// The values that a key may have.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Form {
-    /// A finite number within these bounds, both allowed.
+pub enum ValueFormat {
+    /// A finite number within inclusive bounds.
     Number(f64, f64),
-    /// A whole number within these bounds, both allowed.
-    Whole(i64, i64),
+    /// A whole number within inclusive bounds.
+    Integer(i64, i64),
     /// `true` or `false`.
     Flag,
     /// Any text.
     Text,
     /// One of these words.
     Word(&'static [&'static str]),
-    /// A list with commas between, of one of the other forms.
-    List(&'static Form),
+    /// A comma-separated list of another format's values.
+    List(&'static ValueFormat),
 }
 
-/// The longest span, ms, and the largest plain number that is taken: beyond is a slip of the pen.
-const MOST: f64 = 1e9;
-const SPAN: Form = Form::Number(0.0, MOST);
-const SHARE: Form = Form::Number(0.0, 1.0);
-const PLACE: Form = Form::Whole(-1, u32::MAX as i64);
-const COUNT: Form = Form::Whole(0, u32::MAX as i64);
+/// Largest span in ms and largest plain number that is accepted: anything above is a slip of the pen.
+const NUMBER_MAX: f64 = 1e9;
+/// Most classes: a request names its class by one byte.
+const CLASSES_MAX: i64 = 256;
+
+/// A span in ms, a rate or a weight: not negative.
+const AMOUNT: ValueFormat = ValueFormat::Number(0.0, NUMBER_MAX);
+/// A share of a whole.
+const SHARE: ValueFormat = ValueFormat::Number(0.0, 1.0);
+/// A position in a list; -1 for none.
+const POSITION: ValueFormat = ValueFormat::Integer(-1, u32::MAX as i64);
+/// A number of things.
+const COUNT: ValueFormat = ValueFormat::Integer(0, u32::MAX as i64);
 
-/// Every key that is read; `*` stands for the place of a class.
-pub const KEYS: &[(&str, Form)] = &[
-    ("discovery", Form::Word(&["pushed", "on_request"])),
-    ("familyInfo.agedWorth", Form::List(&SHARE)),
-    ("familyInfo.bypassAllowed", Form::Flag),
-    ("familyInfo.canJoin", Form::Flag),
-    ("familyInfo.clearedWithinMs", SPAN),
-    ("familyInfo.flowKbPerS", SPAN),
-    ("familyInfo.goesThrough", Form::List(&Form::Flag)),
-    ("familyInfo.inletKbPerS", Form::List(&SPAN)),
-    ("familyInfo.maxAgeMs", Form::List(&SPAN)),
-    ("familyInfo.obeyAfterMs", SPAN),
-    ("familyInfo.parentFallMultiple", SPAN),
-    ("familyInfo.shieldKind", PLACE),
-    ("familyInfo.sideways", Form::Word(&["none", "location", "any"])),
-    ("familyInfo.sourceKind", PLACE),
+/// Every key that is read, with its format; `*` stands for the position of a class.
+pub const KEYS: &[(&str, ValueFormat)] = &[
+    ("discovery", ValueFormat::Word(&["pushed", "on_request"])),
+    ("familyInfo.agedWorth", ValueFormat::List(&SHARE)),
+    ("familyInfo.bypassAllowed", ValueFormat::Flag),
+    ("familyInfo.canJoin", ValueFormat::Flag),
+    ("familyInfo.clearedWithinMs", AMOUNT),
+    ("familyInfo.flowKbPerS", AMOUNT),
+    ("familyInfo.goesThrough", ValueFormat::List(&ValueFormat::Flag)),
+    ("familyInfo.inletKbPerS", ValueFormat::List(&AMOUNT)),
+    ("familyInfo.maxAgeMs", ValueFormat::List(&AMOUNT)),
+    ("familyInfo.obeyAfterMs", AMOUNT),
+    ("familyInfo.parentFallMultiple", AMOUNT),
+    ("familyInfo.shieldKind", POSITION),
+    ("familyInfo.sideways", ValueFormat::Word(&["none", "location", "any"])),
+    ("familyInfo.sourceKind", POSITION),
     ("familyInfo.upperColdFrom", SHARE),
-    ("familyInfo.upperColdMs", SPAN),
-    ("familyInfo.usableAfterMs", Form::List(&SPAN)),
-    ("familyInfo.zoneBalancers", Form::List(&COUNT)),
+    ("familyInfo.upperColdMs", AMOUNT),
+    ("familyInfo.usableAfterMs", ValueFormat::List(&AMOUNT)),
+    ("familyInfo.zoneBalancers", ValueFormat::List(&COUNT)),
     ("groupSize", COUNT),
-    ("limits.cancel", Form::Flag),
-    ("limits.connIdleMs", SPAN),
-    ("limits.connectTimeoutMs", SPAN),
+    ("limits.cancel", ValueFormat::Flag),
+    ("limits.connIdleMs", AMOUNT),
+    ("limits.connectTimeoutMs", AMOUNT),
     ("limits.maxOpen", COUNT),
-    ("limits.maxRetryAfterMs", SPAN),
-    ("limits.maxStreams", Form::Whole(1, u32::MAX as i64)),
-    ("limits.probes", Form::Flag),
-    ("limits.retryAfter", Form::Flag),
-    ("limits.secondCopies", Form::Flag),
+    ("limits.maxRetryAfterMs", AMOUNT),
+    ("limits.maxStreams", ValueFormat::Integer(1, u32::MAX as i64)),
+    ("limits.probes", ValueFormat::Flag),
+    ("limits.retryAfter", ValueFormat::Flag),
+    ("limits.secondCopies", ValueFormat::Flag),
     ("limits.sendCap", COUNT),
-    ("locality", PLACE),
-    ("machineTypes", Form::List(&Form::Text)),
-    ("position", PLACE),
-    ("report.fields", Form::List(&Form::Text)),
-    ("rules.answerSlackMs", SPAN),
+    ("locality", POSITION),
+    ("machineTypes", ValueFormat::List(&ValueFormat::Text)),
+    ("position", POSITION),
+    ("report.fields", ValueFormat::List(&ValueFormat::Text)),
+    ("rules.answerSlackMs", AMOUNT),
     ("rules.coldFrom", SHARE),
-    ("rules.drainGraceMs", SPAN),
-    ("rules.fallMs", SPAN),
-    ("rules.fallMultiple", SPAN),
-    ("rules.rampTimeMs", SPAN),
-    // More classes than a request can name.
-    ("services.count", Form::Whole(0, 256)),
-    ("services.*.aimMs", SPAN),
-    ("services.*.aimStretch", SPAN),
-    ("services.*.deadlineMs", SPAN),
-    ("services.*.dedupWindowMs", SPAN),
-    ("services.*.effect", Form::Word(&["retryable", "dedup", "fragile"])),
-    ("services.*.group", Form::Word(&["all", "zone", "cell"])),
-    ("services.*.importance", SPAN),
+    ("rules.drainGraceMs", AMOUNT),
+    ("rules.fallMs", AMOUNT),
+    ("rules.fallMultiple", AMOUNT),
+    ("rules.rampTimeMs", AMOUNT),
+    ("services.count", ValueFormat::Integer(0, CLASSES_MAX)),
+    ("services.*.aimMs", AMOUNT),
+    ("services.*.aimStretch", AMOUNT),
+    ("services.*.deadlineMs", AMOUNT),
+    ("services.*.dedupWindowMs", AMOUNT),
+    ("services.*.effect", ValueFormat::Word(&["retryable", "dedup", "fragile"])),
+    ("services.*.group", ValueFormat::Word(&["all", "zone", "cell"])),
+    ("services.*.importance", AMOUNT),
     ("services.*.lateShare", SHARE),
-    ("services.*.name", Form::Text),
-    ("services.*.stream", Form::Flag),
-    ("weightKind", Form::Word(&["none", "nominal", "rough", "live"])),
-    ("zones", Form::List(&Form::Text)),
+    ("services.*.name", ValueFormat::Text),
+    ("services.*.stream", ValueFormat::Flag),
+    ("weightKind", ValueFormat::Word(&["none", "nominal", "rough", "live"])),
+    ("zones", ValueFormat::List(&ValueFormat::Text)),
 ];
 
-/// The form of a key, where it is read.
-pub fn form(key: &str) -> Option<Form> {
-    let class = |known: &str| {
-        let (before, after) = known.split_once('*')?;
-        let place = key.strip_prefix(before)?.strip_suffix(after)?;
-        (!place.is_empty() && place.bytes().all(|b| b.is_ascii_digit())).then_some(())
-    };
-    KEYS.iter().find(|(known, _)| *known == key || class(known).is_some()).map(|(_, form)| *form)
+/// A value that its key does not allow; its text names the value and what is allowed.
+#[derive(Clone, Debug, PartialEq)]
+pub struct InvalidValue {
+    value: String,
+    format: ValueFormat,
+}
+
+impl fmt::Display for InvalidValue {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{:?} is not allowed; allowed: {}", self.value, self.format)
+    }
+}
+
+impl std::error::Error for InvalidValue {}
+
+/// The format of a key's value; `None` for a key that is not read.
+pub fn format_of(key: &str) -> Option<ValueFormat> {
+    KEYS.iter().find(|(pattern, _)| matches_pattern(key, pattern)).map(|(_, format)| *format)
+}
+
+/// Checks a key's value. A key that is not read and an empty value are always valid.
+pub fn check(key: &str, value: &str) -> Result<(), InvalidValue> {
+    match format_of(key) {
+        Some(format) if !value.is_empty() => format.check(value),
+        _ => Ok(()),
+    }
 }
 
-/// What is wrong with a key's value, and what is allowed; nothing for a key that is not read, or an empty value.
-pub fn fault(key: &str, value: &str) -> Option<String> {
-    form(key).filter(|_| !value.is_empty()).and_then(|form| form.fault(value))
+/// Whether a key is this one, or has the position of a class in place of the `*`.
+fn matches_pattern(key: &str, pattern: &str) -> bool {
+    let Some((before, after)) = pattern.split_once('*') else { return key == pattern };
+    let position = key.strip_prefix(before).and_then(|rest| rest.strip_suffix(after));
+    position.is_some_and(|digits| !digits.is_empty() && digits.bytes().all(|byte| byte.is_ascii_digit()))
 }
 
-impl Form {
-    fn fault(self, value: &str) -> Option<String> {
-        let good = match self {
-            Form::Number(least, most) => value.parse::<f64>().is_ok_and(|x| x >= least && x <= most),
-            Form::Whole(least, most) => value.parse::<i64>().is_ok_and(|n| n >= least && n <= most),
-            Form::Flag => value.parse::<bool>().is_ok(),
-            Form::Text => true,
-            Form::Word(words) => words.contains(&value),
-            Form::List(form) => return value.split(',').find_map(|item| form.fault(item)),
+impl ValueFormat {
+    fn check(self, value: &str) -> Result<(), InvalidValue> {
+        let is_valid = match self {
+            ValueFormat::Number(min, max) => value.parse::<f64>().is_ok_and(|x| x >= min && x <= max),
+            ValueFormat::Integer(min, max) => value.parse::<i64>().is_ok_and(|n| n >= min && n <= max),
+            ValueFormat::Flag => value.parse::<bool>().is_ok(),
+            ValueFormat::Text => true,
+            ValueFormat::Word(words) => words.contains(&value),
+            ValueFormat::List(format) => return value.split(',').try_for_each(|item| format.check(item)),
         };
-        (!good).then(|| format!("{value:?} is not allowed; allowed: {}", self.allowed()))
+        if is_valid { Ok(()) } else { Err(InvalidValue { value: value.to_string(), format: self }) }
     }
+}
 
-    fn allowed(self) -> String {
+impl fmt::Display for ValueFormat {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Form::Number(least, most) => format!("a number from {least} to {most}"),
-            Form::Whole(least, most) => format!("a whole number from {least} to {most}"),
-            Form::Flag => "true or false".to_string(),
-            Form::Text => "a text".to_string(),
-            Form::Word(words) => words.join(", "),
-            Form::List(form) => format!("a list of {}", form.allowed()),
+            ValueFormat::Number(min, max) => write!(f, "a number from {min} to {max}"),
+            ValueFormat::Integer(min, max) => write!(f, "a whole number from {min} to {max}"),
+            ValueFormat::Flag => f.write_str("true or false"),
+            ValueFormat::Text => f.write_str("a text"),
+            ValueFormat::Word(words) => f.write_str(&words.join(", ")),
+            ValueFormat::List(format) => write!(f, "a list of {format}"),
         }
     }
 }
--- a/crates/deckproxy-settings/tests/settings.rs
+++ b/crates/deckproxy-settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings from their text: what is read, what stands in, what is named as wrong.
+//! Settings read from text: values, defaults and errors.
 
 use deckproxy_control::interface::{Group, Idempotency, Siblings};
 use deckproxy_settings as settings;
@@ -9,7 +9,7 @@
     familyInfo.zoneBalancers=0,1\ngroupSize=1\nlocality=1\nlimits.sendCap=4\nnot.known=a,b\n";
 
 #[test]
-fn settings_are_read_and_what_is_wrong_is_named() {
+fn settings_are_read_and_invalid_ones_are_named() {
     let conf = settings::read(CONF).unwrap();
     let s = conf.settings;
     assert_eq!((s.zone, s.routers, s.max_attempts), (1, 1, 4));
@@ -37,9 +37,9 @@
         (0.2, 0.1)
     );
     assert_eq!(conf.settings.parent_slow_start.overload_window, 1500.0);
-    let load = settings::load([("busy_reqs", 3.0), ("x1", 0.5)]).unwrap();
+    let load = settings::read_load_report([("busy_reqs", 3.0), ("x1", 0.5)]).unwrap();
     assert_eq!((load.in_flight, load.link, load.busy_share), (Some(3.0), Some(0.5), None));
-    assert_eq!(settings::load([]), None);
+    assert_eq!(settings::read_load_report([]), None);
     for bad in [
         "groupSize=many",
         "services.count=900",
@@ -48,19 +48,19 @@
         "services.count=1\nservices.0.effect=odd",
         "familyInfo.zoneBalancers=1,x",
     ] {
-        let text = settings::read(bad).unwrap_err();
+        let text = settings::read(bad).unwrap_err().to_string();
         assert!(text.contains("setting"), "{bad}: {text}");
     }
 }
 
 #[test]
-fn a_load_report_is_read_by_either_name_of_its_values() {
-    let load = settings::load([("inflight", 7.0), ("util", 0.61), ("unknown", 1.0)]).unwrap();
+fn load_report_values_are_read_by_either_name() {
+    let load = settings::read_load_report([("inflight", 7.0), ("util", 0.61), ("unknown", 1.0)]).unwrap();
     assert_eq!((load.in_flight, load.link, load.busy_share), (Some(7.0), None, Some(0.61)));
 }
 
 #[test]
-fn what_a_gateway_needs_beside_the_modules_settings_is_read() {
+fn names_and_limits_are_read() {
     let text = "services.count=2\nservices.0.name=page\nservices.1.name=post\nzones=hub,edge\n\
         machineTypes=box,origin\nlimits.connIdleMs=15000.0\nlimits.connectTimeoutMs=400.0\n\
         limits.maxStreams=100\nlimits.maxOpen=20000\nrules.answerSlackMs=8.0\nlimits.probes=true\n";
@@ -69,29 +69,30 @@
         (conf.classes, conf.zones),
         (vec!["page".into(), "post".into()], vec!["hub".into(), "edge".into()])
     );
-    assert_eq!(conf.kinds, ["box", "origin"]);
+    assert_eq!(conf.member_kinds, ["box", "origin"]);
     let l = conf.limits;
     assert_eq!(
-        (l.idle, l.connect, l.streams, l.open, l.slack, l.probes),
+        (l.idle_timeout, l.connect_timeout, l.max_streams, l.max_requests, l.answer_slack, l.health_checks),
         (15000.0, 400.0, 100, 20000, 8.0, true)
     );
-    let unsent = |text: &str| settings::read(text).unwrap().limits.unsent;
+    let unsent = |text: &str| settings::read(text).unwrap().limits.unsent_timeout;
     assert_eq!(unsent("limits.connectTimeoutMs=400.0\nrules.drainGraceMs=500.0"), 400.0);
     assert_eq!(unsent("limits.connectTimeoutMs=400.0\nrules.drainGraceMs=300.0"), 300.0);
     assert!(settings::read("limits.maxStreams=0").is_err(), "a connection that carries nothing");
 }
 
 #[test]
-fn sizes_are_told_unless_the_settings_say_that_they_are_not() {
+fn weights_are_sizes_unless_the_weight_kind_denies_it() {
     let sized = |text: &str| settings::read(text).unwrap().settings.weights_are_sizes;
     assert!(sized("") && sized("weightKind=nominal") && sized("weightKind=rough"));
     assert!(!sized("weightKind=none") && !sized("weightKind=live"));
 }
 
 #[test]
-fn a_value_out_of_range_is_refused_with_field_value_and_what_is_allowed() {
-    let text =
-        settings::read("rules.coldFrom=1.5\nweightKind=heavy\nlimits.sendCap=-1\nunknown.key=x").unwrap_err();
+fn an_invalid_value_is_rejected_with_its_key_and_what_is_allowed() {
+    let text = settings::read("rules.coldFrom=1.5\nweightKind=heavy\nlimits.sendCap=-1\nunknown.key=x")
+        .unwrap_err()
+        .to_string();
     for part in [
         "setting rules.coldFrom: \"1.5\" is not allowed; allowed: a number from 0 to 1",
         "setting weightKind: \"heavy\" is not allowed; allowed: none, nominal, rough, live",
--- a/crates/deckproxy/src/program/attempts.rs
+++ b/crates/deckproxy/src/program/attempts.rs
@@ -37,7 +37,7 @@
             }
             Message::Probe => {
                 upstream.link.probe(key, name.into(), now);
-                self.router.conf().limits.unsent
+                self.router.conf().limits.unsent_timeout
             }
         };
         self.flush_upstream(now, id);
@@ -64,7 +64,7 @@
 
     /// Cancels an attempt, wherever it is.
     pub(super) fn cancel_attempt(&mut self, now: f64, key: AttemptKey) {
-        let connect_timeout = self.router.conf().limits.connect;
+        let connect_timeout = self.router.conf().limits.connect_timeout;
         let Some(id) = self.attempt_upstreams.remove(&key) else {
             // On no connection: it was cancelled before it was sent.
             return self.router.attempt_cancelled(now, key, false);
--- a/crates/deckproxy/src/program/fleet.rs
+++ b/crates/deckproxy/src/program/fleet.rs
@@ -98,7 +98,7 @@
         // other instances refute it, and the number is raised.
         let start = clock::now() as u64;
         let mut settings = file.settings(name, zone, start)?;
-        let health_checks = conf.limits.probes;
+        let health_checks = conf.limits.health_checks;
         if !health_checks && settings.observers > 0 {
             warn!(log, "fleet: the platform allows no probes: members are not observed");
             settings.observers = 0;
--- a/crates/deckproxy/src/program/recovery.rs
+++ b/crates/deckproxy/src/program/recovery.rs
@@ -6,7 +6,7 @@
 use crate::protocol::downstream::{Answer, Call};
 use deckproxy_operator::{Client, Operator};
 use deckproxy_recovery::admission::{self, Admission, Ended};
-use deckproxy_settings::Conf;
+use deckproxy_settings::InstanceSettings;
 use slog::{Logger, info, warn};
 use std::collections::HashMap;
 
@@ -27,7 +27,12 @@
 
 impl Recovery {
     /// Starts what the operator file asks for; none where it asks for nothing.
-    pub(super) fn start(log: &Logger, conf: &Conf, seed: u64, operator: &Operator) -> Option<Box<Self>> {
+    pub(super) fn start(
+        log: &Logger,
+        conf: &InstanceSettings,
+        seed: u64,
+        operator: &Operator,
+    ) -> Option<Box<Self>> {
         let recovery = operator.recovery.as_ref()?;
         for name in recovery.unknown(&conf.classes) {
             warn!(log, "recovery: a class is to be given up that the settings do not have"; "class" => name);
--- a/crates/deckproxy/src/program/upstream_pool.rs
+++ b/crates/deckproxy/src/program/upstream_pool.rs
@@ -51,7 +51,7 @@
     /// Retires a member's outdated connections, closes the retired ones without an attempt in flight, and lists those
     /// that are idle.
     fn check_pool(&mut self, now: f64, member: MemberId, endpoint: Endpoint) -> PoolState {
-        let idle_timeout = self.router.conf().limits.idle;
+        let idle_timeout = self.router.conf().limits.idle_timeout;
         let (mut idle, mut connecting) = (Vec::new(), 0);
         for id in self.upstream_pools.get(&member).cloned().unwrap_or_default() {
             let Some(upstream) = self.upstreams.get_mut(&id) else { continue };
@@ -92,7 +92,7 @@
 
     /// The member's connection with the fewest attempts in flight that can take one more of that name.
     fn shareable_upstream(&self, member: MemberId, name: &str) -> Option<UpstreamId> {
-        let streams = self.router.conf().limits.streams;
+        let streams = self.router.conf().limits.max_streams;
         let is_shareable = |link: &Link| {
             // An idle connection with half of an answer that nobody waits for is not to be shared.
             (link.load() > 0 || link.stream.input.is_empty())
@@ -131,7 +131,7 @@
             UpstreamConnection { link: Link::new(stream, now), member, endpoint, connecting: true };
         self.upstreams.insert(id, upstream);
         self.upstream_pools.entry(member).or_default().push(id);
-        let connect_timeout = self.router.conf().limits.connect;
+        let connect_timeout = self.router.conf().limits.connect_timeout;
         self.timers.schedule(now + connect_timeout, TimerTask::UpstreamConnectTimeout(id));
         Some(id)
     }
--- a/crates/deckproxy/src/protocol/config.rs
+++ b/crates/deckproxy/src/protocol/config.rs
@@ -1,7 +1,7 @@
 //! The configuration that a gateway reads at its start.
 
 use crate::protocol::feed::{self, EventError, KnownEvents};
-use deckproxy_settings::Conf;
+use deckproxy_settings::InstanceSettings;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -30,7 +30,7 @@
     /// Memory it may hold, MB.
     pub memory: f64,
     /// The settings.
-    pub conf: Conf,
+    pub conf: InstanceSettings,
     /// The feed's events that it knows from the start.
     pub known: KnownEvents,
 }
@@ -102,7 +102,7 @@
     })
 }
 
-fn settings(root: &Value) -> Result<Conf, ConfigError> {
+fn settings(root: &Value) -> Result<InstanceSettings, ConfigError> {
     let settings = root.get("settings").filter(|settings| settings.is_object());
     let settings = settings.ok_or_else(|| ConfigError::field("settings", "no object"))?;
     let mut pairs = BTreeMap::new();
--- a/crates/deckproxy/src/protocol/shape.rs
+++ b/crates/deckproxy/src/protocol/shape.rs
@@ -167,16 +167,16 @@
         Node::BooleanLit(flag) => Some(flag.value.to_string()),
         _ => None,
     };
-    let is_list = matches!(keys::form(&path), Some(keys::Form::List(_)));
+    let is_list = matches!(keys::format_of(&path), Some(keys::ValueFormat::List(_)));
     let mut fault = |node: &Node, what: &str| faults.push((node.start(), format!("settings.{path}: {what}")));
     match node {
         Node::NullKeyword(_) if partial => {}
-        Node::Object(object) if keys::form(&path).is_none() => {
+        Node::Object(object) if keys::format_of(&path).is_none() => {
             for prop in &object.properties {
                 setting(below(&path, name(&prop.name)), &prop.value, partial, faults);
             }
         }
-        Node::Array(array) if keys::form(&path).is_none() => {
+        Node::Array(array) if keys::format_of(&path).is_none() => {
             for (i, item) in array.elements.iter().enumerate() {
                 setting(below(&path, &i.to_string()), item, partial, faults);
             }
@@ -185,7 +185,9 @@
             for item in &array.elements {
                 match plain(item) {
                     Some(value) => {
-                        keys::fault(&path, &value).into_iter().for_each(|what| fault(item, &what));
+                        if let Err(invalid) = keys::check(&path, &value) {
+                            fault(item, &invalid.to_string());
+                        }
                     }
                     None => fault(item, "no plain value"),
                 }
@@ -193,8 +195,9 @@
         }
         Node::Object(_) | Node::Array(_) => fault(node, "no plain value"),
         _ => {
-            let what = plain(node).and_then(|value| keys::fault(&path, &value));
-            what.into_iter().for_each(|what| fault(node, &what));
+            if let Some(invalid) = plain(node).and_then(|value| keys::check(&path, &value).err()) {
+                fault(node, &invalid.to_string());
+            }
         }
     }
 }
@@ -278,7 +281,7 @@
             }
             for (i, item) in held.as_array_mut().into_iter().flatten().enumerate() {
                 if let Some(fields) = item.as_object_mut() {
-                    let known = |field: &str| keys::form(&format!("{name}.{i}.{field}")).is_some();
+                    let known = |field: &str| keys::format_of(&format!("{name}.{i}.{field}")).is_some();
                     lose(fields, &format!("settings.{name}.{i}"), &known);
                 }
             }
--- a/crates/deckproxy/src/routing/attempts.rs
+++ b/crates/deckproxy/src/routing/attempts.rs
@@ -60,7 +60,7 @@
         };
         let Some(open) = self.requests.get(request) else { return };
         let (client, call) = (open.client, Rc::clone(&open.call));
-        let unsent_timeout = self.conf.limits.unsent.min(self.retry_window(now, open));
+        let unsent_timeout = self.conf.limits.unsent_timeout.min(self.retry_window(now, open));
         self.timers.schedule(until, Deadline::Attempt(key));
         let options = AttemptOptions { timeout: until - now, ..options };
         let effect = Effect::SendAttempt { key, member, endpoint, client, call, options, unsent_timeout };
@@ -79,7 +79,7 @@
     /// An attempt or a health check was answered.
     pub fn reply(&mut self, now: f64, key: AttemptKey, reply: Reply) {
         let values = reply.load_report.iter().map(|(name, value)| (&**name, *value));
-        let load = deckproxy_settings::load(values);
+        let load = deckproxy_settings::read_load_report(values);
         if let Some(member) = self.health_checks.remove(&key) {
             return self.health_checked(now, member, reply.status == Status::Health(true), load);
         }
--- a/crates/deckproxy/src/routing/intake.rs
+++ b/crates/deckproxy/src/routing/intake.rs
@@ -42,7 +42,7 @@
             // Attempts go by this name on the members' connections: two of one name can't be told apart.
             return self.answer_invalid(client, id, RequestError::NameInUse);
         }
-        if self.requests.len() >= self.conf.limits.open {
+        if self.requests.len() >= self.conf.limits.max_requests {
             self.counters.rejected += 1;
             return self.answer_unopened(client, id, Answer::Rejected(0.0));
         }
@@ -86,7 +86,7 @@
             finished: false,
         };
         self.requests.insert(id, open);
-        let last = deadline + (self.conf.limits.slack + limits::SOCKET_SLACK) * SLACK_SHARE;
+        let last = deadline + (self.conf.limits.answer_slack + limits::SOCKET_SLACK) * SLACK_SHARE;
         self.timers.schedule(last, Deadline::Request(id));
         self.notify_control(now, Event::Request(request));
     }
--- a/crates/deckproxy/src/routing/router.rs
+++ b/crates/deckproxy/src/routing/router.rs
@@ -14,13 +14,13 @@
 use crate::routing::timers::Timers;
 use deckproxy_control::Control;
 use deckproxy_control::interface::{AttemptEnding, Event, ListKind, Member, MemberId};
-use deckproxy_settings::Conf;
+use deckproxy_settings::InstanceSettings;
 use std::collections::{HashMap, VecDeque};
 
 /// The router of one gateway.
 pub struct Router {
     pub(super) control: Control,
-    pub(super) conf: Conf,
+    pub(super) conf: InstanceSettings,
     /// Positions of the classes in the settings, by name.
     pub(super) classes: HashMap<Box<str>, usize>,
     pub(super) members: Members,
@@ -42,7 +42,7 @@
 
 impl Router {
     /// A router that has just started and knows the feed's events so far.
-    pub fn new(now: f64, conf: Conf, seed: u64, known: KnownEvents) -> Self {
+    pub fn new(now: f64, conf: InstanceSettings, seed: u64, known: KnownEvents) -> Self {
         let classes = conf.classes.iter().enumerate().map(|(i, name)| (name.as_str().into(), i)).collect();
         let mut router = Router {
             control: Control::new(conf.settings.clone(), seed),
@@ -98,7 +98,7 @@
     }
 
     /// The settings.
-    pub fn conf(&self) -> &Conf {
+    pub fn conf(&self) -> &InstanceSettings {
         &self.conf
     }
 
