--- a/crates/deckproxy/src/routing/router.rs
+++ b/crates/deckproxy/src/routing/router.rs
@@ -14,16 +14,13 @@
 use crate::routing::timers::Timers;
 use deckproxy_control::Control;
 use deckproxy_control::interface::{AttemptEnding, Event, ListKind, Member, MemberId};
-use deckproxy_settings::Conf;
+use deckproxy_settings::InstanceSettings;
 use std::collections::{HashMap, VecDeque};
 
-/// Names of the decision module's tables, in the order of `Control::sizes`.
-const CONTROL_TABLES: [&str; 5] = ["peers", "deciding", "filling", "objects", "purges"];
-
 /// The router of one gateway.
 pub struct Router {
     pub(super) control: Control,
-    pub(super) conf: Conf,
+    pub(super) conf: InstanceSettings,
     /// Positions of the classes in the settings, by name.
     pub(super) classes: HashMap<Box<str>, usize>,
     pub(super) members: Members,
@@ -45,7 +42,7 @@
 
 impl Router {
     /// A router that has just started and knows the feed's events so far.
-    pub fn new(now: f64, conf: Conf, seed: u64, known: KnownEvents) -> Self {
+    pub fn new(now: f64, conf: InstanceSettings, seed: u64, known: KnownEvents) -> Self {
         let classes = conf.classes.iter().enumerate().map(|(i, name)| (name.as_str().into(), i)).collect();
         let mut router = Router {
             control: Control::new(conf.settings.clone(), seed),
@@ -101,7 +98,7 @@
     }
 
     /// The settings.
-    pub fn conf(&self) -> &Conf {
+    pub fn conf(&self) -> &InstanceSettings {
         &self.conf
     }
 
@@ -123,7 +120,14 @@
             ("probing", self.health_checks.len()),
             ("timers", self.timers.len()),
         ];
-        own.into_iter().chain(CONTROL_TABLES.into_iter().zip(self.control.sizes()))
+        let decisions = self.control.table_sizes();
+        own.into_iter().chain([
+            ("peers", decisions.members),
+            ("deciding", decisions.requests),
+            ("filling", decisions.fills),
+            ("objects", decisions.objects),
+            ("purges", decisions.purges),
+        ])
     }
 
     /// The number of the feed's last event.
