--- a/crates/deckproxy-fleet/src/clock.rs
+++ b/crates/deckproxy-fleet/src/clock.rs
@@ -1,47 +1,57 @@
-//! The process's own time: it stands still while the process does.
+//! The process's own time, which stands still while the process is paused.
 //!
-//! A process that was stopped for seconds must not take what it has not heard meanwhile for silence of the others. Its
-//! timers therefore go by a time from which such gaps are left out, and whoever asks is told that there was one.
+//! A process that was stopped for seconds must not mistake what it did not receive meanwhile for silence of the others. Its
+//! timers therefore go by a clock from which such gaps are left out.
 
 use crate::Millis;
 
-/// Own time from the host's monotonic clock.
+/// A reading of the clock.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Reading {
+    /// The process's own time.
+    pub own: Millis,
+    /// Length of the pause that has just ended; `None` where there was none.
+    pub pause: Option<Millis>,
+}
+
+/// Own time, derived from the host's monotonic clock.
 #[derive(Clone, Copy, Debug)]
-pub struct OwnTime {
+pub struct PauseAwareClock {
     last: Option<Millis>,
-    lost: Millis,
-    /// A gap between two looks that is longer than this is a pause.
-    longest: Millis,
-    /// Pauses so far.
+    /// Length of all pauses.
+    paused: Millis,
+    /// A gap between two readings that is longer than this is a pause.
+    threshold: Millis,
+    /// Number of pauses.
     pub pauses: u64,
 }
 
-impl OwnTime {
-    /// A clock that is looked at more often than every `longest` ms while the process runs.
-    pub fn new(longest: Millis) -> Self {
-        OwnTime { last: None, lost: 0.0, longest, pauses: 0 }
+impl PauseAwareClock {
+    /// A clock that is read more often than every `threshold` milliseconds while the process runs.
+    pub fn new(threshold: Millis) -> Self {
+        PauseAwareClock { last: None, paused: 0.0, threshold, pauses: 0 }
     }
 
-    /// Own time at a time of the host's clock, and the length of the pause that has just ended, if there was one.
-    pub fn look(&mut self, now: Millis) -> (Millis, Option<Millis>) {
+    /// Reads the clock at a time of the host's.
+    pub fn read(&mut self, now: Millis) -> Reading {
         let gap = now - self.last.unwrap_or(now);
         self.last = Some(self.last.map_or(now, |last| last.max(now)));
-        let pause = (gap > self.longest).then_some(gap);
+        let pause = (gap > self.threshold).then_some(gap);
         if let Some(gap) = pause {
-            self.lost += gap;
+            self.paused += gap;
             self.pauses += 1;
         }
-        (now - self.lost, pause)
+        Reading { own: now - self.paused, pause }
     }
 
-    /// Sets the longest gap that is no pause.
-    pub fn allow(&mut self, longest: Millis) {
-        self.longest = longest;
+    /// Changes the longest gap that is no pause.
+    pub fn set_threshold(&mut self, threshold: Millis) {
+        self.threshold = threshold;
     }
 
     /// The host's time for a point of own time.
-    pub fn host(&self, own: Millis) -> Millis {
-        own + self.lost
+    pub fn to_host(&self, own: Millis) -> Millis {
+        own + self.paused
     }
 }
 
--- a/crates/deckproxy-fleet/src/fleet/admission.rs
+++ b/crates/deckproxy-fleet/src/fleet/admission.rs
@@ -1,74 +1,87 @@
-//! What an instance does about the fleet's overload: which requests pass, and what it tells the others of it.
+//! Load shedding of an instance among the others: what it shares, and what the operators are told.
 
 use super::Fleet;
 use crate::Millis;
-use crate::overload::{Asked, Ended, Overload, Seat, Ticket, Verdict};
-use crate::view::Standing;
+use crate::overload::shed_level::{ShedLevel, ShedLine};
+use crate::overload::summary::RESOURCES;
+use crate::overload::{Overload, Presence, PresentInstance, RequestInfo, RequestOutcome, Ticket, Verdict};
+
+/// Wording of the resources in log lines, with the verb's number.
+const RESOURCE_NAMES: [(&str, &str); RESOURCES] = [("the caches", "are"), ("the way to the sources", "is")];
 
 impl Fleet {
-    /// What is known and done about overload; none where it is not handled as one.
+    /// The state of load shedding; `None` where the fleet does not handle overload together.
     pub fn overload(&self) -> Option<&Overload> {
         self.overload.as_deref()
     }
 
-    /// A client's request came; none: it is no matter of the fleet's.
-    pub fn request(&mut self, now: Millis, asked: Asked) -> Option<Verdict> {
-        self.overload.as_mut().map(|overload| overload.request(now, asked))
+    /// Decides on a client's request; `None` where the fleet does not handle overload together.
+    pub fn request(&mut self, now: Millis, request: RequestInfo) -> Option<Verdict> {
+        self.overload.as_mut().map(|overload| overload.request(now, request))
     }
 
-    /// A request that passed has ended. `back`: when the module asks the client back, ms. Gives when it is to be.
-    pub fn ended(&mut self, now: Millis, ticket: &Ticket, ended: Ended, back: Millis) -> Millis {
-        self.overload.as_mut().map_or(back, |overload| overload.ended(now, ticket, ended, back))
+    /// An admitted request ended. `retry_after`: the decision module's time in milliseconds, where it rejected the request.
+    /// Returns the retry-after time to give.
+    pub fn request_ended(
+        &mut self,
+        now: Millis,
+        ticket: &Ticket,
+        outcome: RequestOutcome,
+        retry_after: Millis,
+    ) -> Millis {
+        let Some(overload) = &mut self.overload else { return retry_after };
+        overload.request_ended(now, ticket, outcome, retry_after)
     }
 
-    /// Whether other instances are there for certain, and who.
-    fn seat(&self) -> Seat {
-        // Who is quiet for a moment has its part still.
-        let there = |p: &&super::Peer| matches!(p.standing, Standing::Heard | Standing::Doubtful);
-        let heard = self.peers.values().filter(there);
-        Seat {
+    fn presence(&self) -> Presence {
+        // A suspect instance keeps its share of the limits.
+        let present = self.peers.values().filter(|peer| peer.status.is_present());
+        let others = present.map(|peer| PresentInstance {
+            name: peer.instance.name.clone(),
+            incarnation: peer.instance.incarnation,
+        });
+        Presence {
             own: Some(self.own().name.clone()),
-            others: heard.map(|p| (p.instance.name.clone(), p.instance.start)).collect(),
-            old: self.view.old,
+            others: others.collect(),
+            is_stale: self.view.is_stale,
         }
     }
 
-    pub(super) fn shed(&mut self, now: Millis) {
+    pub(super) fn update_load_shedding(&mut self, now: Millis) {
         let Some(mut overload) = self.overload.take() else { return };
-        let before = *overload.cut();
-        let entries = overload.tick(now, &self.seat(), &self.board);
-        let brisk = !entries.is_empty() && overload.cut().things.iter().any(Option::is_some);
-        for (key, life, value) in entries {
-            let fits = self.board.write(now, key, life, value);
-            self.counters.over += u64::from(!fits);
+        let before = *overload.level();
+        let writes = overload.tick(now, &self.presence(), &self.store);
+        // While load is shed, entries do not wait for the next round of digests.
+        let is_urgent = !writes.is_empty() && overload.level().sheds();
+        for write in writes {
+            let written = self.store.write(now, write.key, write.ttl, write.value);
+            self.counters.over_limit += u64::from(!written);
         }
-        // While something is cut, news of it does not wait for the next round of digests.
-        if brisk {
+        if is_urgent {
             self.push(now);
         }
-        if let Some(line) = said(before.things, overload.cut().things) {
+        if let Some(line) = log_line(&before, overload.level()) {
             self.log(line);
         }
         self.overload = Some(overload);
     }
 }
 
-/// A line for the operators where something is cut that was not, or no more.
-fn said(
-    before: [Option<crate::overload::shed_level::ShedLine>; 2],
-    now: [Option<crate::overload::shed_level::ShedLine>; 2],
-) -> Option<String> {
-    let names = [("the caches", "are"), ("the way to the sources", "is")];
-    let mut lines = Vec::new();
-    for (((name, verb), before), now) in names.iter().zip(before).zip(now) {
-        match (before, now) {
-            (None, Some(line)) => lines.push(format!(
-                "{name} {verb} crowded: the fleet lets in {:.0} of {:.0} requests a second",
-                line.cap, line.come
-            )),
-            (Some(_), None) => lines.push(format!("{name}: all are let in again")),
-            _ => {}
-        }
-    }
-    (!lines.is_empty()).then(|| lines.join("; "))
+/// A line for the operators where the shedding of a resource begins or ends.
+fn log_line(before: &ShedLevel, now: &ShedLevel) -> Option<String> {
+    let lines = before.lines.iter().zip(&now.lines);
+    let changes = RESOURCE_NAMES.into_iter().zip(lines).filter_map(|((name, verb), change)| match change {
+        (None, Some(line)) => Some(shedding_began(name, verb, line)),
+        (Some(_), None) => Some(format!("{name}: all are let in again")),
+        _ => None,
+    });
+    let changes: Vec<String> = changes.collect();
+    (!changes.is_empty()).then(|| changes.join("; "))
+}
+
+fn shedding_began(name: &str, verb: &str, line: &ShedLine) -> String {
+    let ShedLine { admitted_rate, offered_rate, .. } = line;
+    format!(
+        "{name} {verb} crowded: the fleet lets in {admitted_rate:.0} of {offered_rate:.0} requests a second"
+    )
 }
--- /dev/null
+++ b/crates/deckproxy-fleet/src/fleet/gossip.rs
@@ -0,0 +1,72 @@
+//! Writes heartbeats and spreads the gossip store.
+
+use super::{Fleet, Heartbeat, kinds};
+use crate::Millis;
+use crate::gossip_store::Key;
+use crate::instance::Instance;
+use crate::wire::{Body, LARGEST_BODY};
+use rand::seq::{IndexedRandom, IteratorRandom};
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+
+/// Instances that a round's digests go to.
+const DIGEST_FANOUT: usize = 2;
+/// Instances that new entries are pushed to at once.
+const PUSH_FANOUT: usize = 3;
+/// Most addresses that are greeted at a time.
+const GREETING_FANOUT: usize = 3;
+/// Last entries that are pushed: the receivers have those before them, or request them with their next digest.
+const PUSHED_ENTRIES: u64 = 2;
+/// A heartbeat's time to live, in times after which its author is lost.
+const HEARTBEAT_TTL: f64 = 3.0;
+
+impl Fleet {
+    pub(super) fn write_heartbeat(&mut self, now: Millis) {
+        let heartbeat = Heartbeat {
+            open_requests: self.open_requests,
+            leaving: self.leaving,
+            known_instances: u16::try_from(self.known_instances()).unwrap_or(u16::MAX),
+        };
+        let value = postcard::to_stdvec(&heartbeat).unwrap_or_default();
+        let ttl = (HEARTBEAT_TTL * self.timeouts().lost_after) as u32;
+        self.store.write(now, Key::of_kind(kinds::HEARTBEAT), ttl, Some(value));
+        self.acknowledgements.heartbeat_written(now, self.store.last_version());
+    }
+
+    /// Sends digests to some instances.
+    pub(super) fn send_digests(&mut self) {
+        for to in self.sample_alive(DIGEST_FANOUT) {
+            let digest = self.store.digest(&to.name);
+            self.send(&to, Body::Digest(digest));
+        }
+    }
+
+    /// Sends the own last entries to some instances at once.
+    pub(super) fn push(&mut self, now: Millis) {
+        for to in self.sample_alive(PUSH_FANOUT) {
+            let after = self.store.last_version().saturating_sub(PUSHED_ENTRIES);
+            let delta = self.store.recent(now, after, LARGEST_BODY);
+            self.send(&to, Body::Delta(delta));
+        }
+    }
+
+    fn sample_alive(&mut self, count: usize) -> Vec<Instance> {
+        let alive: Vec<Instance> = self.swim.alive().values().cloned().collect();
+        alive.sample(&mut self.rng, count).cloned().collect()
+    }
+
+    /// Greets some of those that SWIM does not hold for alive: seeds, and instances that were lost.
+    pub(super) fn greet(&mut self) {
+        let alive = self.swim.alive();
+        let reached: BTreeSet<SocketAddr> = alive.values().map(|peer| self.address_of(peer)).collect();
+        let seeds = self.settings.seeds.iter().copied();
+        let lost = self.peers.values().filter(|peer| !peer.left && !alive.contains_key(&peer.instance.name));
+        let lost = lost.map(|peer| self.address_of(&peer.instance));
+        let own = self.settings.own.address;
+        let unreached = seeds.chain(lost).filter(|to| !reached.contains(to) && *to != own);
+        let unreached: BTreeSet<SocketAddr> = unreached.collect();
+        for to in unreached.into_iter().sample(&mut self.rng, GREETING_FANOUT) {
+            self.send_to(to, Body::Hello { is_reply: false, known_incarnation: None });
+        }
+    }
+}
--- a/crates/deckproxy-fleet/src/health.rs
+++ b/crates/deckproxy-fleet/src/health.rs
@@ -1,129 +1,150 @@
-//! What the fleet holds of a member: from an observer's probes and attempts to its report, from all reports to whether the
-//! member is held back.
+//! The health of members: from an observer's checks and attempts to its report, and from all reports to whether the member
+//! is ejected.
 //!
-//! A member is held back only where as many observers as are wanted say that it fails, and none says otherwise. It comes
-//! back in steps: probes are answered again, then the observers alone send it requests, then all others do, each at a
-//! moment of its own.
+//! A member is ejected only where as many observers as are wanted report that it fails, and none reports otherwise. It
+//! returns in steps: it answers checks again, then its observers alone send it requests (a half-open trial), then all
+//! others do, each at a moment of its own.
 
 use crate::Millis;
 use serde::{Deserialize, Serialize};
 
-/// What an observer says of a member.
+/// An observer's report on a member. The order of the variants is the wire format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Health {
-    /// It answers.
+    /// It answers checks.
     #[default]
-    Good,
-    /// It does not.
+    Healthy,
+    /// It does not answer checks.
     Failing,
-    /// It answers probes again, and is tried with requests.
-    Back,
+    /// It answers checks again, and is on trial with requests of its observers.
+    HalfOpen,
 }
 
-/// What it takes to change an observer's mind.
+impl Health {
+    /// The state's name in log lines.
+    pub fn log_name(self) -> &'static str {
+        match self {
+            Health::Healthy => "Good",
+            Health::Failing => "Failing",
+            Health::HalfOpen => "Back",
+        }
+    }
+}
+
+/// What it takes to change an observer's report.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
-    /// Probes in a row without an answer until a member fails.
-    pub fails: u32,
-    /// Answered ones in a row until it is tried.
-    pub goods: u32,
-    /// Good attempts until it is good.
-    pub tries: u32,
-    /// Without a failure for so long it is good as well, where few ask, ms.
-    pub trial: Millis,
+pub struct Thresholds {
+    /// Failed checks in a row after which a member fails.
+    pub failures: u32,
+    /// Good checks in a row after which a failing member is on trial.
+    pub successes: u32,
+    /// Good attempts that end the trial.
+    pub trial_successes: u32,
+    /// Milliseconds without a failure that end the trial too, where few requests come.
+    pub trial_time: Millis,
 }
 
-impl Default for Terms {
+impl Default for Thresholds {
     fn default() -> Self {
-        Terms { fails: 3, goods: 2, tries: 5, trial: 3000.0 }
+        Thresholds { failures: 3, successes: 2, trial_successes: 5, trial_time: 3000.0 }
     }
 }
 
 /// An observer's evidence on one member.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Watch {
+pub struct Monitor {
     health: Health,
-    /// Probes in a row that ended as the last one did, and how that was.
-    row: u32,
-    good: bool,
-    /// Good attempts since it is tried, and since when it is.
-    tried: u32,
+    /// Checks in a row that ended like the last one.
+    streak: u32,
+    last_was_good: bool,
+    /// Good attempts in the state.
+    good_attempts: u32,
+    /// When the state began.
     since: Millis,
 }
 
-impl Watch {
-    /// What is to be reported.
+impl Monitor {
+    /// The health to report.
     pub fn health(&self) -> Health {
         self.health
     }
 
-    /// Whether that is known and not only what is taken for granted at first: an observer that has just taken over a sick
-    /// member must not say that it is well until it has seen that.
-    pub fn is_sure(&self) -> bool {
-        self.health != Health::Good || self.good
+    /// Whether that has been observed and is not only the initial assumption: an observer that has just taken over a
+    /// failing member must not report it healthy before it has seen that.
+    pub fn is_observed(&self) -> bool {
+        self.health != Health::Healthy || self.last_was_good
     }
 
-    fn turn(&mut self, now: Millis, health: Health) {
-        (self.health, self.tried, self.since) = (health, 0, now);
+    fn change_to(&mut self, now: Millis, health: Health) {
+        (self.health, self.good_attempts, self.since) = (health, 0, now);
     }
 
-    /// A probe of ours ended.
-    pub fn probed(&mut self, now: Millis, terms: &Terms, good: bool) {
-        self.row = if self.good == good { self.row + 1 } else { 1 };
-        self.good = good;
+    /// A health check of this observer ended.
+    pub fn health_checked(&mut self, now: Millis, thresholds: &Thresholds, good: bool) {
+        self.streak = if self.last_was_good == good { self.streak + 1 } else { 1 };
+        self.last_was_good = good;
         match (self.health, good) {
-            (Health::Good, false) if self.row >= terms.fails => self.turn(now, Health::Failing),
-            (Health::Failing, true) if self.row >= terms.goods => self.turn(now, Health::Back),
-            // It is on trial: one failure is enough.
-            (Health::Back, false) => self.turn(now, Health::Failing),
-            (Health::Back, true) if now - self.since >= terms.trial => self.turn(now, Health::Good),
+            (Health::Healthy, false) if self.streak >= thresholds.failures => {
+                self.change_to(now, Health::Failing);
+            }
+            (Health::Failing, true) if self.streak >= thresholds.successes => {
+                self.change_to(now, Health::HalfOpen);
+            }
+            // One failure ends a trial.
+            (Health::HalfOpen, false) => self.change_to(now, Health::Failing),
+            (Health::HalfOpen, true) if now - self.since >= thresholds.trial_time => {
+                self.change_to(now, Health::Healthy);
+            }
             _ => {}
         }
     }
 
-    /// An attempt of ours ended; counts while it is tried.
-    pub fn attempted(&mut self, now: Millis, terms: &Terms, good: bool) {
-        if self.health != Health::Back {
+    /// An attempt of this observer's requests ended; it counts during a trial only.
+    pub fn attempt_ended(&mut self, now: Millis, thresholds: &Thresholds, good: bool) {
+        if self.health != Health::HalfOpen {
             return;
         }
-        self.tried += u32::from(good);
+        self.good_attempts += u32::from(good);
         if !good {
-            self.row = 0;
-            self.turn(now, Health::Failing);
-        } else if self.tried >= terms.tries {
-            self.turn(now, Health::Good);
+            self.streak = 0;
+            self.change_to(now, Health::Failing);
+        } else if self.good_attempts >= thresholds.trial_successes {
+            self.change_to(now, Health::Healthy);
         }
     }
 }
 
-/// Whether the fleet holds a member back.
+/// Whether the fleet ejects a member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Held {
-    /// Nobody does.
+pub enum Ejection {
+    /// No instance does.
     #[default]
-    No,
-    /// All but its observers, who try it.
-    ButObservers,
+    None,
+    /// All do except its observers, which send it trial requests.
+    ExceptObservers,
     /// All do.
-    Yes,
+    All,
 }
 
-/// What all reports that count say together. `wanted`: observers that have to agree. `held`: the member is held back so far;
-/// that stays so until one sees it well or nobody says anything of it any more, as when one of its observers is lost.
-pub fn judge(reports: impl Iterator<Item = Health>, wanted: usize, held: bool) -> Held {
-    let (mut failing, mut back, mut good) = (0, 0, 0);
+/// Combines the reports on a member. `wanted`: observers that have to agree. `ejected`: it is ejected so far; that stays so
+/// until an observer reports it healthy or none reports anything any more, as when one of its observers is lost.
+pub fn combine(reports: impl Iterator<Item = Health>, wanted: usize, ejected: bool) -> Ejection {
+    let (mut failing, mut half_open, mut healthy) = (0, 0, 0);
     for report in reports {
         match report {
             Health::Failing => failing += 1,
-            Health::Back => back += 1,
-            Health::Good => good += 1,
+            Health::HalfOpen => half_open += 1,
+            Health::Healthy => healthy += 1,
         }
     }
-    match () {
-        // One that sees it well outweighs those that do not: it may be they who are cut off.
-        () if good > 0 || failing + back < if held { 1 } else { wanted.max(1) } => Held::No,
-        () if back > 0 => Held::ButObservers,
-        () => Held::Yes,
+    let needed = if ejected { 1 } else { wanted.max(1) };
+    // One healthy report outweighs the others: those observers may be cut off themselves.
+    if healthy > 0 || failing + half_open < needed {
+        Ejection::None
+    } else if half_open > 0 {
+        Ejection::ExceptObservers
+    } else {
+        Ejection::All
     }
 }
 
--- a/crates/deckproxy-fleet/src/instance.rs
+++ b/crates/deckproxy-fleet/src/instance.rs
@@ -1,4 +1,4 @@
-//! An instance of the program, and which of several lives under one name counts.
+//! An instance of the program, and which of several incarnations under one name counts.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -7,46 +7,53 @@
 /// The name of an instance, a zone or a member.
 pub type Name = Arc<str>;
 
-/// Longest name of an instance or a zone, bytes.
+/// Longest name of an instance or a zone, in bytes.
 pub const LONGEST_NAME: usize = 63;
 
-/// One life of one instance, as it tells of itself.
+/// One incarnation of an instance, as it describes itself. The order of the fields is the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Instance {
-    /// Its name: one of each in a fleet.
+    /// Its name, unique in the fleet.
     pub name: Name,
-    /// The zone in which it stands.
+    /// The zone in which it runs.
     pub zone: Name,
-    /// Where its datagrams are taken.
+    /// Where it receives datagrams.
     pub address: SocketAddr,
-    /// Which life of that name this is: a later one has a higher number.
-    pub start: u64,
-    /// How often this life was declared dead while it lived, and came back.
+    /// Number of this process among those under the name: a later one has a higher number.
+    pub incarnation: u64,
+    /// How often this process was declared dead while it was alive, and refuted that.
     pub renewals: u32,
-    /// Its share of duties beside others', 1 to 1000.
+    /// Its share of the health checks relative to other instances, 1 to 1000.
     pub weight: u16,
 }
 
 impl Instance {
-    /// Whether names are of a form that is taken, and the weight in its range.
-    pub fn is_sound(&self) -> bool {
-        let named = |name: &str| (1..=LONGEST_NAME).contains(&name.len()) && name.bytes().all(is_plain);
-        named(&self.name) && named(&self.zone) && (1..=1000).contains(&self.weight) && self.address.port() > 0
+    /// Whether the names are well-formed and the weight and port are in range.
+    pub fn is_valid(&self) -> bool {
+        is_valid_name(&self.name)
+            && is_valid_name(&self.zone)
+            && (1..=1000).contains(&self.weight)
+            && self.address.port() > 0
     }
 
-    /// The order of lives and renewals under one name.
-    pub fn age(&self) -> (u64, u32) {
-        (self.start, self.renewals)
+    /// The order of incarnations and renewals under one name; the greater one counts.
+    pub fn precedence(&self) -> (u64, u32) {
+        (self.incarnation, self.renewals)
     }
 }
 
-/// Whether a byte may stand in a name: a-z, 0-9, "-", "." and "_".
-pub fn is_plain(byte: u8) -> bool {
+/// Whether a name has 1 to [`LONGEST_NAME`] bytes, all of them allowed.
+pub fn is_valid_name(name: &str) -> bool {
+    (1..=LONGEST_NAME).contains(&name.len()) && name.bytes().all(is_name_byte)
+}
+
+/// Whether a byte is allowed in a name: a-z, 0-9, "-", "." and "_".
+pub fn is_name_byte(byte: u8) -> bool {
     byte.is_ascii_lowercase() || byte.is_ascii_digit() || b"-._".contains(&byte)
 }
 
 impl foca::Identity for Instance {
-    /// Instances are told apart by name: a restart at another address takes the old life's place too.
+    /// Instances are told apart by name: a restart at another address replaces the earlier incarnation too.
     type Addr = Name;
 
     fn renew(&self) -> Option<Self> {
@@ -58,6 +65,6 @@
     }
 
     fn win_addr_conflict(&self, other: &Self) -> bool {
-        (self.age(), self.address) > (other.age(), other.address)
+        (self.precedence(), self.address) > (other.precedence(), other.address)
     }
 }
--- a/crates/deckproxy-fleet/src/lib.rs
+++ b/crates/deckproxy-fleet/src/lib.rs
@@ -1,27 +1,30 @@
-//! What the instances of one fleet know of each other, and what they do as one.
+//! What the instances of one fleet know of each other, and what they do together.
 //!
-//! A state machine without I/O and clock: datagrams, probes' results, the list of members and the time go in, datagrams,
-//! probes and what the fleet holds of members come out ([`fleet::Fleet`]). Each instance decides alone at any moment;
-//! what it hears only makes it decide better, and nobody waits for it. See `docs/design/fleet.md`.
+//! A state machine without I/O and clock: datagrams, results of health checks, the list of members and the time go in;
+//! datagrams, health checks and the set of ejected members come out ([`fleet::Fleet`]). Each instance decides alone at any
+//! moment; what it receives only makes it decide better, and nothing waits for it. See `docs/design/fleet.md`.
 //!
-//! - [`instance`]: who is who, and which life of a name counts.
-//! - [`wire`]: datagrams, and why one is not believed.
-//! - [`clock`]: time that stands still while the process does.
-//! - [`swim`]: who is there, by SWIM (the crate `foca`).
-//! - [`gossip_store`]: small versioned entries of each instance, the same at all that hear each other.
-//! - [`view`]: how sure an instance is of what it sees.
-//! - [`rendezvous`]: who probes which member, and how often, whatever falls apart.
-//! - [`health`]: from probes and attempts to what the fleet holds of a member.
-//! - [`overload`]: who sheds what, and who may come back when, as one.
+//! - [`instance`]: names, incarnations and which of several counts.
+//! - [`wire`]: datagrams, and why one is dropped.
+//! - [`clock`]: time that stands still while the process is paused.
+//! - [`swim`]: membership by SWIM (the crate `foca`).
+//! - [`gossip_store`]: small versioned entries of each instance, replicated to all.
+//! - [`liveness`], [`acknowledgements`], [`view`]: which instances are alive, whether they hear us, and whether this part
+//!   of the fleet is the majority.
+//! - [`rendezvous`]: which instance observes which member.
+//! - [`health`]: from health checks and attempts to the ejection of members.
+//! - [`overload`]: load shedding and retry-after times that all instances apply alike.
 #![forbid(unsafe_code)]
 
+pub mod acknowledgements;
 pub mod clock;
 pub mod fleet;
 pub mod gossip_store;
 pub mod health;
+mod health_checks;
 pub mod instance;
+pub mod liveness;
 pub mod overload;
-mod probing;
 pub mod rendezvous;
 pub mod swim;
 pub mod view;
--- /dev/null
+++ b/crates/deckproxy-fleet/src/overload/coordination.rs
@@ -0,0 +1,225 @@
+//! Sharing of counts and rejections, the leader's decision on the shed level, and its enforcement.
+
+use super::admission::LATE_TOLERANCE;
+use super::rejection_batch::RejectionBatch;
+use super::retry_share::RetryShare;
+use super::shed_controller::LOOK_INTERVAL;
+use super::shed_level::{DatedShedLevel, ShedLevel};
+use super::summary::{RESOURCES, Rates, Summary};
+use super::types::Presence;
+use super::{Look, Overload};
+use crate::Millis;
+use crate::gossip_store::{EntryView, GossipStore, Key, kinds};
+use crate::instance::Name;
+use crate::rendezvous::{Candidate, observers};
+use serde::Serialize;
+
+/// Time to live of a summary, in milliseconds: where datagrams are lost, a summary that is a little old says more than none.
+const SUMMARY_TTL: u32 = 2500;
+/// Time to live of a shed level, in milliseconds: it stays in force until another leader decides.
+pub(super) const SHED_LEVEL_TTL: u32 = 6000;
+/// Longest time to live of a batch of rejections, in milliseconds.
+const LONGEST_BATCH_TTL: Millis = 10_000.0;
+/// Number of subjects under which batches of rejections are written in turn; so many are in the store at a time.
+const BATCH_SLOTS: u64 = 24;
+/// Factor by which an instance may exceed its part of the retries that the fleet admits: they do not come evenly.
+const RETRY_SLACK: f64 = 1.05;
+/// Largest factor by which the rates are raised for instances whose summaries are not there yet.
+const MISSING_SUMMARIES: f64 = 1.5;
+/// By so much the offered requests may grow beyond the number of instances when that grows.
+const GROWTH_SLACK: f64 = 1.5;
+
+/// An entry to write to the gossip store.
+#[derive(Clone, Debug, PartialEq)]
+pub struct StoreWrite {
+    /// Its key.
+    pub key: Key,
+    /// Its time to live, in milliseconds.
+    pub ttl: u32,
+    /// Its value; `None`: the entry is withdrawn.
+    pub value: Option<Vec<u8>>,
+}
+
+impl StoreWrite {
+    fn new(key: Key, ttl: u32, value: &impl Serialize) -> Self {
+        StoreWrite { key, ttl, value: Some(postcard::to_stdvec(value).unwrap_or_default()) }
+    }
+}
+
+impl Overload {
+    /// Does what is due; returns the entries to write to the store.
+    pub fn tick(&mut self, now: Millis, presence: &Presence, store: &GossipStore) -> Vec<StoreWrite> {
+        let mut writes = Vec::new();
+        if self.counter.tick(now) {
+            let summary = self.counter.summary();
+            writes.push(StoreWrite::new(Key::of_kind(kinds::SUMMARY), SUMMARY_TTL, &summary));
+        }
+        self.restore_restarted(now, presence);
+        self.merge_rejections(now, presence, store);
+        self.enforce_shared_level(now, presence, store);
+        if let Some(batch) = self.rejected.next_batch(now) {
+            let ttl = (self.settings.max_retry_after + LATE_TOLERANCE).min(LONGEST_BATCH_TTL) as u32;
+            let subject = (batch.number % BATCH_SLOTS).to_string().into();
+            writes.push(StoreWrite::new(Key { kind: kinds::REJECTIONS, subject }, ttl, &batch));
+        }
+        if now >= self.next_look && !presence.is_stale {
+            self.next_look = now + LOOK_INTERVAL;
+            writes.extend(self.lead(now, presence, store));
+        }
+        writes
+    }
+
+    /// The level to announce where this instance is the leader; where it is not any more, that is withdrawn.
+    fn lead(&mut self, now: Millis, presence: &Presence, store: &GossipStore) -> Option<StoreWrite> {
+        let key = Key::of_kind(kinds::SHED_LEVEL);
+        let was_leader = std::mem::replace(&mut self.is_leader, is_leader(presence));
+        if self.is_leader {
+            let level = self.decide(now, presence, store, was_leader);
+            return Some(StoreWrite::new(key, SHED_LEVEL_TTL, &level));
+        }
+        was_leader.then_some(StoreWrite { key, ttl: SHED_LEVEL_TTL, value: None })
+    }
+
+    fn decide(
+        &mut self,
+        now: Millis,
+        presence: &Presence,
+        store: &GossipStore,
+        was_leader: bool,
+    ) -> ShedLevel {
+        let rates = self.fleet_rates(now, presence, store);
+        if !was_leader {
+            self.take_over(now, &rates);
+        }
+        let look = Look { instances: presence.count(), offered: rates.map(|rates| rates.offered()) };
+        let last = std::mem::replace(&mut self.last_look, look);
+        if was_leader && look.instances != last.instances {
+            self.controller.resize(growth(&last, &look));
+        }
+        self.counters.decisions += 1;
+        self.controller.look(now, &rates)
+    }
+
+    /// The rates of all instances that are present, by resource.
+    fn fleet_rates(&self, now: Millis, presence: &Presence, store: &GossipStore) -> [Rates; RESOURCES] {
+        let mut rates = [Rates::default(); RESOURCES];
+        let own = self.counter.summary();
+        let entries = store.entries_of_kind(now, kinds::SUMMARY);
+        let present = entries.filter(|entry| presence.has_other(entry.author));
+        let others = present.filter_map(|entry| postcard::from_bytes::<Summary>(entry.value).ok());
+        let mut summaries = 0;
+        for summary in others.chain([own]) {
+            summaries += 1;
+            for (resource, rates) in rates.iter_mut().enumerate() {
+                rates.add(&summary, resource);
+            }
+        }
+        // Instances whose summaries are not there yet count like the others.
+        let missing = presence.count() as f64 / f64::from(summaries);
+        rates.iter_mut().for_each(|rates| rates.scale(missing.min(MISSING_SUMMARIES)));
+        rates
+    }
+
+    /// Continues with the level in force.
+    fn take_over(&mut self, now: Millis, rates: &[Rates; RESOURCES]) {
+        let level = self.level;
+        let mut shares = [1.0; RESOURCES];
+        for ((share, line), rates) in shares.iter_mut().zip(level.lines).zip(rates) {
+            if let Some(line) = line {
+                *share = rates.offered() / f64::from(line.offered_rate).max(1.0);
+            }
+        }
+        let age = now - self.epoch_began - f64::from(level.epoch_age);
+        self.controller.take_over(now, &level, age, shares);
+    }
+
+    /// Shares the rejections of instances that were restarted, as they have forgotten them.
+    fn restore_restarted(&mut self, now: Millis, presence: &Presence) {
+        for other in &presence.others {
+            let known = self.incarnations.insert(other.name.clone(), other.incarnation);
+            if known.is_some_and(|known| known < other.incarnation) {
+                self.rejected.restore(now, &other.name);
+            }
+        }
+    }
+
+    fn merge_rejections(&mut self, now: Millis, presence: &Presence, store: &GossipStore) {
+        for EntryView { author, age, value, .. } in store.entries_of_kind(now, kinds::REJECTIONS) {
+            if presence.is_own(author) {
+                continue;
+            }
+            if let Ok(batch) = postcard::from_bytes::<RejectionBatch>(value) {
+                let incarnation = store.incarnation(author).unwrap_or(0);
+                self.rejected.merge(now, author, incarnation, age, &batch);
+            }
+        }
+    }
+
+    /// Enforces the strictest of the levels in the store. With a stale view the level in force stays.
+    fn enforce_shared_level(&mut self, now: Millis, presence: &Presence, store: &GossipStore) {
+        if presence.is_stale {
+            return;
+        }
+        let is_present = |author: &Name| presence.is_own(author) || presence.has_other(author);
+        // The level of a leader that is lost stays in force until another one has decided. The own level is in the store,
+        // too, and has no precedence.
+        let shared = strictest(now, store, is_present).or_else(|| strictest(now, store, |_| true));
+        let none = ShedLevel { epoch: self.level.epoch, ..ShedLevel::default() };
+        let shared = shared.unwrap_or(DatedShedLevel { level: none, epoch_began: self.epoch_began });
+        self.enforce(now, shared);
+    }
+
+    fn enforce(&mut self, now: Millis, shared: DatedShedLevel) {
+        let DatedShedLevel { level, epoch_began } = shared;
+        if level.epoch != self.level.epoch {
+            self.epoch_began = epoch_began;
+        }
+        let own = self.counter.summary();
+        for (resource, retry_share) in self.retry_shares.iter_mut().enumerate() {
+            let Some(line) = level.lines[resource] else {
+                *retry_share = RetryShare::none(now);
+                continue;
+            };
+            // This instance's part, by what is offered here and to all.
+            let offered = Rates::of(&own, resource).offered();
+            let part = (offered / f64::from(line.offered_rate).max(1.0)).min(1.0);
+            retry_share.set_rate(now, f64::from(line.retry_rate) * part * RETRY_SLACK);
+        }
+        self.level = level;
+    }
+}
+
+/// The factors by which the offered requests have changed with the number of instances. A part of a split never admits more
+/// than its share of instances would, nor the reunited fleet less than its parts.
+fn growth(last: &Look, look: &Look) -> [f64; RESOURCES] {
+    let instances = look.instances as f64 / last.instances.max(1) as f64;
+    let mut factors = [1.0; RESOURCES];
+    for (factor, (now, before)) in factors.iter_mut().zip(look.offered.into_iter().zip(last.offered)) {
+        let offered = now / before.max(1.0);
+        *factor = if instances > 1.0 {
+            offered.clamp(1.0, GROWTH_SLACK * instances)
+        } else {
+            offered.clamp(instances, 1.0)
+        };
+    }
+    factors
+}
+
+/// Whether this instance decides for those that hear each other: by rendezvous, without an exchange.
+fn is_leader(presence: &Presence) -> bool {
+    let Some(own) = &presence.own else { return false };
+    let candidate = |name: &Name| Candidate { name: name.clone(), zone: Name::from(""), weight: 1 };
+    let others = presence.others.iter().map(|other| &other.name);
+    let candidates: Vec<Candidate> = std::iter::once(own).chain(others).map(candidate).collect();
+    observers("overload", "", &candidates, 1) == [0]
+}
+
+/// The strictest of the levels that some authors have decided.
+fn strictest(now: Millis, store: &GossipStore, counts: impl Fn(&Name) -> bool) -> Option<DatedShedLevel> {
+    let entries = store.entries_of_kind(now, kinds::SHED_LEVEL);
+    let levels = entries.filter(|entry| counts(entry.author)).filter_map(|entry| {
+        let level: ShedLevel = postcard::from_bytes(entry.value).ok()?;
+        Some(DatedShedLevel { level, epoch_began: now - entry.age - f64::from(level.epoch_age) })
+    });
+    levels.reduce(DatedShedLevel::combine)
+}
--- /dev/null
+++ b/crates/deckproxy-fleet/src/overload/shed_controller/tests.rs
@@ -0,0 +1,107 @@
+use super::*;
+use crate::overload::priority::BUCKETS;
+use crate::overload::shed_level::ShedLine;
+
+/// The rates where so many first attempts arrive and so many can be served, with retries beside them.
+fn rates(arriving: f64, capacity: f64, admitted_rate: Option<f64>, retries: f64) -> Rates {
+    let admitted = admitted_rate.unwrap_or(arriving).min(arriving);
+    Rates {
+        arrivals: [arriving / BUCKETS as f64; BUCKETS],
+        retries,
+        admitted_firsts: admitted,
+        admitted,
+        served: admitted.min(capacity),
+        rejected: (admitted - capacity).max(0.0),
+        ..Rates::default()
+    }
+}
+
+fn admitted_rate(level: &ShedLevel) -> Option<f64> {
+    level.lines[1].map(|line| f64::from(line.admitted_rate))
+}
+
+#[test]
+fn three_times_the_capacity_is_shed_to_what_is_served_and_admitted_again_when_it_can_be() {
+    let mut controller = ShedController::new(Limits::default());
+    let mut level = ShedLevel::default();
+    let mut now = 0.0;
+    let mut play = |looks: usize, arriving: f64, capacity: f64| {
+        for _ in 0..looks {
+            now += LOOK_INTERVAL;
+            let rates = rates(arriving, capacity, admitted_rate(&level), 0.5 * arriving);
+            level = controller.look(now, &[Rates::default(), rates]);
+        }
+        level
+    };
+    assert_eq!(admitted_rate(&play(20, 300.0, 400.0)), None);
+    let tight = admitted_rate(&play(60, 900.0, 300.0)).expect("load is shed");
+    assert!((250.0..370.0).contains(&tight), "{tight}");
+    assert_eq!(play(1, 900.0, 300.0).lines[0], None, "the caches are not overloaded");
+    // The capacity comes back: all are admitted within some seconds.
+    assert_eq!(admitted_rate(&play(80, 900.0, 1200.0)), None);
+    assert_eq!(controller.activations, 1);
+}
+
+#[test]
+fn a_resource_that_is_always_slow_is_not_shed_for_long() {
+    let mut controller = ShedController::new(Limits::default());
+    let mut level = ShedLevel::default();
+    let mut shedding = 0;
+    for i in 0..100 {
+        let mut rates = rates(300.0, 1e9, admitted_rate(&level), 0.0);
+        rates.slow = rates.served;
+        level = controller.look(f64::from(i) * LOOK_INTERVAL, &[Rates::default(), rates]);
+        shedding += u32::from(level.lines[1].is_some());
+    }
+    assert!((1..30).contains(&shedding), "{shedding} of 100 looks");
+}
+
+#[test]
+fn rejections_of_the_decision_module_alone_shed_nothing() {
+    let mut controller = ShedController::new(Limits::default());
+    for i in 0..20 {
+        let rates = [Rates::default(), rates(900.0, 300.0, None, 0.0)];
+        let level = controller.look(f64::from(i) * LOOK_INTERVAL, &rates);
+        assert_eq!(level.lines, [None; RESOURCES]);
+    }
+}
+
+#[test]
+fn parts_of_a_split_admit_together_what_the_undivided_fleet_did() {
+    let line = ShedLine {
+        min_priority: 9,
+        admitted_rate: 300.0,
+        offered_rate: 900.0,
+        reserved_share: 0,
+        retry_rate: 0.0,
+    };
+    let undivided = ShedLevel { epoch: 9, epoch_age: 100, lines: [None, Some(line)] };
+    let mut sum = 0.0;
+    for part in [0.3, 0.7] {
+        let mut controller = ShedController::new(Limits::default());
+        controller.take_over(1000.0, &undivided, 50.0, [1.0, part]);
+        let rates = rates(900.0 * part, 300.0 * part, Some(300.0 * part), 0.0);
+        let level = controller.look(1001.0, &[Rates::default(), rates]);
+        assert_eq!(level.epoch, 9);
+        sum += admitted_rate(&level).unwrap();
+    }
+    assert!((290.0..320.0).contains(&sum), "{sum}");
+}
+
+#[test]
+fn reservations_fit_the_retry_budget() {
+    let mut controller = ShedController::new(Limits::default());
+    let mut level = ShedLevel::default();
+    let mut looks_with_reservations = 0;
+    for i in 0..40 {
+        let rates = rates(900.0, 300.0, admitted_rate(&level), 400.0);
+        level = controller.look(f64::from(i) * LOOK_INTERVAL, &[Rates::default(), rates]);
+        let Some(line) = level.lines[1].filter(|line| line.reserved_share > 0) else { continue };
+        let admitted = f64::from(line.admitted_rate);
+        let reserved = (900.0 - admitted) * f64::from(line.reserved_share) / 65_535.0;
+        assert!(reserved <= f64::from(line.retry_rate) * 1.3 + 1.0, "{reserved} {line:?}");
+        assert!(f64::from(line.retry_rate) <= 0.25 * admitted, "{line:?}");
+        looks_with_reservations += 1;
+    }
+    assert!(looks_with_reservations > 5, "{looks_with_reservations} looks reserved something");
+}
--- a/crates/deckproxy-fleet/src/overload/summary.rs
+++ b/crates/deckproxy-fleet/src/overload/summary.rs
@@ -1,194 +1,228 @@
-//! What a gateway counted of what was asked for and of what became of it, in a form that adds up over gateways.
+//! An instance's request counts, in a form that adds up over instances.
 
-use super::rank::{LEVELS, level};
+use super::priority::{BUCKETS, bucket};
 use crate::Millis;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// What can be crowded, each with a cut of its own.
+/// What can be overloaded; each has a shed level of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Thing {
-    /// The caches: what they were seen to hold passes there.
+pub enum Resource {
+    /// The caches, for objects that they were seen to hold.
     Caches = 0,
-    /// The way to the sources, for what the caches have to be filled with first.
+    /// The way to the sources, for objects that the caches have to be filled with first.
     Sources = 1,
 }
 
-/// How many there are.
-pub const THINGS: usize = 2;
+/// Number of [`Resource`]s.
+pub const RESOURCES: usize = 2;
 
-/// What was counted of one thing.
+/// Request counts of one resource. The order of the fields is the wire format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
-    /// First tries that came, by level of their ranks.
-    pub levels: [u16; LEVELS],
-    /// Repeats that came and had not been promised that time, as far as they were known for such.
-    pub repeats: u16,
-    /// Repeats that passed.
-    pub back: u16,
-    /// First tries that passed, and all that did.
-    pub firsts: u16,
-    /// See `firsts`.
-    pub passed: u16,
-    /// Of those that passed and ended: served, turned away by the module, failed or left.
+    /// First attempts that arrived, by bucket of their priorities.
+    pub arrivals: [u16; BUCKETS],
+    /// Retries that arrived without a reserved time, as far as they were known for retries.
+    pub retries: u16,
+    /// Retries admitted.
+    pub admitted_retries: u16,
+    /// First attempts admitted.
+    pub admitted_firsts: u16,
+    /// All requests admitted.
+    pub admitted: u16,
+    /// Admitted requests that were served.
     pub served: u16,
-    /// See `served`.
-    pub refused: u16,
-    /// See `served`.
+    /// Admitted requests that the decision module rejected.
+    pub rejected: u16,
+    /// Admitted requests that failed, or whose clients left.
     pub wasted: u16,
-    /// Of those served, the ones that took long, of their clients' time.
+    /// Served requests that took a large part of their clients' time.
     pub slow: u16,
 }
 
+/// Number of counts of a [`Tally`] beside the arrivals.
+const COUNTS: usize = 8;
+
 impl Tally {
+    fn counts(&self) -> [u16; COUNTS] {
+        [
+            self.retries,
+            self.admitted_retries,
+            self.admitted_firsts,
+            self.admitted,
+            self.served,
+            self.rejected,
+            self.wasted,
+            self.slow,
+        ]
+    }
+
+    fn counts_mut(&mut self) -> [&mut u16; COUNTS] {
+        [
+            &mut self.retries,
+            &mut self.admitted_retries,
+            &mut self.admitted_firsts,
+            &mut self.admitted,
+            &mut self.served,
+            &mut self.rejected,
+            &mut self.wasted,
+            &mut self.slow,
+        ]
+    }
+
     fn add(&mut self, other: &Tally) {
-        for (sum, more) in self.levels.iter_mut().zip(other.levels) {
+        for (sum, more) in self.arrivals.iter_mut().zip(other.arrivals) {
+            *sum = sum.saturating_add(more);
+        }
+        for (sum, more) in self.counts_mut().into_iter().zip(other.counts()) {
             *sum = sum.saturating_add(more);
         }
-        let sums = [
-            (&mut self.repeats, other.repeats),
-            (&mut self.back, other.back),
-            (&mut self.firsts, other.firsts),
-            (&mut self.passed, other.passed),
-            (&mut self.served, other.served),
-            (&mut self.refused, other.refused),
-            (&mut self.wasted, other.wasted),
-            (&mut self.slow, other.slow),
-        ];
-        sums.into_iter().for_each(|(sum, more)| *sum = sum.saturating_add(more));
-    }
-
-    /// Counts one that came, by its rank.
-    pub fn came(&mut self, rank: u32) {
-        let at = &mut self.levels[level(rank)];
-        *at = at.saturating_add(1);
     }
+
+    /// Counts a first attempt that arrived.
+    pub fn count_arrival(&mut self, priority: u32) {
+        increment(&mut self.arrivals[bucket(priority)]);
+    }
+}
+
+/// Counts one more, without overflow.
+pub(super) fn increment(count: &mut u16) {
+    *count = count.saturating_add(1);
 }
 
-/// What a gateway counted over a span.
+/// Request counts of an instance over a span. The order of the fields is the wire format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
-    /// The span, ms.
+    /// The span, in milliseconds.
     pub span: u16,
-    /// By thing, in the order of [`Thing`].
-    pub things: [Tally; THINGS],
+    /// By resource, in the order of [`Resource`].
+    pub resources: [Tally; RESOURCES],
 }
 
-/// Events a second, of one gateway or the sum of several.
+/// Events a second at one resource, of one instance or the sum of several.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Rates {
-    /// See [`Tally::levels`].
-    pub levels: [f64; LEVELS],
-    /// See [`Tally`].
-    pub repeats: f64,
-    /// See [`Tally`].
-    pub back: f64,
-    /// See [`Tally`].
-    pub firsts: f64,
-    /// See [`Tally`].
-    pub passed: f64,
-    /// See [`Tally`].
+    /// See [`Tally::arrivals`].
+    pub arrivals: [f64; BUCKETS],
+    /// See [`Tally::retries`].
+    pub retries: f64,
+    /// See [`Tally::admitted_retries`].
+    pub admitted_retries: f64,
+    /// See [`Tally::admitted_firsts`].
+    pub admitted_firsts: f64,
+    /// See [`Tally::admitted`].
+    pub admitted: f64,
+    /// See [`Tally::served`].
     pub served: f64,
-    /// See [`Tally`].
-    pub refused: f64,
-    /// See [`Tally`].
+    /// See [`Tally::rejected`].
+    pub rejected: f64,
+    /// See [`Tally::wasted`].
     pub wasted: f64,
-    /// See [`Tally`].
+    /// See [`Tally::slow`].
     pub slow: f64,
 }
 
 impl Rates {
-    /// Adds what one gateway counted of a thing.
-    pub fn add(&mut self, summary: &Summary, thing: usize) {
-        let Some(t) = summary.things.get(thing).filter(|_| summary.span > 0) else { return };
-        let second = 1000.0 / f64::from(summary.span);
-        for (sum, n) in self.levels.iter_mut().zip(t.levels) {
-            *sum += f64::from(n) * second;
-        }
-        let sums = [
-            (&mut self.repeats, t.repeats),
-            (&mut self.back, t.back),
-            (&mut self.firsts, t.firsts),
-            (&mut self.passed, t.passed),
-            (&mut self.served, t.served),
-            (&mut self.refused, t.refused),
-            (&mut self.wasted, t.wasted),
-            (&mut self.slow, t.slow),
-        ];
-        sums.into_iter().for_each(|(sum, n)| *sum += f64::from(n) * second);
-    }
-
-    /// What all of them counted, where so many of all have told.
-    pub fn scale(&mut self, by: f64) {
-        self.levels.iter_mut().for_each(|n| *n *= by);
-        let all = [
-            &mut self.repeats,
-            &mut self.back,
-            &mut self.firsts,
-            &mut self.passed,
+    /// The rates of one instance at a resource.
+    pub fn of(summary: &Summary, resource: usize) -> Self {
+        let mut rates = Rates::default();
+        rates.add(summary, resource);
+        rates
+    }
+
+    fn rates_mut(&mut self) -> [&mut f64; COUNTS] {
+        [
+            &mut self.retries,
+            &mut self.admitted_retries,
+            &mut self.admitted_firsts,
+            &mut self.admitted,
             &mut self.served,
-            &mut self.refused,
+            &mut self.rejected,
             &mut self.wasted,
             &mut self.slow,
-        ];
-        all.into_iter().for_each(|n| *n *= by);
+        ]
     }
 
-    /// First tries a second.
-    pub fn come(&self) -> f64 {
-        self.levels.iter().sum()
+    /// Adds the rates of one instance at a resource.
+    pub fn add(&mut self, summary: &Summary, resource: usize) {
+        let Some(tally) = summary.resources.get(resource).filter(|_| summary.span > 0) else { return };
+        let per_second = 1000.0 / f64::from(summary.span);
+        for (sum, count) in self.arrivals.iter_mut().zip(tally.arrivals) {
+            *sum += f64::from(count) * per_second;
+        }
+        for (sum, count) in self.rates_mut().into_iter().zip(tally.counts()) {
+            *sum += f64::from(count) * per_second;
+        }
     }
 
-    /// Requests a second that passed and ended.
-    pub fn ended(&self) -> f64 {
-        self.served + self.refused + self.wasted
+    /// Multiplies all rates, to estimate those of all instances from those that have reported.
+    pub fn scale(&mut self, factor: f64) {
+        self.arrivals.iter_mut().for_each(|rate| *rate *= factor);
+        self.rates_mut().into_iter().for_each(|rate| *rate *= factor);
     }
 
-    /// The share served of those; 1 where none ended.
-    pub fn share(&self) -> f64 {
-        if self.ended() > 0.0 { self.served / self.ended() } else { 1.0 }
+    /// First attempts that arrive, a second.
+    pub fn first_attempts(&self) -> f64 {
+        self.arrivals.iter().sum()
     }
 
-    /// The share of those that was served soon.
-    pub fn soon(&self) -> f64 {
-        if self.ended() > 0.0 { (self.served - self.slow) / self.ended() } else { 1.0 }
+    /// First attempts that arrive and retries admitted, a second.
+    pub fn offered(&self) -> f64 {
+        self.first_attempts() + self.admitted_retries
+    }
+
+    /// Admitted requests that end, a second.
+    pub fn completed(&self) -> f64 {
+        self.served + self.rejected + self.wasted
+    }
+
+    /// The share of the completed requests that was served; 1 where none was completed.
+    pub fn served_share(&self) -> f64 {
+        if self.completed() > 0.0 { self.served / self.completed() } else { 1.0 }
+    }
+
+    /// The share of the completed requests that was served promptly; 1 where none was completed.
+    pub fn prompt_share(&self) -> f64 {
+        if self.completed() > 0.0 { (self.served - self.slow) / self.completed() } else { 1.0 }
     }
 }
 
-/// Windows that a summary is over.
+/// Windows that a summary covers.
 const WINDOWS: usize = 2;
+/// A window that lasted this many times its length was interrupted by a pause of the process.
+const PAUSED_WINDOWS: f64 = 8.0;
 
-/// Counts in windows.
+/// Counts requests in windows.
 #[derive(Clone, Debug)]
-pub struct Counting {
+pub struct RequestCounter {
     window: Millis,
     began: Millis,
-    now: [Tally; THINGS],
-    past: VecDeque<[Tally; THINGS]>,
+    current: [Tally; RESOURCES],
+    past: VecDeque<[Tally; RESOURCES]>,
 }
 
-impl Counting {
-    /// Windows of that length from now on.
+impl RequestCounter {
+    /// Counts in windows of that length, in milliseconds, from now on.
     pub fn new(now: Millis, window: Millis) -> Self {
-        Counting { window, began: now, now: Default::default(), past: VecDeque::new() }
+        RequestCounter { window, began: now, current: Default::default(), past: VecDeque::new() }
     }
 
-    /// The counts of the window that runs.
-    pub fn of(&mut self, thing: Thing) -> &mut Tally {
-        &mut self.now[thing as usize]
+    /// The counts of the current window.
+    pub fn tally(&mut self, resource: Resource) -> &mut Tally {
+        &mut self.current[resource as usize]
     }
 
-    /// Closes the window once it is over. After a pause of the process what was counted before it tells nothing.
+    /// Closes the window once it is over; returns whether it did. Counts from before a pause of the process are dropped.
     pub fn tick(&mut self, now: Millis) -> bool {
         let age = now - self.began;
         if age < self.window {
             return false;
         }
-        if age > self.window * 8.0 {
+        if age > self.window * PAUSED_WINDOWS {
             self.past.clear();
-            self.now = Default::default();
+            self.current = Default::default();
         } else {
-            self.past.push_back(std::mem::take(&mut self.now));
+            self.past.push_back(std::mem::take(&mut self.current));
             if self.past.len() > WINDOWS {
                 self.past.pop_front();
             }
@@ -197,13 +231,16 @@
         true
     }
 
-    /// What was counted lately.
+    /// The counts of the last windows.
     pub fn summary(&self) -> Summary {
-        let mut sum = Summary { span: (self.window * self.past.len() as f64) as u16, ..Summary::default() };
-        for past in &self.past {
-            sum.things.iter_mut().zip(past).for_each(|(sum, more)| sum.add(more));
+        let span = (self.window * self.past.len() as f64) as u16;
+        let mut summary = Summary { span, ..Summary::default() };
+        for window in &self.past {
+            for (sum, tally) in summary.resources.iter_mut().zip(window) {
+                sum.add(tally);
+            }
         }
-        sum
+        summary
     }
 }
 
--- a/crates/deckproxy-fleet/src/overload/summary/tests.rs
+++ b/crates/deckproxy-fleet/src/overload/summary/tests.rs
@@ -1,26 +1,28 @@
 use super::*;
 
 #[test]
-fn rates_add_up_over_gateways_whatever_their_spans() {
-    let one = |span: u16, n: u16| {
-        let mut s = Summary { span, ..Summary::default() };
-        (0..n).for_each(|_| s.things[1].came(40_000));
-        s.things[1].served = n / 2;
-        s
+fn rates_add_up_over_instances_with_different_spans() {
+    let summary = |span: u16, n: u16| {
+        let mut summary = Summary { span, ..Summary::default() };
+        (0..n).for_each(|_| summary.resources[1].count_arrival(40_000));
+        summary.resources[1].served = n / 2;
+        summary
     };
     let mut sum = Rates::default();
-    [one(500, 50), one(1000, 30), Summary::default()].iter().for_each(|s| sum.add(s, 1));
-    assert_eq!((sum.come(), sum.served), (130.0, 65.0));
-    assert_eq!(Rates::default().share(), 1.0);
+    for summary in [summary(500, 50), summary(1000, 30), Summary::default()] {
+        sum.add(&summary, 1);
+    }
+    assert_eq!((sum.first_attempts(), sum.served), (130.0, 65.0));
+    assert_eq!(Rates::default().served_share(), 1.0);
 }
 
 #[test]
-fn a_summary_fits_an_entry_of_the_board() {
+fn a_summary_fits_into_an_entry() {
     let mut full = Summary { span: u16::MAX, ..Summary::default() };
-    for tally in &mut full.things {
-        // More in a second than a gateway of one core is built for.
-        tally.levels = [2000; LEVELS];
-        (tally.passed, tally.served, tally.refused) = (u16::MAX, u16::MAX, u16::MAX);
+    for tally in &mut full.resources {
+        // More in a second than an instance on one core is built for.
+        tally.arrivals = [2000; BUCKETS];
+        (tally.admitted, tally.served, tally.rejected) = (u16::MAX, u16::MAX, u16::MAX);
     }
     let bytes = postcard::to_stdvec(&full).unwrap();
     assert!(bytes.len() <= crate::gossip_store::LARGEST_VALUE, "{}", bytes.len());
@@ -28,12 +30,12 @@
 }
 
 #[test]
-fn a_pause_of_the_process_ends_what_was_counted() {
-    let mut counting = Counting::new(0.0, 250.0);
-    counting.of(Thing::Caches).served = 9;
-    assert!(!counting.tick(200.0) && counting.tick(250.0));
-    assert_eq!(counting.summary().things[0].served, 9);
-    counting.of(Thing::Caches).served = 9;
-    assert!(counting.tick(9000.0));
-    assert_eq!(counting.summary(), Summary::default());
+fn a_pause_of_the_process_drops_the_counts() {
+    let mut counter = RequestCounter::new(0.0, 250.0);
+    counter.tally(Resource::Caches).served = 9;
+    assert!(!counter.tick(200.0) && counter.tick(250.0));
+    assert_eq!(counter.summary().resources[0].served, 9);
+    counter.tally(Resource::Caches).served = 9;
+    assert!(counter.tick(9000.0));
+    assert_eq!(counter.summary(), Summary::default());
 }
--- a/crates/deckproxy-fleet/src/overload/tests.rs
+++ b/crates/deckproxy-fleet/src/overload/tests.rs
@@ -1,156 +1,166 @@
+use super::coordination::SHED_LEVEL_TTL;
+use super::shed_controller::Limits;
+use super::shed_level::ShedLine;
+use super::summary::Resource;
 use super::*;
-use crate::gossip_store::Limits as Bounds;
+use crate::gossip_store::{self, GossipStore, Key, kinds};
 use deckproxy_recovery::budget;
 
+/// The highest minimal priority: no first attempt is admitted.
+const HIGHEST: u32 = priority::PRIORITIES - 1;
+
 fn settings() -> Settings {
     Settings {
         fleet: "edge".to_string(),
-        classes: vec![Class { band: 0, effect: false }, Class { band: 1, effect: true }],
-        limits: shed_level::Limits::default(),
-        budget: budget::Limits { share: 0.2, saved: 2.0 },
-        advice: true,
-        least_back: 50.0,
-        most_back: 2000.0,
+        classes: vec![Class { band: 0, has_effect: false }, Class { band: 1, has_effect: true }],
+        limits: Limits::default(),
+        retry_budget: budget::Limits { share: 0.2, saved: 2.0 },
+        gives_retry_after: true,
+        min_retry_after: 50.0,
+        max_retry_after: 2000.0,
         remembered: 1024,
         window: 250.0,
     }
 }
 
-fn asked(client: u64, class: usize, object: u64) -> Asked {
-    Asked { client, class, object, left: 1500.0, size: None, again: false }
+fn request(client: u64, class: usize, object: u64) -> RequestInfo {
+    RequestInfo { client, class, object, time_left: 1500.0, size_kb: None, is_retry: false }
 }
 
-fn line(rank: u32, promise: u16, returns: f32) -> ShedLevel {
-    let line = ShedLine { rank, cap: 100.0, come: 300.0, promise, returns };
-    ShedLevel { epoch: 1, lasted: 0, things: [None, Some(line)] }
+fn level(min_priority: u32, reserved_share: u16, retry_rate: f32) -> ShedLevel {
+    let (admitted_rate, offered_rate) = (100.0, 300.0);
+    let line = ShedLine { min_priority, admitted_rate, offered_rate, reserved_share, retry_rate };
+    ShedLevel { epoch: 1, epoch_age: 0, lines: [None, Some(line)] }
 }
 
-fn seat(own: &str, others: &[&str]) -> Seat {
-    let others = others.iter().map(|name| (Name::from(*name), 1)).collect();
-    Seat { own: Some(own.into()), others, old: false }
+fn presence(own: &str, others: &[&str]) -> Presence {
+    let others = others.iter().map(|name| PresentInstance { name: Name::from(*name), incarnation: 1 });
+    Presence { own: Some(own.into()), others: others.collect(), is_stale: false }
 }
 
-/// A board on which a fellow has said that.
-fn told(cut: &ShedLevel) -> GossipStore {
-    let mut board = GossipStore::new("b".into(), 1, Bounds::default());
-    let key = Key { kind: kinds::CUT, subject: "".into() };
-    assert!(board.write(0.0, key, CUT_LIFE, Some(postcard::to_stdvec(cut).unwrap())));
-    board
+/// A store in which another instance has decided a level.
+fn store_with(level: &ShedLevel) -> GossipStore {
+    let mut store = GossipStore::new("b".into(), 1, gossip_store::Limits::default());
+    let key = Key::of_kind(kinds::SHED_LEVEL);
+    assert!(store.write(0.0, key, SHED_LEVEL_TTL, Some(postcard::to_stdvec(level).unwrap())));
+    store
 }
 
-/// One that goes by what a fellow decided.
-fn led(cut: &ShedLevel) -> Overload {
-    let mut one = Overload::new(0.0, settings());
-    // Whoever of the two would decide: it looks later than this.
-    one.next_look = f64::MAX;
-    one.tick(10.0, &seat("a", &["b"]), &told(cut));
-    assert_eq!(one.cut().things, cut.things);
-    one
+/// An instance that enforces the level of another one.
+fn follower(level: &ShedLevel) -> Overload {
+    let mut overload = Overload::new(0.0, settings());
+    // Whichever of the two is the leader: it looks later than this.
+    overload.next_look = f64::MAX;
+    overload.tick(10.0, &presence("a", &["b"]), &store_with(level));
+    assert_eq!(overload.level().lines, level.lines);
+    overload
 }
 
-fn back(verdict: Verdict) -> Option<Millis> {
+fn retry_after(verdict: Verdict) -> Option<Millis> {
     match verdict {
-        Verdict::Refuse(back) => Some(back),
-        Verdict::Pass(_) => None,
+        Verdict::Reject { retry_after } => Some(retry_after),
+        Verdict::Admit(_) => None,
     }
 }
 
 #[test]
-fn two_gateways_refuse_the_same_and_name_the_same_time() {
-    let cut = line(40_000, 20_000, 20.0);
-    let (mut one, mut other) = (led(&cut), led(&cut));
-    let mut promised = 0;
+fn two_instances_reject_the_same_requests_with_the_same_retry_after() {
+    let level = level(40_000, 20_000, 20.0);
+    let (mut one, mut other) = (follower(&level), follower(&level));
+    let mut reserved = 0;
     for client in 0..500 {
-        let here = back(one.request(100.0, asked(client, 0, client)));
-        let there = back(other.request(105.0, asked(client, 0, client)));
+        let here = retry_after(one.request(100.0, request(client, 0, client)));
+        let there = retry_after(other.request(105.0, request(client, 0, client)));
         match (here, there) {
             (Some(here), Some(there)) if here < 1500.0 => {
-                promised += 1;
+                reserved += 1;
                 assert!((100.0 + here - 105.0 - there).abs() < 1e-6, "{here} {there}");
             }
             (here, there) => assert_eq!(here, there),
         }
     }
-    assert!(promised > 40, "{promised}");
-    assert_eq!(one.counters.below, other.counters.below);
+    assert!(reserved > 40, "{reserved}");
+    assert_eq!(one.counters.below_level, other.counters.below_level);
 }
 
 #[test]
-fn too_early_is_refused_with_the_same_time_and_in_time_is_let_in() {
-    let mut one = led(&line(RANKS_ALL, u16::MAX, 100.0));
-    let time = back(one.request(100.0, asked(1, 0, 1))).unwrap();
+fn an_early_retry_is_rejected_with_the_same_time_and_one_in_time_is_admitted() {
+    let mut overload = follower(&level(HIGHEST, u16::MAX, 100.0));
+    let time = retry_after(overload.request(100.0, request(1, 0, 1))).unwrap();
     assert!(time < 1500.0);
-    let again = Asked { again: true, ..asked(1, 0, 1) };
-    assert_eq!(back(one.request(200.0, again)), Some(time - 100.0));
-    assert_eq!(one.counters.hasty, 1);
-    // Its part of the budget is filled by then.
-    one.parts[1].lend(100.0, 10.0);
-    assert_eq!(back(one.request(100.0 + time, again)), None);
-    assert_eq!((one.counters.kept, one.counters.promised), (1, 1));
+    let retry = RequestInfo { is_retry: true, ..request(1, 0, 1) };
+    assert_eq!(retry_after(overload.request(200.0, retry)), Some(time - 100.0));
+    assert_eq!(overload.counters.too_early, 1);
+    // Its share of the retries is filled by then.
+    overload.retry_shares[1].set_rate(100.0, 10.0);
+    assert_eq!(retry_after(overload.request(100.0 + time, retry)), None);
+    assert_eq!((overload.counters.reservations_kept, overload.counters.reservations), (1, 1));
 }
 
-const RANKS_ALL: u32 = rank::RANKS - 1;
-
 #[test]
-fn what_may_have_run_is_let_in_whatever_is_cut() {
-    let mut one = led(&line(RANKS_ALL, 0, 0.0));
-    let Verdict::Pass(ticket) = Overload::new(0.0, settings()).request(0.0, asked(1, 1, 9)) else {
-        panic!("nothing is cut there")
+fn a_request_that_may_have_run_is_admitted_whatever_is_shed() {
+    let mut overload = follower(&level(HIGHEST, 0, 0.0));
+    let Verdict::Admit(ticket) = Overload::new(0.0, settings()).request(0.0, request(1, 1, 9)) else {
+        panic!("no load is shed there")
     };
-    one.ended(50.0, &ticket, Ended::Failed, 0.0);
-    assert_eq!(back(one.request(100.0, Asked { again: true, ..asked(1, 1, 9) })), None);
-    // Another of the class has not run, and is refused.
-    assert!(back(one.request(100.0, asked(2, 1, 10))).is_some());
+    overload.request_ended(50.0, &ticket, RequestOutcome::Failed, 0.0);
+    let retry = RequestInfo { is_retry: true, ..request(1, 1, 9) };
+    assert_eq!(retry_after(overload.request(100.0, retry)), None);
+    // Another request of the class has not run, and is rejected.
+    assert!(retry_after(overload.request(100.0, request(2, 1, 10))).is_some());
 }
 
 #[test]
-fn repeats_pass_within_the_own_share_where_nobody_is_heard() {
-    let mut one = Overload::new(0.0, settings());
-    let mut passed = 0;
+fn an_instance_that_hears_no_other_admits_retries_within_its_own_budget() {
+    let mut overload = Overload::new(0.0, settings());
+    let mut admitted = 0;
     for i in 0..200 {
-        let Verdict::Pass(ticket) = one.request(f64::from(i), asked(u64::from(i as u32), 0, 1)) else {
-            panic!("a first try")
+        let client = u64::from(i as u32);
+        let Verdict::Admit(ticket) = overload.request(f64::from(i), request(client, 0, 1)) else {
+            panic!("a first attempt")
         };
-        one.ended(f64::from(i), &ticket, Ended::Served, 0.0);
-        let again = Asked { again: true, ..asked(1000 + u64::from(i as u32), 0, 2) };
-        passed += usize::from(back(one.request(f64::from(i), again)).is_none());
+        overload.request_ended(f64::from(i), &ticket, RequestOutcome::Served, 0.0);
+        let retry = RequestInfo { is_retry: true, ..request(1000 + client, 0, 2) };
+        admitted += usize::from(retry_after(overload.request(f64::from(i), retry)).is_none());
     }
-    assert!((38..=42).contains(&passed), "{passed} of 200 at 0.2 for each first try");
+    assert!((38..=42).contains(&admitted), "{admitted} of 200 at 0.2 for each first attempt");
 }
 
-/// First tries on the cut way to the sources earned what their line lends for them, and the same again for hits.
+/// While load is shed at the sources, first attempts there earned the retries of the line, and the same again for hits.
 #[test]
-fn what_is_cut_earns_its_repeats_by_its_line_and_not_once_more() {
-    let mut one = led(&line(0, 0, 0.0));
-    let mut passed = 0;
+fn first_attempts_at_a_shed_resource_do_not_earn_retries_twice() {
+    let mut overload = follower(&level(0, 0, 0.0));
+    let mut admitted = 0;
     for i in 1..=200 {
-        let Verdict::Pass(ticket) = one.request(100.0, asked(i, 0, i)) else { panic!("a first try") };
-        assert_eq!(ticket.thing, Thing::Sources);
-        one.ended(100.0, &ticket, Ended::Served, 0.0);
-        // A hit by now, asked for again by another.
-        let again = Asked { again: true, ..asked(1000 + i, 0, 1) };
-        passed += usize::from(back(one.request(200.0, again)).is_none());
+        let Verdict::Admit(ticket) = overload.request(100.0, request(i, 0, i)) else {
+            panic!("a first attempt")
+        };
+        assert_eq!(ticket.resource, Resource::Sources);
+        overload.request_ended(100.0, &ticket, RequestOutcome::Served, 0.0);
+        // A hit by now, requested by another client.
+        let retry = RequestInfo { is_retry: true, ..request(1000 + i, 0, 1) };
+        admitted += usize::from(retry_after(overload.request(200.0, retry)).is_none());
     }
-    assert!(passed <= 1, "{passed} repeats of a hit passed, one of them saved from the start");
+    assert!(admitted <= 1, "{admitted} retries of a hit were admitted, one of them saved from the start");
 }
 
 #[test]
-fn who_slept_goes_on_with_the_cut_that_it_knew() {
-    let cut = line(40_000, 0, 0.0);
-    let mut one = led(&cut);
-    let empty = GossipStore::new("b".into(), 1, Bounds::default());
-    one.tick(9000.0, &Seat { old: true, ..seat("a", &["b"]) }, &empty);
-    assert_eq!(one.cut().things, cut.things, "it decides nothing");
-    one.next_look = f64::MAX;
-    one.tick(9100.0, &seat("a", &["b"]), &empty);
-    assert_eq!(one.cut().things, [None; THINGS], "nobody cuts any more");
+fn a_level_stays_in_force_while_the_view_is_stale() {
+    let level = level(40_000, 0, 0.0);
+    let mut overload = follower(&level);
+    let empty = GossipStore::new("b".into(), 1, gossip_store::Limits::default());
+    overload.tick(9000.0, &Presence { is_stale: true, ..presence("a", &["b"]) }, &empty);
+    assert_eq!(overload.level().lines, level.lines, "it decides nothing");
+    overload.next_look = f64::MAX;
+    overload.tick(9100.0, &presence("a", &["b"]), &empty);
+    assert_eq!(overload.level().lines, [None; RESOURCES], "no instance sheds load any more");
 }
 
 #[test]
-fn of_two_cuts_the_stricter_one_counts() {
-    let (loose, strict) = (line(10_000, 0, 0.0), ShedLevel { epoch: 7, ..line(50_000, 0, 0.0) });
+fn the_stricter_of_two_levels_counts() {
+    let (loose, strict) = (level(10_000, 0, 0.0), ShedLevel { epoch: 7, ..level(50_000, 0, 0.0) });
     for (one, other) in [(loose, strict), (strict, loose)] {
-        assert_eq!(stricter(one, &other).things, strict.things);
+        assert_eq!(one.stricter(&other).lines, strict.lines);
     }
-    assert_eq!(stricter(ShedLevel::default(), &loose).things, loose.things);
+    assert_eq!(ShedLevel::default().stricter(&loose).lines, loose.lines);
 }
--- a/crates/deckproxy-fleet/src/overload/types.rs
+++ b/crates/deckproxy-fleet/src/overload/types.rs
@@ -1,106 +1,136 @@
-//! How overload is handled, and what is told of requests.
+//! Settings, requests and verdicts of the fleet's load shedding.
 
-use super::shed_level::Limits;
-use super::summary::Thing;
+use super::shed_controller::Limits;
+use super::summary::Resource;
 use crate::Millis;
 use crate::instance::Name;
 use deckproxy_recovery::budget;
 
-/// A class, as far as this goes.
+/// What matters of a class of requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Class {
-    /// Its band by worth, 0 the one worth least.
+    /// Its band by priority weight; 0 is the lowest.
     pub band: usize,
-    /// It may run once only: no copy serves it, and once it may have run it is not turned away.
-    pub effect: bool,
+    /// Its requests have an effect: no cached copy serves them, and one that may have run is not shed any more.
+    pub has_effect: bool,
 }
 
 /// How overload is handled.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The fleet's name: the key of all draws.
+    /// The fleet's name, which keys all draws.
     pub fleet: String,
-    /// The classes, by their places.
+    /// The classes, by index.
     pub classes: Vec<Class>,
-    /// How cuts are made.
+    /// When load is shed, and when no longer.
     pub limits: Limits,
-    /// What a gateway's own repeats may cost while nothing is cut.
-    pub budget: budget::Limits,
-    /// Clients are told when to come back, and are held to it.
-    pub advice: bool,
-    /// The shortest and the longest time after which one is asked back, ms.
-    pub least_back: Millis,
-    /// See `least_back`.
-    pub most_back: Millis,
-    /// Wishes turned away, and objects served, that are remembered.
+    /// The budget of an instance's own retries while no load is shed.
+    pub retry_budget: budget::Limits,
+    /// Rejections carry a retry-after time, and clients are held to it.
+    pub gives_retry_after: bool,
+    /// Shortest retry-after, in milliseconds.
+    pub min_retry_after: Millis,
+    /// Longest retry-after, in milliseconds.
+    pub max_retry_after: Millis,
+    /// Number of rejected requests, and of served objects, that are remembered at least.
     pub remembered: usize,
-    /// From one summary to the next, ms.
+    /// Length of the window that requests are counted in, in milliseconds.
     pub window: Millis,
 }
 
-/// Who is there, as the fleet's view tells.
+/// Another instance that is present.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct PresentInstance {
+    /// Its name.
+    pub name: Name,
+    /// Its incarnation.
+    pub incarnation: u64,
+}
+
+/// Which instances are present, according to the fleet's view.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Seat {
-    /// Ourselves.
+pub struct Presence {
+    /// Ourselves; `None` where no name is known.
     pub own: Option<Name>,
-    /// The others that are there, with the life of each.
-    pub others: Vec<(Name, u64)>,
-    /// What is known is old: nothing is decided.
-    pub old: bool,
+    /// The others that are present.
+    pub others: Vec<PresentInstance>,
+    /// The view is stale: nothing is decided.
+    pub is_stale: bool,
+}
+
+impl Presence {
+    /// Number of instances, ourselves included.
+    pub fn count(&self) -> usize {
+        self.others.len() + 1
+    }
+
+    /// Whether another instance is present.
+    pub fn has_other(&self, name: &Name) -> bool {
+        self.others.iter().any(|other| other.name == *name)
+    }
+
+    /// Whether a name is our own.
+    pub fn is_own(&self, name: &Name) -> bool {
+        self.own.as_ref() == Some(name)
+    }
 }
 
-/// A request, as far as this goes.
+/// What matters of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Asked {
-    /// Who asks.
+pub struct RequestInfo {
+    /// The client's number.
     pub client: u64,
-    /// The class, by its place.
+    /// The class, by index.
     pub class: usize,
-    /// What for.
+    /// The object's number.
     pub object: u64,
-    /// How long the client still waits, ms.
-    pub left: Millis,
-    /// KB of the answer, where it is known.
-    pub size: Option<f64>,
-    /// The client says itself that it has asked before.
-    pub again: bool,
+    /// How long the client still waits, in milliseconds.
+    pub time_left: Millis,
+    /// Size of the answer in KB, where it is known.
+    pub size_kb: Option<f64>,
+    /// The client marked it as a retry.
+    pub is_retry: bool,
 }
 
-/// What becomes of a request.
+/// The decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
-    /// It goes to the module; how it ends is to be told.
-    Pass(Ticket),
-    /// It is refused at once, and asked back after so many ms; 0: no time is told.
-    Refuse(Millis),
+    /// It is admitted; its end has to be reported with the ticket.
+    Admit(Ticket),
+    /// It is rejected.
+    Reject {
+        /// Time after which the client may retry, in milliseconds; 0: none is given.
+        retry_after: Millis,
+    },
 }
 
-/// A request that passed.
+/// An admitted request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Ticket {
-    pub(super) asked: Asked,
-    pub(super) thing: Thing,
-    pub(super) at: Millis,
-    pub(super) again: bool,
+    pub(super) request: RequestInfo,
+    pub(super) resource: Resource,
+    pub(super) admitted_at: Millis,
+    /// It was known or marked as a retry.
+    pub(super) is_retry: bool,
 }
 
-/// What was done, by reason.
+/// Decisions since the start, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Passed, and those of them that had been promised it.
-    pub passed: u64,
-    /// See `passed`.
-    pub kept: u64,
-    /// Came before they were asked to; below the cut; repeats for which no budget was left.
-    pub hasty: u64,
-    /// See `hasty`.
-    pub below: u64,
-    /// See `hasty`.
+    /// Requests admitted.
+    pub admitted: u64,
+    /// Requests admitted that came at a reserved time.
+    pub reservations_kept: u64,
+    /// Requests rejected since they came before their retry-after time.
+    pub too_early: u64,
+    /// Requests rejected since their priority was below the shed level.
+    pub below_level: u64,
+    /// Retries rejected since no retry budget was left.
     pub no_budget: u64,
-    /// Promised ones that came in time and could not be let in.
-    pub broken: u64,
-    /// Times to come back that were promised.
-    pub promised: u64,
-    /// Looks at which this instance decided for others and itself.
-    pub looks: u64,
+    /// Requests rejected although they came at a reserved time.
+    pub reservations_broken: u64,
+    /// Retry-after times given that reserve capacity.
+    pub reservations: u64,
+    /// Shed levels that this instance decided for the fleet.
+    pub decisions: u64,
 }
--- a/crates/deckproxy-fleet/src/rendezvous.rs
+++ b/crates/deckproxy-fleet/src/rendezvous.rs
@@ -1,11 +1,23 @@
-//! Who observes which member: rendezvous hashing over the instances that are there.
+//! Which instance observes which member: rendezvous hashing over the instances that are alive.
 //!
-//! Each instance computes the same answer from the same view without a word: of all candidates those with the best keyed
-//! draw, own zone first. Where one is lost, only its members get others; where one comes back, it gets the same ones.
+//! Each instance computes the same answer from the same view without an exchange: the candidates with the best keyed draws,
+//! those of the member's zone first. Where an instance is lost, only its members get other observers; when it returns, it
+//! gets the same members again.
 
 use crate::instance::Name;
+use std::cmp::Ordering;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
+/// Seeds that keep the three uses of the hash apart.
+mod seeds {
+    /// The draw of an instance for a member.
+    pub const DRAW: u64 = 0;
+    /// A moment or an order that is drawn by name.
+    pub const UNIFORM: u64 = 1;
+    /// The hash of a name.
+    pub const NAME: u64 = 2;
+}
+
 /// An instance that may observe.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
@@ -13,41 +25,55 @@
     pub name: Name,
     /// Its zone.
     pub zone: Name,
-    /// Its share beside others'.
+    /// Its share relative to other candidates.
     pub weight: u16,
 }
 
-/// A draw of an instance for a member: the lower, the better; of weight 2 twice as often the best as of weight 1.
-fn draw(member: &str, one: &Candidate) -> f64 {
-    let key = xxh3_64_with_seed(one.name.as_bytes(), xxh3_64_with_seed(member.as_bytes(), 0));
-    // From 0 to 1, neither of which it is.
+/// What candidates are ranked by; the least one is the best.
+struct Rank {
+    other_zone: bool,
+    draw: f64,
+    index: usize,
+}
+
+impl Rank {
+    fn compare(&self, other: &Rank) -> Ordering {
+        let by_zone = self.other_zone.cmp(&other.other_zone);
+        by_zone.then(self.draw.total_cmp(&other.draw)).then(self.index.cmp(&other.index))
+    }
+}
+
+/// The draw of a candidate for a member: the lower, the better. Weight 2 wins twice as often as weight 1.
+fn draw(member: &str, candidate: &Candidate) -> f64 {
+    let seed = xxh3_64_with_seed(member.as_bytes(), seeds::DRAW);
+    let key = xxh3_64_with_seed(candidate.name.as_bytes(), seed);
+    // Strictly between 0 and 1.
     let uniform = ((key >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
-    -uniform.ln() / f64::from(one.weight.max(1))
+    -uniform.ln() / f64::from(candidate.weight.max(1))
 }
 
-/// The places in `candidates` of those that observe a member of a zone, the best first, `wanted` of them at most.
+/// Indices into `candidates` of the observers of a member in a zone, the best first, at most `wanted` of them.
 pub fn observers(member: &str, zone: &str, candidates: &[Candidate], wanted: usize) -> Vec<usize> {
-    let mut best: Vec<(bool, f64, usize)> = Vec::with_capacity(wanted + 1);
-    for (i, one) in candidates.iter().enumerate() {
-        let key = (*one.zone != *zone, draw(member, one), i);
-        let at = best.partition_point(|other| {
-            other.0.cmp(&key.0).then(other.1.total_cmp(&key.1)).then(other.2.cmp(&key.2)).is_lt()
-        });
+    let mut best: Vec<Rank> = Vec::with_capacity(wanted + 1);
+    for (index, candidate) in candidates.iter().enumerate() {
+        let rank = Rank { other_zone: *candidate.zone != *zone, draw: draw(member, candidate), index };
+        let at = best.partition_point(|other| other.compare(&rank).is_lt());
         if at < wanted {
-            best.insert(at, key);
+            best.insert(at, rank);
             best.truncate(wanted);
         }
     }
-    best.into_iter().map(|(_, _, i)| i).collect()
+    best.into_iter().map(|rank| rank.index).collect()
 }
 
-/// A number for a name, the same everywhere.
-pub fn key(name: &str) -> u64 {
-    xxh3_64_with_seed(name.as_bytes(), 2)
+/// The hash of a name, the same on every instance.
+pub fn hash_of_name(name: &str) -> u64 {
+    xxh3_64_with_seed(name.as_bytes(), seeds::NAME)
 }
 
-/// A number from 0 to 1 that each instance draws for itself for something that all would else do at one moment.
-pub fn spread(what: &str, own: &str) -> f64 {
-    let key = xxh3_64_with_seed(own.as_bytes(), xxh3_64_with_seed(what.as_bytes(), 1));
+/// A number from 0 to 1 that an instance draws for itself, for something that all would otherwise do at one moment.
+pub fn keyed_uniform(what: &str, own: &str) -> f64 {
+    let seed = xxh3_64_with_seed(what.as_bytes(), seeds::UNIFORM);
+    let key = xxh3_64_with_seed(own.as_bytes(), seed);
     key as f64 / u64::MAX as f64
 }
--- a/crates/deckproxy-fleet/src/swim.rs
+++ b/crates/deckproxy-fleet/src/swim.rs
@@ -1,4 +1,4 @@
-//! Who is there: SWIM by the crate `foca`, with time and datagrams passed in and out.
+//! Membership by SWIM (the crate `foca`), with time and messages passed in and out.
 
 use crate::Millis;
 use crate::instance::{Instance, Name};
@@ -10,63 +10,70 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// How quickly the silent are found out.
+/// How quickly failed instances are detected.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pace {
-    /// From one probe of an instance to the next, ms.
-    pub period: Millis,
-    /// For an answer, before others are asked to try, ms. Under a third of the period.
-    pub answer: Millis,
-    /// A suspect has so long to object, ms.
-    pub suspect: Millis,
+pub struct SwimTiming {
+    /// From one probe of an instance to the next, in milliseconds.
+    pub probe_period: Millis,
+    /// Time for an answer before others are asked to probe, in milliseconds. Less than a third of the period.
+    pub probe_timeout: Millis,
+    /// Time that a suspect has to refute the suspicion, in milliseconds.
+    pub suspicion: Millis,
 }
 
-impl Default for Pace {
+impl Default for SwimTiming {
     fn default() -> Self {
-        Pace { period: 500.0, answer: 150.0, suspect: 1000.0 }
+        SwimTiming { probe_period: 500.0, probe_timeout: 150.0, suspicion: 1000.0 }
     }
 }
 
-/// What changed.
+/// Instances that are asked to probe one that did not answer.
+const INDIRECT_PROBES: u8 = 3;
+/// Times that a membership update is passed on.
+const TRANSMISSIONS: u8 = 10;
+/// Instances that each round of SWIM's gossip goes to.
+const GOSSIP_FANOUT: u8 = 2;
+
+/// A change of the membership.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Change {
-    /// An instance is there, or its life is another.
+pub enum MembershipChange {
+    /// An instance is alive, or has another incarnation.
     Up(Instance),
-    /// It is held to be gone.
+    /// An instance is held for dead.
     Down(Instance),
-    /// We were declared dead and are now that.
+    /// We were declared dead, and continue as this.
     Renewed(Instance),
 }
 
-/// A timer of SWIM's, the earliest first, of several at one time the one that SWIM ranks first.
-struct Due {
+/// A timer of SWIM's, ordered by time, then by SWIM's own order, then by when it was set.
+struct ScheduledTimer {
     at: Millis,
     order: u64,
     timer: Timer<Instance>,
 }
 
-impl Due {
+impl ScheduledTimer {
     fn key(&self) -> (u64, &Timer<Instance>, u64) {
         // Times are not negative: their bits are in their order.
         (self.at.max(0.0).to_bits(), &self.timer, self.order)
     }
 }
 
-impl PartialEq for Due {
+impl PartialEq for ScheduledTimer {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other).is_eq()
     }
 }
 
-impl Eq for Due {}
+impl Eq for ScheduledTimer {}
 
-impl PartialOrd for Due {
+impl PartialOrd for ScheduledTimer {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Due {
+impl Ord for ScheduledTimer {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         self.key().cmp(&other.key())
     }
@@ -76,146 +83,172 @@
 pub struct Swim {
     foca: Foca<Instance, PostcardCodec, Pcg64Mcg, NoCustomBroadcast>,
     runtime: AccumulatingRuntime<Instance>,
-    timers: BinaryHeap<Reverse<Due>>,
+    timers: BinaryHeap<Reverse<ScheduledTimer>>,
+    /// Number of timers set so far.
     order: u64,
     alive: BTreeMap<Name, Instance>,
-    out: VecDeque<(Instance, Vec<u8>)>,
-    changes: VecDeque<Change>,
+    messages: VecDeque<SwimMessage>,
+    changes: VecDeque<MembershipChange>,
+}
+
+/// A message of SWIM to an instance.
+#[derive(Clone, Debug, PartialEq)]
+pub struct SwimMessage {
+    /// The receiver.
+    pub to: Instance,
+    /// The encoded message.
+    pub bytes: Vec<u8>,
 }
 
-fn span(ms: Millis) -> Duration {
+fn duration(ms: Millis) -> Duration {
     Duration::from_secs_f64(ms.max(1.0) / 1000.0)
 }
 
+fn count(n: u8) -> NonZeroUsize {
+    NonZeroUsize::new(usize::from(n)).unwrap_or(NonZeroUsize::MIN)
+}
+
+fn config(timing: SwimTiming, largest_message: usize) -> Config {
+    Config {
+        probe_period: duration(timing.probe_period),
+        probe_rtt: duration(timing.probe_timeout),
+        num_indirect_probes: count(INDIRECT_PROBES),
+        max_transmissions: NonZeroU8::new(TRANSMISSIONS).unwrap_or(NonZeroU8::MIN),
+        suspect_to_down_after: duration(timing.suspicion),
+        // Names are few; a dead instance is remembered until it returns in another incarnation.
+        remove_down_after: None,
+        max_packet_size: NonZeroUsize::new(largest_message).unwrap_or(NonZeroUsize::MIN),
+        notify_down_members: true,
+        periodic_announce: None,
+        periodic_announce_to_down_members: None,
+        periodic_gossip: Some(foca::PeriodicParams {
+            frequency: duration(timing.probe_period / 2.0),
+            num_members: count(GOSSIP_FANOUT),
+        }),
+    }
+}
+
 impl Swim {
-    /// For an instance that knows nobody yet. `most`: bytes that one message may have.
-    pub fn new(own: Instance, pace: Pace, most: usize, seed: u64) -> Self {
-        let config = Config {
-            probe_period: span(pace.period),
-            probe_rtt: span(pace.answer),
-            num_indirect_probes: NonZeroUsize::MIN.saturating_add(2),
-            max_transmissions: NonZeroU8::MIN.saturating_add(9),
-            suspect_to_down_after: span(pace.suspect),
-            // Names are few; who is down is remembered until it comes back under another life.
-            remove_down_after: None,
-            max_packet_size: NonZeroUsize::new(most).unwrap_or(NonZeroUsize::MIN),
-            notify_down_members: true,
-            periodic_announce: None,
-            periodic_announce_to_down_members: None,
-            periodic_gossip: Some(foca::PeriodicParams {
-                frequency: span(pace.period / 2.0),
-                num_members: NonZeroUsize::MIN.saturating_add(1),
-            }),
-        };
+    /// For an instance that knows no other yet. `largest_message`: in bytes.
+    pub fn new(own: Instance, timing: SwimTiming, largest_message: usize, seed: u64) -> Self {
+        let config = config(timing, largest_message);
         Swim {
             foca: Foca::new(own, config, Pcg64Mcg::seed_from_u64(seed), PostcardCodec),
             runtime: AccumulatingRuntime::new(),
             timers: BinaryHeap::new(),
             order: 0,
             alive: BTreeMap::new(),
-            out: VecDeque::new(),
+            messages: VecDeque::new(),
             changes: VecDeque::new(),
         }
     }
 
-    /// Ourselves, as we are called now.
+    /// Ourselves, in the present incarnation and renewal.
     pub fn own(&self) -> &Instance {
         self.foca.identity()
     }
 
-    /// The others that are held to be there.
+    /// The other instances that are held for alive.
     pub fn alive(&self) -> &BTreeMap<Name, Instance> {
         &self.alive
     }
 
-    /// The next message to an instance.
-    pub fn message(&mut self) -> Option<(Instance, Vec<u8>)> {
-        self.out.pop_front()
+    /// Takes the next message to send.
+    pub fn next_message(&mut self) -> Option<SwimMessage> {
+        self.messages.pop_front()
     }
 
-    /// The next change.
-    pub fn change(&mut self) -> Option<Change> {
+    /// Takes the next change of the membership.
+    pub fn next_change(&mut self) -> Option<MembershipChange> {
         self.changes.pop_front()
     }
 
     /// When the next timer is due.
     pub fn next_due(&self) -> Option<Millis> {
-        self.timers.peek().map(|due| due.0.at)
+        self.timers.peek().map(|Reverse(timer)| timer.at)
     }
 
-    /// Somebody whom we did not know, or held to be gone, has spoken: we make ourselves known there.
+    /// Announces ourselves to an instance that was unknown, or held for dead, and has sent something.
     pub fn announce(&mut self, now: Millis, to: &Instance) {
-        // An error says that we are not in a state to speak; the next one who is heard brings another occasion.
+        // An error means that we are not active; the next instance that is heard brings another occasion.
         let _ = self.foca.announce(to.clone(), &mut self.runtime);
-        self.settle(now);
+        self.collect(now);
     }
 
-    /// A message came. What it does not understand is not believed.
-    pub fn heard(&mut self, now: Millis, message: &[u8]) -> bool {
-        let good = self.foca.handle_data(message, &mut self.runtime).is_ok();
-        self.settle(now);
-        good
+    /// Handles a received message; one that cannot be decoded changes nothing.
+    pub fn handle_message(&mut self, now: Millis, message: &[u8]) {
+        let _ = self.foca.handle_data(message, &mut self.runtime);
+        self.collect(now);
     }
 
-    /// Carries out what is due.
+    /// Runs the timers that are due.
     pub fn tick(&mut self, now: Millis) {
-        while self.timers.peek().is_some_and(|due| due.0.at <= now) {
+        while self.timers.peek().is_some_and(|Reverse(timer)| timer.at <= now) {
             let Some(Reverse(due)) = self.timers.pop() else { break };
-            // Timers of a state that has passed meanwhile are errors, and mean nothing.
+            // A timer of a state that has passed meanwhile is an error, and means nothing.
             let _ = self.foca.handle_timer(due.timer, &mut self.runtime);
-            self.settle(now);
+            self.collect(now);
         }
     }
 
-    /// A life of our name was higher than ours: we go on above it.
-    pub fn rise_above(&mut self, now: Millis, life: u64) {
+    /// An incarnation of our name was at or above ours: we continue above it.
+    pub fn raise_incarnation(&mut self, now: Millis, known: u64) {
         let own = self.own().clone();
-        if life >= own.start {
-            let risen = Instance { start: life + 1, renewals: 0, ..own };
-            let _ = self.foca.change_identity(risen, &mut self.runtime);
-            self.settle(now);
-            self.changes.push_back(Change::Renewed(self.own().clone()));
+        if known >= own.incarnation {
+            let raised = Instance { incarnation: known + 1, renewals: 0, ..own };
+            let _ = self.foca.change_identity(raised, &mut self.runtime);
+            self.collect(now);
+            self.changes.push_back(MembershipChange::Renewed(self.own().clone()));
         }
     }
 
-    /// A planned end: the others need not find out.
+    /// Announces that we leave, so that the others need not detect it.
     pub fn leave(&mut self, now: Millis) {
         let _ = self.foca.leave_cluster(&mut self.runtime);
-        self.settle(now);
+        self.collect(now);
     }
 
-    fn settle(&mut self, now: Millis) {
+    /// Collects what SWIM wants to send, to schedule and to notify.
+    fn collect(&mut self, now: Millis) {
         while let Some((to, bytes)) = self.runtime.to_send() {
-            self.out.push_back((to, bytes.to_vec()));
+            self.messages.push_back(SwimMessage { to, bytes: bytes.to_vec() });
         }
         while let Some((after, timer)) = self.runtime.to_schedule() {
             self.order += 1;
             let at = now + after.as_secs_f64() * 1000.0;
-            self.timers.push(Reverse(Due { at, order: self.order, timer }));
+            self.timers.push(Reverse(ScheduledTimer { at, order: self.order, timer }));
+        }
+        while let Some(notification) = self.runtime.to_notify() {
+            self.notified(notification);
         }
-        while let Some(news) = self.runtime.to_notify() {
-            match news {
-                OwnedNotification::MemberUp(one) => self.up(one),
-                OwnedNotification::Rename(_, now) => {
-                    // Of one that is down a new life is told by `MemberUp`.
-                    if self.alive.contains_key(&now.name) {
-                        self.up(now);
-                    }
-                }
-                OwnedNotification::MemberDown(one) => {
-                    if self.alive.get(&one.name).is_some_and(|known| known.age() <= one.age()) {
-                        self.alive.remove(&one.name);
-                        self.changes.push_back(Change::Down(one));
-                    }
-                }
-                OwnedNotification::Rejoin(own) => self.changes.push_back(Change::Renewed(own)),
-                OwnedNotification::Active | OwnedNotification::Idle | OwnedNotification::Defunct => {}
+    }
+
+    fn notified(&mut self, notification: OwnedNotification<Instance>) {
+        match notification {
+            OwnedNotification::MemberUp(instance) => self.up(instance),
+            // A new incarnation of a dead instance is notified by `MemberUp`.
+            OwnedNotification::Rename(_, instance) if self.alive.contains_key(&instance.name) => {
+                self.up(instance);
             }
+            OwnedNotification::MemberDown(instance) => self.down(instance),
+            OwnedNotification::Rejoin(own) => self.changes.push_back(MembershipChange::Renewed(own)),
+            OwnedNotification::Rename(..)
+            | OwnedNotification::Active
+            | OwnedNotification::Idle
+            | OwnedNotification::Defunct => {}
         }
     }
 
-    fn up(&mut self, one: Instance) {
-        self.alive.insert(one.name.clone(), one.clone());
-        self.changes.push_back(Change::Up(one));
+    fn up(&mut self, instance: Instance) {
+        self.alive.insert(instance.name.clone(), instance.clone());
+        self.changes.push_back(MembershipChange::Up(instance));
+    }
+
+    fn down(&mut self, instance: Instance) {
+        let known = self.alive.get(&instance.name);
+        if known.is_some_and(|known| known.precedence() <= instance.precedence()) {
+            self.alive.remove(&instance.name);
+            self.changes.push_back(MembershipChange::Down(instance));
+        }
     }
 }
--- a/crates/deckproxy-fleet/src/wire.rs
+++ b/crates/deckproxy-fleet/src/wire.rs
@@ -1,75 +1,77 @@
-//! Datagrams between instances: their form, and why one is not believed.
+//! Datagrams between instances: their encoding, and why one is dropped.
 //!
-//! A datagram is a byte of version, eight bytes that stand for the fleet's name, a message in postcard's form, and a
-//! CRC-32C over all of that. Neither says who may speak: the operators' prefixes do, and the network must.
+//! A datagram is a version byte, an eight-byte hash of the fleet's name, a message in the postcard encoding and a CRC-32C
+//! over all of that. None of it authenticates the sender: the operators' prefixes and the network have to.
 
 use crate::gossip_store::{Delta, Digest};
-use crate::instance::Instance;
+use crate::instance::{Instance, LONGEST_NAME};
 use ipnet::IpNet;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Largest datagram, bytes: it passes any network whole.
-pub const LARGEST: usize = 1200;
-/// Room that is left for a body in any case.
-pub const BODY: usize = LARGEST - OVERHEAD - 2 * crate::instance::LONGEST_NAME - 40;
-/// Version of the form; another one is not read.
+/// Largest datagram, in bytes: no network fragments it.
+pub const LARGEST_DATAGRAM: usize = 1200;
+/// Bytes that are left for a body, whatever the sender's names.
+pub const LARGEST_BODY: usize = LARGEST_DATAGRAM - FRAME - 2 * LONGEST_NAME - SENDER;
+/// Version of the encoding; datagrams of another one are dropped.
 const VERSION: u8 = 1;
-/// Version, fleet and checksum.
-const OVERHEAD: usize = 1 + 8 + 4;
+/// Bytes of version, fleet and checksum.
+const FRAME: usize = 1 + 8 + 4;
+/// Most bytes of the sender beside its names: lengths, address, incarnation, renewals, weight and the body's kind.
+const SENDER: usize = 40;
 
-/// What a datagram says.
+/// What a datagram carries. The order of the variants and fields is the wire format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Body {
-    /// Who is there? `answer`: that is what this is. `known`: the last life of the one spoken to, where that is another.
+    /// A greeting to an instance that is not heard.
     Hello {
-        /// It answers one.
-        answer: bool,
-        /// The life that is known.
-        known: Option<u64>,
+        /// It answers a greeting.
+        is_reply: bool,
+        /// The receiver's last known incarnation, where that is a later one than the receiver's own.
+        known_incarnation: Option<u64>,
     },
     /// A message of SWIM.
     Swim(Vec<u8>),
-    /// What the sender has of the board.
+    /// What the sender has of the gossip store.
     Digest(Digest),
-    /// Entries of the board.
+    /// Entries of the gossip store.
     Delta(Delta),
 }
 
-/// A datagram.
+/// The message in a datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Packet {
-    /// Who says it.
+    /// The sender.
     pub from: Instance,
-    /// What is said.
+    /// The content.
     pub body: Body,
 }
 
-/// Why a datagram is not believed.
+/// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Doubt {
-    /// From an address outside the operators' prefixes.
-    Foreign,
-    /// Over the largest size.
+pub enum DropReason {
+    /// It is from an address outside the operators' prefixes.
+    ForeignAddress,
+    /// It exceeds [`LARGEST_DATAGRAM`].
     TooLarge,
-    /// Its bytes are not those that were sent, or mean nothing.
+    /// The checksum does not match, or the message cannot be decoded.
     Garbled,
-    /// Of another version of the form.
+    /// It has another version of the encoding.
     OtherVersion,
-    /// Of another fleet.
+    /// It is from another fleet.
     OtherFleet,
-    /// An earlier life of its sender, or of ourselves, says it.
-    OldLife,
-    /// Of an instance that is new where as many are known as may be.
-    TooMany,
+    /// It is from an earlier incarnation of its sender, or from an instance under our own name.
+    StaleIncarnation,
+    /// The sender is new, and as many instances are known as are allowed.
+    TooManyInstances,
 }
 
-/// Names of the doubts, in the order of their places.
-pub const DOUBTS: [&str; 7] =
+/// Names of the reasons in logs, in the order of [`DropReason`].
+pub const DROP_REASONS: [&str; 7] =
     ["foreign", "too_large", "garbled", "other_version", "other_fleet", "old_life", "too_many"];
 
-/// Reads and writes the datagrams of one fleet.
+/// Encodes and decodes the datagrams of one fleet.
 #[derive(Clone, Debug)]
 pub struct Wire {
     fleet: u64,
@@ -77,43 +79,46 @@
 }
 
 impl Wire {
-    /// Of a fleet's name; peers' addresses are in one of the prefixes.
+    /// For the fleet of that name, whose instances have addresses in one of the prefixes.
     pub fn new(fleet: &str, prefixes: Vec<IpNet>) -> Self {
         Wire { fleet: xxh3_64(fleet.as_bytes()), prefixes }
     }
 
-    /// The bytes of a packet; none where they would be too many.
+    /// The datagram of a packet; `None` where it would exceed [`LARGEST_DATAGRAM`].
     pub fn encode(&self, packet: &Packet) -> Option<Vec<u8>> {
         let mut bytes = vec![VERSION];
         bytes.extend(self.fleet.to_le_bytes());
         let mut bytes = postcard::to_extend(packet, bytes).ok()?;
         bytes.extend(crc32c::crc32c(&bytes).to_le_bytes());
-        (bytes.len() <= LARGEST).then_some(bytes)
+        (bytes.len() <= LARGEST_DATAGRAM).then_some(bytes)
     }
 
     /// The packet in a datagram.
-    pub fn decode(&self, from: SocketAddr, bytes: &[u8]) -> Result<Packet, Doubt> {
-        if !self.prefixes.iter().any(|net| net.contains(&from.ip().to_canonical())) {
-            return Err(Doubt::Foreign);
+    ///
+    /// # Errors
+    /// Any reason but the last two, which depend on what is known of the sender.
+    pub fn decode(&self, from: SocketAddr, datagram: &[u8]) -> Result<Packet, DropReason> {
+        if !self.prefixes.iter().any(|prefix| prefix.contains(&from.ip().to_canonical())) {
+            return Err(DropReason::ForeignAddress);
         }
-        if bytes.len() > LARGEST {
-            return Err(Doubt::TooLarge);
+        if datagram.len() > LARGEST_DATAGRAM {
+            return Err(DropReason::TooLarge);
         }
-        let (text, sum) = bytes.split_last_chunk::<4>().ok_or(Doubt::Garbled)?;
-        if crc32c::crc32c(text) != u32::from_le_bytes(*sum) {
-            return Err(Doubt::Garbled);
+        let (content, checksum) = datagram.split_last_chunk::<4>().ok_or(DropReason::Garbled)?;
+        if crc32c::crc32c(content) != u32::from_le_bytes(*checksum) {
+            return Err(DropReason::Garbled);
         }
-        let (version, text) = text.split_first().ok_or(Doubt::Garbled)?;
+        let (version, content) = content.split_first().ok_or(DropReason::Garbled)?;
         if *version != VERSION {
-            return Err(Doubt::OtherVersion);
+            return Err(DropReason::OtherVersion);
         }
-        let (fleet, text) = text.split_first_chunk::<8>().ok_or(Doubt::Garbled)?;
+        let (fleet, message) = content.split_first_chunk::<8>().ok_or(DropReason::Garbled)?;
         if u64::from_le_bytes(*fleet) != self.fleet {
-            return Err(Doubt::OtherFleet);
+            return Err(DropReason::OtherFleet);
         }
-        match postcard::take_from_bytes::<Packet>(text) {
-            Ok((packet, [])) if packet.from.is_sound() => Ok(packet),
-            _ => Err(Doubt::Garbled),
+        match postcard::take_from_bytes::<Packet>(message) {
+            Ok((packet, [])) if packet.from.is_valid() => Ok(packet),
+            _ => Err(DropReason::Garbled),
         }
     }
 }
--- a/crates/deckproxy-fleet/tests/gossip_store.rs
+++ b/crates/deckproxy-fleet/tests/gossip_store.rs
@@ -1,13 +1,15 @@
-//! The board against a plain model: whatever order, doubling and loss datagrams have, all that hear each other end with the
+//! The gossip store against a simple model: whatever the order, duplication and loss of datagrams, all stores end with the
 //! same entries, and those are the last ones that their authors wrote.
 
-use deckproxy_fleet::gossip_store::{Delta, Digest, GossipStore, Key, Limits};
+use deckproxy_fleet::gossip_store::{Delta, Digest, EntryView, GossipStore, Key, Limits};
 use deckproxy_fleet::instance::Name;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-const LIFE: u32 = 60_000;
-const ROOM: usize = 1000;
+/// Time to live of entries, in milliseconds.
+const TTL: u32 = 60_000;
+/// Bytes of a delta.
+const BUDGET: usize = 1000;
 
 fn name(i: usize) -> Name {
     Name::from(format!("n{i}"))
@@ -20,15 +22,15 @@
 #[derive(Clone, Debug)]
 enum Step {
     Write(usize, u8, Option<u8>),
-    /// One tells another its digest, and what comes of it is lost, late or doubled.
-    Tell {
+    /// One sends another its digest; what follows from it is lost or duplicated by the bits of `fate`.
+    Exchange {
         from: usize,
         to: usize,
         fate: u8,
     },
     Restart(usize),
-    /// An old datagram comes again.
-    Again(prop::sample::Index),
+    /// An old datagram is received again.
+    Replay(prop::sample::Index),
     Wait(u16),
 }
 
@@ -36,9 +38,9 @@
     let n = 0..4usize;
     let step = prop_oneof![
         5 => (n.clone(), 0..6u8, prop::option::weighted(0.8, any::<u8>())).prop_map(|(i, k, v)| Step::Write(i, k, v)),
-        8 => (n.clone(), n.clone(), any::<u8>()).prop_map(|(from, to, fate)| Step::Tell { from, to, fate }),
+        8 => (n.clone(), n.clone(), any::<u8>()).prop_map(|(from, to, fate)| Step::Exchange { from, to, fate }),
         1 => n.prop_map(Step::Restart),
-        3 => any::<prop::sample::Index>().prop_map(Step::Again),
+        3 => any::<prop::sample::Index>().prop_map(Step::Replay),
         1 => (0..3000u16).prop_map(Step::Wait),
     ];
     prop::collection::vec(step, 1..120)
@@ -53,48 +55,54 @@
     Delta(Delta),
 }
 
-struct World {
+struct Network {
     now: f64,
-    boards: Vec<GossipStore>,
-    lives: Vec<u64>,
-    /// Of each author's present life.
+    stores: Vec<GossipStore>,
+    incarnations: Vec<u64>,
+    /// By author, in its present incarnation.
     model: Vec<Written>,
     sent: Vec<(usize, Sent)>,
 }
 
-impl World {
+impl Network {
     fn new() -> Self {
-        let boards = (0..4).map(|i| GossipStore::new(name(i), 1, Limits::default())).collect();
-        World { now: 0.0, boards, lives: vec![1; 4], model: vec![BTreeMap::new(); 4], sent: Vec::new() }
+        let stores = (0..4).map(|i| GossipStore::new(name(i), 1, Limits::default())).collect();
+        Network {
+            now: 0.0,
+            stores,
+            incarnations: vec![1; 4],
+            model: vec![BTreeMap::new(); 4],
+            sent: Vec::new(),
+        }
     }
 
-    fn get(&mut self, to: usize, what: Sent) {
-        match what {
+    fn deliver(&mut self, to: usize, message: Sent) {
+        match message {
             Sent::Delta(delta) => {
-                self.boards[to].take(self.now, delta);
+                self.stores[to].merge(self.now, delta);
             }
             Sent::Digest(from, digest) => {
-                let (delta, ask) = self.boards[to].compare(self.now, &name(from), &digest, ROOM);
-                self.sent.push((from, Sent::Delta(delta)));
-                self.sent.extend(ask.map(|ask| (from, Sent::Digest(to, ask))));
+                let comparison = self.stores[to].compare(self.now, &name(from), &digest, BUDGET);
+                self.sent.push((from, Sent::Delta(comparison.delta)));
+                self.sent.extend(comparison.request.map(|request| (from, Sent::Digest(to, request))));
             }
         }
     }
 
-    /// Delivers all that came of a digest, by fate.
-    fn tell(&mut self, from: usize, to: usize, mut fate: u8) {
-        let digest = self.boards[from].digest(&name(to));
+    /// Delivers a digest and all that follows from it, by `fate`.
+    fn exchange(&mut self, from: usize, to: usize, mut fate: u8) {
+        let digest = self.stores[from].digest(&name(to));
         let mut first = self.sent.len();
         self.sent.push((to, Sent::Digest(from, digest)));
         while first < self.sent.len() && self.sent.len() < 4000 {
-            let (to, what) = self.sent[first].clone();
+            let (to, message) = self.sent[first].clone();
             let (lost, doubled) = (fate & 1 == 1, fate & 2 == 2);
             fate = fate.rotate_right(2);
             if !lost {
-                self.get(to, what.clone());
+                self.deliver(to, message.clone());
             }
             if doubled {
-                self.get(to, what);
+                self.deliver(to, message);
             }
             first += 1;
         }
@@ -104,20 +112,20 @@
         match step {
             Step::Write(i, subject, value) => {
                 let value = value.map(|v| vec![v; usize::from(v) % 40]);
-                assert!(self.boards[*i].write(self.now, key(*subject), LIFE, value.clone()));
+                assert!(self.stores[*i].write(self.now, key(*subject), TTL, value.clone()));
                 self.model[*i].insert(key(*subject), (self.now, value));
             }
-            Step::Tell { from, to, fate } if from != to => self.tell(*from, *to, *fate),
-            Step::Tell { .. } => {}
+            Step::Exchange { from, to, fate } if from != to => self.exchange(*from, *to, *fate),
+            Step::Exchange { .. } => {}
             Step::Restart(i) => {
-                self.lives[*i] += 1;
-                self.boards[*i] = GossipStore::new(name(*i), self.lives[*i], Limits::default());
+                self.incarnations[*i] += 1;
+                self.stores[*i] = GossipStore::new(name(*i), self.incarnations[*i], Limits::default());
                 self.model[*i].clear();
             }
-            Step::Again(index) => {
+            Step::Replay(index) => {
                 if !self.sent.is_empty() {
-                    let (to, what) = self.sent[index.index(self.sent.len())].clone();
-                    self.get(to, what);
+                    let (to, message) = self.sent[index.index(self.sent.len())].clone();
+                    self.deliver(to, message);
                 }
             }
             Step::Wait(ms) => self.now += f64::from(*ms),
@@ -129,118 +137,119 @@
     #![proptest_config(ProptestConfig { cases: 400, ..ProptestConfig::default() })]
 
     #[test]
-    fn all_end_with_what_was_written_last(steps in steps()) {
-        let mut world = World::new();
+    fn all_stores_end_with_the_last_writes(steps in steps()) {
+        let mut network = Network::new();
         for step in &steps {
-            world.step(step);
+            network.step(step);
         }
-        // They hear each other for a while.
+        // All datagrams arrive for a while.
         for _ in 0..4 {
             for from in 0..4 {
                 for to in (0..4).filter(|to| *to != from) {
-                    world.tell(from, to, 0);
+                    network.exchange(from, to, 0);
                 }
             }
         }
-        for board in &world.boards {
-            prop_assert_eq!(board.sum(world.now, &[]), world.boards[0].sum(world.now, &[]));
-            for (author, written) in world.model.iter().enumerate() {
+        for store in &network.stores {
+            prop_assert_eq!(store.checksum(network.now, &[]), network.stores[0].checksum(network.now, &[]));
+            for (author, written) in network.model.iter().enumerate() {
                 for (key, (at, value)) in written {
-                    let here = board.read(world.now, &name(author), key).map(|(_, v)| v.to_vec());
-                    // What was written ends its life after that, and nowhere before.
-                    let counts = world.now - at < f64::from(LIFE) - 50.0;
+                    let here = store.read(network.now, &name(author), key).map(|entry| entry.value.to_vec());
+                    // An entry expires its time to live after it was written, and nowhere before.
+                    let counts = network.now - at < f64::from(TTL) - 50.0;
                     if counts {
                         prop_assert_eq!(&here, value);
-                    } else if world.now - at >= f64::from(LIFE) + 1.0 {
+                    } else if network.now - at >= f64::from(TTL) + 1.0 {
                         prop_assert_eq!(here, None);
                     }
                 }
-                let said = board.all(world.now, 1).filter(|(a, ..)| **a == name(author)).count();
-                prop_assert!(said <= written.len(), "words of an earlier life are left");
+                let entries = store.entries_of_kind(network.now, 1);
+                let present = entries.filter(|entry| *entry.author == name(author)).count();
+                prop_assert!(present <= written.len(), "entries of an earlier incarnation are left");
             }
         }
     }
 
-    /// An entry ends at the same time everywhere, however long it was on its way, and is not made young again.
+    /// An entry expires at the same time everywhere, however long it was on its way.
     #[test]
-    fn age_goes_with_an_entry(hops in prop::collection::vec(0..4000u16, 1..6)) {
-        let mut boards: Vec<GossipStore> = (0..=hops.len()).map(|i| GossipStore::new(name(i), 1, Limits::default())).collect();
-        boards[0].write(0.0, key(1), 10_000, Some(vec![1]));
+    fn an_entry_keeps_its_age_when_it_is_passed_on(hops in prop::collection::vec(0..4000u16, 1..6)) {
+        let mut stores: Vec<GossipStore> = (0..=hops.len()).map(|i| GossipStore::new(name(i), 1, Limits::default())).collect();
+        stores[0].write(0.0, key(1), 10_000, Some(vec![1]));
         let mut now = 0.0;
         for (i, wait) in hops.iter().enumerate() {
             now += f64::from(*wait);
-            let digest = boards[i + 1].digest(&name(i));
-            let (delta, _) = boards[i].compare(now, &name(i + 1), &digest, ROOM);
-            boards[i + 1].take(now, delta);
-            let here = boards[i + 1].read(now, &name(0), &key(1));
+            let digest = stores[i + 1].digest(&name(i));
+            let delta = stores[i].compare(now, &name(i + 1), &digest, BUDGET).delta;
+            stores[i + 1].merge(now, delta);
+            let here = stores[i + 1].read(now, &name(0), &key(1));
             prop_assert!(here.is_none() || now < 10_000.0 + hops.len() as f64);
-            if let Some((age, _)) = here {
+            if let Some(EntryView { age, .. }) = here {
                 prop_assert!((age - now).abs() <= hops.len() as f64, "age {} at {}", age, now);
             }
         }
-        for board in &boards {
-            prop_assert!(board.read(10_000.0 + hops.len() as f64, &name(0), &key(1)).is_none());
+        for store in &stores {
+            prop_assert!(store.read(10_000.0 + hops.len() as f64, &name(0), &key(1)).is_none());
         }
     }
 }
 
 #[test]
-fn bounds_hold_and_are_counted() {
+fn limits_hold_and_dropped_entries_are_counted() {
     let limits = Limits { authors: 3, entries: 2 };
     let mut writer = GossipStore::new(name(1), 1, Limits::default());
-    (0..5).for_each(|i| assert!(writer.write(0.0, key(i), LIFE, Some(vec![0]))));
-    assert!(!writer.write(0.0, key(9), LIFE, Some(vec![0; 201])), "a value over 200 bytes");
+    (0..5).for_each(|i| assert!(writer.write(0.0, key(i), TTL, Some(vec![0]))));
+    assert!(!writer.write(0.0, key(9), TTL, Some(vec![0; 201])), "a value over 200 bytes");
     let mut reader = GossipStore::new(name(0), 1, limits);
-    let taken = reader.take(0.0, writer.news(0.0, 0, ROOM));
-    assert_eq!((taken.fresh, taken.over), (2, 3));
+    let outcome = reader.merge(0.0, writer.recent(0.0, 0, BUDGET));
+    assert_eq!((outcome.new_entries, outcome.over_limit), (2, 3));
     for i in 2..8 {
         let mut other = GossipStore::new(name(i), 1, Limits::default());
-        other.write(0.0, key(0), LIFE, Some(vec![0]));
-        reader.take(0.0, other.news(0.0, 0, ROOM));
+        other.write(0.0, key(0), TTL, Some(vec![0]));
+        reader.merge(0.0, other.recent(0.0, 0, BUDGET));
     }
-    assert_eq!(reader.sizes().0, 3, "authors");
+    assert_eq!(reader.size().authors, 3, "authors");
     let mut own = GossipStore::new(name(0), 1, limits);
-    assert!(own.write(0.0, key(0), LIFE, None) && own.write(0.0, key(1), LIFE, None));
-    assert!(!own.write(0.0, key(2), LIFE, None), "a third key");
-    assert!(own.write(0.0, key(1), LIFE, Some(vec![1])), "a known one");
+    assert!(own.write(0.0, key(0), TTL, None) && own.write(0.0, key(1), TTL, None));
+    assert!(!own.write(0.0, key(2), TTL, None), "a third key");
+    assert!(own.write(0.0, key(1), TTL, Some(vec![1])), "a known one");
 }
 
 #[test]
-fn what_does_not_fit_follows_in_the_next_rounds() {
+fn entries_that_do_not_fit_follow_in_the_next_rounds() {
     let mut writer = GossipStore::new(name(1), 1, Limits::default());
     for i in 0..200u8 {
         writer.write(
             0.0,
             Key { kind: 1, subject: Name::from(format!("member-{i}")) },
-            LIFE,
+            TTL,
             Some(vec![i; 30]),
         );
     }
     let mut reader = GossipStore::new(name(0), 1, Limits::default());
     let mut rounds = 0;
-    while reader.sum(0.0, &[]) != writer.sum(0.0, &[]) {
+    while reader.checksum(0.0, &[]) != writer.checksum(0.0, &[]) {
         let digest = reader.digest(&name(1));
-        let (delta, _) = writer.compare(0.0, &name(0), &digest, ROOM);
-        reader.take(0.0, delta);
+        let delta = writer.compare(0.0, &name(0), &digest, BUDGET).delta;
+        reader.merge(0.0, delta);
         rounds += 1;
-        assert!(rounds < 40, "{:?}", reader.sizes());
+        assert!(rounds < 40, "{:?}", reader.size());
     }
     assert!(rounds > 5, "a datagram is bounded");
 }
 
-/// The checker's own check: a board that believes an earlier life is seen.
+/// A check of the check: a store that took up an earlier incarnation would have another checksum.
 #[test]
-fn a_board_that_believes_an_old_life_would_be_seen() {
+fn a_store_with_a_stale_incarnation_has_another_checksum() {
     let mut old = GossipStore::new(name(1), 1, Limits::default());
-    old.write(0.0, key(1), LIFE, Some(vec![7]));
+    old.write(0.0, key(1), TTL, Some(vec![7]));
     let mut new = GossipStore::new(name(1), 2, Limits::default());
-    new.write(0.0, key(2), LIFE, Some(vec![8]));
+    new.write(0.0, key(2), TTL, Some(vec![8]));
     let mut reader = GossipStore::new(name(0), 1, Limits::default());
-    reader.take(0.0, new.news(0.0, 0, ROOM));
-    let taken = reader.take(0.0, old.news(0.0, 0, ROOM));
-    assert_eq!((taken.fresh, taken.old_lives), (0, 1));
-    let sum = reader.sum(0.0, &[]);
-    let mut believer = GossipStore::new(name(2), 1, Limits::default());
-    believer.take(0.0, old.news(0.0, 0, ROOM));
-    assert_ne!(believer.sum(0.0, &[]), sum);
+    reader.merge(0.0, new.recent(0.0, 0, BUDGET));
+    let outcome = reader.merge(0.0, old.recent(0.0, 0, BUDGET));
+    assert_eq!((outcome.new_entries, outcome.stale_incarnations), (0, 1));
+    let sum = reader.checksum(0.0, &[]);
+    let mut misled = GossipStore::new(name(2), 1, Limits::default());
+    misled.merge(0.0, old.recent(0.0, 0, BUDGET));
+    assert_ne!(misled.checksum(0.0, &[]), sum);
 }
--- a/crates/deckproxy-fleet/tests/instances.rs
+++ b/crates/deckproxy-fleet/tests/instances.rs
@@ -1,22 +1,22 @@
-//! Several instances in simulated time: who hears whom, who probes what, what is held back.
+//! Several instances in simulated time: membership, health checks and ejected members.
 
-use deckproxy_fleet::view::Standing;
+use deckproxy_fleet::liveness::PeerStatus;
 use deckproxy_rig::simulated::{Net, Sim, address, name};
 
-/// Until all hear each other after a start, ms.
-const MEET: f64 = 8000.0;
+/// Time for all to hear each other after a start, in milliseconds.
+const CONVERGENCE: f64 = 8000.0;
 
-fn met(instances: usize, seed: u64) -> Sim {
+fn converged(instances: usize, seed: u64) -> Sim {
     let mut sim = Sim::new(instances, 2, 12, Net::default(), seed);
-    assert!(sim.until(MEET, Sim::agree).is_some(), "all hear each other: {:?}", sim.logs);
+    assert!(sim.until(CONVERGENCE, Sim::agree).is_some(), "all hear each other: {:?}", sim.logs);
     sim.run(4000.0);
     sim
 }
 
 #[test]
-fn all_meet_by_two_seeds_and_share_the_probes() {
+fn instances_find_each_other_by_two_seeds_and_share_the_health_checks() {
     for (instances, seed) in [(1, 1), (2, 2), (5, 3), (16, 4)] {
-        let mut sim = met(instances, seed);
+        let mut sim = converged(instances, seed);
         let from = sim.now;
         sim.run(20_000.0);
         let observers = instances.min(2) as f64 / 2.0;
@@ -28,9 +28,9 @@
 }
 
 #[test]
-fn a_killed_instance_s_share_is_taken_over_in_time() {
+fn the_members_of_a_killed_instance_are_taken_over_in_time() {
     for seed in 1..6 {
-        let mut sim = met(5, seed);
+        let mut sim = converged(5, seed);
         let from = sim.now;
         sim.kill(3);
         sim.run(4000.0);
@@ -41,26 +41,26 @@
         assert!(ratio > 0.9, "seed {seed}: {ratio}");
         assert!(sim.longest_gap(from, sim.now) < 4000.0, "seed {seed}: {}", sim.longest_gap(from, sim.now));
         assert!(sim.worst_ratio(from, 2000.0) < 2.0, "seed {seed}");
-        assert_eq!(sim.fleet(0).standing_of("i003"), Some(Standing::Lost));
+        assert_eq!(sim.fleet(0).status_of("i003"), Some(PeerStatus::Lost));
     }
 }
 
 #[test]
-fn a_planned_end_hands_over_at_once() {
-    let mut sim = met(5, 9);
+fn a_leaving_instance_hands_over_at_once() {
+    let mut sim = converged(5, 9);
     sim.leave(2);
     sim.run(500.0);
     sim.kill(2);
-    assert!(sim.running().iter().all(|i| sim.fleet(*i).standing_of("i002") == Some(Standing::Left)));
+    assert!(sim.running().iter().all(|i| sim.fleet(*i).status_of("i002") == Some(PeerStatus::Left)));
     let from = sim.now;
     sim.run(5000.0);
     assert!(sim.longest_gap(from, sim.now) < 2000.0, "{}", sim.longest_gap(from, sim.now));
-    assert_eq!(sim.fleet(0).view().expected, 4, "who said good-bye is not expected");
+    assert_eq!(sim.fleet(0).view().expected, 4, "an instance that left is not expected");
 }
 
 #[test]
-fn a_restart_takes_the_old_life_s_place_and_its_words_stay_old() {
-    let mut sim = met(4, 11);
+fn a_restart_replaces_the_earlier_incarnation() {
+    let mut sim = converged(4, 11);
     let old = sim.fleet(2).own().clone();
     sim.kill(2);
     sim.run(100.0);
@@ -68,41 +68,41 @@
     sim.run(2500.0);
     for i in [0, 1, 3] {
         let fleet = sim.fleet(i);
-        assert_eq!(fleet.standing_of(&name(2)), Some(Standing::Heard), "instance {i}: {:?}", sim.logs);
-        assert!(fleet.board().life(&name(2)) > Some(old.start));
+        assert_eq!(fleet.status_of(&name(2)), Some(PeerStatus::Alive), "instance {i}: {:?}", sim.logs);
+        assert!(fleet.store().incarnation(&name(2)) > Some(old.incarnation));
     }
     assert!(sim.agree());
 }
 
 #[test]
-fn a_restart_whose_clock_went_back_goes_on_above_its_last_life() {
-    let mut sim = met(4, 12);
+fn a_restart_with_a_clock_set_back_raises_its_incarnation() {
+    let mut sim = converged(4, 12);
     sim.kill(2);
     sim.run(300.0);
     sim.start_as(2, 17);
     let heard = sim.until(6000.0, Sim::agree);
     assert!(heard.is_some(), "{:?}", sim.logs);
-    assert!(sim.fleet(2).own().start > 1_000_000);
+    assert!(sim.fleet(2).own().incarnation > 1_000_000);
 }
 
 #[test]
-fn a_paused_instance_decides_nothing_until_it_has_heard_again() {
+fn a_paused_instance_decides_nothing_until_its_view_is_fresh() {
     for seed in 20..24 {
-        let mut sim = met(5, seed);
+        let mut sim = converged(5, seed);
         let from = sim.now;
         sim.stop(1);
         sim.run(3500.0);
-        assert_eq!(sim.fleet(0).standing_of("i001"), Some(Standing::Lost), "seed {seed}");
+        assert_eq!(sim.fleet(0).status_of("i001"), Some(PeerStatus::Lost), "seed {seed}");
         sim.go_on(1);
         let woke = sim.now;
-        assert!(sim.fleet(1).view().old, "it knows that its view is old");
+        assert!(sim.fleet(1).view().is_stale, "it knows that its view is stale");
         sim.run(300.0);
         let own = sim.probes.iter().filter(|p| p.1 == 1 && p.0 > woke && p.0 < woke + 300.0).count();
-        assert_eq!(own, 0, "duties that were taken from it do not go on");
-        assert!(sim.until(6000.0, |s| s.agree() && !s.fleet(1).view().old).is_some(), "seed {seed}");
+        assert_eq!(own, 0, "it does not check members that others have taken over");
+        assert!(sim.until(6000.0, |s| s.agree() && !s.fleet(1).view().is_stale).is_some(), "seed {seed}");
         sim.run(6000.0);
         assert!(sim.worst_ratio(from, 2000.0) < 2.0, "seed {seed}: {}", sim.worst_ratio(from, 2000.0));
-        // It held nobody else for dead because it slept itself.
+        // It did not take others for dead because it was paused itself.
         assert!(
             sim.logs.iter().all(|(_, i, text)| *i == 1 || !text.contains("taken for dead")),
             "{:?}",
@@ -112,11 +112,11 @@
 }
 
 #[test]
-fn two_parts_never_double_the_load_and_both_go_on() {
-    for (seed, larger, smaller) in [(30, vec![0, 1, 2], vec![3, 4]), (31, vec![2, 3, 4], vec![0, 1])] {
-        let mut sim = met(5, seed);
+fn two_parts_never_double_the_health_checks_and_both_continue() {
+    for (seed, majority, minority) in [(30, vec![0, 1, 2], vec![3, 4]), (31, vec![2, 3, 4], vec![0, 1])] {
+        let mut sim = converged(5, seed);
         let from = sim.now;
-        sim.split(&[larger.clone(), smaller.clone()]);
+        sim.split(&[majority.clone(), minority.clone()]);
         sim.run(15_000.0);
         assert!(sim.worst_ratio(from, 2000.0) < 2.0, "{}", sim.worst_ratio(from, 2000.0));
         let settled = sim.now - 8000.0;
@@ -124,8 +124,8 @@
             sim.probes.iter().filter(|p| p.0 >= settled && part.contains(&p.1)).count() as f64
                 / (12.0 * 2.0 * 8.0)
         };
-        assert!((0.9..1.1).contains(&by(&larger)), "the larger part does all: {}", by(&larger));
-        assert!((0.3..0.45).contains(&by(&smaller)), "the smaller one its share: {}", by(&smaller));
+        assert!((0.9..1.1).contains(&by(&majority)), "the majority does all: {}", by(&majority));
+        assert!((0.3..0.45).contains(&by(&minority)), "the minority its share: {}", by(&minority));
         sim.cuts.clear();
         let healed = sim.until(8000.0, Sim::agree);
         assert!(healed.is_some(), "{:?}", sim.logs);
@@ -135,9 +135,9 @@
 }
 
 #[test]
-fn who_is_not_heard_lets_go_though_it_hears_all() {
-    // Nothing comes from the two to the three; the other way is whole.
-    let mut sim = met(5, 40);
+fn instances_that_are_not_heard_stop_though_they_hear_all() {
+    // Nothing arrives from the two at the three; the other direction works.
+    let mut sim = converged(5, 40);
     let from = sim.now;
     for one in [3, 4] {
         sim.cuts.extend((0..3).map(|other| (one, other)));
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn loss_and_disorder_neither_kill_nor_part() {
+fn loss_and_reordering_neither_kill_nor_split() {
     for loss in [0.1, 0.3] {
         let net = Net { loss, doubled: 0.2, late: 60.0 };
         let mut sim = Sim::new(6, 2, 12, net, 50);
@@ -168,77 +168,77 @@
 
 #[test]
 fn bytes_stay_within_the_budget() {
-    let mut sim = met(16, 60);
+    let mut sim = converged(16, 60);
     let before: u64 = sim.bytes.iter().sum();
     sim.run(20_000.0);
     let each = (sim.bytes.iter().sum::<u64>() - before) as f64 / 16.0 / 20.0;
     assert!(each < 16_384.0, "{each} bytes a second");
-    assert!(each > 100.0, "they do speak");
+    assert!(each > 100.0, "they do send");
 }
 
 #[test]
-fn a_sick_member_is_held_back_by_all_and_comes_back_by_its_observers_first() {
-    let mut sim = met(5, 70);
+fn a_failing_member_is_ejected_by_all_and_reinstated_by_its_observers_first() {
+    let mut sim = converged(5, 70);
     sim.sick.insert(4);
     sim.run(7000.0);
-    assert!((0..5).all(|i| sim.fleet(i).held().contains(&4)), "{:?}", sim.logs);
+    assert!((0..5).all(|i| sim.fleet(i).ejected().contains(&4)), "{:?}", sim.logs);
     sim.sick.remove(&4);
     let observers: Vec<usize> = (0..5).filter(|i| sim.fleet(*i).observes(4)).collect();
     assert_eq!(observers.len(), 2);
-    let back = |s: &Sim| observers.iter().all(|i| !s.fleet(*i).held().contains(&4));
-    assert!(sim.until(5000.0, back).is_some(), "observers try it");
+    let back = |s: &Sim| observers.iter().all(|i| !s.fleet(*i).ejected().contains(&4));
+    assert!(sim.until(5000.0, back).is_some(), "observers send it trial requests");
     let others = (0..5).filter(|i| !observers.contains(i));
-    assert!(others.clone().all(|i| sim.fleet(i).held().contains(&4)), "and they alone");
+    assert!(others.clone().all(|i| sim.fleet(i).ejected().contains(&4)), "and they alone");
     sim.run(8000.0);
-    assert!((0..5).all(|i| sim.fleet(i).held().is_empty()), "{:?}", sim.logs);
-    // Those that took it back later did so one by one.
-    let mut lifts: Vec<f64> = sim
+    assert!((0..5).all(|i| sim.fleet(i).ejected().is_empty()), "{:?}", sim.logs);
+    // The others reinstated it one by one.
+    let mut reinstated: Vec<f64> = sim
         .holds
         .iter()
         .filter(|(_, i, held)| !observers.contains(i) && held.is_empty())
         .map(|h| h.0)
         .collect();
-    lifts.sort_by(f64::total_cmp);
-    assert_eq!(lifts.len(), 3);
-    assert!(lifts[2] - lifts[0] > 100.0, "{lifts:?}");
+    reinstated.sort_by(f64::total_cmp);
+    assert_eq!(reinstated.len(), 3);
+    assert!(reinstated[2] - reinstated[0] > 100.0, "{reinstated:?}");
 }
 
 #[test]
-fn an_observer_that_sees_nothing_holds_nobody_back() {
-    let mut sim = met(5, 80);
+fn an_observer_that_is_cut_off_ejects_nothing() {
+    let mut sim = converged(5, 80);
     // Instance 1 reaches no member; all others do.
     sim.deaf.extend((0..12).map(|member| (1, member)));
     sim.run(15_000.0);
-    assert!((0..5).all(|i| sim.fleet(i).held().is_empty()), "{:?}", sim.logs);
+    assert!((0..5).all(|i| sim.fleet(i).ejected().is_empty()), "{:?}", sim.logs);
 }
 
 #[test]
-fn not_more_members_are_held_back_than_the_others_bear() {
-    let mut sim = met(5, 81);
+fn no_more_than_the_allowed_share_of_members_is_ejected() {
+    let mut sim = converged(5, 81);
     sim.sick.extend(0..10);
     sim.run(10_000.0);
     for i in 0..5 {
-        assert_eq!(sim.fleet(i).held().len(), 4, "0.34 of 12");
-        assert_eq!(sim.fleet(i).held(), sim.fleet(0).held(), "the same ones everywhere");
+        assert_eq!(sim.fleet(i).ejected().len(), 4, "0.34 of 12");
+        assert_eq!(sim.fleet(i).ejected(), sim.fleet(0).ejected(), "the same ones everywhere");
     }
 }
 
 #[test]
-fn who_knows_nobody_does_not_take_itself_for_the_whole() {
+fn an_instance_that_knows_no_other_is_not_the_majority() {
     let mut sim = Sim::new(3, 1, 12, Net::default(), 90);
-    // Before any datagram has come.
+    // Before any datagram has arrived.
     sim.kill(0);
     sim.kill(1);
     sim.run(10_000.0);
     let fleet = sim.fleet(2);
-    assert_eq!((fleet.view().expected, fleet.view().larger), (3, false), "two seeds and itself");
+    assert_eq!((fleet.view().expected, fleet.view().is_majority), (3, false), "two seeds and itself");
     assert!(fleet.view().rate() < 0.4);
 }
 
 #[test]
-fn two_processes_of_one_name_do_not_fight() {
-    let mut sim = met(4, 95);
-    // Another process that says it is i002, from another address: the later one counts.
+fn the_later_of_two_processes_with_one_name_counts() {
+    let mut sim = converged(4, 95);
+    // Another process with the name i002, at another address and started later.
     let rival = {
         let mut settings = deckproxy_rig::simulated::settings(2, 2, u64::MAX / 2);
         settings.own.address = address(9);
@@ -247,10 +247,10 @@
     let mut fleet = deckproxy_fleet::fleet::Fleet::new(sim.now, rival, 5);
     for _ in 0..40 {
         fleet.tick(sim.now);
-        while let Some(effect) = fleet.effect() {
-            if let deckproxy_fleet::fleet::Effect::Send(to, bytes) = effect {
+        while let Some(effect) = fleet.next_effect() {
+            if let deckproxy_fleet::fleet::Effect::Send { to, bytes } = effect {
                 sim.put(1.0, address(9), to, bytes.clone());
-                // Its words also come to the one whose name it took.
+                // Its datagrams also arrive at the one whose name it has.
                 sim.put(1.0, address(9), address(2), bytes);
             }
         }
@@ -263,56 +263,60 @@
     );
     let before = sim.probes.len();
     sim.run(3000.0);
-    assert!(sim.probes[before..].iter().all(|p| p.1 != 2), "it lets go of its duties");
+    assert!(sim.probes[before..].iter().all(|p| p.1 != 2), "it checks no members any more");
 }
 
 #[test]
-fn a_held_member_stays_so_while_its_observers_change() {
+fn an_ejected_member_stays_ejected_while_its_observers_change() {
     for seed in 100..110 {
-        let mut sim = met(6, seed);
+        let mut sim = converged(6, seed);
         sim.sick.insert(4);
         sim.run(7000.0);
-        assert!((0..6).all(|i| sim.fleet(i).held().contains(&4)), "seed {seed}: {:?}", sim.logs);
+        assert!((0..6).all(|i| sim.fleet(i).ejected().contains(&4)), "seed {seed}: {:?}", sim.logs);
         let observers: Vec<usize> = (0..6).filter(|i| sim.fleet(*i).observes(4)).collect();
         let from = sim.now;
-        // First the one is killed, then the one that was there from the beginning.
+        // First one observer is killed, then the other.
         sim.kill(observers[0]);
         sim.run(9000.0);
         sim.kill(observers[1]);
         sim.run(9000.0);
-        let freed: Vec<_> = sim
+        let reinstated: Vec<_> = sim
             .holds
             .iter()
             .filter(|(at, i, held)| *at > from && !held.contains(&4) && !observers.contains(i))
             .collect();
-        assert!(freed.is_empty(), "seed {seed}: sent there again: {freed:?} {:?}", sim.logs);
+        assert!(reinstated.is_empty(), "seed {seed}: sent there again: {reinstated:?} {:?}", sim.logs);
         sim.sick.remove(&4);
         sim.run(14_000.0);
-        assert!(sim.running().iter().all(|i| sim.fleet(*i).held().is_empty()), "seed {seed}: {:?}", sim.logs);
+        assert!(
+            sim.running().iter().all(|i| sim.fleet(*i).ejected().is_empty()),
+            "seed {seed}: {:?}",
+            sim.logs
+        );
     }
 }
 
 #[test]
-fn lost_datagrams_make_nobody_lost_and_few_doubtful() {
-    let (mut doubts, mut lost, mut looks) = (0, 0, 0);
+fn lost_datagrams_make_no_instance_lost_and_few_suspect() {
+    let (mut suspect, mut lost, mut looks) = (0, 0, 0);
     for seed in 1..13 {
-        let mut sim = met(5, seed);
+        let mut sim = converged(5, seed);
         sim.net = Net { loss: 0.3, doubled: 0.2, late: 60.0 };
         let from = sim.now;
         while sim.now < from + 30_000.0 {
             sim.run(100.0);
             for i in 0..5 {
                 for j in (0..5).filter(|j| *j != i) {
-                    let standing = sim.fleet(i).standing_of(&name(j));
-                    doubts += usize::from(standing == Some(Standing::Doubtful));
-                    lost += usize::from(standing == Some(Standing::Lost));
+                    let status = sim.fleet(i).status_of(&name(j));
+                    suspect += usize::from(status == Some(PeerStatus::Suspect));
+                    lost += usize::from(status == Some(PeerStatus::Lost));
                     looks += 1;
                 }
             }
         }
     }
-    // A quiet moment makes doubtful and hands nothing over. Beats pushed beside the digests, and beats that stand against
-    // SWIM's word, make this a tenth, and the bound on probes is touched ten times as often.
-    assert!(doubts * 100 < looks, "{doubts} doubtful, {lost} lost of {looks}");
-    assert_eq!(lost, 0, "{doubts} doubtful of {looks}");
+    // A silent moment makes an instance suspect and hands nothing over. Heartbeats pushed beside the digests, and heartbeats
+    // that count against SWIM's verdict, make this a tenth; without them the bound on checks is reached ten times as often.
+    assert!(suspect * 100 < looks, "{suspect} suspect, {lost} lost of {looks}");
+    assert_eq!(lost, 0, "{suspect} suspect of {looks}");
 }
--- a/crates/deckproxy-fleet/tests/rendezvous.rs
+++ b/crates/deckproxy-fleet/tests/rendezvous.rs
@@ -1,8 +1,8 @@
-//! Who observes what, and the bound on the load over all ways in which a fleet falls apart.
+//! Which instance observes which member, and the bound on the health checks over all ways to split a fleet.
 
 use deckproxy_fleet::instance::Name;
 use deckproxy_fleet::rendezvous::{Candidate, observers};
-use deckproxy_fleet::view::{View, is_larger};
+use deckproxy_fleet::view::{View, is_majority};
 use std::collections::BTreeMap;
 
 fn fleet(n: usize, zones: usize) -> Vec<Candidate> {
@@ -26,7 +26,7 @@
         two.into_iter().for_each(|i| *counts.entry(i).or_default() += 1);
     }
     assert!(counts.values().all(|n| (400..600).contains(n)), "{counts:?}");
-    // A zone without enough instances gets others'.
+    // A zone without enough instances gets observers of other zones.
     let few: Vec<Candidate> =
         all.iter().filter(|c| &*c.zone != "z1" || &*c.name == "i001").cloned().collect();
     let two = observers("m1", "z1", &few, 2);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn only_what_a_lost_instance_had_moves() {
+fn only_the_members_of_a_lost_instance_get_other_observers() {
     let all = fleet(10, 1);
     let rest: Vec<Candidate> = all.iter().filter(|c| &*c.name != "i004").cloned().collect();
     let mut moved = 0;
@@ -49,23 +49,24 @@
         assert_eq!(kept, 2 - usize::from(before.iter().any(|n| &**n == "i004")));
         moved += 2 - kept;
     }
-    assert!((150..250).contains(&moved), "{moved} of 2000, a tenth is meant");
+    assert!((150..250).contains(&moved), "{moved} of 2000, a tenth is intended");
 }
 
 #[test]
-fn weight_gives_a_share() {
+fn shares_are_proportional_to_weights() {
     let mut all = fleet(5, 1);
     all[0].weight = 4;
     let first = (0..4000).filter(|m| observers(&format!("m{m}"), "z0", &all, 1) == [0]).count();
-    assert!((1800..2200).contains(&first), "{first} of 4000, half is meant");
+    assert!((1800..2200).contains(&first), "{first} of 4000, half is intended");
 }
 
-fn rate(sure: usize, expected: usize, has_first: bool) -> f64 {
-    let larger = is_larger(sure, expected, has_first);
-    View { expected, heard: sure, sure, since: 0.0, larger, firm: true, old: false }.rate()
+fn rate(confirmed: usize, expected: usize, has_first: bool) -> f64 {
+    let is_majority = is_majority(confirmed, expected, has_first);
+    let (is_settled, is_stale) = (true, false);
+    View { expected, alive: confirmed, confirmed, since: 0.0, is_majority, is_settled, is_stale }.rate()
 }
 
-/// The load of one member beside what is meant, where each part of a fleet hears just itself.
+/// The health checks of one member relative to those intended, where each part of a fleet hears just itself.
 fn load(parts: &[Vec<usize>], n: usize, wanted: usize) -> f64 {
     let each = parts.iter().map(|part| {
         rate(part.len(), n, part.contains(&0)) * part.len().min(wanted) as f64 / wanted.min(n) as f64
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn over_all_ways_to_split_the_load_is_at_most_one_and_a_half() {
+fn the_load_is_at_most_one_and_a_half_over_all_partitions() {
     let mut worst: f64 = 0.0;
     for n in 1..=9 {
         for parts in partitions(n) {
@@ -107,10 +108,10 @@
     assert!(worst > 1.3, "the bound is nearly reached: {worst}");
 }
 
-/// Where views are no parts, each instance hearing any set: how many times the load a member may get. It is a bound of the
-/// rule alone: SWIM and the board pass on what goes round a cut, so that such views do not last.
+/// Where views are not partitions and each instance hears any set: how many times the load a member may get. This bounds the
+/// rule alone: SWIM and the gossip store pass on what goes round a broken path, so that such views do not last.
 #[test]
-fn over_all_views_of_five_the_load_is_bounded() {
+fn the_load_is_bounded_over_all_views_of_five_instances() {
     let n = 5usize;
     let mut worst: f64 = 0.0;
     // The instances in the order of their draws for the member: the first two of those in view observe.
--- a/crates/deckproxy-fleet/tests/schedules.rs
+++ b/crates/deckproxy-fleet/tests/schedules.rs
@@ -1,5 +1,5 @@
-//! Hundreds of drawn schedules of kills, pauses, splits, one-way cuts, restarts, loss and disorder: what must hold whatever
-//! comes. DECKPROXY_SCHEDULES sets how many are played, DECKPROXY_SCHEDULE plays that one alone.
+//! Hundreds of random schedules of kills, pauses, splits, one-way faults, restarts, loss and reordering, and what must hold
+//! in all of them. DECKPROXY_SCHEDULES sets how many are played, DECKPROXY_SCHEDULE plays that one alone.
 
 use deckproxy_rig::simulated::{Net, Sim};
 use proptest::prelude::*;
@@ -15,9 +15,9 @@
     }
 }
 
-/// Plays a schedule of 30 s, one trouble at a time with others beside it now and then; gives what it was.
+/// Plays a schedule of 30 s, one fault at a time with others beside it now and then; returns what it was.
 fn play(sim: &mut Sim, rng: &mut Pcg64Mcg, loss: bool) -> Vec<String> {
-    let mut told = Vec::new();
+    let mut events = Vec::new();
     let end = sim.now + 30_000.0;
     let mut heals: Vec<(f64, u8, usize)> = Vec::new();
     while sim.now < end {
@@ -27,12 +27,12 @@
         match rng.random_range(0..6) {
             0 if sim.running().len() > n / 2 + 1 && sim.running().contains(&one) => {
                 sim.kill(one);
-                told.push(format!("{:.0} kill {one}", sim.now));
+                events.push(format!("{:.0} kill {one}", sim.now));
                 heals.push((sim.now + lasts, 0, one));
             }
             1 if sim.running().contains(&one) && sim.running().len() > n / 2 + 1 => {
                 sim.stop(one);
-                told.push(format!("{:.0} stop {one}", sim.now));
+                events.push(format!("{:.0} stop {one}", sim.now));
                 heals.push((sim.now + lasts, 1, one));
             }
             2 | 3 if sim.cuts.is_empty() => {
@@ -49,16 +49,16 @@
                     for from in &parts[0] {
                         sim.cuts.extend(parts[1].iter().map(|to| (*from, *to)));
                     }
-                    told.push(format!("{:.0} one way {parts:?}", sim.now));
+                    events.push(format!("{:.0} one way {parts:?}", sim.now));
                 } else {
                     sim.split(&parts);
-                    told.push(format!("{:.0} split {parts:?}", sim.now));
+                    events.push(format!("{:.0} split {parts:?}", sim.now));
                 }
                 heals.push((sim.now + lasts, 2, 0));
             }
             4 if loss => {
                 sim.net = Net { loss: rng.random_range(0.0..0.3), doubled: 0.2, late: 80.0 };
-                told.push(format!("{:.0} loss {:.2}", sim.now, sim.net.loss));
+                events.push(format!("{:.0} loss {:.2}", sim.now, sim.net.loss));
                 heals.push((sim.now + lasts, 3, 0));
             }
             _ => {}
@@ -67,12 +67,12 @@
         let now = sim.now;
         for (_, kind, one) in heals.extract_if(.., |h| h.0 <= now).collect::<Vec<_>>() {
             heal(sim, kind, one);
-            told.push(format!("{now:.0} heal {kind} {one}"));
+            events.push(format!("{now:.0} heal {kind} {one}"));
         }
     }
     heals.into_iter().for_each(|(_, kind, one)| heal(sim, kind, one));
     sim.net = Net::default();
-    told
+    events
 }
 
 fn heal(sim: &mut Sim, kind: u8, one: usize) {
@@ -85,36 +85,36 @@
 }
 
 #[test]
-fn whatever_falls_apart_the_load_is_never_doubled_and_all_come_together_again() {
+fn health_checks_are_never_doubled_and_the_fleet_converges_again() {
     let mut worst: f64 = 0.0;
     let mut slowest: f64 = 0.0;
     for seed in schedules(150) {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let n = rng.random_range(3..8);
         let mut sim = Sim::new(n, 2, 8, Net::default(), seed);
-        // A part in which nobody is left that knew the whole can only learn its size from the operators.
+        // A part in which no instance is left that knew all others can only learn the fleet's size from the operators.
         sim.size = n;
         sim.run(6000.0);
         let from = sim.now;
-        let told = play(&mut sim, &mut rng, seed % 2 == 1);
+        let events = play(&mut sim, &mut rng, seed % 2 == 1);
         let agree = sim.until(12_000.0, |s| s.agree() && s.same_boards());
-        assert!(agree.is_some(), "seed {seed}, {n} instances: not together again: {told:#?} {:#?}", sim.logs);
+        assert!(agree.is_some(), "seed {seed}, {n} instances: not converged: {events:#?} {:#?}", sim.logs);
         slowest = slowest.max(agree.unwrap_or_default());
         let (ratio, probes) = sim.worst(from, 2000.0);
         worst = worst.max(ratio);
-        assert!(ratio < 2.0, "seed {seed}, {n} instances: {ratio} times the probes: {probes:?} {told:#?}");
+        assert!(ratio < 2.0, "seed {seed}, {n} instances: {ratio} times the probes: {probes:?} {events:#?}");
         // After that each member has its observers, and no more.
         sim.run(4000.0);
         let from = sim.now;
         sim.run(12_000.0);
         let ratio = sim.ratio(from, sim.now);
-        assert!((0.88..1.05).contains(&ratio), "seed {seed}: {ratio} afterwards: {told:#?}");
+        assert!((0.88..1.05).contains(&ratio), "seed {seed}: {ratio} afterwards: {events:#?}");
     }
     println!("worst ratio over 2 s {worst:.2}, slowest to agree after the last heal {slowest:.0} ms");
 }
 
 #[test]
-fn a_kill_is_covered_within_four_seconds_whatever_else_was() {
+fn a_kill_is_covered_within_four_seconds() {
     for seed in schedules(50) {
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0xc0de);
         let mut sim = Sim::new(5, 2, 10, Net::default(), seed);
@@ -139,15 +139,15 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, ..ProptestConfig::default() })]
 
-    /// Garbled, cut, foreign or random datagrams change nothing and end nothing.
+    /// Garbled, truncated, foreign or random datagrams change nothing.
     #[test]
-    fn no_datagram_harms(bytes in prop::collection::vec(any::<u8>(), 0..1300), flips in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..4)) {
+    fn invalid_datagrams_change_nothing(bytes in prop::collection::vec(any::<u8>(), 0..1300), flips in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..4)) {
         use deckproxy_fleet::fleet::{Effect, Fleet};
         let mut one = Fleet::new(0.0, deckproxy_rig::simulated::settings(0, 1, 5), 1);
         let mut other = Fleet::new(0.0, deckproxy_rig::simulated::settings(1, 1, 5), 2);
         other.tick(1.0);
-        let good = std::iter::from_fn(|| other.effect()).find_map(|e| match e {
-            Effect::Send(_, bytes) => Some(bytes),
+        let good = std::iter::from_fn(|| other.next_effect()).find_map(|e| match e {
+            Effect::Send { bytes, .. } => Some(bytes),
             _ => None,
         }).expect("it greets its seed");
         let mut bad = good.clone();
@@ -158,17 +158,17 @@
         let cut = good[..flips[0].0.index(good.len())].to_vec();
         for datagram in [bytes, bad.clone(), cut] {
             let before = one.counters;
-            one.datagram(2.0, deckproxy_rig::simulated::address(1), &datagram);
+            one.handle_datagram(2.0, deckproxy_rig::simulated::address(1), &datagram);
             if datagram != good {
-                prop_assert_eq!(one.counters.taken, before.taken);
-                prop_assert_eq!(one.counters.doubted.iter().sum::<u64>(), before.doubted.iter().sum::<u64>() + 1);
+                prop_assert_eq!(one.counters.received, before.received);
+                prop_assert_eq!(one.counters.dropped.iter().sum::<u64>(), before.dropped.iter().sum::<u64>() + 1);
             }
         }
-        // The same words from an address outside the prefixes.
-        one.datagram(3.0, "192.0.2.1:7100".parse().unwrap(), &good);
-        prop_assert_eq!(one.counters.doubted[0], 1);
-        prop_assert_eq!(one.standing_of("i001").is_some(), bad == good);
-        one.datagram(4.0, deckproxy_rig::simulated::address(1), &good);
-        prop_assert!(one.standing_of("i001").is_some());
+        // The same datagram from an address outside the prefixes.
+        one.handle_datagram(3.0, "192.0.2.1:7100".parse().unwrap(), &good);
+        prop_assert_eq!(one.counters.dropped[0], 1);
+        prop_assert_eq!(one.status_of("i001").is_some(), bad == good);
+        one.handle_datagram(4.0, deckproxy_rig::simulated::address(1), &good);
+        prop_assert!(one.status_of("i001").is_some());
     }
 }
--- a/crates/deckproxy-lab/src/measure/fleet.rs
+++ b/crates/deckproxy-lab/src/measure/fleet.rs
@@ -3,7 +3,7 @@
 
 use super::{Options, cpu, show};
 use crate::output::print_line;
-use deckproxy_fleet::view::Standing;
+use deckproxy_fleet::liveness::PeerStatus;
 use deckproxy_rig::plan::Plan;
 use deckproxy_rig::play::Rig;
 use deckproxy_rig::simulated::{Net, Sim, name};
@@ -112,7 +112,7 @@
             let Some(mut sim) = met(16, options.seed.wrapping_add(run), net) else { continue };
             sim.kill(5);
             let lost = |s: &Sim| {
-                s.running().into_iter().all(|i| s.fleet(i).standing_of(&name(5)) == Some(Standing::Lost))
+                s.running().into_iter().all(|i| s.fleet(i).status_of(&name(5)) == Some(PeerStatus::Lost))
             };
             took[0].extend(sim.until(60_000.0, lost));
             let all: Vec<usize> = (0..16).collect();
--- a/crates/deckproxy-model/src/balancer/gateway.rs
+++ b/crates/deckproxy-model/src/balancer/gateway.rs
@@ -15,7 +15,7 @@
 use deckproxy::protocol::feed::{FeedEvent, KnownEvents, NumberedEvent};
 use deckproxy::protocol::upstream::{AttemptOptions, CopyInfo, Reply};
 use deckproxy::routing::{self, ConnectionFailure, Router};
-use deckproxy_recovery::admission::{self, Admission, Ended, Verdict};
+use deckproxy_recovery::admission::{self, Admission, RequestOutcome, Verdict};
 use std::collections::VecDeque;
 
 /// The router's number of the one client connection that all requests come on.
@@ -194,22 +194,22 @@
     /// Passes the router's answer through admission control, which may change the time to retry.
     fn answer_client(&mut self, now: Micros, request: RequestId, answer: &Answer) -> Effect {
         let (ended, advised_ms) = match answer {
-            Answer::Served(_) | Answer::NotModified => (Ended::Served, 0.0),
-            Answer::Rejected(retry_after_ms) => (Ended::Refused, *retry_after_ms),
-            Answer::Failed => (Ended::Failed, 0.0),
+            Answer::Served(_) | Answer::NotModified => (RequestOutcome::Served, 0.0),
+            Answer::Rejected(retry_after_ms) => (RequestOutcome::Rejected, *retry_after_ms),
+            Answer::Failed => (RequestOutcome::Failed, 0.0),
             Answer::Invalid(why) => panic!("simulated requests are valid, but: {why}"),
         };
         let retry_after_ms = self.request_ended(now, request, ended, advised_ms);
         let answer = match ended {
-            Ended::Served => ClientAnswer::Served,
-            Ended::Refused => ClientAnswer::Rejected { retry_after_ms },
-            Ended::Failed | Ended::Gone => ClientAnswer::Failed,
+            RequestOutcome::Served => ClientAnswer::Served,
+            RequestOutcome::Rejected => ClientAnswer::Rejected { retry_after_ms },
+            RequestOutcome::Failed | RequestOutcome::ClientGone => ClientAnswer::Failed,
         };
         Effect::AnswerClient { request, answer, by_admission: false }
     }
 
     /// Closes a request; returns the time to retry in milliseconds.
-    fn request_ended(&mut self, now: Micros, id: RequestId, ended: Ended, advised_ms: f64) -> f64 {
+    fn request_ended(&mut self, now: Micros, id: RequestId, ended: RequestOutcome, advised_ms: f64) -> f64 {
         let Some(OpenRequest { client, request, .. }) = self.open.remove(&id) else { return advised_ms };
         match &mut self.admission {
             Some(admission) => admission.ended(unix_ms(now), client, request.object, ended, advised_ms),
--- a/crates/deckproxy-operator/src/fleet.rs
+++ b/crates/deckproxy-operator/src/fleet.rs
@@ -2,10 +2,10 @@
 
 use crate::{Client, Fleet, Operator, Overload, defaults};
 use deckproxy_fleet::fleet::Settings;
-use deckproxy_fleet::health::Terms;
+use deckproxy_fleet::health::Thresholds;
 use deckproxy_fleet::instance::Instance;
-use deckproxy_fleet::overload::{self, Class, shed_level};
-use deckproxy_fleet::swim::Pace;
+use deckproxy_fleet::overload::{self, Class, shed_controller};
+use deckproxy_fleet::swim::SwimTiming;
 use deckproxy_recovery::budget;
 use ipnet::IpNet;
 use std::collections::BTreeSet;
@@ -34,7 +34,7 @@
                 .unwrap_or(&self.listen)
                 .parse()
                 .map_err(|_| "fleet.listen is no address".to_string())?,
-            start,
+            incarnation: start,
             renewals: 0,
             weight: self.weight.unwrap_or(defaults::WEIGHT) as u16,
         };
@@ -45,23 +45,26 @@
             own,
             prefixes: self.networks(),
             seeds: self.seeds.iter().filter_map(|at| at.parse().ok()).collect(),
-            reach: self
+            addresses: self
                 .ways
                 .iter()
                 .filter_map(|way| Some((way.instance.as_str().into(), way.address.parse().ok()?)))
                 .collect(),
-            size: self.instances.unwrap_or(defaults::INSTANCES) as usize,
-            bytes: f64::from(self.kb_per_s.unwrap_or(defaults::KB_PER_S)) * 1024.0,
-            beat,
-            round: beat / 2.0,
-            pause: f64::from(self.pause_ms.unwrap_or(defaults::PAUSE_MS)),
-            forget: f64::from(self.forget_ms.unwrap_or(defaults::FORGET_MS)),
-            pace: Pace { period: beat, answer: beat * 0.3, suspect: beat * 2.0 },
+            expected_instances: self.instances.unwrap_or(defaults::INSTANCES) as usize,
+            bytes_per_second: f64::from(self.kb_per_s.unwrap_or(defaults::KB_PER_S)) * 1024.0,
+            heartbeat_interval: beat,
+            digest_interval: beat / 2.0,
+            pause_threshold: f64::from(self.pause_ms.unwrap_or(defaults::PAUSE_MS)),
+            forget_after: f64::from(self.forget_ms.unwrap_or(defaults::FORGET_MS)),
+            swim: SwimTiming { probe_period: beat, probe_timeout: beat * 0.3, suspicion: beat * 2.0 },
             observers: probes.observers.unwrap_or(defaults::OBSERVERS) as usize,
-            probe: f64::from(probes.interval_ms.unwrap_or(defaults::INTERVAL_MS)),
-            most_held: probes.most_held.unwrap_or(defaults::MOST_HELD),
-            spread: f64::from(probes.spread_ms.unwrap_or(defaults::SPREAD_MS)),
-            terms: Terms { fails: probes.fails.unwrap_or(defaults::FAILS), ..Terms::default() },
+            health_check_interval: f64::from(probes.interval_ms.unwrap_or(defaults::INTERVAL_MS)),
+            max_ejected_share: probes.most_held.unwrap_or(defaults::MOST_HELD),
+            reinstatement_spread: f64::from(probes.spread_ms.unwrap_or(defaults::SPREAD_MS)),
+            thresholds: Thresholds {
+                failures: probes.fails.unwrap_or(defaults::FAILS),
+                ..Thresholds::default()
+            },
             overload: None,
         })
     }
@@ -99,20 +102,21 @@
             classes: platform
                 .classes
                 .iter()
-                .map(|(w, effect)| Class { band: band(*w), effect: *effect })
+                .map(|(w, effect)| Class { band: band(*w), has_effect: *effect })
                 .collect(),
-            limits: shed_level::Limits {
-                bad: self.bad_share.unwrap_or(defaults::FLEET_BAD_SHARE),
-                good: self.good_share.unwrap_or(defaults::FLEET_GOOD_SHARE),
-                vain: self.vain_share.unwrap_or(defaults::VAIN_SHARE),
-                repeats: self.repeats.unwrap_or(defaults::REPEATS),
-                least: f64::from(self.least_per_s.unwrap_or(defaults::LEAST_PER_S)),
-                share,
+            limits: shed_controller::Limits {
+                bad_share: self.bad_share.unwrap_or(defaults::FLEET_BAD_SHARE),
+                good_share: self.good_share.unwrap_or(defaults::FLEET_GOOD_SHARE),
+                wasted_share: self.vain_share.unwrap_or(defaults::VAIN_SHARE),
+                retry_ratio: self.repeats.unwrap_or(defaults::REPEATS),
+                min_rate: f64::from(self.least_per_s.unwrap_or(defaults::LEAST_PER_S)),
+                retry_share: share,
             },
-            budget: budget::Limits { share, saved: SAVED },
-            advice: platform.advice,
-            least_back: f64::from(self.least_back_ms.unwrap_or(defaults::FLEET_LEAST_BACK_MS)).min(most_back),
-            most_back,
+            retry_budget: budget::Limits { share, saved: SAVED },
+            gives_retry_after: platform.advice,
+            min_retry_after: f64::from(self.least_back_ms.unwrap_or(defaults::FLEET_LEAST_BACK_MS))
+                .min(most_back),
+            max_retry_after: most_back,
             remembered: self.remembered.unwrap_or(defaults::FLEET_REMEMBERED) as usize / 2,
             window: f64::from(defaults::WINDOW_MS),
         }
--- a/crates/deckproxy-operator/src/rules.rs
+++ b/crates/deckproxy-operator/src/rules.rs
@@ -37,7 +37,7 @@
 
 /// The name of an instance of a fleet.
 pub fn instance_name(name: &str, _: &()) -> Result {
-    let plain = name.bytes().all(deckproxy_fleet::instance::is_plain);
+    let plain = name.bytes().all(deckproxy_fleet::instance::is_name_byte);
     match name.len() {
         1..=deckproxy_fleet::instance::LONGEST_NAME if plain => Ok(()),
         _ => {
--- a/crates/deckproxy-operator/tests/files.rs
+++ b/crates/deckproxy-operator/tests/files.rs
@@ -180,8 +180,11 @@
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/fleet.example.textproto");
     let fleet = read(&std::fs::read(path).unwrap()).unwrap().fleet.unwrap();
     let set = fleet.settings("n1", "edge-1", 7).unwrap();
-    assert_eq!((&*set.own.name, &*set.own.zone, set.own.start), ("n1", "edge-1", 7));
-    assert_eq!((set.size, set.observers, set.probe, set.bytes), (2, 2, 1000.0, 16.0 * 1024.0));
+    assert_eq!((&*set.own.name, &*set.own.zone, set.own.incarnation), ("n1", "edge-1", 7));
+    assert_eq!(
+        (set.expected_instances, set.observers, set.health_check_interval, set.bytes_per_second),
+        (2, 2, 1000.0, 16.0 * 1024.0)
+    );
     let why = fleet.settings("Northern Gateway", "edge-1", 7).unwrap_err();
     assert!(why.starts_with("fleet.instance must be set: the platform's \"Northern Gateway\""), "{why}");
     let told = faults(
@@ -214,11 +217,11 @@
     let platform = deckproxy_operator::Platform { classes, advice: true, most_back: 500.0 };
     let set = overload.settings(&fleet.name, &platform);
     assert_eq!(
-        set.classes.iter().map(|c| (c.band, c.effect)).collect::<Vec<_>>(),
+        set.classes.iter().map(|c| (c.band, c.has_effect)).collect::<Vec<_>>(),
         [(0, false), (2, true), (0, false), (1, false)]
     );
     assert_eq!(
-        (set.fleet.as_str(), set.limits.share, set.most_back, set.least_back),
+        (set.fleet.as_str(), set.limits.retry_share, set.max_retry_after, set.min_retry_after),
         ("edge", 0.2, 500.0, 50.0)
     );
     let told = faults(
--- a/crates/deckproxy-recovery/src/admission.rs
+++ b/crates/deckproxy-recovery/src/admission.rs
@@ -74,15 +74,15 @@
 
 /// How a request that passed ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum RequestOutcome {
     /// Served.
     Served,
     /// Turned away by the module.
-    Refused,
+    Rejected,
     /// Failed.
     Failed,
     /// Its client left first.
-    Gone,
+    ClientGone,
 }
 
 /// Why requests were refused here.
@@ -241,24 +241,33 @@
 
     /// A request that passed has ended. `back`: when the module asks the client back, 0 where it does not say. Gives
     /// when it is to be asked back.
-    pub fn ended(&mut self, now: Millis, client: u64, object: u64, ended: Ended, back: Millis) -> Millis {
+    pub fn ended(
+        &mut self,
+        now: Millis,
+        client: u64,
+        object: u64,
+        ended: RequestOutcome,
+        back: Millis,
+    ) -> Millis {
         if let Some(storm) = &mut self.storm {
             storm.count(now, |c| match ended {
-                Ended::Served => c.served += 1,
-                Ended::Refused => c.refused += 1,
-                Ended::Failed | Ended::Gone => c.wasted += 1,
+                RequestOutcome::Served => c.served += 1,
+                RequestOutcome::Rejected => c.refused += 1,
+                RequestOutcome::Failed | RequestOutcome::ClientGone => c.wasted += 1,
             });
         }
         match ended {
-            Ended::Served => self.repeats.served(client, object),
-            Ended::Refused => {
+            RequestOutcome::Served => self.repeats.served(client, object),
+            RequestOutcome::Rejected => {
                 let least = back.max(self.set.least_back);
                 let back = self.back(now, least);
                 self.repeats.turned(now, client, object, now + back);
                 return back;
             }
             // Nobody asked it back: when it comes it is a repeat, and not hasty.
-            Ended::Failed | Ended::Gone => self.repeats.turned(now, client, object, now),
+            RequestOutcome::Failed | RequestOutcome::ClientGone => {
+                self.repeats.turned(now, client, object, now)
+            }
         }
         back
     }
--- a/crates/deckproxy-recovery/tests/recovery.rs
+++ b/crates/deckproxy-recovery/tests/recovery.rs
@@ -1,6 +1,6 @@
 //! What recovery promises, for random schedules.
 
-use deckproxy_recovery::admission::{Admission, Class, Ended, Settings, Verdict};
+use deckproxy_recovery::admission::{Admission, Class, RequestOutcome, Settings, Verdict};
 use deckproxy_recovery::budget::{Budget, Limits as BudgetLimits};
 use deckproxy_recovery::class_shedding::{ClassShedding, Step, Times};
 use deckproxy_recovery::recovery_ramp::{Limits as RampLimits, RecoveryRamp};
@@ -40,7 +40,7 @@
             first[class] += passed[0];
             repeats[class] += passed[1];
             if verdict == Verdict::Pass {
-                let ended = if served { Ended::Served } else { Ended::Failed };
+                let ended = if served { RequestOutcome::Served } else { RequestOutcome::Failed };
                 door.ended(now, client, object, ended, 0.0);
             }
             if let Verdict::Refuse(back) = verdict {
@@ -217,7 +217,7 @@
 fn who_comes_before_the_time_gains_nothing_and_loses_nothing() {
     let mut door = door(Settings::default());
     assert_eq!(door.request(0.0, 1, 0, 9, 1500.0), Verdict::Pass);
-    let back = door.ended(10.0, 1, 9, Ended::Refused, 200.0);
+    let back = door.ended(10.0, 1, 9, RequestOutcome::Rejected, 200.0);
     assert!((200.0..=500.0).contains(&back));
     for at in [11.0, 50.0, 100.0, 199.0] {
         let Verdict::Refuse(left) = door.request(at, 1, 0, 9, 1000.0) else { panic!("let in at {at}") };
@@ -240,7 +240,7 @@
             now += 2.5;
             if door.request(now, i % 50, 0, i % 3, 1000.0) == Verdict::Pass {
                 passed += 1;
-                let ended = if i % 10 < good { Ended::Served } else { Ended::Failed };
+                let ended = if i % 10 < good { RequestOutcome::Served } else { RequestOutcome::Failed };
                 door.ended(now, i % 50, i % 3, ended, 0.0);
             }
         }
--- a/crates/deckproxy-rig/src/simulated.rs
+++ b/crates/deckproxy-rig/src/simulated.rs
@@ -3,10 +3,11 @@
 #![allow(dead_code)]
 
 use deckproxy_fleet::Millis;
-use deckproxy_fleet::fleet::{Effect, Fleet, Listed, Settings, TICK};
-use deckproxy_fleet::health::Terms;
+use deckproxy_fleet::fleet::{Effect, Fleet, ListedMember, Settings, TICK};
+use deckproxy_fleet::health::Thresholds;
 use deckproxy_fleet::instance::{Instance, Name};
-use deckproxy_fleet::swim::Pace;
+use deckproxy_fleet::liveness::PeerStatus;
+use deckproxy_fleet::swim::SwimTiming;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
@@ -35,7 +36,7 @@
         name: name(i),
         zone: Name::from(format!("z{}", i % zones)),
         address: address(i),
-        start,
+        incarnation: start,
         renewals: 0,
         weight: 1,
     };
@@ -44,19 +45,19 @@
         own,
         prefixes: vec!["10.0.0.0/8".parse().unwrap()],
         seeds: vec![address(0), address(1)],
-        reach: BTreeMap::new(),
-        size: 0,
-        bytes: 16_384.0,
-        beat: 500.0,
-        round: 250.0,
-        pause: 1000.0,
-        forget: 600_000.0,
-        pace: Pace::default(),
+        addresses: BTreeMap::new(),
+        expected_instances: 0,
+        bytes_per_second: 16_384.0,
+        heartbeat_interval: 500.0,
+        digest_interval: 250.0,
+        pause_threshold: 1000.0,
+        forget_after: 600_000.0,
+        swim: SwimTiming::default(),
         observers: 2,
-        probe: 1000.0,
-        most_held: 0.34,
-        spread: 2000.0,
-        terms: Terms::default(),
+        health_check_interval: 1000.0,
+        max_ejected_share: 0.34,
+        reinstatement_spread: 2000.0,
+        thresholds: Thresholds::default(),
         overload: None,
     }
 }
@@ -106,7 +107,7 @@
     due: BTreeMap<u64, What>,
     order: u64,
     rng: Pcg64Mcg,
-    members: Vec<Listed>,
+    members: Vec<ListedMember>,
     /// Members that answer nobody.
     pub sick: BTreeSet<u32>,
     /// Instances that do not reach single members.
@@ -128,7 +129,7 @@
 impl Sim {
     /// So many instances in so many zones, all started now, and members.
     pub fn new(instances: usize, zones: usize, members: usize, net: Net, seed: u64) -> Self {
-        let listed = |id: usize| Listed {
+        let listed = |id: usize| ListedMember {
             id: id as u32,
             name: Name::from(format!("m-{id}")),
             zone: Name::from(format!("z{}", id % zones)),
@@ -186,10 +187,10 @@
         let seed = self.rng.random();
         let mut settings = settings(i, self.zones, start);
         settings.seeds.truncate(self.nodes.len());
-        settings.size = self.size;
+        settings.expected_instances = self.size;
         settings.overload = self.overload.clone();
         let mut fleet = Fleet::new(self.now, settings, seed);
-        fleet.list(self.members.iter().cloned());
+        fleet.set_members(self.members.iter().cloned());
         let node = &mut self.nodes[i];
         (node.fleet, node.stopped, node.starts) = (Some(fleet), false, node.starts + 1);
         node.waiting.clear();
@@ -224,7 +225,7 @@
         // The loop finds all that came meanwhile, and its timers due.
         for (from, bytes) in std::mem::take(&mut self.nodes[i].waiting) {
             let now = self.now;
-            self.nodes[i].fleet.iter_mut().for_each(|f| f.datagram(now, from, &bytes));
+            self.nodes[i].fleet.iter_mut().for_each(|f| f.handle_datagram(now, from, &bytes));
         }
         self.carry_out(i);
     }
@@ -252,9 +253,9 @@
     }
 
     fn carry_out(&mut self, i: usize) {
-        while let Some(effect) = self.nodes[i].fleet.as_mut().and_then(Fleet::effect) {
+        while let Some(effect) = self.nodes[i].fleet.as_mut().and_then(Fleet::next_effect) {
             match effect {
-                Effect::Send(to, bytes) => {
+                Effect::Send { to, bytes } => {
                     self.bytes[i] += bytes.len() as u64;
                     let Some(j) = index(to).filter(|j| *j < self.nodes.len()) else { continue };
                     if self.cuts.contains(&(i, j)) || self.rng.random::<f64>() < self.net.loss {
@@ -266,14 +267,14 @@
                         self.later(after, What::Datagram(address(i), to, bytes.clone()));
                     }
                 }
-                Effect::Probe(member) => {
+                Effect::HealthCheck(member) => {
                     self.probes.push((self.now, i, member));
                     let good = !self.sick.contains(&member) && !self.deaf.contains(&(i, member));
                     let life = self.nodes[i].starts;
                     self.later(if good { 3.0 } else { 400.0 }, What::Probe(i, life, member, good));
                 }
-                Effect::Hold(members) => self.holds.push((self.now, i, members)),
-                Effect::Seen(_) => {}
+                Effect::Eject(members) => self.holds.push((self.now, i, members)),
+                Effect::StatusChanged(_) => {}
                 Effect::Log(text) => self.logs.push((self.now, i, text)),
             }
         }
@@ -319,13 +320,13 @@
                 if node.stopped {
                     return node.waiting.push((from, bytes));
                 }
-                node.fleet.iter_mut().for_each(|f| f.datagram(now, from, &bytes));
+                node.fleet.iter_mut().for_each(|f| f.handle_datagram(now, from, &bytes));
                 self.carry_out(j);
             }
             What::Probe(i, life, member, good) => {
                 let node = &mut self.nodes[i];
                 if node.starts == life && !node.stopped {
-                    node.fleet.iter_mut().for_each(|f| f.probed(now, member, good));
+                    node.fleet.iter_mut().for_each(|f| f.health_checked(now, member, good));
                     self.carry_out(i);
                 }
             }
@@ -340,7 +341,7 @@
         self.running().into_iter().all(|i| {
             let fleet = self.fleet(i);
             let mut heard: BTreeSet<Name> =
-                fleet.standing(deckproxy_fleet::view::Standing::Heard).map(|one| one.name.clone()).collect();
+                fleet.instances_with(PeerStatus::Alive).map(|one| one.name.clone()).collect();
             heard.insert(name(i));
             heard == running
         })
@@ -349,7 +350,7 @@
     /// Whether the boards of all that run say the same.
     pub fn same_boards(&self) -> bool {
         let sums: BTreeSet<u64> =
-            self.running().into_iter().map(|i| self.fleet(i).board().sum(self.now, &[0])).collect();
+            self.running().into_iter().map(|i| self.fleet(i).store().checksum(self.now, &[0])).collect();
         sums.len() <= 1
     }
 
--- a/crates/deckproxy-rig/src/simulated_load.rs
+++ b/crates/deckproxy-rig/src/simulated_load.rs
@@ -3,7 +3,9 @@
 
 use crate::simulated::Sim;
 use deckproxy_fleet::Millis;
-use deckproxy_fleet::overload::{Asked, Class, Ended, Settings, Ticket, Verdict, shed_level};
+use deckproxy_fleet::overload::{
+    Class, RequestInfo, RequestOutcome, Settings, Ticket, Verdict, shed_controller,
+};
 use deckproxy_recovery::budget;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -68,15 +70,15 @@
 
 /// How overload is handled where nothing else is said.
 pub fn settings() -> Settings {
-    let class = |band, effect| Class { band, effect };
+    let class = |band, has_effect| Class { band, has_effect };
     Settings {
         fleet: "test".to_string(),
         classes: vec![class(0, false), class(1, true)],
-        limits: shed_level::Limits::default(),
-        budget: budget::Limits::default(),
-        advice: true,
-        least_back: 50.0,
-        most_back: 2000.0,
+        limits: shed_controller::Limits::default(),
+        retry_budget: budget::Limits::default(),
+        gives_retry_after: true,
+        min_retry_after: 50.0,
+        max_retry_after: 2000.0,
         remembered: 32_768,
         window: 250.0,
     }
@@ -133,7 +135,7 @@
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     due: BTreeMap<u64, (Wish, usize)>,
     order: u64,
-    ends: VecDeque<(Millis, usize, Ticket, Ended, usize)>,
+    ends: VecDeque<(Millis, usize, Ticket, RequestOutcome, usize)>,
     wishes: BTreeMap<usize, (Wish, usize)>,
     room: [f64; 2],
 }
@@ -169,7 +171,7 @@
             while self.ends.front().is_some_and(|e| e.0 <= now) {
                 let Some((_, i, ticket, ended, at)) = self.ends.pop_front() else { break };
                 if let Some(fleet) = self.sim.fleet_mut(i) {
-                    let back = fleet.ended(now, &ticket, ended, 0.0);
+                    let back = fleet.request_ended(now, &ticket, ended, 0.0);
                     self.settle(now, at, ended, back);
                 }
             }
@@ -213,13 +215,13 @@
 
     fn ask(&mut self, now: Millis, wish: Wish, i: usize) {
         let tried = Wish { tries: wish.tries + 1, told: false, ..wish };
-        let asked = Asked {
+        let asked = RequestInfo {
             client: wish.client,
             class: wish.class,
             object: wish.object,
-            left: wish.since + self.terms.patience - now,
-            size: None,
-            again: wish.tries > 0 && self.terms.marks,
+            time_left: wish.since + self.terms.patience - now,
+            size_kb: None,
+            is_retry: wish.tries > 0 && self.terms.marks,
         };
         let Some(fleet) = self.sim.fleet_mut(i) else { return self.later(now, 10.0, wish, i + 1) };
         let verdict = fleet.request(now, asked);
@@ -237,29 +239,29 @@
             told: wish.told,
         };
         match verdict {
-            Some(Verdict::Pass(ticket)) => {
+            Some(Verdict::Admit(ticket)) => {
                 let room = &mut self.room[usize::from(!wish.popular)];
                 let ended = if *room >= 1.0 {
                     *room -= 1.0;
-                    Ended::Served
+                    RequestOutcome::Served
                 } else if self.rng.random::<f64>() < self.terms.fails {
-                    Ended::Failed
+                    RequestOutcome::Failed
                 } else {
-                    Ended::Refused
+                    RequestOutcome::Rejected
                 };
                 let after = match ended {
-                    Ended::Served => 20.0,
-                    Ended::Refused => 2.0,
+                    RequestOutcome::Served => 20.0,
+                    RequestOutcome::Rejected => 2.0,
                     _ => 200.0,
                 };
-                told.served = ended == Ended::Served;
+                told.served = ended == RequestOutcome::Served;
                 self.tries.push(told);
                 let at = self.tries.len() - 1;
                 self.wishes.insert(at, (tried, i));
                 let place = self.ends.partition_point(|e| e.0 <= now + after);
                 self.ends.insert(place, (now + after, i, ticket, ended, at));
             }
-            Some(Verdict::Refuse(back)) => {
+            Some(Verdict::Reject { retry_after: back }) => {
                 told.passed = false;
                 self.tries.push(told);
                 self.refused(now, tried, i, back);
@@ -268,9 +270,9 @@
         }
     }
 
-    fn settle(&mut self, now: Millis, at: usize, ended: Ended, back: Millis) {
+    fn settle(&mut self, now: Millis, at: usize, ended: RequestOutcome, back: Millis) {
         if let Some((wish, i)) = self.wishes.remove(&at)
-            && ended == Ended::Refused
+            && ended == RequestOutcome::Rejected
         {
             self.refused(now, wish, i, back);
         }
--- a/crates/deckproxy/src/program/fleet.rs
+++ b/crates/deckproxy/src/program/fleet.rs
@@ -9,11 +9,11 @@
 use crate::routing::{AttemptKey, Router};
 use crate::transport::clock;
 use deckproxy_control::interface::{self, Lifecycle};
-use deckproxy_fleet::fleet::{self, Listed, Seen};
+use deckproxy_fleet::fleet::{self, FleetStatus, ListedMember};
 use deckproxy_fleet::instance::Name;
-use deckproxy_fleet::overload::{self, Asked, Ended, Ticket};
-use deckproxy_fleet::view::Standing;
-use deckproxy_fleet::wire::DOUBTS;
+use deckproxy_fleet::liveness::PeerStatus;
+use deckproxy_fleet::overload::{self, RequestInfo, RequestOutcome, Ticket};
+use deckproxy_fleet::wire::DROP_REASONS;
 use deckproxy_flow::meter::Outcome;
 use deckproxy_operator::{Client, Operator, Platform};
 use slog::{Logger, info, warn};
@@ -57,8 +57,8 @@
 /// Trial attempts remembered at most; one whose end is not seen would stay for ever.
 const TRIAL_ATTEMPTS: usize = 65_536;
 
-fn listed(router: &Router) -> impl Iterator<Item = Listed> + '_ {
-    router.listed_members().map(|(member, name)| Listed {
+fn listed(router: &Router) -> impl Iterator<Item = ListedMember> + '_ {
+    router.listed_members().map(|(member, name)| ListedMember {
         id: member.id,
         name: name.into(),
         zone: router.conf().zones.get(member.zone as usize).map_or("", String::as_str).into(),
@@ -119,9 +119,9 @@
         info!(log, "fleet: takes part"; "fleet" => &file.name, "instance" => &*own.name, "zone" => &*own.zone,
             "address" => %own.address, "start" => start);
         // The platform may give the same seed to all.
-        let seed = seed ^ start.rotate_left(32) ^ deckproxy_fleet::rendezvous::key(&own.name);
+        let seed = seed ^ start.rotate_left(32) ^ deckproxy_fleet::rendezvous::hash_of_name(&own.name);
         let mut core = fleet::Fleet::new(clock::steady(), settings, seed);
-        core.list(listed(router));
+        core.set_members(listed(router));
         let mut fleet = Fleet {
             log: log.clone(),
             core,
@@ -137,7 +137,7 @@
 
     /// Takes the member list from the router.
     fn update_members(&mut self, router: &Router) {
-        self.core.list(listed(router));
+        self.core.set_members(listed(router));
         self.members = router.listed_members().map(|(member, name)| (name.to_string(), member.id)).collect();
     }
 
@@ -150,7 +150,7 @@
     fn admission_event(&mut self, event: &Event<'_>) {
         let Some(admission) = &mut self.admission else { return };
         for (_, ticket) in admission.open.remove_cancelled(event) {
-            self.core.ended(clock::steady(), &ticket, Ended::Gone, 0.0);
+            self.core.request_ended(clock::steady(), &ticket, RequestOutcome::ClientGone, 0.0);
         }
         admission.identities.event(event);
     }
@@ -158,7 +158,7 @@
     /// Remembers an attempt if it goes to a member on trial.
     fn trial_sent(&mut self, key: AttemptKey, member: &str) {
         let Some(member) = self.members.get(member).copied() else { return };
-        if !self.core.is_tried(member) {
+        if !self.core.is_on_trial(member) {
             return;
         }
         if self.trial_attempts.len() >= TRIAL_ATTEMPTS {
@@ -170,7 +170,7 @@
     /// Reports how an attempt ended, if it was a trial.
     fn trial_ended(&mut self, key: AttemptKey, good: bool) {
         if let Some(member) = self.trial_attempts.remove(&key) {
-            self.core.attempted(clock::steady(), member, good);
+            self.core.attempt_ended(clock::steady(), member, good);
         }
     }
 
@@ -178,42 +178,44 @@
     fn overload_summary(&self) -> String {
         let Some(overload) = self.core.overload() else { return String::new() };
         let c = overload.counters;
-        let [remembered, untold] = overload.sizes();
+        let counts = overload.rejection_counts();
         let line = |line: &Option<overload::shed_level::ShedLine>| {
             line.map_or("none".to_string(), |l| {
                 format!(
                     "{:.0}/{:.0}@{:.3}",
-                    l.cap,
-                    l.come,
-                    f64::from(l.rank) / f64::from(overload::rank::RANKS)
+                    l.admitted_rate,
+                    l.offered_rate,
+                    f64::from(l.min_priority) / f64::from(overload::priority::PRIORITIES)
                 )
             })
         };
-        let [caches, sources] = &overload.cut().things;
+        let [caches, sources] = &overload.level().lines;
         format!(
             ",overload[epoch:{},caches:{},sources:{},leads:{},passed:{},kept:{},refused[hasty:{},below:{},no_budget:{},broken:{}],\
-             promised:{},remembered:{remembered},untold:{untold}]",
-            overload.cut().epoch,
+             promised:{},remembered:{},untold:{}]",
+            overload.level().epoch,
             line(caches),
             line(sources),
-            overload.leads(),
-            c.passed,
-            c.kept,
-            c.hasty,
-            c.below,
+            overload.is_leader(),
+            c.admitted,
+            c.reservations_kept,
+            c.too_early,
+            c.below_level,
             c.no_budget,
-            c.broken,
-            c.promised,
+            c.reservations_broken,
+            c.reservations,
+            counts.remembered,
+            counts.not_shared,
         )
     }
 
     /// Logs what this instance sees of the fleet.
-    fn log_view(&self, seen: &Seen) {
+    fn log_status(&self, status: &FleetStatus) {
         let names = |all: &[Name]| all.iter().map(|name| &**name).collect::<Vec<_>>().join(" ");
-        let view = &seen.view;
-        info!(self.log, "fleet view"; "heard" => names(&seen.heard), "lost" => names(&seen.lost),
-            "sure" => view.sure, "expected" => view.expected, "larger" => view.larger, "old" => view.old, "observes" => self.core.observed(), "held" => seen.held,
-            "board" => format!("{:016x}", seen.board));
+        let view = &status.view;
+        info!(self.log, "fleet view"; "heard" => names(&status.alive), "lost" => names(&status.lost),
+            "sure" => view.confirmed, "expected" => view.expected, "larger" => view.is_majority, "old" => view.is_stale, "observes" => self.core.observed_count(), "held" => status.ejected,
+            "board" => format!("{:016x}", status.store_checksum));
     }
 }
 
@@ -221,12 +223,12 @@
     fn event(&mut self, cx: &Context<'_>, event: &Event<'_>, _: &mut Effects) {
         self.admission_event(event);
         match *event {
-            Event::Datagram { from, bytes } => self.core.datagram(clock::steady(), from, bytes),
+            Event::Datagram { from, bytes } => self.core.handle_datagram(clock::steady(), from, bytes),
             Event::HealthChecked { member, healthy } => {
-                self.core.probed(clock::steady(), member, healthy);
+                self.core.health_checked(clock::steady(), member, healthy);
             }
             Event::MemberListChanged => self.update_members(cx.router),
-            Event::AttemptSent { key, member, .. } if self.core.tries() => self.trial_sent(key, member),
+            Event::AttemptSent { key, member, .. } if self.core.has_trials() => self.trial_sent(key, member),
             Event::MemberReplied { key: Some(key), word, .. } if !self.trial_attempts.is_empty() => {
                 // A full member, or one that has no copy, is not faulty.
                 self.trial_ended(key, !matches!(word, Status::Error));
@@ -235,7 +237,9 @@
                 Outcome::Failed => self.trial_ended(key, false),
                 _ => drop(self.trial_attempts.remove(&key)),
             },
-            Event::Housekeeping => self.core.load(u32::try_from(cx.router.unanswered()).unwrap_or(u32::MAX)),
+            Event::Housekeeping => {
+                self.core.set_open_requests(u32::try_from(cx.router.unanswered()).unwrap_or(u32::MAX))
+            }
             Event::ShutdownBegan => self.core.leave(clock::steady()),
             _ => {}
         }
@@ -246,20 +250,20 @@
         // A request of an unknown class is left to the router, which answers it as unusable.
         let Some(class) = admission.classes.get(&call.class).copied() else { return Verdict::Pass };
         let client = admission.identities.identity(request.0);
-        let asked = Asked {
+        let info = RequestInfo {
             client,
             class,
             object: call.object.number,
-            left: call.timeout,
-            size: call.size_kb,
-            again: call.is_retry,
+            time_left: call.timeout,
+            size_kb: call.size_kb,
+            is_retry: call.is_retry,
         };
-        match self.core.request(clock::steady(), asked) {
-            Some(overload::Verdict::Pass(ticket)) => {
+        match self.core.request(clock::steady(), info) {
+            Some(overload::Verdict::Admit(ticket)) => {
                 admission.open.insert(request, ticket);
                 Verdict::Pass
             }
-            Some(overload::Verdict::Refuse(retry_after)) => Verdict::Answer(Answer::Rejected(retry_after)),
+            Some(overload::Verdict::Reject { retry_after }) => Verdict::Answer(Answer::Rejected(retry_after)),
             None => Verdict::Pass,
         }
     }
@@ -268,24 +272,25 @@
     fn answer(&mut self, _: &Context<'_>, request: RequestKey, answer: &Answer) -> Option<Answer> {
         let admission = self.admission.as_mut()?;
         let ticket = admission.open.remove(request)?;
-        let (ended, retry_after) = match answer {
-            Answer::Served(_) | Answer::NotModified => (Ended::Served, 0.0),
-            Answer::Rejected(retry_after) => (Ended::Refused, *retry_after),
-            Answer::Failed => (Ended::Failed, 0.0),
+        let (outcome, retry_after) = match answer {
+            Answer::Served(_) | Answer::NotModified => (RequestOutcome::Served, 0.0),
+            Answer::Rejected(retry_after) => (RequestOutcome::Rejected, *retry_after),
+            Answer::Failed => (RequestOutcome::Failed, 0.0),
             // That says nothing of the load.
             Answer::Invalid(_) => return None,
         };
-        let retry_after = self.core.ended(clock::steady(), &ticket, ended, retry_after);
-        (ended == Ended::Refused && admission.sends_retry_after).then_some(Answer::Rejected(retry_after))
+        let retry_after = self.core.request_ended(clock::steady(), &ticket, outcome, retry_after);
+        (outcome == RequestOutcome::Rejected && admission.sends_retry_after)
+            .then_some(Answer::Rejected(retry_after))
     }
 
     fn poll(&mut self, _: &Context<'_>, out: &mut Effects) {
-        while let Some(effect) = self.core.effect() {
+        while let Some(effect) = self.core.next_effect() {
             match effect {
-                fleet::Effect::Send(to, bytes) => out.push_back(Effect::SendDatagram { to, bytes }),
-                fleet::Effect::Probe(member) => out.push_back(Effect::HealthCheck(member)),
-                fleet::Effect::Hold(members) => out.push_back(Effect::EjectMembers(members)),
-                fleet::Effect::Seen(seen) => self.log_view(&seen),
+                fleet::Effect::Send { to, bytes } => out.push_back(Effect::SendDatagram { to, bytes }),
+                fleet::Effect::HealthCheck(member) => out.push_back(Effect::HealthCheck(member)),
+                fleet::Effect::Eject(members) => out.push_back(Effect::EjectMembers(members)),
+                fleet::Effect::StatusChanged(status) => self.log_status(&status),
                 fleet::Effect::Log(text) => info!(self.log, "fleet"; "what" => text),
             }
         }
@@ -304,7 +309,7 @@
         let Some(new) = &operator.fleet else { return };
         let own = self.core.settings().own.clone();
         let names = &self.platform_names;
-        match new.settings(&names.instance, &names.zone, own.start) {
+        match new.settings(&names.instance, &names.zone, own.incarnation) {
             Err(why) => warn!(self.log, "reload: the fleet's settings stay"; "why" => why),
             Ok(mut settings) => {
                 if !self.health_checks {
@@ -326,28 +331,30 @@
     fn summary(&mut self) -> String {
         let c = self.core.counters;
         let view = self.core.view();
-        let doubts = DOUBTS.iter().zip(c.doubted).filter(|(_, n)| *n > 0);
-        let doubts: Vec<String> = doubts.map(|(what, n)| format!("{what}:{n}")).collect();
-        let lost = self.core.standing(Standing::Lost).count();
-        let (authors, entries) = self.core.board().sizes();
+        let dropped = DROP_REASONS.iter().zip(c.dropped).filter(|(_, n)| *n > 0);
+        let dropped: Vec<String> = dropped.map(|(what, n)| format!("{what}:{n}")).collect();
+        let lost = self.core.instances_with(PeerStatus::Lost).count();
+        let size = self.core.store().size();
         format!(
-            "heard:{}/{},sure:{},lost:{lost},larger:{},old:{},observes:{},held:{},probes:{},board[authors:{authors},\
-             entries:{entries},over:{}],datagrams[sent:{},bytes:{},kept_back:{},taken:{},dropped[{}]],renewed:{},pauses:{}",
-            view.heard,
+            "heard:{}/{},sure:{},lost:{lost},larger:{},old:{},observes:{},held:{},probes:{},board[authors:{},\
+             entries:{},over:{}],datagrams[sent:{},bytes:{},kept_back:{},taken:{},dropped[{}]],renewed:{},pauses:{}",
+            view.alive,
             view.expected,
-            view.sure,
-            view.larger,
-            view.old,
-            self.core.observed(),
-            self.core.held().len(),
-            c.probes,
-            c.over,
+            view.confirmed,
+            view.is_majority,
+            view.is_stale,
+            self.core.observed_count(),
+            self.core.ejected().len(),
+            c.health_checks,
+            size.authors,
+            size.entries,
+            c.over_limit,
             c.sent,
             c.sent_bytes,
-            c.held_back,
-            c.taken,
-            doubts.join(" "),
-            c.renewed,
+            c.over_budget,
+            c.received,
+            dropped.join(" "),
+            c.renewals,
             c.pauses,
         ) + &self.overload_summary()
     }
--- a/crates/deckproxy/src/program/recovery.rs
+++ b/crates/deckproxy/src/program/recovery.rs
@@ -5,7 +5,7 @@
 };
 use crate::protocol::downstream::{Answer, Call};
 use deckproxy_operator::{Client, Operator};
-use deckproxy_recovery::admission::{self, Admission, Ended};
+use deckproxy_recovery::admission::{self, Admission, RequestOutcome};
 use deckproxy_settings::InstanceSettings;
 use slog::{Logger, info, warn};
 use std::collections::HashMap;
@@ -78,7 +78,7 @@
     fn event(&mut self, cx: &Context<'_>, event: &Event<'_>, _: &mut Effects) {
         for ((client, _), object) in self.open.remove_cancelled(event) {
             let client = self.identities.identity(client);
-            self.admission.ended(cx.now, client, object, Ended::Gone, 0.0);
+            self.admission.ended(cx.now, client, object, RequestOutcome::ClientGone, 0.0);
         }
         self.identities.event(event);
         if let Event::Housekeeping = event {
@@ -106,15 +106,15 @@
     fn answer(&mut self, cx: &Context<'_>, request: RequestKey, answer: &Answer) -> Option<Answer> {
         let object = self.open.remove(request)?;
         let (ended, retry_after) = match answer {
-            Answer::Served(_) | Answer::NotModified => (Ended::Served, 0.0),
-            Answer::Rejected(retry_after) => (Ended::Refused, *retry_after),
-            Answer::Failed => (Ended::Failed, 0.0),
+            Answer::Served(_) | Answer::NotModified => (RequestOutcome::Served, 0.0),
+            Answer::Rejected(retry_after) => (RequestOutcome::Rejected, *retry_after),
+            Answer::Failed => (RequestOutcome::Failed, 0.0),
             // That says nothing of the load.
             Answer::Invalid(_) => return None,
         };
         let client = self.identities.identity(request.0);
         let retry_after = self.admission.ended(cx.now, client, object, ended, retry_after);
-        (ended == Ended::Refused && self.sends_retry_after).then_some(Answer::Rejected(retry_after))
+        (ended == RequestOutcome::Rejected && self.sends_retry_after).then_some(Answer::Rejected(retry_after))
     }
 
     fn summary(&mut self) -> String {
--- a/crates/deckproxy/tests/fleet.rs
+++ b/crates/deckproxy/tests/fleet.rs
@@ -386,11 +386,11 @@
             name: "i9".into(),
             zone: "edge".into(),
             address: stranger.local_addr().unwrap(),
-            start: 1,
+            incarnation: 1,
             renewals: 0,
             weight: 1,
         };
-        let body = deckproxy_fleet::wire::Body::Hello { answer: false, known: None };
+        let body = deckproxy_fleet::wire::Body::Hello { is_reply: false, known_incarnation: None };
         let bytes = other.encode(&deckproxy_fleet::wire::Packet { from, body }).unwrap();
         stranger.send_to(&bytes, at).unwrap();
     }
--- a/crates/deckproxy/tests/overload.rs
+++ b/crates/deckproxy/tests/overload.rs
@@ -2,7 +2,7 @@
 //! and when. All is counted at clients and members.
 
 use deckproxy_fleet::fleet::kinds;
-use deckproxy_fleet::gossip_store::{Delta, Key, Part, Told};
+use deckproxy_fleet::gossip_store::{AuthorUpdate, Delta, EntryUpdate, Key};
 use deckproxy_fleet::instance::Instance;
 use deckproxy_fleet::overload::shed_level::{ShedLevel, ShedLine};
 use deckproxy_fleet::wire::{Body, Packet, Wire};
@@ -191,26 +191,33 @@
     rig.until("each serves", |rig| (0..4).all(|i| rig.log(i).contains("fleet view")));
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     // A cut that lets nobody in, from an instance that nobody knows, said to be new each time.
-    let line = ShedLine { rank: 65_535, cap: 1.0, come: 1000.0, promise: 0, returns: 0.0 };
-    let cut = ShedLevel { epoch: 9, lasted: 0, things: [Some(line); 2] };
-    let told = Told {
-        key: Key { kind: kinds::CUT, subject: "".into() },
+    let line = ShedLine {
+        min_priority: 65_535,
+        admitted_rate: 1.0,
+        offered_rate: 1000.0,
+        reserved_share: 0,
+        retry_rate: 0.0,
+    };
+    let level = ShedLevel { epoch: 9, epoch_age: 0, lines: [Some(line); 2] };
+    let entry = EntryUpdate {
+        key: Key::of_kind(kinds::SHED_LEVEL),
         version: 1,
         age: 0,
-        life: 4000,
-        value: Some(postcard::to_stdvec(&cut).unwrap()),
+        ttl: 4000,
+        value: Some(postcard::to_stdvec(&level).unwrap()),
     };
-    let part = Part { author: "i9".into(), life: 1, after: 0, upto: 1, entries: vec![told] };
+    let author =
+        AuthorUpdate { author: "i9".into(), incarnation: 1, after: 0, up_to: 1, entries: vec![entry] };
     let from = Instance {
         name: "i9".into(),
         zone: "edge-1".into(),
         address: stranger.local_addr().unwrap(),
-        start: 1,
+        incarnation: 1,
         renewals: 0,
         weight: 1,
     };
     let wire = Wire::new("rig", vec!["127.0.0.0/8".parse().unwrap()]);
-    let packet = Packet { from, body: Body::Delta(Delta { parts: vec![part] }) };
+    let packet = Packet { from, body: Body::Delta(Delta { authors: vec![author] }) };
     let good = wire.encode(&packet).unwrap();
     // Garbled, it is dropped.
     let mut bad = good.clone();
