--- a/crates/deckproxy/src/program/attempts.rs
+++ b/crates/deckproxy/src/program/attempts.rs
@@ -163,7 +163,7 @@
         }
         let member = self.router.member_name(member);
         let event = match reply {
-            Some((key, reply)) => Event::MemberReplied { member, key: *key, word: reply.status, bytes },
+            Some((key, reply)) => Event::MemberReplied { member, key: *key, status: reply.status, bytes },
             None => Event::MemberBytesReceived { member, bytes },
         };
         self.subsystems.notify(&context(now, &self.router), &event);
--- a/crates/deckproxy/src/program/fleet.rs
+++ b/crates/deckproxy/src/program/fleet.rs
@@ -229,9 +229,9 @@
             }
             Event::MemberListChanged => self.update_members(cx.router),
             Event::AttemptSent { key, member, .. } if self.core.has_trials() => self.trial_sent(key, member),
-            Event::MemberReplied { key: Some(key), word, .. } if !self.trial_attempts.is_empty() => {
+            Event::MemberReplied { key: Some(key), status, .. } if !self.trial_attempts.is_empty() => {
                 // A full member, or one that has no copy, is not faulty.
-                self.trial_ended(key, !matches!(word, Status::Error));
+                self.trial_ended(key, !matches!(status, Status::Error));
             }
             Event::AttemptEnded { key, outcome } if !self.trial_attempts.is_empty() => match outcome {
                 Outcome::Failed => self.trial_ended(key, false),
--- /dev/null
+++ b/crates/deckproxy/src/program/flows/accounting.rs
@@ -0,0 +1,231 @@
+//! Accounting of bytes, requests and attempts to flows.
+
+use crate::program::subsystem::{FIRST_LINK_CLIENT, RequestKey, micros};
+use crate::protocol::upstream::Status;
+use crate::routing::{AttemptKey, ClientId};
+use crate::transport::outbox::Written;
+use ahash::RandomState;
+use deckproxy_flow::account::{self, Asker, Attempts, ClientAccount, Micros, Names};
+use deckproxy_flow::meter::{Limits, Meter, Name, Outcome, Top};
+use deckproxy_sites::far::Run;
+use ipnet::IpNet;
+use std::collections::HashMap;
+use std::net::IpAddr;
+
+/// Names of classes, members and sites that are told apart; further ones share one number.
+const MAX_NAMES: usize = 65_536;
+/// Clients' networks that are counted apart in the search for those with most bytes.
+const TOP_TRACKED: usize = 64;
+
+/// What one gateway counts for flow export.
+pub(super) struct Accounting {
+    /// The flows.
+    pub(super) meter: Meter,
+    /// Numbers of the names of classes, members and sites.
+    pub(super) names: Names,
+    /// Numbers of the classes that the settings have.
+    classes: HashMap<Box<str>, Name, RandomState>,
+    /// Clients that are connected.
+    pub(super) clients: HashMap<ClientId, ClientAccount, RandomState>,
+    /// Attempts in flight.
+    pub(super) attempts: Attempts,
+    /// Requests that came over links, with the time when they came.
+    pub(super) link_requests: HashMap<Run, (Asker, Micros), RandomState>,
+    /// Clients' networks with most bytes since the last summary.
+    top: Top<IpNet>,
+}
+
+/// The outcome of an attempt that a member's answer means.
+fn reply_outcome(status: Status) -> Outcome {
+    match status {
+        Status::Ok | Status::NotModified => Outcome::Served,
+        Status::Miss => Outcome::Missed,
+        Status::Rejected => Outcome::Refused,
+        Status::Expired => Outcome::Cut,
+        Status::Error | Status::Health(_) => Outcome::Failed,
+    }
+}
+
+impl Accounting {
+    /// Nothing counted yet, for the settings' classes.
+    pub(super) fn new(limits: Limits, classes: &[String]) -> Self {
+        let mut names = Names::new(MAX_NAMES);
+        let classes = classes.iter().map(|class| (class.as_str().into(), names.number(class))).collect();
+        Accounting {
+            meter: Meter::new(limits),
+            names,
+            classes,
+            clients: HashMap::default(),
+            attempts: Attempts::default(),
+            link_requests: HashMap::default(),
+            top: Top::new(TOP_TRACKED),
+        }
+    }
+
+    /// The networks with most bytes since the last call, at most so many, as `NETWORK:BYTES-ERROR`.
+    pub(super) fn take_top(&mut self, count: usize) -> Vec<String> {
+        let top = std::mem::replace(&mut self.top, Top::new(TOP_TRACKED));
+        top.top(count).into_iter().map(|(network, sum, error)| format!("{network}:{sum}-{error}")).collect()
+    }
+
+    /// The number of a class; 0 for an unknown one.
+    fn class(&self, name: &str) -> Name {
+        self.classes.get(name).copied().unwrap_or(0)
+    }
+
+    // ---- Clients -------------------------------------------------------------------------------------------
+
+    /// A client connected.
+    pub(super) fn client_connected(&mut self, id: ClientId, address: Option<IpAddr>) {
+        let client = address.map(|address| self.meter.client(address));
+        self.clients.insert(id, ClientAccount::new(client));
+    }
+
+    /// A client sent a request of so many bytes; one that can't be read has an empty class.
+    pub(super) fn request_received(
+        &mut self,
+        now: f64,
+        (id, request): RequestKey,
+        class: &str,
+        bytes: usize,
+    ) {
+        let class = self.class(class);
+        if let Some(account) = self.clients.get_mut(&id) {
+            account.asked(&mut self.meter, micros(now), request, class, bytes as u64);
+        }
+    }
+
+    /// A client sent bytes that are no request.
+    pub(super) fn client_bytes_received(&mut self, now: f64, id: ClientId, bytes: usize) {
+        if let Some(account) = self.clients.get_mut(&id) {
+            account.heard(&mut self.meter, micros(now), bytes as u64);
+        }
+    }
+
+    /// A client's request is forwarded to another site.
+    pub(super) fn request_forwarded(&mut self, (id, request): RequestKey, site: &str) {
+        let site = self.names.number(site);
+        if let Some(account) = self.clients.get_mut(&id) {
+            account.crosses(request, site);
+        }
+    }
+
+    /// An answer was appended to a client's write buffer; `request` none: it answers a ping.
+    pub(super) fn answer_queued(&mut self, id: ClientId, request: Option<u32>, outcome: Outcome) {
+        if let Some(account) = self.clients.get_mut(&id) {
+            account.answered(request, outcome);
+        }
+    }
+
+    /// A message was written to a client completely.
+    pub(super) fn client_bytes_sent(&mut self, now: f64, id: ClientId, bytes: usize) {
+        let Some(account) = self.clients.get_mut(&id) else { return };
+        account.written(&mut self.meter, micros(now), bytes as u64);
+        if let Some(client) = account.client() {
+            self.top.add(client, bytes as u64);
+        }
+    }
+
+    /// A client cancelled a request.
+    pub(super) fn request_cancelled(&mut self, now: f64, (id, request): RequestKey) {
+        if let Some(account) = self.clients.get_mut(&id) {
+            account.gone(&mut self.meter, micros(now), request);
+        }
+    }
+
+    /// A client's connection ended.
+    pub(super) fn client_gone(&mut self, now: f64, id: ClientId, cut: usize, unread: usize) {
+        if let Some(mut account) = self.clients.remove(&id) {
+            account.end(&mut self.meter, micros(now), cut as u64, unread as u64);
+        }
+    }
+
+    // ---- Members -------------------------------------------------------------------------------------------
+
+    /// An attempt begins for a client, or for a request that came over a link.
+    pub(super) fn attempt_sent(
+        &mut self,
+        now: f64,
+        key: AttemptKey,
+        client: ClientId,
+        class: &str,
+        member: &str,
+    ) {
+        let asker = match client {
+            0..FIRST_LINK_CLIENT => {
+                let client = self.clients.get(&client).and_then(ClientAccount::client);
+                Asker { client, class: self.class(class), site: 0 }
+            }
+            FIRST_LINK_CLIENT.. => {
+                let request = self.link_requests.get(&(client - FIRST_LINK_CLIENT));
+                request.map_or_else(Asker::default, |(asker, _)| *asker)
+            }
+        };
+        let member = self.names.number(member);
+        self.attempts.sent(micros(now), key, asker, member);
+    }
+
+    /// The kernel took a message to a member, completely or in part.
+    pub(super) fn member_bytes_sent(&mut self, now: f64, member: &str, written: Written) {
+        let bytes = written.bytes as u64;
+        if !self.attempts.wrote(written.key, bytes) {
+            let member = self.names.number(member);
+            Attempts::other(&mut self.meter, micros(now), member, 0, bytes);
+        }
+    }
+
+    /// A member answered with a message of so many bytes; `key` none: nothing that is in flight.
+    pub(super) fn member_replied(
+        &mut self,
+        now: f64,
+        member: &str,
+        key: Option<AttemptKey>,
+        status: Status,
+        bytes: usize,
+    ) {
+        let ends_attempt = match key {
+            Some(key) => {
+                self.attempts.ended(&mut self.meter, micros(now), key, reply_outcome(status), bytes as u64)
+            }
+            None => false,
+        };
+        if !ends_attempt {
+            self.member_bytes_received(now, member, bytes);
+        }
+    }
+
+    /// A member sent bytes that end no attempt.
+    pub(super) fn member_bytes_received(&mut self, now: f64, member: &str, bytes: usize) {
+        if bytes > 0 {
+            let member = self.names.number(member);
+            Attempts::other(&mut self.meter, micros(now), member, bytes as u64, 0);
+        }
+    }
+
+    /// An attempt ended without an answer.
+    pub(super) fn attempt_ended(&mut self, now: f64, key: AttemptKey, outcome: Outcome) {
+        self.attempts.ended(&mut self.meter, micros(now), key, outcome, 0);
+    }
+
+    // ---- Links ---------------------------------------------------------------------------------------------
+
+    /// A request came over a link.
+    pub(super) fn link_request_began(&mut self, now: f64, run: Run, class: &str, site: Option<&str>) {
+        let class = self.class(class);
+        let site = self.names.number(site.unwrap_or(""));
+        self.link_requests.insert(run, (Asker { client: None, class, site }, micros(now)));
+    }
+
+    /// A request that came over a link has its answer, or was cancelled.
+    pub(super) fn link_request_ended(&mut self, now: f64, run: Run, outcome: Outcome) {
+        if let Some((asker, since)) = self.link_requests.remove(&run) {
+            account::over_link(&mut self.meter, micros(now), asker, since, outcome);
+        }
+    }
+
+    /// Bytes came, or went, on a link.
+    pub(super) fn link_bytes(&mut self, now: f64, site: Option<&str>, received: usize, sent: usize) {
+        let site = self.names.number(site.unwrap_or(""));
+        account::link(&mut self.meter, micros(now), site, received as u64, sent as u64);
+    }
+}
--- /dev/null
+++ b/crates/deckproxy/src/program/flows/mod.rs
@@ -0,0 +1,319 @@
+//! Flow export: bytes and requests on clients', members' and links' connections are accounted to flows, and these are
+//! exported to collectors in the time that requests leave.
+
+mod accounting;
+
+use crate::program::subsystem::{Context, Effect, Effects, Event, Note, Subsystem, micros, outcome_of};
+use crate::transport::clock;
+use accounting::Accounting;
+use deckproxy_flow::account::Micros;
+use deckproxy_flow::export::{self, Exporter, Place, Transport};
+use deckproxy_flow::meter::{Flow, Outcome};
+use deckproxy_flow::work::{Kind, Scheduler, TaskId};
+use deckproxy_operator::Operator;
+use slog::{Logger, info, warn};
+use std::net::SocketAddr;
+
+/// Networks with most bytes that a summary names.
+const TOP_LOGGED: usize = 3;
+/// Flows looked at before the time is looked at again.
+const FLOWS_PER_ROUND: usize = 64;
+/// Messages made before the time is looked at again.
+const MESSAGES_PER_ROUND: usize = 2;
+/// Scheduling of the task that collects flows: slice and longest delay in microseconds.
+const COLLECT_KIND: Kind = Kind { weight: 2, slice: 300, patience: 200_000 };
+/// Scheduling of the task that sends to collectors: slice and longest delay in microseconds.
+const SEND_KIND: Kind = Kind { weight: 2, slice: 300, patience: 50_000 };
+/// Time until the exporter is polled again where nothing is due before, microseconds.
+const EXPORTER_POLL_INTERVAL: Micros = 200_000;
+
+/// The flow export of one gateway.
+pub struct Flows {
+    log: Logger,
+    accounting: Accounting,
+    exporter: Exporter,
+    collectors: Vec<(SocketAddr, Transport)>,
+    /// The settings in force.
+    operator: deckproxy_operator::Flows,
+    /// Takes flows that are due out of the meter.
+    collect_task: TaskId,
+    /// Makes messages and hands them to collectors.
+    send_task: TaskId,
+    /// Time from one look at all flows to the next, microseconds.
+    collect_interval: Micros,
+    /// Buffer for flows that are due.
+    due_flows: Vec<Flow>,
+    /// Until when a shutdown waits for the last flows to be exported, ms.
+    flush_deadline: Option<f64>,
+}
+
+impl Flows {
+    /// Starts what the operator file asks for; none where it asks for nothing.
+    pub(super) fn start(
+        log: &Logger,
+        now: f64,
+        seed: u64,
+        classes: &[String],
+        operator: &Operator,
+        tasks: &mut Scheduler,
+    ) -> Option<Box<Self>> {
+        let flows = operator.flows.as_ref()?;
+        let (limits, collectors) = (flows.limits(), flows.reached());
+        let transports: Vec<Transport> = collectors.iter().map(|(_, transport)| *transport).collect();
+        let collect_task = tasks.add(COLLECT_KIND);
+        let send_task = tasks.add(SEND_KIND);
+        tasks.wake(micros(now), collect_task);
+        tasks.wake(micros(now), send_task);
+        Some(Box::new(Flows {
+            log: log.clone(),
+            collect_interval: (limits.idle * 1000 / 4).clamp(20_000, 1_000_000),
+            accounting: Accounting::new(limits, classes),
+            // Sequence numbers begin anywhere: a collector that remembers an earlier process sees a new beginning.
+            exporter: Exporter::new(flows.settings(), &transports, seed as u32, now as u64),
+            collectors,
+            operator: flows.clone(),
+            collect_task,
+            send_task,
+            due_flows: Vec::new(),
+            flush_deadline: None,
+        }))
+    }
+
+    /// How many collectors there are.
+    pub(super) fn collectors(&self) -> usize {
+        self.collectors.len()
+    }
+
+    /// Whether a background task is the one that sends to collectors.
+    pub(super) fn is_send_task(&self, task: TaskId) -> bool {
+        self.send_task == task
+    }
+
+    /// Hands flows that are due to the exporter until that time. Returns whether there are more to look at.
+    fn collect(&mut self, end: Micros, out: &mut Effects) -> bool {
+        loop {
+            let now = micros(clock::now());
+            let is_round_complete =
+                self.accounting.meter.tell(now / 1000, FLOWS_PER_ROUND, &mut self.due_flows);
+            if !self.due_flows.is_empty() {
+                out.push_back(Effect::WakeTask { task: self.send_task, at: None });
+            }
+            for flow in self.due_flows.drain(..) {
+                self.exporter.push(flow);
+            }
+            if is_round_complete {
+                let at = Some(now + self.collect_interval);
+                out.push_back(Effect::WakeTask { task: self.collect_task, at });
+                return false;
+            }
+            if now >= end {
+                return true;
+            }
+        }
+    }
+
+    /// Has the exporter make messages. Returns whether it has more to do at once.
+    fn send(&mut self, now: f64, out: &mut Effects) -> bool {
+        let names = &self.accounting.names;
+        let more = self.exporter.work(now as u64, MESSAGES_PER_ROUND, &|number| names.name(number));
+        self.apply_exporter_effects(out);
+        if !more {
+            let due = self.exporter.next_due(now as u64).map(|at| at * 1000);
+            let poll = micros(now) + EXPORTER_POLL_INTERVAL;
+            let at = due.map_or(poll, |due| due.min(poll));
+            out.push_back(Effect::WakeTask { task: self.send_task, at: Some(at) });
+        }
+        more
+    }
+
+    fn apply_exporter_effects(&mut self, out: &mut Effects) {
+        while let Some(effect) = self.exporter.effect() {
+            match effect {
+                export::Effect::Connect(index) => {
+                    if let Some((to, transport)) = self.collectors.get(index).copied() {
+                        out.push_back(Effect::ConnectCollector { index, to, transport });
+                    }
+                }
+                export::Effect::Send(index, number, message) => {
+                    out.push_back(Effect::SendToCollector { index, number, message });
+                }
+                export::Effect::Close(index) => out.push_back(Effect::CloseCollector(index)),
+                export::Effect::Log(text) => info!(self.log, "flows"; "what" => text),
+            }
+        }
+    }
+
+    /// Takes an event of a connection to a collector. Returns whether it was one.
+    fn collector_event(&mut self, now: f64, event: &Event<'_>) -> bool {
+        let now = now as u64;
+        match *event {
+            Event::CollectorConnected(index) => self.exporter.connected(now, index),
+            Event::CollectorFailed(index) => self.exporter.broke(now, index),
+            Event::CollectorBytesSent(index) => self.exporter.moved(now, index),
+            Event::CollectorMessageSent { index, number } => self.exporter.written(now, index, number),
+            _ => return false,
+        }
+        true
+    }
+
+    /// Accounts what happened on connections of clients, members and links.
+    fn account(&mut self, now: f64, event: &Event<'_>) {
+        let accounting = &mut self.accounting;
+        match *event {
+            Event::ClientConnected { client, address } => accounting.client_connected(client, address),
+            Event::ClientBytesReceived { client, bytes } => {
+                accounting.client_bytes_received(now, client, bytes);
+            }
+            Event::RequestReceived { client, id, class, bytes } => {
+                accounting.request_received(now, (client, id), class, bytes);
+            }
+            Event::AnswerQueued { client, id, answer } => {
+                accounting.answer_queued(client, Some(id), outcome_of(answer));
+            }
+            Event::PingAnswered { client } => accounting.answer_queued(client, None, Outcome::Served),
+            Event::ClientBytesSent { client, bytes } => accounting.client_bytes_sent(now, client, bytes),
+            Event::RequestCancelled { client, id } => accounting.request_cancelled(now, (client, id)),
+            Event::ClientGone { client, cut, unread } => accounting.client_gone(now, client, cut, unread),
+            Event::AttemptSent { key, client, class, member } => {
+                accounting.attempt_sent(now, key, client, class, member);
+            }
+            Event::MemberBytesSent { member, written } => accounting.member_bytes_sent(now, member, written),
+            Event::MemberReplied { member, key, status, bytes } => {
+                accounting.member_replied(now, member, key, status, bytes);
+            }
+            Event::MemberBytesReceived { member, bytes } => {
+                accounting.member_bytes_received(now, member, bytes);
+            }
+            Event::AttemptEnded { key, outcome } => accounting.attempt_ended(now, key, outcome),
+            Event::LinkBytesReceived { site, bytes, .. } => accounting.link_bytes(now, site, bytes, 0),
+            Event::LinkBytesSent { site, bytes } => accounting.link_bytes(now, site, 0, bytes),
+            Event::Notified(note) => Self::account_note(accounting, now, note),
+            _ => {}
+        }
+    }
+
+    fn account_note(accounting: &mut Accounting, now: f64, note: &Note) {
+        match note {
+            Note::RequestForwarded { client, id, site } => {
+                accounting.request_forwarded((*client, *id), site);
+            }
+            Note::LinkRequestBegan { run, class, site } => {
+                accounting.link_request_began(now, *run, class, site.as_deref());
+            }
+            Note::LinkRequestEnded { run, outcome } => accounting.link_request_ended(now, *run, *outcome),
+        }
+    }
+
+    /// Warns of settings in a new operator file that take a restart.
+    fn warn_of_restart(&self, new: &deckproxy_operator::Flows) {
+        let fixed = |flows: &deckproxy_operator::Flows| {
+            let settings = flows.settings();
+            let export::Settings { version, domain, enterprise, largest, spool, copies, .. } = settings;
+            (version, domain, enterprise, largest, spool, copies)
+        };
+        if fixed(new) != fixed(&self.operator) || new.limits() != self.operator.limits() {
+            warn!(
+                self.log,
+                "reload: flows' delivery, protocol, domain, enterprise, message_bytes, spool_kb and meter take a restart"
+            );
+        }
+    }
+}
+
+impl Subsystem for Flows {
+    fn event(&mut self, cx: &Context<'_>, event: &Event<'_>, out: &mut Effects) {
+        if self.collector_event(cx.now, event) {
+            out.push_back(Effect::WakeTask { task: self.send_task, at: None });
+        } else {
+            self.account(cx.now, event);
+        }
+    }
+
+    fn run_task(&mut self, cx: &Context<'_>, task: TaskId, end: Micros, out: &mut Effects) -> Option<bool> {
+        if task == self.collect_task {
+            Some(self.collect(end, out))
+        } else if task == self.send_task {
+            Some(self.send(cx.now, out))
+        } else {
+            None
+        }
+    }
+
+    /// Exports the flows that are left, for as long as the settings allow.
+    fn finish(&mut self, cx: &Context<'_>, out: &mut Effects) -> bool {
+        if let Some(deadline) = self.flush_deadline {
+            return self.exporter.is_settled() || cx.now >= deadline;
+        }
+        let deadline = cx.now + self.operator.flush();
+        self.flush_deadline = Some(deadline);
+        for flow in self.accounting.meter.end() {
+            self.exporter.push(flow);
+        }
+        out.push_back(Effect::WakeTask { task: self.send_task, at: None });
+        out.push_back(Effect::WakeLoopAt(deadline));
+        self.exporter.is_settled() || cx.now >= deadline
+    }
+
+    /// Takes collectors, rates and times from a new operator file.
+    fn reload(&mut self, cx: &Context<'_>, operator: &Operator, out: &mut Effects) {
+        let Some(new) = &operator.flows else { return };
+        self.warn_of_restart(new);
+        let wanted = new.settings();
+        let settings = export::Settings {
+            rate: wanted.rate,
+            refresh: wanted.refresh,
+            stall: wanted.stall,
+            ..self.operator.settings()
+        };
+        let collectors = new.reached();
+        let previous_index = |one| self.collectors.iter().position(|other| other == one);
+        let previous: Vec<(Transport, Option<Place>)> =
+            collectors.iter().map(|one| (one.1, previous_index(one))).collect();
+        self.exporter.replace(settings, &previous, cx.now as u64);
+        out.push_back(Effect::ReorderCollectors(previous.into_iter().map(|(_, index)| index).collect()));
+        self.collectors = collectors;
+        // What takes a restart stays as it was.
+        self.operator = deckproxy_operator::Flows {
+            collectors: new.collectors.clone(),
+            rate: new.rate,
+            refresh_ms: new.refresh_ms,
+            stall_ms: new.stall_ms,
+            flush_ms: new.flush_ms,
+            ..self.operator.clone()
+        };
+        out.push_back(Effect::WakeTask { task: self.send_task, at: None });
+        info!(self.log, "reload: collectors are taken"; "collectors" => self.collectors.len());
+    }
+
+    /// The export's part of the summary; the networks with most bytes are counted anew from it on.
+    fn summary(&mut self) -> String {
+        let counters = self.exporter.counters;
+        let (waiting, pending) = self.exporter.waiting();
+        let lost = self.exporter.untold();
+        let states: Vec<&str> = self.exporter.states().map(|up| if up { "up" } else { "down" }).collect();
+        let top = self.accounting.take_top(TOP_LOGGED);
+        let meter = &self.accounting.meter;
+        format!(
+            "collectors[{}],open[flows:{},kb:{},clients:{},attempts:{},runs:{}],folded:{},overflows:{},\
+             told[flows:{},messages:{},octets:{},requests:{}],waiting[flows:{waiting},sent:{pending}],\
+             merged:{},lost[flows:{},untold:{}],breaks:{},top[{}]",
+            states.join(" "),
+            meter.len(),
+            meter.size() / 1024,
+            self.accounting.clients.len(),
+            self.accounting.attempts.len(),
+            self.accounting.link_requests.len(),
+            meter.folds,
+            meter.overflows,
+            counters.flows,
+            counters.messages,
+            counters.octets,
+            counters.requests,
+            self.exporter.merged(),
+            counters.lost,
+            lost.flows,
+            counters.breaks,
+            top.join(" "),
+        )
+    }
+}
--- a/crates/deckproxy/src/program/subsystems.rs
+++ b/crates/deckproxy/src/program/subsystems.rs
@@ -96,7 +96,7 @@
 
     /// Whether a background task hands messages to collectors.
     pub fn sends_to_collectors(&self, task: TaskId) -> bool {
-        self.flows.as_ref().is_some_and(|f| f.is_sending_task(task))
+        self.flows.as_ref().is_some_and(|f| f.is_send_task(task))
     }
 
     /// Whether a subsystem took over a client's request of that id and has not answered it.
--- a/crates/deckproxy/tests/structure.rs
+++ b/crates/deckproxy/tests/structure.rs
@@ -1,18 +1,20 @@
-//! No file of the program is in a circle with another: who changes one must not have to hold all others in mind.
+//! No module of the program is in a circle of imports with another: who changes one must not have to know all others.
+//!
+//! A module that is a folder counts as one, with all its files; the files of each folder are checked among themselves, too.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
-/// The files of the program that a text names: `crate::program::NAME`, or by the wiring its own `mod`s.
-fn named(text: &str, all: &BTreeSet<String>) -> BTreeSet<String> {
+/// Names that follow a path prefix in code, such as `a`, `b` and `e` of `use crate::program::{a, b::{C, D}, e}` after
+/// `crate::program::`: those at the first level.
+fn names_after(text: &str, prefix: &str) -> Vec<String> {
     let code =
         text.lines().map(str::trim).filter(|line| !line.starts_with("//")).collect::<Vec<_>>().join(" ");
-    let mut out = BTreeSet::new();
-    for (at, path) in code.match_indices("crate::program::") {
+    let mut out = Vec::new();
+    for (at, path) in code.match_indices(prefix) {
         let rest = &code[at + path.len()..];
         let names: Vec<&str> = match rest.strip_prefix('{') {
-            // `use crate::program::{a, b::{C, D}, e}`: the names at the first level.
             Some(list) => {
                 let mut depth = 0;
                 let end = list
@@ -35,7 +37,7 @@
         };
         let first =
             |s: &str| s.trim().split(|c: char| !c.is_alphanumeric() && c != '_').next().map(String::from);
-        out.extend(names.into_iter().filter_map(first).filter(|name| all.contains(name)));
+        out.extend(names.into_iter().filter_map(first));
     }
     out
 }
@@ -64,30 +66,95 @@
     graph.keys().find_map(|name| walk(graph, name, &mut Vec::new(), &mut done))
 }
 
-fn program() -> BTreeMap<String, String> {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("src/program");
-    let files = fs::read_dir(folder).expect("the folder of the program").flatten();
-    files
-        .map(|file| {
-            let name = file.path().file_stem().expect("a name").to_string_lossy().into_owned();
-            (name, fs::read_to_string(file.path()).expect("a source file"))
+fn program_folder() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("src/program")
+}
+
+/// The Rust files in a folder and those below it, as one text.
+fn text_of(path: &Path) -> String {
+    if path.is_file() {
+        return fs::read_to_string(path).expect("a source file");
+    }
+    let entries = fs::read_dir(path).expect("a folder of sources").flatten();
+    entries.map(|entry| text_of(&entry.path())).collect::<Vec<_>>().join("\n")
+}
+
+/// The modules in a folder, by name, with their texts.
+fn modules(folder: &Path) -> BTreeMap<String, String> {
+    let entries = fs::read_dir(folder).expect("a folder of modules").flatten();
+    entries
+        .map(|entry| {
+            let name = entry.path().file_stem().expect("a name").to_string_lossy().into_owned();
+            (name, text_of(&entry.path()))
         })
         .collect()
 }
 
-fn graph(files: &BTreeMap<String, String>) -> BTreeMap<String, BTreeSet<String>> {
-    let all: BTreeSet<String> = files.keys().cloned().collect();
-    files.iter().map(|(name, text)| (name.clone(), named(text, &all))).collect()
+fn program() -> BTreeMap<String, String> {
+    modules(&program_folder())
+}
+
+/// Which modules of the program each one imports by `crate::program::NAME`.
+fn graph(modules: &BTreeMap<String, String>) -> BTreeMap<String, BTreeSet<String>> {
+    let imports = |text: &String| {
+        names_after(text, "crate::program::").into_iter().filter(|name| modules.contains_key(name)).collect()
+    };
+    modules.iter().map(|(name, text)| (name.clone(), imports(text))).collect()
+}
+
+/// Which files of a module's folder each one imports: `super::NAME` is a sibling's or else an item of `mod`; `mod`
+/// imports by `use NAME::`.
+fn graph_within(files: &BTreeMap<String, String>) -> BTreeMap<String, BTreeSet<String>> {
+    let imports = |name: &String, text: &String| -> BTreeSet<String> {
+        if name == "mod" {
+            names_after(text, "use ").into_iter().filter(|name| files.contains_key(name)).collect()
+        } else {
+            let sibling = |name: String| if files.contains_key(&name) { name } else { "mod".to_string() };
+            names_after(text, "super::").into_iter().map(sibling).collect()
+        }
+    };
+    files.iter().map(|(name, text)| (name.clone(), imports(name, text))).collect()
+}
+
+/// The files of each module that is a folder.
+fn folders() -> BTreeMap<String, BTreeMap<String, String>> {
+    let entries = fs::read_dir(program_folder()).expect("the folder of the program").flatten();
+    let folders = entries.map(|entry| entry.path()).filter(|path| path.is_dir());
+    folders.map(|path| (path.display().to_string(), modules(&path))).collect()
 }
 
 #[test]
 fn program_modules_have_no_import_cycle() {
-    let files = program();
-    let graph = graph(&files);
+    let graph = graph(&program());
     assert!(graph["gateway"].contains("subsystem"), "imports are not found any more: {graph:?}");
     assert_eq!(circle(&graph), None);
 }
 
+#[test]
+fn files_of_a_module_folder_have_no_import_cycle() {
+    let folders = folders();
+    assert!(!folders.is_empty(), "no folder is found any more");
+    for (folder, files) in folders {
+        assert!(files.contains_key("mod"), "{folder}: {:?}", files.keys());
+        let graph = graph_within(&files);
+        assert!(
+            graph.values().any(|imports| !imports.is_empty()),
+            "{folder}: imports are not found any more"
+        );
+        assert_eq!(circle(&graph), None, "{folder}");
+    }
+}
+
+#[test]
+fn import_cycle_within_a_folder_is_detected() {
+    let mut files = modules(&program_folder().join("subsystem"));
+    files.get_mut("ids").expect("the identifiers").push_str("\nuse super::{effect::Effect, Context};\n");
+    let graph = graph_within(&files);
+    assert!(graph["ids"].contains("effect") && graph["ids"].contains("mod"), "{graph:?}");
+    let circle = circle(&graph).expect("effect and ids import each other");
+    assert!(circle.contains(&"ids".to_string()), "{circle:?}");
+}
+
 #[test]
 fn subsystems_import_neither_the_event_loop_nor_each_other() {
     let graph = graph(&program());
