--- a/crates/deckproxy-control/tests/common/mod.rs
+++ b/crates/deckproxy-control/tests/common/mod.rs
@@ -138,9 +138,7 @@
 
     /// Ends the attempt that a send began.
     pub fn end(&mut self, request: RequestId, attempt: u32, member: MemberId, ending: AttemptEnding) {
-        let finished = ending == AttemptEnding::Served;
-        let (elapsed, note, load) = (10.0, FillNote::None, None);
-        self.event(Event::AttemptEnded { request, attempt, member, ending, elapsed, finished, note, load });
+        self.answer((request, attempt), member, (ending, FillNote::None), 10.0, None);
     }
 
     /// Ends an attempt with what its answer tells.
@@ -156,6 +154,35 @@
         self.event(Event::AttemptEnded { request, attempt, member, ending, elapsed, finished, note, load });
     }
 
+    /// Serves look-ups of so many objects, each in the time given for its member.
+    pub fn serve_lookups(&mut self, count: u64, elapsed: impl Fn(MemberId) -> Millis) {
+        for object in 0..count {
+            let id = self.ask(SMALL, object, 0);
+            let member = self.sends()[0].1;
+            self.answer((id, 0), member, (AttemptEnding::Served, FillNote::None), elapsed(member), None);
+        }
+    }
+
+    /// Serves an object from its home; returns that.
+    pub fn home_of(&mut self, object: u64) -> MemberId {
+        let id = self.ask(SMALL, object, 0);
+        let member = self.sends()[0].1;
+        self.end(id, 0, member, AttemptEnding::Served);
+        member
+    }
+
+    /// Serves an attempt.
+    pub fn serve(
+        &mut self,
+        request: RequestId,
+        attempt: u32,
+        member: MemberId,
+        elapsed: Millis,
+        note: FillNote,
+    ) {
+        self.answer((request, attempt), member, (AttemptEnding::Served, note), elapsed, None);
+    }
+
     /// Whether the last step's get asks its source only for what that holds; nothing without a get.
     pub fn cached_only(&self) -> Option<bool> {
         self.acts.iter().find_map(|a| match a {
@@ -204,7 +231,7 @@
         .collect()
 }
 
-pub fn refused(acts: &[Action], id: RequestId) -> bool {
+pub fn rejected(acts: &[Action], id: RequestId) -> bool {
     acts.iter().any(|a| matches!(a, Action::Reject { request, .. } if *request == id))
 }
 
--- a/crates/deckproxy-control/tests/ordinary_path.rs
+++ b/crates/deckproxy-control/tests/ordinary_path.rs
@@ -210,9 +210,9 @@
     assert!(PARENTS.contains(&rig.sends()[0].1));
     let mut rig = Rig::with(settings(), vec![]);
     let id = rig.ask(SMALL, 5, 0);
-    assert!(refused(&rig.acts, id));
+    assert!(rejected(&rig.acts, id));
     let id = rig.ask(KEYED, 5, 0);
-    assert!(refused(&rig.acts, id));
+    assert!(rejected(&rig.acts, id));
 }
 
 #[test]
--- a/crates/deckproxy-control/tests/rules.rs
+++ b/crates/deckproxy-control/tests/rules.rs
@@ -13,7 +13,7 @@
     let home = rig.sends()[0].1;
     rig.now += 5000.0;
     rig.end(id, 0, home, AttemptEnding::Timeout);
-    assert!(refused(&rig.acts, id));
+    assert!(rejected(&rig.acts, id));
     assert!(rig.sends().is_empty());
     rig.end(id, 0, home, AttemptEnding::Timeout);
     assert!(rig.acts.is_empty());
@@ -28,7 +28,7 @@
         let at = rig.sends()[0].1;
         rig.end(id, attempt, at, AttemptEnding::Reset);
     }
-    assert!(rig.sends().is_empty() && refused(&rig.acts, id));
+    assert!(rig.sends().is_empty() && rejected(&rig.acts, id));
 }
 
 #[test]
@@ -74,7 +74,7 @@
         rig.end(leader, 1, cache, AttemptEnding::Error);
         let sends: Vec<RequestId> = rig.sends().iter().map(|s| s.0).collect();
         assert!(sends.contains(&waiter));
-        assert!(sends.contains(&leader) || refused(&rig.acts, leader), "{left}");
+        assert!(sends.contains(&leader) || rejected(&rig.acts, leader), "{left}");
     }
 }
 
@@ -86,7 +86,7 @@
         let mut rig = Rig::new();
         let id = rig.ask(UNSAFE, 5, 0);
         rig.end(id, 0, THE_ORIGIN, never);
-        assert!(rig.sends().len() == 1 || refused(&rig.acts, id), "{never:?}");
+        assert!(rig.sends().len() == 1 || rejected(&rig.acts, id), "{never:?}");
     }
     for maybe in
         [AttemptEnding::Error, AttemptEnding::Timeout, AttemptEnding::Reset, AttemptEnding::Cancelled]
@@ -107,7 +107,7 @@
         rig.end(id, 0, THE_ORIGIN, AttemptEnding::Timeout);
         assert_eq!(!rig.sends().is_empty(), again, "{at}");
         // Refusing does no harm: every member drops its repeats.
-        assert_eq!(refused(&rig.acts, id), !again);
+        assert_eq!(rejected(&rig.acts, id), !again);
     }
 }
 
@@ -121,7 +121,7 @@
     rig.end(id, 0, THE_ORIGIN, AttemptEnding::Reset);
     assert!(rig.sends().iter().all(|s| s.1 == THE_ORIGIN));
     if rig.sends().is_empty() {
-        assert!(failed(&rig.acts, id) && !refused(&rig.acts, id));
+        assert!(failed(&rig.acts, id) && !rejected(&rig.acts, id));
     }
 }
 
--- a/crates/deckproxy-control/tests/cold_sums.rs
+++ b/crates/deckproxy-control/tests/slow_start.rs
@@ -172,3 +172,20 @@
         assert_eq!(fleet.judge.first_overload(bears(&cold, rule)), None, "{}", cold.id);
     }
 }
+
+/// It is empty: a look-up would be a miss and weigh as much as the fill.
+#[test]
+fn a_cache_that_warms_up_is_asked_for_a_fill_at_once() {
+    let cold = |m: Member| Member { started: (m.id == CACHES[0]).then_some(0.0), ..m };
+    let mut rig = Rig::with(settings(), everyone().into_iter().map(cold).collect());
+    let mut fills = 0;
+    for object in 0..200 {
+        rig.now += 20.0;
+        let id = rig.ask(SMALL, object, 0);
+        let (_, at, source) = rig.sends()[0];
+        assert_eq!(source.is_some(), at == CACHES[0], "the others are looked up at first");
+        fills += u32::from(source.is_some());
+        rig.end(id, 0, at, AttemptEnding::Served);
+    }
+    assert!(fills > 5, "{fills}");
+}
