--- a/crates/deckproxy/src/program/files.rs
+++ b/crates/deckproxy/src/program/files.rs
@@ -1,109 +1,137 @@
-//! What is read at the start, and again on SIGHUP.
+//! Reading the configuration and the operator file, at the start and again on SIGHUP.
 
 use crate::program::cli::Run;
-use crate::protocol::config;
+use crate::protocol::config::{self, Config, ConfigError};
 use crate::transport::stream::is_exhausted;
 use deckproxy_operator::Operator;
-use std::path::Path;
-use std::{fmt, io};
+use std::ffi::OsString;
+use std::fs::File;
+use std::io::{self, Read};
+use std::path::{Path, PathBuf};
+use std::{env, fmt, fs};
 
-/// All that is read at the start, and again on SIGHUP.
+/// The files' contents, read and checked.
 #[derive(Debug)]
 pub struct Files {
     /// The platform's configuration.
-    pub config: config::Config,
+    pub config: Config,
     /// What the operators switch on beside it.
     pub operator: Operator,
 }
 
-/// Why they could not be read; the text has a line for each fault.
+/// Why the files can't be used.
 #[derive(Debug)]
 pub enum FileError {
-    /// The process has no descriptor left for a file, which says nothing of it.
-    Exhausted(String),
-    /// A file can't be read or used.
-    Unusable(String),
+    /// Neither the command line nor the environment names a configuration.
+    NoConfiguration,
+    /// The configuration can't be read.
+    UnreadableConfiguration {
+        /// Its path.
+        path: PathBuf,
+        /// What the system said.
+        error: io::Error,
+    },
+    /// The configuration can't be used.
+    Configuration(ConfigError),
+    /// GW_LISTEN is not a socket address.
+    ListenNotAnAddress(String),
+    /// The operator file can't be read.
+    UnreadableOperatorFile {
+        /// Its path.
+        path: PathBuf,
+        /// What the system said.
+        error: io::Error,
+    },
+    /// The operator file can't be used: each fault as `FILE:LINE:COLUMN: FIELD: WHAT`.
+    OperatorFile(Vec<String>),
 }
 
 impl FileError {
-    fn of(e: &io::Error, what: String) -> Self {
-        if is_exhausted(e) { FileError::Exhausted(what) } else { FileError::Unusable(what) }
-    }
-}
-
-impl From<config::ConfigError> for FileError {
-    fn from(error: config::ConfigError) -> Self {
-        FileError::Unusable(error.to_string())
+    /// Whether the process had no descriptor left for a file, which says nothing about the file.
+    pub fn is_exhausted(&self) -> bool {
+        match self {
+            FileError::UnreadableConfiguration { error, .. }
+            | FileError::UnreadableOperatorFile { error, .. } => is_exhausted(error),
+            _ => false,
+        }
     }
 }
 
-impl From<String> for FileError {
-    fn from(what: String) -> Self {
-        FileError::Unusable(what)
+impl From<ConfigError> for FileError {
+    fn from(error: ConfigError) -> Self {
+        FileError::Configuration(error)
     }
 }
 
 impl fmt::Display for FileError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            FileError::Exhausted(what) | FileError::Unusable(what) => f.write_str(what),
+            FileError::NoConfiguration => f.write_str("GW_CONFIG is not set"),
+            FileError::UnreadableConfiguration { path, error } => {
+                write!(f, "cannot read the configuration {}: {error}", path.display())
+            }
+            FileError::Configuration(error) => error.fmt(f),
+            FileError::ListenNotAnAddress(text) => write!(f, "GW_LISTEN: {text:?} is no address"),
+            FileError::UnreadableOperatorFile { path, error } => {
+                write!(f, "{}: cannot be read: {error}", path.display())
+            }
+            FileError::OperatorFile(faults) => f.write_str(&faults.join("\n")),
         }
     }
 }
 
+impl std::error::Error for FileError {}
+
 impl Files {
     /// Reads what the command line and the environment name.
+    ///
+    /// # Errors
+    /// A file can't be read or used; see [`FileError`].
     pub fn read(run: &Run) -> Result<Self, FileError> {
         let operator = match &run.operator {
             None => Operator::default(),
-            Some(path) => {
-                let bytes = bytes(path).map_err(|e| FileError::of(&e, unreadable(path, &e)))?;
-                usable(path, &bytes).map_err(|faults| faults.join("\n"))?
-            }
+            Some(path) => read_operator(path)?,
         };
-        Ok(Files { config: configuration(run)?, operator })
+        Ok(Files { config: read_config(run)?, operator })
     }
 }
 
-fn configuration(run: &Run) -> Result<config::Config, FileError> {
-    let path = match &run.config {
+/// Reads the configuration, over which the environment's GW_LISTEN and GW_NAME are laid.
+fn read_config(run: &Run) -> Result<Config, FileError> {
+    let path: OsString = match &run.config {
         Some(path) => path.clone().into_os_string(),
-        None => std::env::var_os("GW_CONFIG").ok_or("GW_CONFIG is not set".to_string())?,
+        None => env::var_os("GW_CONFIG").ok_or(FileError::NoConfiguration)?,
     };
-    let shown = Path::new(&path).display().to_string();
-    let told = |e: io::Error| FileError::of(&e, format!("cannot read the configuration {shown}: {e}"));
-    let text = std::fs::read(&path).map_err(told)?;
+    let text = fs::read(&path)
+        .map_err(|error| FileError::UnreadableConfiguration { path: PathBuf::from(&path), error })?;
     let mut config = config::read(&text)?;
-    if let Ok(listen) = std::env::var("GW_LISTEN") {
-        config.listen = listen.parse().map_err(|_| format!("GW_LISTEN: {listen:?} is no address"))?;
+    if let Ok(listen) = env::var("GW_LISTEN") {
+        config.listen = listen.parse().map_err(|_| FileError::ListenNotAnAddress(listen))?;
     }
-    if let Ok(name) = std::env::var("GW_NAME") {
+    if let Ok(name) = env::var("GW_NAME") {
         config.name = name;
     }
     Ok(config)
 }
 
-/// Reads an operator file; the error has a line for each fault.
-pub fn operator(path: &Path) -> Result<Operator, Vec<String>> {
-    let bytes = bytes(path).map_err(|e| vec![unreadable(path, &e)])?;
-    usable(path, &bytes)
-}
-
-fn unreadable(path: &Path, e: &io::Error) -> String {
-    format!("{}: cannot be read: {e}", path.display())
-}
-
-fn usable(path: &Path, bytes: &[u8]) -> Result<Operator, Vec<String>> {
-    let shown = path.display();
-    deckproxy_operator::read(bytes)
-        .map_err(|faults| faults.iter().map(|fault| format!("{shown}:{fault}")).collect())
+/// Reads an operator file.
+///
+/// # Errors
+/// The file can't be read, or has faults: all of them are listed.
+pub fn read_operator(path: &Path) -> Result<Operator, FileError> {
+    let bytes = read_limited(path)
+        .map_err(|error| FileError::UnreadableOperatorFile { path: path.to_path_buf(), error })?;
+    deckproxy_operator::read(&bytes).map_err(|faults| {
+        let shown = path.display();
+        FileError::OperatorFile(faults.iter().map(|fault| format!("{shown}:{fault}")).collect())
+    })
 }
 
-/// What an operator file holds. What is over the limit is not read, only told.
-fn bytes(path: &Path) -> io::Result<Vec<u8>> {
-    let length = std::fs::metadata(path)?.len();
+/// Reads an operator file up to one byte over the largest that is allowed: of a longer one no more is needed to tell.
+fn read_limited(path: &Path) -> io::Result<Vec<u8>> {
+    let length = fs::metadata(path)?.len();
     let most = deckproxy_operator::LARGEST as u64 + 1;
     let mut bytes = Vec::with_capacity(length.min(most) as usize);
-    io::Read::read_to_end(&mut io::Read::take(std::fs::File::open(path)?, most), &mut bytes)?;
+    File::open(path)?.take(most).read_to_end(&mut bytes)?;
     Ok(bytes)
 }
--- a/crates/deckproxy/src/program/migrate.rs
+++ b/crates/deckproxy/src/program/migrate.rs
@@ -1,91 +1,171 @@
-//! `deckproxy migrate`: a configuration file of one deployment's shape to its counterpart for another's.
+//! `deckproxy migrate`: writes the counterpart of a configuration file for the shape of another deployment.
 
 use crate::program::cli::Migrate;
-use crate::protocol::{config, shape};
+use crate::protocol::config::{self, ConfigError};
+use crate::protocol::shape;
 use serde_json::{Value, json};
-use std::io::Write;
-use std::path::Path;
+use std::fs::File;
+use std::io::{self, Write};
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
+use std::{fmt, fs};
 
 /// The exit code where something could not be carried over. 0 is clean, 1 failed, 2 a command line that can't be
 /// read.
 pub const WITH_LOSSES: u8 = 3;
 
-/// Reads a configuration file; the error has a line for each fault, as `FILE:LINE:COLUMN: FIELD: WHAT`.
-pub fn configuration(path: &Path, partial: bool) -> Result<Value, Vec<String>> {
+/// Why nothing was written.
+#[derive(Debug)]
+pub enum MigrateError {
+    /// An argument of `--set` has no `=`.
+    SetWithoutValue(String),
+    /// Files or `--set` arguments have faults, one each.
+    Faults(Vec<String>),
+    /// The counterpart is no configuration that a gateway starts with.
+    UnusableResult(ConfigError),
+    /// The output is the input.
+    OutputIsInput(PathBuf),
+    /// The output exists, and `--replace` was not given.
+    OutputExists(PathBuf),
+    /// The output can't be written.
+    Output {
+        /// Its path.
+        path: PathBuf,
+        /// What the system said.
+        error: io::Error,
+    },
+}
+
+impl fmt::Display for MigrateError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            MigrateError::SetWithoutValue(set) => write!(f, "--set {set}: no PATH=VALUE"),
+            MigrateError::Faults(faults) => write!(f, "{}\nnothing was written", faults.join("\n")),
+            MigrateError::UnusableResult(error) => {
+                write!(f, "the counterpart would not start: {error}\nnothing was written")
+            }
+            MigrateError::OutputIsInput(path) => {
+                write!(f, "{}: is the input, which is never written over", path.display())
+            }
+            MigrateError::OutputExists(path) => {
+                write!(f, "{}: is there already; --replace writes it anew", path.display())
+            }
+            MigrateError::Output { path, error } => {
+                write!(f, "{}: cannot be written: {error}", path.display())
+            }
+        }
+    }
+}
+
+impl std::error::Error for MigrateError {}
+
+/// Whether the output had to be written.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Written {
+    /// It was written.
+    Anew,
+    /// It had that content already.
+    Unchanged,
+}
+
+/// Reads a configuration file; a partial one may lack fields.
+///
+/// # Errors
+/// Every fault as `FILE:LINE:COLUMN: FIELD: WHAT`, or that the file can't be read.
+pub fn read_configuration(path: &Path, partial: bool) -> Result<Value, Vec<String>> {
     let shown = path.display();
-    let bytes = std::fs::read(path).map_err(|e| vec![format!("{shown}: cannot be read: {e}")])?;
+    let bytes = fs::read(path).map_err(|e| vec![format!("{shown}: cannot be read: {e}")])?;
     let text = String::from_utf8(bytes).map_err(|e| {
-        let good = e.utf8_error().valid_up_to();
-        let line = e.as_bytes()[..good].iter().filter(|b| **b == b'\n').count() + 1;
-        vec![format!("{shown}:{line}:1: file: not UTF-8 from byte {good} on")]
+        let valid = e.utf8_error().valid_up_to();
+        let line = e.as_bytes()[..valid].iter().filter(|byte| **byte == b'\n').count() + 1;
+        vec![format!("{shown}:{line}:1: file: not UTF-8 from byte {valid} on")]
     })?;
-    shape::read(&text, partial).map_err(|faults| faults.iter().map(|f| format!("{shown}:{f}")).collect())
+    shape::read(&text, partial)
+        .map_err(|faults| faults.iter().map(|fault| format!("{shown}:{fault}")).collect())
 }
 
 /// Does what the command line says. Nothing is written unless all of it can be.
-pub fn run(args: &Migrate) -> Result<ExitCode, String> {
-    let mut faults = Vec::new();
-    let mut read = |path: &Path, partial| {
-        configuration(path, partial).map_err(|what| faults.extend(what)).unwrap_or_default()
-    };
-    let old = read(&args.old, false);
-    let mut shapes: Vec<Value> = args.shape.iter().map(|path| read(path, true)).collect();
-    for set in &args.set {
-        let (path, value) = set.split_once('=').ok_or(format!("--set {set}: no PATH=VALUE"))?;
-        let value = serde_json::from_str(value).unwrap_or_else(|_| Value::String(value.to_string()));
-        let one = path.rsplit('.').fold(value, |value, field| json!({ field: value }));
-        let text = one.to_string();
-        faults.extend(shape::read(&text, true).err().into_iter().flatten().map(|what| {
-            let what = what.splitn(3, ':').last().unwrap_or_default().to_string();
-            format!("--set {set}:{what}")
-        }));
-        shapes.push(one);
-    }
-    if !faults.is_empty() {
-        return Err(format!("{}\nnothing was written", faults.join("\n")));
-    }
+///
+/// # Errors
+/// See [`MigrateError`].
+pub fn run(arguments: &Migrate) -> Result<ExitCode, MigrateError> {
+    let (old, shapes) = read_input(arguments)?;
     let (new, losses) = shape::migrate(&old, &shapes);
     let text = format!("{new:#}\n");
-    config::read(text.as_bytes())
-        .map_err(|e| format!("the counterpart would not start: {e}\nnothing was written"))?;
+    config::read(text.as_bytes()).map_err(MigrateError::UnusableResult)?;
     for loss in &losses {
-        println!("{}: {}: {}", args.old.display(), loss.field, loss.why);
+        println!("{}: {}: {}", arguments.old.display(), loss.field, loss.why);
     }
     let count = format!("{} not carried over", losses.len());
-    let out = args.out.display();
-    if args.dry_run {
+    let out = arguments.out.display();
+    if arguments.dry_run {
         println!("{out}: would be written ({} bytes), {count}; nothing was changed", text.len());
-    } else if write(&args.old, &args.out, text.as_bytes(), args.replace)? {
-        println!("{out}: written ({} bytes), {count}", text.len());
     } else {
-        println!("{out}: is that already, {count}");
+        match write(&arguments.old, &arguments.out, text.as_bytes(), arguments.replace)? {
+            Written::Anew => println!("{out}: written ({} bytes), {count}", text.len()),
+            Written::Unchanged => println!("{out}: is that already, {count}"),
+        }
     }
     Ok(if losses.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(WITH_LOSSES) })
 }
 
-/// Writes a file whole or not at all; tells whether it had to be.
-fn write(input: &Path, out: &Path, bytes: &[u8], replace: bool) -> Result<bool, String> {
-    let shown = out.display();
-    let failed = |e: &std::io::Error| format!("{shown}: cannot be written: {e}");
-    if let Ok(there) = std::fs::canonicalize(out) {
-        if std::fs::canonicalize(input).is_ok_and(|input| input == there) {
-            return Err(format!("{shown}: is the input, which is never written over"));
-        } else if std::fs::read(out).is_ok_and(|held| held == bytes) {
-            return Ok(false);
+/// Reads the old configuration, and the shapes to lay over it in order. All faults are found in one go.
+fn read_input(arguments: &Migrate) -> Result<(Value, Vec<Value>), MigrateError> {
+    let mut faults = Vec::new();
+    let mut read = |path: &Path, partial| {
+        read_configuration(path, partial).map_err(|found| faults.extend(found)).unwrap_or_default()
+    };
+    let old = read(&arguments.old, false);
+    let mut shapes: Vec<Value> = arguments.shape.iter().map(|path| read(path, true)).collect();
+    for set in &arguments.set {
+        let (shape, found) = read_set(set)?;
+        faults.extend(found);
+        shapes.push(shape);
+    }
+    if faults.is_empty() { Ok((old, shapes)) } else { Err(MigrateError::Faults(faults)) }
+}
+
+/// Reads a `--set PATH=VALUE` as a shape with that one field, and its faults.
+fn read_set(set: &str) -> Result<(Value, Vec<String>), MigrateError> {
+    let (path, value) = set.split_once('=').ok_or_else(|| MigrateError::SetWithoutValue(set.to_string()))?;
+    let value = serde_json::from_str(value).unwrap_or_else(|_| Value::String(value.to_string()));
+    let shape = path.rsplit('.').fold(value, |value, field| json!({ field: value }));
+    let faults = shape::read(&shape.to_string(), true).err().unwrap_or_default();
+    let faults = faults.into_iter().map(|fault| {
+        // Line and column are of a text that the user has never seen.
+        let fault = fault.splitn(3, ':').last().unwrap_or_default().to_string();
+        format!("--set {set}:{fault}")
+    });
+    let faults = faults.collect();
+    Ok((shape, faults))
+}
+
+/// Writes a file completely or not at all.
+fn write(input: &Path, out: &Path, bytes: &[u8], replace: bool) -> Result<Written, MigrateError> {
+    if let Ok(existing) = fs::canonicalize(out) {
+        if fs::canonicalize(input).is_ok_and(|input| input == existing) {
+            return Err(MigrateError::OutputIsInput(out.to_path_buf()));
+        } else if fs::read(out).is_ok_and(|content| content == bytes) {
+            return Ok(Written::Unchanged);
         } else if !replace {
-            return Err(format!("{shown}: is there already; --replace writes it anew"));
+            return Err(MigrateError::OutputExists(out.to_path_buf()));
         }
     }
-    let folder = out.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
-    let mut file = tempfile::NamedTempFile::new_in(folder).map_err(|e| failed(&e))?;
+    write_atomically(input, out, bytes, replace)
+        .map_err(|error| MigrateError::Output { path: out.to_path_buf(), error })?;
+    Ok(Written::Anew)
+}
+
+/// Writes a temporary file with the input's permissions, and renames it to the output.
+fn write_atomically(input: &Path, out: &Path, bytes: &[u8], replace: bool) -> io::Result<()> {
+    let folder = out.parent().filter(|parent| !parent.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    let mut file = tempfile::NamedTempFile::new_in(folder)?;
     // A temporary file is its owner's alone; who could read the old one is to read the new one.
-    let mode = std::fs::metadata(input).map_err(|e| failed(&e))?.permissions();
-    file.as_file().set_permissions(mode).map_err(|e| failed(&e))?;
-    file.write_all(bytes).and_then(|()| file.as_file().sync_all()).map_err(|e| failed(&e))?;
-    // Without leave to replace, one that came meanwhile stays.
-    let done = if replace { file.persist(out) } else { file.persist_noclobber(out) };
-    done.map_err(|e| failed(&e.error))?;
-    std::fs::File::open(folder).and_then(|f| f.sync_all()).map_err(|e| failed(&e))?;
-    Ok(true)
+    file.as_file().set_permissions(fs::metadata(input)?.permissions())?;
+    file.write_all(bytes)?;
+    file.as_file().sync_all()?;
+    // Without leave to replace, a file that came meanwhile stays.
+    let persisted = if replace { file.persist(out) } else { file.persist_noclobber(out) };
+    persisted.map_err(|e| e.error)?;
+    File::open(folder)?.sync_all()
 }
--- a/crates/deckproxy/src/program/reload.rs
+++ b/crates/deckproxy/src/program/reload.rs
@@ -12,7 +12,9 @@
     /// used changes nothing. No connection of a client or member is touched.
     pub fn reload(&mut self, now: f64, read: impl Fn() -> Result<Files, FileError>) {
         let mut files = read();
-        if matches!(files, Err(FileError::Exhausted(_))) && self.evict_client(now, EvictionReason::Internal) {
+        if files.as_ref().is_err_and(FileError::is_exhausted)
+            && self.evict_client(now, EvictionReason::Internal)
+        {
             // The gateway lacked a descriptor: nobody asks for this reload again, and the feed may have moved.
             files = read();
         }
--- /dev/null
+++ b/crates/deckproxy/src/program/serve.rs
@@ -0,0 +1,50 @@
+//! `deckproxy run`: the gateway's process from its start to the end of a graceful shutdown.
+
+use crate::program::cli::{self, Run};
+use crate::program::error::ProgramError;
+use crate::program::files::Files;
+use crate::program::gateway::Gateway;
+use crate::program::logging;
+use crate::transport::clock;
+use calloop::EventLoop;
+use calloop::signals::{Signal, Signals};
+use slog::{Logger, info};
+use std::time::Duration;
+
+/// Longest wait of the loop, should the alarm ever fail to wake it.
+const LONGEST_WAIT: Duration = Duration::from_millis(500);
+
+/// Reads the files, and serves until a signal ends the process.
+///
+/// # Errors
+/// The files can't be used, an address can't be bound, or the event loop failed.
+pub fn run(run: &Run, log: cli::Log) -> Result<(), ProgramError> {
+    // Before any thread starts, the log's too: the signals are blocked for all threads and read from a
+    // descriptor. One thread that does not block them would let the first signal end the process.
+    let signals =
+        Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]).map_err(ProgramError::Signals)?;
+    let files = Files::read(run)?;
+    let (log, _guard) = logging::start(log);
+    serve(&log, signals, files, run.clone())
+}
+
+fn serve(log: &Logger, signals: Signals, files: Files, run: Run) -> Result<(), ProgramError> {
+    let mut events: EventLoop<'static, Gateway> = EventLoop::try_new().map_err(ProgramError::EventLoop)?;
+    let handle = events.handle();
+    handle
+        .insert_source(signals, move |event, _, gateway: &mut Gateway| match event.signal() {
+            Signal::SIGHUP => gateway.reload(clock::now(), || Files::read(&run)),
+            _ => gateway.terminate(clock::now()),
+        })
+        .map_err(|e| ProgramError::EventLoop(e.error))?;
+    let listen = files.config.listen;
+    let mut gateway = Gateway::new(handle, log.clone(), files).map_err(ProgramError::Start)?;
+    info!(log, "serving"; "listen" => %listen);
+    while !gateway.is_done() {
+        let wait = if gateway.is_busy() { Duration::ZERO } else { LONGEST_WAIT };
+        events.dispatch(wait, &mut gateway).map_err(ProgramError::EventLoop)?;
+        gateway.turn().map_err(ProgramError::EventLoop)?;
+    }
+    gateway.summary("end");
+    Ok(())
+}
