--- a/crates/deckproxy-lab/src/demo.rs
+++ b/crates/deckproxy-lab/src/demo.rs
@@ -6,8 +6,8 @@
 use clap::Args;
 use comfy_table::Table;
 use deckproxy_rig::judge::judge;
-use deckproxy_rig::plan::{Fault, Plan, What};
-use deckproxy_rig::play::play;
+use deckproxy_rig::plan::{Fault, FaultKind, Plan};
+use deckproxy_rig::run::run_plan;
 use deckproxy_standins::free_address;
 use deckproxy_standins::load_client::{Load, LoadClients};
 use deckproxy_standins::record::{Fact, Outcome, Record};
@@ -55,25 +55,25 @@
         seed: options.seed,
         ..Plan::default()
     };
-    plan.faults.push(Fault { at: seconds * 0.3, lasts: seconds * 0.3, what: What::Kill(1) });
+    plan.faults.push(Fault { at: seconds * 0.3, duration: seconds * 0.3, kind: FaultKind::Kill(1) });
     print_line!(
         "{} gateways in 2 zones, 3 caches in each, a parent, an origin and the feeds run on loopback",
         plan.instances
     );
     let draw = traffic::requests(0, 1, 2000, 0.0, 0.04);
-    let played = play(&plan, &draw, |at, what| print_line!("{at:5.1} s  {what}"));
-    let figures = judge(&played);
+    let run = run_plan(&plan, &draw, |at, what| print_line!("{at:5.1} s  {what}"));
+    let figures = judge(&run);
     let v = &figures.verdict;
     let mut table = Table::new();
     table.set_header(["", ""]);
-    let wanted = played.counts.wanted.load(Ordering::SeqCst).max(1);
-    let got = played.counts.got.load(Ordering::SeqCst);
+    let wanted = run.counts.wanted.load(Ordering::SeqCst).max(1);
+    let got = run.counts.served.load(Ordering::SeqCst);
     let rows = [
         ("wanted by clients", wanted.to_string()),
         ("got at last, wherever", format!("{got} ({:.1}%)", 100.0 * got as f64 / wanted as f64)),
         ("requests / refused / failed", format!("{} / {} / {}", v.requests, v.rejected, v.failed)),
-        ("probes of a member beside those meant for one fleet", format!("{:.2}", figures.probe_ratio)),
-        ("bytes a second that a gateway spends on its fellows", format!("{:.0}", figures.bytes)),
+        ("probes of a member beside those meant for one fleet", format!("{:.2}", figures.check_ratio)),
+        ("bytes a second that a gateway spends on its fellows", format!("{:.0}", figures.bytes_per_second)),
         ("p50 / p99, ms", format!("{:.1} / {:.1}", v.quantile(0, 0.5), v.quantile(0, 0.99))),
         ("rules broken", if v.holds() { "none".to_string() } else { v.violations.join("; ") }),
     ];
@@ -81,7 +81,7 @@
         table.add_row([name.to_string(), value]);
     }
     print_line!("{table}");
-    let good = v.holds() && played.wrongs.is_empty() && v.served > 0;
+    let good = v.holds() && run.process_faults.is_empty() && v.served > 0;
     Ok(if good { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
--- a/crates/deckproxy-lab/src/drills/mod.rs
+++ b/crates/deckproxy-lab/src/drills/mod.rs
@@ -3,6 +3,7 @@
 mod fleet;
 mod flows;
 mod overload;
+mod promises;
 mod recovery;
 mod sites;
 
--- a/crates/deckproxy-lab/src/drills/overload.rs
+++ b/crates/deckproxy-lab/src/drills/overload.rs
@@ -1,179 +1,227 @@
 //! The drill of overload: six instances in two zones, three times the traffic, an origin that slows down, instances that are
-//! killed and cut off from each other, clients that go on at once. Played three times: as one, door by door, with nothing.
+//! killed and cut off from each other, clients that retry at once. Played three times: with load shedding of the whole
+//! fleet, with admission control at each instance, and with neither.
 
+use super::promises::Promises;
 use super::{Options, Report, Spoil, round};
-use deckproxy_rig::overloaded::{Figures, draw, judge, terms};
-use deckproxy_rig::plan::{Fault, Plan, Shed, What};
-use deckproxy_rig::play::{Played, play};
+use deckproxy_rig::load_generator::AttemptAnswer;
+use deckproxy_rig::overload_judge::{OverloadCriteria, OverloadFigures, judge, requests};
+use deckproxy_rig::plan::{Fault, FaultKind, OverloadControl, Plan};
+use deckproxy_rig::run::{RunRecord, run_plan};
 use deckproxy_standins::record::{Fact, Outcome, Seen};
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use serde_json::json;
+use serde_json::{Value, json};
 
 /// The shortest run, s, in which each fault happens once and there is time to recover from it.
 pub const LEAST_SECONDS: u64 = 40;
-/// First tries a second in the calm time, of 120 clients; what the origin works on at once.
+/// Processes of the gateway.
+const INSTANCES: usize = 6;
+/// Clients.
+const CLIENTS: usize = 120;
+/// Requests a second in the calm time, retries not counted.
 const RATE: f64 = 150.0;
-const ROOM: usize = 4;
-/// What is promised.
-const AMPLIFICATION: f64 = 1.3;
-const BUDGET: f64 = 1.2;
-const BUDGET_SPLIT: f64 = 1.5;
-const INVERSIONS: f64 = 0.03;
-const JAIN: f64 = 0.95;
-const KEPT: f64 = 0.9;
+/// Requests that the origin works on at a time.
+const ORIGIN_CONCURRENCY: usize = 4;
+/// Milliseconds that the origin takes longer while it is slow: four times its usual time.
+const ORIGIN_DELAY_MS: u64 = 54;
+/// Share of the run after which the overload begins.
+const OVERLOAD_FROM: f64 = 0.2;
+/// Share of the run for which it lasts.
+const OVERLOAD_SHARE: f64 = 0.5;
 
-/// The plan of a seed: the traffic three times as much for a third of the run; in it the origin slower for a while, two
-/// instances killed at that moment, and a split.
-pub fn plan(seed: u64, seconds: f64) -> Plan {
+/// Attempts for each request beside the calm time that are allowed.
+const MOST_AMPLIFICATION: f64 = 1.3;
+/// Retries beside their budget that are allowed while the instances hear each other.
+const MOST_BUDGET_RATIO: f64 = 1.2;
+/// The same while they are split.
+const MOST_SPLIT_BUDGET_RATIO: f64 = 1.5;
+/// Share of the rejected attempts for which one of less weight may be served.
+const MOST_INVERSIONS: f64 = 0.03;
+/// Jain's index over the instances that is required.
+const LEAST_JAIN_INDEX: f64 = 0.95;
+/// Share of the Retry-Afters that have to come true.
+const LEAST_SERVED_RETURNS: f64 = 0.9;
+/// Share of the requests that has to be served before the faults, or the machine is too slow; and of that share the one
+/// that must be missed during the overload, or it was none.
+const CALM_GOODPUT: f64 = 0.9;
+/// Seconds that recovery may take however short the faults were, and its length beside the longest fault otherwise.
+const RECOVERY_SECONDS: f64 = 20.0;
+/// See `RECOVERY_SECONDS`.
+const RECOVERY_MULTIPLE: f64 = 3.0;
+
+/// The plan of a seed: the traffic three times as much for half of the run; in it the origin slower for a while, two
+/// instances killed at that moment, and a split, before or after.
+fn plan(seed: u64, seconds: f64, overload_control: OverloadControl) -> Plan {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x0ee1_10ad);
-    let instances = 6;
-    let mut all: Vec<usize> = (0..instances).collect();
-    all.shuffle(&mut rng);
-    let round = |x: f64| (x * 100.0).round() / 100.0;
-    let begin = round(seconds * 0.2);
-    let lasts = round(seconds * 0.5);
-    let fault = |at: f64, lasts: f64, what| Fault { at: round(begin + at * lasts_of(seconds)), lasts, what };
+    let mut instances: Vec<usize> = (0..INSTANCES).collect();
+    instances.shuffle(&mut rng);
+    let to_hundredths = |x: f64| (x * 100.0).round() / 100.0;
+    let begin = to_hundredths(seconds * OVERLOAD_FROM);
+    let overload = seconds * OVERLOAD_SHARE;
+    let fault = |share: f64, duration: f64, kind: FaultKind| {
+        let at = to_hundredths(begin + share * overload);
+        Fault { at, duration, kind }
+    };
     let (slow, split) = if rng.random_bool(0.5) { (0.2, 0.6) } else { (0.6, 0.2) };
-    let part = all[2..4].to_vec();
     Plan {
         question:
             "Three times the traffic, an origin four times slower, two killed at that moment, and a split"
                 .to_string(),
         seconds,
-        instances,
+        instances: INSTANCES,
         zones: 2,
         caches: 3,
         rate: RATE,
-        clients: 120,
+        clients: CLIENTS,
         seed,
-        room: ROOM,
-        throng: true,
+        origin_concurrency: ORIGIN_CONCURRENCY,
+        open_loop: true,
+        overload_control,
         faults: vec![
-            Fault { at: begin, lasts, what: What::Load(3.0) },
-            fault(slow, 3.0, What::Origin(54)),
-            fault(slow, 4.0, What::Kill(all[0])),
-            fault(slow, 4.0, What::Kill(all[1])),
-            fault(split, 4.0, What::Split(part)),
+            Fault { at: begin, duration: to_hundredths(overload), kind: FaultKind::Load(3.0) },
+            fault(slow, 3.0, FaultKind::SlowOrigin(ORIGIN_DELAY_MS)),
+            fault(slow, 4.0, FaultKind::Kill(instances[0])),
+            fault(slow, 4.0, FaultKind::Kill(instances[1])),
+            fault(split, 4.0, FaultKind::Split(instances[2..4].to_vec())),
         ],
         ..Plan::default()
     }
 }
 
-fn lasts_of(seconds: f64) -> f64 {
-    seconds * 0.5
+/// What the three runs came to.
+struct Comparison {
+    fleet: OverloadFigures,
+    per_instance: OverloadFigures,
+    off: OverloadFigures,
 }
 
-/// Runs it three times.
+/// Plays the plan three times.
 pub fn run(options: &Options) -> Report {
-    let of = |shed| Plan { shed, ..plan(options.seed, options.seconds as f64) };
-    let one = |plan: &Plan| play(plan, &draw(), |_, _| {});
-    let mut played = one(&of(Shed::Fleet));
-    if let Some(spoil) = options.spoil {
-        put_wrong(&mut played, spoil);
+    let play = |control| {
+        let plan = plan(options.seed, options.seconds as f64, control);
+        run_plan(&plan, &requests(), |_, _| {})
+    };
+    let mut run = play(OverloadControl::Fleet);
+    if let Some(kind) = options.spoil {
+        spoil(&mut run, kind);
     }
     if std::env::var_os("DECKLAB_LOGS").is_some() {
-        played.logs.iter().for_each(|log| eprintln!("{log}"));
-        eprintln!("{}", played.plan.text());
+        run.logs.iter().for_each(|log| eprintln!("{log}"));
+        eprintln!("{}", run.plan.text());
+    }
+    let judge = |run: &RunRecord| judge(run, OverloadCriteria::default());
+    let comparison = Comparison {
+        per_instance: judge(&play(OverloadControl::PerInstance)),
+        off: judge(&play(OverloadControl::Off)),
+        fleet: judge(&run),
+    };
+    Report {
+        broken: broken_promises(&run, &comparison),
+        figures: figures(&run.plan, &comparison),
+        verdict: comparison.fleet.verdict,
     }
-    let [door, off] = [Shed::Door, Shed::Nothing].map(|shed| judge(&one(&of(shed)), terms()));
-    let figures = judge(&played, terms());
-    report(&played, figures, &door, &off)
 }
 
-fn report(played: &Played, f: Figures, door: &Figures, off: &Figures) -> Report {
-    let mut broken = played.wrongs.clone();
-    let mut promise = |holds: bool, what: String| {
-        if !holds {
-            broken.push(what);
-        }
-    };
-    let fault = played.plan.faults.iter().map(|f| f.lasts).fold(0.0, f64::max);
-    let most = (fault * 3.0).max(20.0);
-    promise(
-        f.before > 0.9,
-        format!("{:.3} served before anything was wrong: the machine is too slow", f.before),
-    );
-    promise(f.trough < 0.9 * f.before, "the overload was none".to_string());
-    promise(
-        f.amplification <= AMPLIFICATION,
-        format!("{:.2} times the work for a first try; {AMPLIFICATION} are promised", f.amplification),
-    );
-    promise(
-        f.budget <= BUDGET && f.budget_split <= BUDGET_SPLIT,
+fn broken_promises(run: &RunRecord, comparison: &Comparison) -> Vec<String> {
+    let Comparison { fleet, per_instance, off } = comparison;
+    let mut promises = Promises::with_broken(run.process_faults.clone());
+    promises.check(fleet.goodput_before > CALM_GOODPUT, || {
+        format!("{:.3} served before anything was wrong: the machine is too slow", fleet.goodput_before)
+    });
+    promises.check(fleet.goodput_trough < CALM_GOODPUT * fleet.goodput_before, || {
+        "the overload was none".to_string()
+    });
+    promises.check(fleet.amplification <= MOST_AMPLIFICATION, || {
         format!(
-            "{:.2} times the budget of repeats, {:.2} while split; {BUDGET} and {BUDGET_SPLIT} are promised",
-            f.budget, f.budget_split
-        ),
-    );
-    promise(
-        f.inversions <= INVERSIONS,
-        format!("{:.4} refused while one of less worth was served; {INVERSIONS} are promised", f.inversions),
-    );
-    promise(f.jain >= JAIN, format!("Jain's index over instances is {:.3}; {JAIN} is promised", f.jain));
-    let kept = f.kept as f64 / f.promises.max(1) as f64;
-    promise(
-        f.promises > 0 && kept >= KEPT,
-        format!("{} of {} times to come back came true; {KEPT} are promised", f.kept, f.promises),
-    );
-    promise(
-        f.seconds.is_some_and(|s| s <= most),
-        format!("back after {:?} s; {most} are promised", f.seconds),
-    );
-    let best = door.worth.max(off.worth);
-    promise(
-        f.worth >= best,
+            "{:.2} times the work for a first try; {MOST_AMPLIFICATION} are promised",
+            fleet.amplification
+        )
+    });
+    let (united, split) = (fleet.budget_ratio, fleet.split_budget_ratio);
+    promises.check(united <= MOST_BUDGET_RATIO && split <= MOST_SPLIT_BUDGET_RATIO, || {
+        format!(
+            "{united:.2} times the budget of repeats, {split:.2} while split; {MOST_BUDGET_RATIO} and \
+             {MOST_SPLIT_BUDGET_RATIO} are promised"
+        )
+    });
+    promises.check(fleet.inversions <= MOST_INVERSIONS, || {
+        format!(
+            "{:.4} refused while one of less worth was served; {MOST_INVERSIONS} are promised",
+            fleet.inversions
+        )
+    });
+    promises.check(fleet.jain_index >= LEAST_JAIN_INDEX, || {
+        format!("Jain's index over instances is {:.3}; {LEAST_JAIN_INDEX} is promised", fleet.jain_index)
+    });
+    let (served, returns) = (fleet.served_returns, fleet.returns);
+    let served_share = served as f64 / returns.max(1) as f64;
+    promises.check(returns > 0 && served_share >= LEAST_SERVED_RETURNS, || {
+        format!("{served} of {returns} times to come back came true; {LEAST_SERVED_RETURNS} are promised")
+    });
+    let longest_fault = run.plan.faults.iter().map(|fault| fault.duration).fold(0.0, f64::max);
+    let most = (longest_fault * RECOVERY_MULTIPLE).max(RECOVERY_SECONDS);
+    promises.check(fleet.recovery_seconds.is_some_and(|seconds| seconds <= most), || {
+        format!("back after {:?} s; {most} are promised", fleet.recovery_seconds)
+    });
+    promises.check(fleet.served_weight >= per_instance.served_weight.max(off.served_weight), || {
         format!(
             "worth {:.0} served; {:.0} by the doors and {:.0} by the module alone",
-            f.worth, door.worth, off.worth
-        ),
-    );
-    let v = &f.verdict;
-    let breaks = v.rule_breaks();
-    let is = |what: fn(&What) -> bool| played.plan.faults.iter().filter(|f| what(&f.what)).count();
-    let figures = json!({
-        "instances": played.plan.instances, "first_tries": f.firsts, "tries": f.tries,
-        "amplification": round(f.amplification), "amplification_door": round(door.amplification),
-        "amplification_off": round(off.amplification), "attempts": round(f.attempts),
-        "attempts_door": round(door.attempts), "attempts_off": round(off.attempts),
-        "budget_ratio_max": round(f.budget), "budget_ratio_split_max": round(f.budget_split),
-        "budget_ratio_door_max": round(door.budget.max(door.budget_split)),
-        "inversions_share": round(f.inversions), "inversions_share_off": round(off.inversions),
-        "jain": round(f.jain), "promises": f.promises, "promises_kept": f.kept,
-        "promises_door": door.promises, "promises_kept_door": door.kept,
-        "goodput_before": round(f.before), "goodput_trough": round(f.trough), "goodput_after": round(f.after),
-        "seconds_to_recover": f.seconds.map(round), "stuck": f.seconds.is_none(),
-        "seconds_to_recover_off": off.seconds.map(round),
-        "splits": is(|w| matches!(w, What::Split(_))), "kills": is(|w| matches!(w, What::Kill(_))),
-        "rule_breaks": breaks, "rule_breaks_door": door.verdict.violations.len(),
-        "rule_breaks_off": off.verdict.violations.len(), "worth_served": round(f.worth),
-        "worth_served_door": round(door.worth), "worth_served_off": round(off.worth),
+            fleet.served_weight, per_instance.served_weight, off.served_weight
+        )
     });
-    Report { verdict: f.verdict, figures, broken }
+    promises.into_broken()
+}
+
+/// The figures of the drill's JSON object; its keys are documented.
+fn figures(plan: &Plan, comparison: &Comparison) -> Value {
+    let Comparison { fleet, per_instance, off } = comparison;
+    let count = |is: fn(&FaultKind) -> bool| plan.faults.iter().filter(|fault| is(&fault.kind)).count();
+    json!({
+        "instances": plan.instances, "first_tries": fleet.requests, "tries": fleet.attempts,
+        "amplification": round(fleet.amplification), "amplification_door": round(per_instance.amplification),
+        "amplification_off": round(off.amplification), "attempts": round(fleet.member_amplification),
+        "attempts_door": round(per_instance.member_amplification),
+        "attempts_off": round(off.member_amplification),
+        "budget_ratio_max": round(fleet.budget_ratio), "budget_ratio_split_max": round(fleet.split_budget_ratio),
+        "budget_ratio_door_max": round(per_instance.budget_ratio.max(per_instance.split_budget_ratio)),
+        "inversions_share": round(fleet.inversions), "inversions_share_off": round(off.inversions),
+        "jain": round(fleet.jain_index), "promises": fleet.returns, "promises_kept": fleet.served_returns,
+        "promises_door": per_instance.returns, "promises_kept_door": per_instance.served_returns,
+        "goodput_before": round(fleet.goodput_before), "goodput_trough": round(fleet.goodput_trough),
+        "goodput_after": round(fleet.goodput_after),
+        "seconds_to_recover": fleet.recovery_seconds.map(round), "stuck": fleet.recovery_seconds.is_none(),
+        "seconds_to_recover_off": off.recovery_seconds.map(round),
+        "splits": count(|kind| matches!(kind, FaultKind::Split(_))),
+        "kills": count(|kind| matches!(kind, FaultKind::Kill(_))),
+        "rule_breaks": fleet.verdict.rule_breaks(), "rule_breaks_door": per_instance.verdict.violations.len(),
+        "rule_breaks_off": off.verdict.violations.len(), "worth_served": round(fleet.served_weight),
+        "worth_served_door": round(per_instance.served_weight), "worth_served_off": round(off.served_weight),
+    })
 }
 
-/// Puts one thing wrong in a record.
-fn put_wrong(played: &mut Played, spoil: Spoil) {
+/// Puts one violation into a record.
+fn spoil(run: &mut RunRecord, spoil: Spoil) {
     match spoil {
         Spoil::Attempt => {
             // As if each attempt had been made five times, one after the other.
-            let again: Vec<Seen> = played
-                .facts
-                .iter()
-                .filter(|s| {
-                    matches!(s.fact, Fact::AttemptReceived { .. } | Fact::AttemptEnded { .. })
-                        && s.at > played.from + 8000.0
-                })
-                .flat_map(|s| std::iter::repeat_n(s.clone(), 5))
-                .collect();
-            played.facts.extend(again);
-            played.facts.sort_by(|a, b| a.at.total_cmp(&b.at));
+            let from = run.traffic_from + 8000.0;
+            let is_repeated = |seen: &&Seen| {
+                matches!(seen.fact, Fact::AttemptReceived { .. } | Fact::AttemptEnded { .. })
+                    && seen.at > from
+            };
+            let attempts = run.facts.iter().filter(is_repeated);
+            let repeated: Vec<Seen> =
+                attempts.flat_map(|seen| std::iter::repeat_n(seen.clone(), 5)).collect();
+            run.facts.extend(repeated);
+            run.facts.sort_by(|a, b| a.at.total_cmp(&b.at));
         }
         Spoil::Answer => {
-            // As if nobody who came to his time had been served.
-            for t in played.tries.iter_mut().filter(|t| t.told) {
-                t.end = t.end.map(|(at, _)| (at, Outcome::Rejected(None)));
+            // As if no client that came back after its Retry-After had been served.
+            for attempt in run.attempts.iter_mut().filter(|attempt| attempt.after_retry_after) {
+                let rejected = |answer| AttemptAnswer { outcome: Outcome::Rejected(None), ..answer };
+                attempt.answer = attempt.answer.map(rejected);
             }
         }
         _ => unreachable!("{spoil:?} is rejected before the drill starts"),
--- a/crates/deckproxy-lab/src/measure/fleet.rs
+++ b/crates/deckproxy-lab/src/measure/fleet.rs
@@ -5,7 +5,7 @@
 use crate::output::print_line;
 use deckproxy_fleet::liveness::PeerStatus;
 use deckproxy_rig::plan::Plan;
-use deckproxy_rig::play::Rig;
+use deckproxy_rig::rig::Rig;
 use deckproxy_rig::simulated::{Net, Sim, name};
 use deckproxy_standins::free_address;
 use deckproxy_standins::record::Record;
@@ -44,11 +44,11 @@
         let each = |plan: &Plan| {
             let rig = Rig::start(plan, &draw);
             rig.until("all do their duties", |rig| {
-                (0..plan.instances).all(|i| rig.view(i).is_some_and(|v| !v.old))
+                (0..plan.instances).all(|i| rig.view(i).is_some_and(|v| !v.is_stale))
             });
             // The first round after a start is slower.
             thread::sleep(Duration::from_secs(3));
-            let count = |rig: &Rig| rig.caches().iter().map(|c| rig.probes(c)).sum::<usize>();
+            let count = |rig: &Rig| rig.caches().iter().map(|c| rig.health_checks(c)).sum::<usize>();
             let (from, before) = (rig.now(), count(&rig));
             thread::sleep(Duration::from_secs(options.seconds));
             let (span, probes) = (rig.now() - from, count(&rig) - before);
@@ -57,7 +57,7 @@
             probes as f64 / caches / (span / 1000.0)
         };
         let shared = each(&plan);
-        let alone = each(&Plan { alone: true, ..plan.clone() });
+        let alone = each(&Plan { isolated: true, ..plan.clone() });
         rows.push(vec![
             instances.to_string(),
             format!("{shared:.2}"),
--- a/crates/deckproxy-lab/src/rig.rs
+++ b/crates/deckproxy-lab/src/rig.rs
@@ -5,15 +5,19 @@
 use crate::traffic;
 use clap::Args;
 use comfy_table::Table;
-use deckproxy_rig::judge::{Figures, judge};
-use deckproxy_rig::overloaded;
+use deckproxy_rig::judge::{FleetFigures, judge};
+use deckproxy_rig::overload_judge::{self, OverloadCriteria};
+use deckproxy_rig::plan::generator::random_faults;
+use deckproxy_rig::plan::shrink::{Shrunk, shrink};
 use deckproxy_rig::plan::{self, Plan};
-use deckproxy_rig::play::{Played, play};
-use deckproxy_rig::shrink::shrink;
-use deckproxy_rig::{draw, timeline};
+use deckproxy_rig::run::{RunRecord, run_plan};
+use deckproxy_rig::timeline;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
+/// Health checks of a member in 2 s beside those intended that no run may reach.
+const MOST_CHECK_RATIO: f64 = 2.0;
+
 /// Which plan, and what becomes of it.
 #[derive(Debug, Args)]
 pub struct Options {
@@ -34,14 +38,39 @@
     shrink: usize,
 }
 
-/// Promises that a run of any plan keeps.
-fn broken(played: &Played, f: &Figures) -> Vec<String> {
-    let mut out = played.wrongs.clone();
-    out.extend(f.verdict.violations.iter().filter(|_| !f.verdict.holds()).cloned());
-    if played.plan.fleet && f.probe_ratio_max >= 2.0 {
-        out.push(format!("{:.2} times the intended probes of a member in 2 s", f.probe_ratio_max));
+/// Plays a plan; exit code 1 where a promise broke.
+///
+/// # Errors
+///
+/// The plan is not valid, or the folder for the results takes no file.
+pub fn run(options: &Options) -> Result<ExitCode, LabError> {
+    let plan = plan(options)?;
+    // A folder that takes no file is found out before the run, not after it.
+    if let Some(folder) = &options.out {
+        create_folder(folder)?;
+    }
+    print_line!(
+        "{} instances in {} zones, {} caches in each, {} requests a second for {} s",
+        plan.instances,
+        plan.zones,
+        plan.caches,
+        plan.rate,
+        plan.seconds
+    );
+    let (run, figures) = play(&plan, |at, fault| print_line!("{at:7.2} s  {fault}"));
+    let broken = broken_promises(&run, &figures);
+    show(&run, &figures);
+    broken.iter().for_each(|promise| eprintln!("broken: {promise}"));
+    if let Some(folder) = &options.out {
+        write(folder, &run, &figures).map_err(LabError::file(folder))?;
+    }
+    if broken.is_empty() {
+        return Ok(ExitCode::SUCCESS);
+    }
+    if options.shrink > 0 {
+        shrink_plan(&plan, options);
     }
-    out
+    Ok(ExitCode::FAILURE)
 }
 
 /// The plan of the file, or one drawn from the seed.
@@ -50,7 +79,7 @@
         let seed = options.seed.unwrap_or(1);
         let mut plan = Plan { seconds: options.seconds as f64, seed, ..Plan::default() };
         plan.question = format!("Drawn from seed {seed}");
-        plan.faults = draw::any(seed, &plan);
+        plan.faults = random_faults(seed, &plan);
         return Ok(plan);
     };
     let bytes = std::fs::read(path).map_err(LabError::file(path))?;
@@ -69,125 +98,135 @@
         .map_err(LabError::file(folder))
 }
 
-/// Plays it.
-pub fn run(options: &Options) -> Result<ExitCode, LabError> {
-    let plan = plan(options)?;
-    // A folder that takes no file is found out before the run, not after it.
-    if let Some(folder) = &options.out {
-        create_folder(folder)?;
-    }
-    print_line!(
-        "{} instances in {} zones, {} caches in each, {} requests a second for {} s",
-        plan.instances,
-        plan.zones,
-        plan.caches,
-        plan.rate,
-        plan.seconds
-    );
-    let (played, figures) = once(&plan, true);
-    let broken = broken(&played, &figures);
-    show(&played, &figures);
-    broken.iter().for_each(|what| eprintln!("broken: {what}"));
-    if let Some(folder) = &options.out {
-        write(folder, &played, &figures).map_err(LabError::file(folder))?;
-    }
-    if broken.is_empty() {
-        return Ok(ExitCode::SUCCESS);
+/// Plays a plan with the traffic that it is made for, and judges the run.
+fn play(plan: &Plan, report: impl FnMut(f64, &str)) -> (RunRecord, FleetFigures) {
+    let requests =
+        if plan.open_loop { overload_judge::requests() } else { traffic::requests(0, 1, 600, 0.0, 0.06) };
+    let run = run_plan(plan, &requests, report);
+    let figures = judge(&run);
+    (run, figures)
+}
+
+/// What broke of the promises that a run of any plan keeps.
+fn broken_promises(run: &RunRecord, figures: &FleetFigures) -> Vec<String> {
+    let mut broken = run.process_faults.clone();
+    if !figures.verdict.holds() {
+        broken.extend(figures.verdict.violations.iter().cloned());
     }
-    if options.shrink > 0 {
-        let breaks = |smaller: &Plan| {
-            print_line!("without some: {} of {} faults", smaller.faults.len(), plan.faults.len());
-            let (played, figures) = once(smaller, false);
-            !self::broken(&played, &figures).is_empty()
-        };
-        let (small, played) = shrink(&plan, options.shrink, breaks);
-        print_line!(
-            "after {played} runs, {} of {} faults are left:\n{}",
-            small.faults.len(),
-            plan.faults.len(),
-            small.text()
-        );
-        let folder = options.out.clone().unwrap_or_else(|| PathBuf::from("."));
-        let path = folder.join("smallest.textproto");
-        match std::fs::write(&path, small.text()) {
-            Ok(()) => print_line!("plays again by: decklab rig {}", path.display()),
-            Err(e) => eprintln!("decklab rig: {}: {e}", path.display()),
-        }
+    if run.plan.fleet && figures.check_ratio_max >= MOST_CHECK_RATIO {
+        broken.push(format!("{:.2} times the intended probes of a member in 2 s", figures.check_ratio_max));
     }
-    Ok(ExitCode::FAILURE)
+    broken
 }
 
-fn once(plan: &Plan, aloud: bool) -> (Played, Figures) {
-    let draw = if plan.throng { overloaded::draw() } else { traffic::requests(0, 1, 600, 0.0, 0.06) };
-    let played = play(plan, &draw, |at, what| {
-        if aloud {
-            print_line!("{at:7.2} s  {what}");
-        }
-    });
-    let figures = judge(&played);
-    (played, figures)
+/// Leaves faults out while a promise still breaks, and writes the plan that is left.
+fn shrink_plan(plan: &Plan, options: &Options) {
+    let fails = |smaller: &Plan| {
+        print_line!("without some: {} of {} faults", smaller.faults.len(), plan.faults.len());
+        let (run, figures) = play(smaller, |_, _| {});
+        !broken_promises(&run, &figures).is_empty()
+    };
+    let Shrunk { plan: smallest, runs } = shrink(plan, options.shrink, fails);
+    print_line!(
+        "after {runs} runs, {} of {} faults are left:\n{}",
+        smallest.faults.len(),
+        plan.faults.len(),
+        smallest.text()
+    );
+    let folder = options.out.clone().unwrap_or_else(|| PathBuf::from("."));
+    let path = folder.join("smallest.textproto");
+    match std::fs::write(&path, smallest.text()) {
+        Ok(()) => print_line!("plays again by: decklab rig {}", path.display()),
+        Err(e) => eprintln!("decklab rig: {}: {e}", path.display()),
+    }
 }
 
-fn show(played: &Played, f: &Figures) {
-    let v = &f.verdict;
+/// Prints the figures of a run.
+fn show(run: &RunRecord, figures: &FleetFigures) {
     let mut table = Table::new();
     table.set_header(["", ""]);
-    let rows = [
-        ("requests", v.requests.to_string()),
-        ("served / refused / failed", format!("{} / {} / {}", v.served, v.rejected, v.failed)),
-        ("rules broken", if v.holds() { "none".to_string() } else { "see below".to_string() }),
-        ("probes beside those intended", format!("{:.2}", f.probe_ratio)),
-        ("the same, worst 2 s of a member", format!("{:.2}", f.probe_ratio_max)),
-        ("longest time without a probe, ms", format!("{:.0}", f.coverage_gap)),
-        ("taken for gone without cause", f.false_dead.to_string()),
-        (
-            "until all had the same board, ms",
-            f.converge.map_or("never, after one of the faults".to_string(), |ms| format!("{ms:.0}")),
-        ),
-        ("bytes a second of an instance", format!("{:.0}", f.bytes)),
-    ];
-    for (name, value) in rows {
+    for (name, value) in fleet_rows(figures) {
         table.add_row([name.to_string(), value]);
     }
-    if played.plan.throng {
-        overload(played, &mut table);
+    if run.plan.open_loop {
+        for (name, value) in overload_rows(run) {
+            table.add_row([name.to_string(), value]);
+        }
     }
     print_line!("{table}");
-    if played.plan.throng {
-        return;
+    if !run.plan.open_loop {
+        show_instances(run);
     }
-    let by = played.counts.by_instance.lock().expect("the run is over");
-    let mut by: Vec<_> = by.iter().collect();
-    by.sort();
-    let by: Vec<String> = by.iter().map(|(i, [asked, got])| format!("i{i} {got} of {asked}")).collect();
-    print_line!("served by instance: {}", by.join(", "));
 }
 
-/// What came of a throng.
-fn overload(played: &Played, table: &mut Table) {
-    let f = overloaded::judge(played, overloaded::terms());
-    let rows = [
-        ("wishes / tries of them", format!("{} / {}", f.firsts, f.tries)),
+fn fleet_rows(figures: &FleetFigures) -> [(&'static str, String); 9] {
+    let verdict = &figures.verdict;
+    let FleetFigures { convergence_ms, .. } = figures;
+    [
+        ("requests", verdict.requests.to_string()),
+        (
+            "served / refused / failed",
+            format!("{} / {} / {}", verdict.served, verdict.rejected, verdict.failed),
+        ),
+        ("rules broken", if verdict.holds() { "none".to_string() } else { "see below".to_string() }),
+        ("probes beside those intended", format!("{:.2}", figures.check_ratio)),
+        ("the same, worst 2 s of a member", format!("{:.2}", figures.check_ratio_max)),
+        ("longest time without a probe, ms", format!("{:.0}", figures.coverage_gap_ms)),
+        ("taken for gone without cause", figures.false_deaths.to_string()),
+        (
+            "until all had the same board, ms",
+            convergence_ms.map_or("never, after one of the faults".to_string(), |ms| format!("{ms:.0}")),
+        ),
+        ("bytes a second of an instance", format!("{:.0}", figures.bytes_per_second)),
+    ]
+}
+
+/// What came of a run with clients in an open loop.
+fn overload_rows(run: &RunRecord) -> [(&'static str, String); 8] {
+    let figures = overload_judge::judge(run, OverloadCriteria::default());
+    [
+        ("wishes / tries of them", format!("{} / {}", figures.requests, figures.attempts)),
         (
             "work for a first try beside the calm time's",
-            format!("{:.2}, at members {:.2}", f.amplification, f.attempts),
+            format!("{:.2}, at members {:.2}", figures.amplification, figures.member_amplification),
         ),
-        ("repeats beside their budget", format!("{:.2}, while split {:.2}", f.budget, f.budget_split)),
-        ("refused while one of less worth was served", format!("{:.4}", f.inversions)),
-        ("Jain's index over instances", format!("{:.3}", f.jain)),
-        ("times to come back that came true", format!("{} of {}", f.kept, f.promises)),
-        ("served in time before, least, after", format!("{:.2} {:.2} {:.2}", f.before, f.trough, f.after)),
-        ("seconds until that was back", f.seconds.map_or("never".to_string(), |s| format!("{s:.2}"))),
-    ];
-    for (name, value) in rows {
-        table.add_row([name.to_string(), value]);
-    }
+        (
+            "repeats beside their budget",
+            format!("{:.2}, while split {:.2}", figures.budget_ratio, figures.split_budget_ratio),
+        ),
+        ("refused while one of less worth was served", format!("{:.4}", figures.inversions)),
+        ("Jain's index over instances", format!("{:.3}", figures.jain_index)),
+        ("times to come back that came true", format!("{} of {}", figures.served_returns, figures.returns)),
+        (
+            "served in time before, least, after",
+            format!(
+                "{:.2} {:.2} {:.2}",
+                figures.goodput_before, figures.goodput_trough, figures.goodput_after
+            ),
+        ),
+        (
+            "seconds until that was back",
+            figures.recovery_seconds.map_or("never".to_string(), |seconds| format!("{seconds:.2}")),
+        ),
+    ]
+}
+
+fn show_instances(run: &RunRecord) {
+    let Ok(counts) = run.counts.by_instance.lock() else { return };
+    let mut counts: Vec<_> = counts.iter().collect();
+    counts.sort_by_key(|(instance, _)| **instance);
+    let shown: Vec<String> = counts
+        .iter()
+        .map(|(instance, counts)| format!("i{instance} {} of {}", counts.served, counts.requests))
+        .collect();
+    print_line!("served by instance: {}", shown.join(", "));
 }
 
-fn write(folder: &Path, played: &Played, figures: &Figures) -> std::io::Result<()> {
-    std::fs::write(folder.join("timeline.html"), timeline::page(played, figures))?;
-    std::fs::write(folder.join("plan.textproto"), played.plan.text())?;
-    for (i, log) in played.logs.iter().enumerate() {
+/// Writes the page of the run, its plan, and the logs.
+fn write(folder: &Path, run: &RunRecord, figures: &FleetFigures) -> std::io::Result<()> {
+    std::fs::write(folder.join("timeline.html"), timeline::page(run, figures))?;
+    std::fs::write(folder.join("plan.textproto"), run.plan.text())?;
+    for (i, log) in run.logs.iter().enumerate() {
         std::fs::write(folder.join(format!("i{i}.log")), log)?;
     }
     print_line!("the page of the run: {}", folder.join("timeline.html").display());
--- a/crates/deckproxy-rig/src/client_population.rs
+++ b/crates/deckproxy-rig/src/client_population.rs
@@ -1,48 +1,79 @@
-//! Clients that come to any instance, and go to the next one after a refusal, a death or a silence, while there is time
-//! left. What may not run twice is not asked again once it may have run.
+//! Clients that come to any instance, one request at a time each, and go to the next instance after a rejection, a death or
+//! a silence while there is time left. A request that must not run twice is not retried once it may have run.
 
-use crate::processes::Absences;
+use crate::absence::Absences;
 use deckproxy_standins::client::fresh_name;
 use deckproxy_standins::load_client::{RequestGenerator, RequestSpec, encode_request, read_outcome};
 use deckproxy_standins::record::{Fact, Outcome, Record};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::HashMap;
-use std::io::{ErrorKind, Read, Write};
+use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Past its time an answer is waited for so long.
-const PATIENCE: Duration = Duration::from_millis(600);
-/// A request asked so short a time before its connection was closed may have crossed the close.
-const CROSSED: Duration = Duration::from_millis(50);
+/// How long past its time an answer is waited for.
+const LATE_ANSWER_WAIT: Duration = Duration::from_millis(600);
+/// A request sent so short a time before its connection was closed may have crossed the close.
+const CLOSE_RACE: Duration = Duration::from_millis(50);
+/// An instance that ended so short a time before a request counts as absent, ms.
+const ABSENCE_SLACK_MS: f64 = 5.0;
+/// With less time left than this a client does not retry, ms.
+const LEAST_TIME_MS: u128 = 20;
+/// Time from one attempt to the next.
+const RETRY_PAUSE: Duration = Duration::from_millis(5);
+/// Time after which a connection counts as refused.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// The longest pause between two requests of a client, s.
+const MAX_GAP_SECONDS: f64 = 5.0;
+/// A client that is late by more than this does not catch up on what it has missed.
+const MAX_BACKLOG: Duration = Duration::from_secs(1);
+/// Probability that a client goes to another instance after it was served.
+const MOVE_PROBABILITY: f64 = 0.1;
+/// Time after the last request in which a second answer would be seen.
+const LINGER: Duration = Duration::from_millis(30);
 
 /// An instance as clients know it.
 #[derive(Clone)]
 pub struct Endpoint {
     /// Where it listens.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// When it could not answer.
-    pub absent: Absences,
+    pub absences: Absences,
+}
+
+/// Requests at one instance.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct InstanceCounts {
+    /// Requests that were sent to it.
+    pub requests: u64,
+    /// Those that it served.
+    pub served: u64,
 }
 
 /// What clients counted.
 #[derive(Default)]
 pub struct Counts {
-    /// Things that clients wanted: first tries.
+    /// Requests that clients wanted, retries not counted.
     pub wanted: AtomicU64,
-    /// Those that were served at last.
-    pub got: AtomicU64,
-    /// Requests at each instance, and those served, in its place.
-    pub by_instance: Mutex<HashMap<usize, [u64; 2]>>,
-    /// Requests whose instance was killed, stopped or gone meanwhile.
+    /// Those that were served in the end, at any instance.
+    pub served: AtomicU64,
+    /// Attempts by instance.
+    pub by_instance: Mutex<HashMap<usize, InstanceCounts>>,
+    /// Attempts whose instance was killed, stopped or gone meanwhile.
     pub excused: AtomicU64,
 }
 
-/// The clients of a run.
+impl Counts {
+    fn change(&self, instance: usize, change: impl FnOnce(&mut InstanceCounts)) {
+        change(self.by_instance.lock().unwrap().entry(instance).or_default());
+    }
+}
+
+/// The clients of a run, a thread each.
 pub struct ClientPopulation {
     running: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
@@ -50,43 +81,42 @@
     pub counts: Arc<Counts>,
 }
 
-/// How the clients come.
+/// How many clients there are, and what they request.
 #[derive(Clone)]
 pub struct PopulationSettings {
-    /// How many there are.
+    /// Clients.
     pub clients: usize,
-    /// First tries a second of all.
+    /// Requests a second of all clients, retries not counted.
     pub rate: f64,
     /// Seed of the traffic.
     pub seed: u64,
-    /// What they ask for.
-    pub draw: RequestGenerator,
+    /// What they request.
+    pub requests: RequestGenerator,
 }
 
 impl ClientPopulation {
     /// Starts them.
-    pub fn start(coming: &PopulationSettings, doors: &[Endpoint], record: &Record) -> Self {
+    pub fn start(settings: &PopulationSettings, endpoints: &[Endpoint], record: &Record) -> Self {
         let running = Arc::new(AtomicBool::new(true));
         let counts = Arc::new(Counts::default());
-        let threads = (0..coming.clients).map(|i| {
-            let mut one = One {
-                doors: doors.to_vec(),
+        let threads = (0..settings.clients).map(|i| {
+            let seed = settings.seed ^ (i as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+            let mut client = Client {
+                endpoints: endpoints.to_vec(),
                 record: record.clone(),
                 counts: counts.clone(),
-                line: None,
-                door: i % doors.len(),
-                rng: Pcg64Mcg::seed_from_u64(
-                    coming.seed ^ (i as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15),
-                ),
+                connection: None,
+                instance: i % endpoints.len(),
+                rng: Pcg64Mcg::seed_from_u64(seed),
             };
-            let (coming, running) = (coming.clone(), running.clone());
-            thread::spawn(move || one.live(&coming, &running))
+            let (settings, running) = (settings.clone(), running.clone());
+            thread::spawn(move || client.run(&settings, &running))
         });
         let threads = threads.collect();
         ClientPopulation { running, threads, counts }
     }
 
-    /// They ask for nothing more; waits for what is open.
+    /// Ends the traffic, and waits for the requests in flight.
     pub fn finish(self) -> Arc<Counts> {
         self.running.store(false, Ordering::SeqCst);
         for thread in self.threads {
@@ -96,202 +126,232 @@
     }
 }
 
-struct Asked {
+/// A request in flight.
+struct Pending {
     name: String,
-    /// When, ms of the record, and how long it was to take at most.
-    at: f64,
-    allow: f64,
+    /// When it was sent, ms of the record.
+    sent_at: f64,
+    /// How long it may take, ms.
+    timeout_ms: f64,
 }
 
-struct Line {
+struct Connection {
     stream: TcpStream,
     buffer: Vec<u8>,
-    /// What was asked on it, by id.
-    asked: HashMap<u64, Asked>,
-    next: u64,
+    /// Requests that were sent on it, by id; those that were answered stay, so that a second answer is seen.
+    requests: HashMap<u64, Pending>,
+    next_id: u64,
 }
 
-struct One {
-    doors: Vec<Endpoint>,
-    record: Record,
-    counts: Arc<Counts>,
-    line: Option<Line>,
-    door: usize,
-    rng: Pcg64Mcg,
+impl Connection {
+    fn open(address: &SocketAddr) -> io::Result<Self> {
+        let stream = TcpStream::connect_timeout(address, CONNECT_TIMEOUT)?;
+        let _ = stream.set_nodelay(true);
+        Ok(Connection { stream, buffer: Vec::new(), requests: HashMap::new(), next_id: 1 })
+    }
+
+    /// Reads what comes within a time; false where nothing came.
+    fn read(&mut self, timeout: Duration) -> Result<bool, Disconnected> {
+        let _ = self.stream.set_read_timeout(Some(timeout.max(Duration::from_millis(1))));
+        let mut chunk = [0; 64 * 1024];
+        match self.stream.read(&mut chunk) {
+            Ok(0) => Err(Disconnected),
+            Ok(length) => {
+                self.buffer.extend_from_slice(&chunk[..length]);
+                Ok(true)
+            }
+            Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => Ok(false),
+            Err(_) => Err(Disconnected),
+        }
+    }
+
+    /// Takes the next complete answer from what was read.
+    fn next_answer(&mut self) -> Result<Option<Answer>, Disconnected> {
+        let mut rest = &self.buffer[..];
+        let Ok(value) = rmpv::decode::read_value(&mut rest) else { return Ok(None) };
+        let used = self.buffer.len() - rest.len();
+        self.buffer.drain(..used);
+        let (id, outcome) = read_outcome(&value).ok_or(Disconnected)?;
+        Ok(Some(Answer { id, outcome }))
+    }
+}
+
+/// An answer to a request of a connection.
+struct Answer {
+    id: u64,
+    outcome: Outcome,
 }
 
-/// What became of one try.
-enum Became {
+/// The connection has ended, or what came on it was no answer.
+struct Disconnected;
+
+/// The end of an attempt.
+enum AttemptResult {
     Served,
-    /// Refused: it never ran.
-    Refused,
+    /// The request was rejected before it ran.
+    Rejected,
     Failed,
-    /// The connection could not be made: nobody was asked.
-    Nobody,
-    /// The connection ended, or nothing came.
-    Gone,
+    /// The connection could not be made, so that nothing was sent.
+    NotSent,
+    /// The connection ended, or no answer came in time.
+    Lost,
 }
 
-impl One {
-    fn live(&mut self, coming: &PopulationSettings, running: &AtomicBool) {
-        let rate = coming.rate / coming.clients as f64;
+struct Client {
+    endpoints: Vec<Endpoint>,
+    record: Record,
+    counts: Arc<Counts>,
+    connection: Option<Connection>,
+    /// The instance that it goes to.
+    instance: usize,
+    rng: Pcg64Mcg,
+}
+
+impl Client {
+    fn run(&mut self, settings: &PopulationSettings, running: &AtomicBool) {
+        let rate = settings.rate / settings.clients as f64;
         let mut due = Instant::now();
         while running.load(Ordering::SeqCst) {
             let gap = -(1.0 - self.rng.random::<f64>()).ln() / rate;
-            due += Duration::from_secs_f64(gap.min(5.0));
+            due += Duration::from_secs_f64(gap.min(MAX_GAP_SECONDS));
             while Instant::now() < due && running.load(Ordering::SeqCst) {
                 thread::sleep((due - Instant::now()).min(Duration::from_millis(20)));
             }
-            // Who is late by more than a while has lost that time: it does not ask all of it at once.
-            due = due.max(Instant::now() - Duration::from_secs(1));
-            let wish = (coming.draw)(&mut self.rng);
-            self.want(wish);
+            due = due.max(Instant::now() - MAX_BACKLOG);
+            let request = (settings.requests)(&mut self.rng);
+            self.request(request);
         }
-        // A moment in which a second answer would be seen.
-        thread::sleep(Duration::from_millis(30));
-        let _ = self.hear(Duration::from_millis(1));
+        thread::sleep(LINGER);
+        let _ = self.receive(Duration::from_millis(1));
     }
 
-    fn want(&mut self, wish: RequestSpec) {
+    /// Sends a request, and retries it at other instances until it was served or its time is over.
+    fn request(&mut self, request: RequestSpec) {
         self.counts.wanted.fetch_add(1, Ordering::SeqCst);
-        let until = Instant::now() + Duration::from_millis(u64::from(wish.timeout_ms));
-        let mut again = false;
+        let deadline = Instant::now() + Duration::from_millis(u64::from(request.timeout_ms));
+        let mut is_retry = false;
         loop {
-            let left = until.saturating_duration_since(Instant::now()).as_millis();
-            if left < 20 {
+            let left = deadline.saturating_duration_since(Instant::now()).as_millis();
+            if left < LEAST_TIME_MS {
                 return;
             }
-            let became = self.ask(RequestSpec { timeout_ms: left as u32, ..wish }, again);
-            again = true;
-            match became {
-                Became::Served => {
-                    self.counts.got.fetch_add(1, Ordering::SeqCst);
-                    // Clients come to any instance.
-                    if self.rng.random_bool(0.1) {
-                        let door = self.rng.random_range(0..self.doors.len());
-                        self.go(door);
-                    }
-                    return;
+            let result = self.attempt(&RequestSpec { timeout_ms: left as u32, ..request }, is_retry);
+            is_retry = true;
+            match result {
+                AttemptResult::Served => {
+                    self.counts.served.fetch_add(1, Ordering::SeqCst);
+                    return self.move_at_random();
                 }
-                Became::Failed => return,
-                Became::Gone if wish.class != "page" => return self.go(self.door + 1),
-                Became::Refused | Became::Nobody | Became::Gone => {
-                    self.go(self.door + 1);
-                    thread::sleep(Duration::from_millis(5));
+                AttemptResult::Failed => return,
+                AttemptResult::Lost if request.class != "page" => return self.move_to(self.instance + 1),
+                AttemptResult::Rejected | AttemptResult::NotSent | AttemptResult::Lost => {
+                    self.move_to(self.instance + 1);
+                    thread::sleep(RETRY_PAUSE);
                 }
             }
         }
     }
 
-    fn go(&mut self, door: usize) {
-        let door = door % self.doors.len();
-        if door != self.door {
-            self.line = None;
-            self.door = door;
+    fn move_at_random(&mut self) {
+        if self.rng.random_bool(MOVE_PROBABILITY) {
+            let instance = self.rng.random_range(0..self.endpoints.len());
+            self.move_to(instance);
+        }
+    }
+
+    fn move_to(&mut self, instance: usize) {
+        let instance = instance % self.endpoints.len();
+        if instance != self.instance {
+            self.connection = None;
+            self.instance = instance;
         }
     }
 
-    fn ask(&mut self, wish: RequestSpec, again: bool) -> Became {
-        if self.line.is_none() {
-            let made = TcpStream::connect_timeout(&self.doors[self.door].at, Duration::from_millis(300));
-            let Ok(stream) = made else { return Became::Nobody };
-            let _ = stream.set_nodelay(true);
-            self.line = Some(Line { stream, buffer: Vec::new(), asked: HashMap::new(), next: 1 });
+    /// Sends a request to the present instance, and waits for its answer.
+    fn attempt(&mut self, request: &RequestSpec, is_retry: bool) -> AttemptResult {
+        if self.connection.is_none() {
+            self.connection = Connection::open(&self.endpoints[self.instance].address).ok();
         }
-        let Some(line) = &mut self.line else { return Became::Nobody };
-        let (id, name) = (line.next, fresh_name());
-        line.next += 1;
-        let (began, at) = (Instant::now(), self.record.now());
-        let allow = f64::from(wish.timeout_ms);
-        line.asked.insert(id, Asked { name: name.clone(), at, allow });
-        let (class, object, group) = (wish.class, wish.object, wish.group);
+        let Some(connection) = &mut self.connection else { return AttemptResult::NotSent };
+        let (id, name) = (connection.next_id, fresh_name());
+        connection.next_id += 1;
+        let (began, sent_at) = (Instant::now(), self.record.now());
+        let timeout_ms = f64::from(request.timeout_ms);
+        connection.requests.insert(id, Pending { name: name.clone(), sent_at, timeout_ms });
         self.record.note(Fact::RequestSent {
             name: name.clone(),
             site: 0,
             home_site: 0,
-            class,
-            object,
-            group,
-            timeout_ms: allow,
+            class: request.class,
+            object: request.object,
+            group: request.group,
+            timeout_ms,
         });
-        self.counts.by_instance.lock().unwrap().entry(self.door).or_default()[0] += 1;
-        let end = began + Duration::from_millis(u64::from(wish.timeout_ms)) + PATIENCE;
-        if line.stream.write_all(&encode_request(id, &name, &wish, again)).is_err() {
-            return self.gone(name, began, at);
+        self.counts.change(self.instance, |counts| counts.requests += 1);
+        let end = began + Duration::from_millis(u64::from(request.timeout_ms)) + LATE_ANSWER_WAIT;
+        if connection.stream.write_all(&encode_request(id, &name, request, is_retry)).is_err() {
+            return self.lose(name, began, sent_at);
         }
         loop {
-            match self.hear(end.saturating_duration_since(Instant::now())) {
-                Ok(heard) => {
-                    for (other, outcome) in heard {
-                        if other != id {
-                            continue;
-                        }
-                        return match outcome {
-                            Outcome::Served(_) | Outcome::Unchanged => {
-                                self.counts.by_instance.lock().unwrap().entry(self.door).or_default()[1] += 1;
-                                Became::Served
-                            }
-                            Outcome::Rejected(_) => Became::Refused,
-                            Outcome::Failed => Became::Failed,
-                        };
-                    }
-                }
-                Err(()) => return self.gone(name, began, at),
+            let Ok(answers) = self.receive(end.saturating_duration_since(Instant::now())) else {
+                return self.lose(name, began, sent_at);
+            };
+            if let Some(answer) = answers.iter().find(|answer| answer.id == id) {
+                return self.result(answer.outcome);
             }
             if Instant::now() >= end {
-                return self.gone(name, began, at);
+                return self.lose(name, began, sent_at);
             }
         }
     }
 
-    /// No answer came: whether that is anybody's fault the times tell at which the instance could not answer.
-    fn gone(&mut self, name: String, began: Instant, at: f64) -> Became {
-        self.line = None;
-        let absent = self.doors[self.door].absent.touch(at - 5.0, self.record.now());
-        let crossed = began.elapsed() < CROSSED;
-        if absent || crossed {
+    fn result(&self, outcome: Outcome) -> AttemptResult {
+        match outcome {
+            Outcome::Served(_) | Outcome::Unchanged => {
+                self.counts.change(self.instance, |counts| counts.served += 1);
+                AttemptResult::Served
+            }
+            Outcome::Rejected(_) => AttemptResult::Rejected,
+            Outcome::Failed => AttemptResult::Failed,
+        }
+    }
+
+    /// Notes that no answer came. It is excused where the instance could not answer, or the request crossed the close.
+    fn lose(&mut self, name: String, began: Instant, sent_at: f64) -> AttemptResult {
+        self.connection = None;
+        let absences = &self.endpoints[self.instance].absences;
+        let was_absent = absences.overlap(sent_at - ABSENCE_SLACK_MS, self.record.now());
+        if was_absent || began.elapsed() < CLOSE_RACE {
             self.counts.excused.fetch_add(1, Ordering::SeqCst);
             self.record.note(Fact::Withdrawn { name });
         } else {
             self.record.note(Fact::ConnectionLost { name });
         }
-        Became::Gone
+        AttemptResult::Lost
     }
 
-    /// Answers that come within a time; an error: the connection has ended.
-    fn hear(&mut self, patience: Duration) -> Result<Vec<(u64, Outcome)>, ()> {
-        let Some(line) = &mut self.line else { return Err(()) };
-        let _ = line.stream.set_read_timeout(Some(patience.max(Duration::from_millis(1))));
-        let mut chunk = [0; 64 * 1024];
-        let n = match line.stream.read(&mut chunk) {
-            Ok(0) => return Err(()),
-            Ok(n) => n,
-            Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                return Ok(Vec::new());
-            }
-            Err(_) => return Err(()),
-        };
-        line.buffer.extend_from_slice(&chunk[..n]);
-        let mut heard = Vec::new();
-        let mut used = 0;
-        loop {
-            let mut rest = &line.buffer[used..];
-            let Ok(value) = rmpv::decode::read_value(&mut rest) else { break };
-            used = line.buffer.len() - rest.len();
-            let Some((id, outcome)) = read_outcome(&value) else { return Err(()) };
-            if let Some(Asked { name, at, allow }) = line.asked.get(&id) {
-                // What came late of an instance that was stopped meanwhile is nobody's fault.
-                let now = self.record.now();
-                if now > at + allow && self.doors[self.door].absent.touch(*at, now) {
-                    self.counts.excused.fetch_add(1, Ordering::SeqCst);
-                    self.record.note(Fact::Withdrawn { name: name.clone() });
-                } else {
-                    self.record.note(Fact::Answered { name: name.clone(), outcome });
-                }
-                heard.push((id, outcome));
+    /// Answers that come within a time, noted in the record.
+    fn receive(&mut self, timeout: Duration) -> Result<Vec<Answer>, Disconnected> {
+        let Some(connection) = &mut self.connection else { return Err(Disconnected) };
+        let mut answers = Vec::new();
+        if !connection.read(timeout)? {
+            return Ok(answers);
+        }
+        let absences = &self.endpoints[self.instance].absences;
+        while let Some(answer) = connection.next_answer()? {
+            let Some(Pending { name, sent_at, timeout_ms }) = connection.requests.get(&answer.id) else {
+                continue;
+            };
+            let (now, name) = (self.record.now(), name.clone());
+            // An answer that is late because the instance was stopped meanwhile is excused.
+            if now > sent_at + timeout_ms && absences.overlap(*sent_at, now) {
+                self.counts.excused.fetch_add(1, Ordering::SeqCst);
+                self.record.note(Fact::Withdrawn { name });
+            } else {
+                self.record.note(Fact::Answered { name, outcome: answer.outcome });
             }
+            answers.push(answer);
         }
-        line.buffer.drain(..used);
-        Ok(heard)
+        Ok(answers)
     }
 }
--- a/crates/deckproxy-rig/src/relay.rs
+++ b/crates/deckproxy-rig/src/relay.rs
@@ -1,5 +1,5 @@
-//! Datagrams between instances: each is reached at a relay of its own, which knows by the sender's address which pair a
-//! datagram is between, and hurts that pair alone.
+//! Relays for the datagrams between instances. Each instance is reached at a relay of its own, which tells by the sender's
+//! address which pair of instances a datagram is between, and can cut that pair alone.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -11,31 +11,47 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How datagrams fare.
+/// Bytes of the largest datagram that is relayed whole.
+const LARGEST_DATAGRAM: usize = 4096;
+/// Longest wait for a datagram while none is delayed, and while some are, ms.
+const IDLE_WAIT_MS: u64 = 20;
+/// See `IDLE_WAIT_MS`.
+const BUSY_WAIT_MS: u64 = 1;
+
+/// How datagrams fare on their way.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Fate {
-    /// Share that is lost.
-    pub lost: f64,
-    /// Share that comes twice.
-    pub doubled: f64,
-    /// Milliseconds that one takes at most.
-    pub late: u64,
+pub struct DatagramFaults {
+    /// Share that is lost, 0 to 1.
+    pub lost_share: f64,
+    /// Share that comes twice, 0 to 1.
+    pub duplicated_share: f64,
+    /// The most milliseconds that one takes; the delay of each is drawn anew, so that they come out of order.
+    pub max_delay_ms: u64,
+}
+
+/// Datagrams that instances sent, whether they arrived or not.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct DatagramCounts {
+    /// How many.
+    pub datagrams: u64,
+    /// Their bytes.
+    pub bytes: u64,
 }
 
+/// What the relays' threads and their owner share.
 #[derive(Default)]
 struct Shared {
     /// Instances by the address that they send from.
     senders: Mutex<HashMap<SocketAddr, usize>>,
-    fate: Mutex<Fate>,
+    faults: Mutex<DatagramFaults>,
     /// Pairs between which nothing passes: (from, to).
     cuts: Mutex<BTreeSet<(usize, usize)>>,
-    over: AtomicBool,
-    /// Datagrams and bytes that instances sent, lost or not.
-    sent: AtomicU64,
+    is_over: AtomicBool,
+    datagrams: AtomicU64,
     bytes: AtomicU64,
 }
 
-/// Relays to all instances.
+/// The relays to all instances; their threads end when it is dropped.
 pub struct Relays {
     shared: Arc<Shared>,
     /// Where each instance is reached.
@@ -43,25 +59,36 @@
 }
 
 impl Relays {
-    /// Starts one to each address; those also are what the instances send from.
+    /// Starts a relay to each address. The instances send from the same addresses.
+    ///
+    /// # Panics
+    ///
+    /// If no loopback port is free.
     pub fn to(targets: &[SocketAddr], seed: u64) -> Self {
         let shared = Arc::<Shared>::default();
         let addresses = targets.iter().enumerate().map(|(to, target)| {
             shared.senders.lock().unwrap().insert(*target, to);
             let socket = UdpSocket::bind("127.0.0.1:0").expect("a loopback address is free");
             let address = socket.local_addr().expect("it is bound");
-            let (shared, target) = (shared.clone(), *target);
             let seed = seed ^ (to as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-            thread::spawn(move || relay(&shared, &socket, to, target, seed));
+            let relay = Relay {
+                shared: shared.clone(),
+                socket,
+                to,
+                target: *target,
+                rng: Pcg64Mcg::seed_from_u64(seed),
+                delayed: DelayQueue::default(),
+            };
+            thread::spawn(move || relay.run());
             address
         });
         let addresses = addresses.collect();
         Relays { shared, addresses }
     }
 
-    /// From now on all datagrams fare so.
-    pub fn fate(&self, fate: Fate) {
-        *self.shared.fate.lock().unwrap() = fate;
+    /// Sets how all datagrams fare from now on.
+    pub fn set_faults(&self, faults: DatagramFaults) {
+        *self.shared.faults.lock().unwrap() = faults;
     }
 
     /// Cuts pairs, as (from, to).
@@ -77,68 +104,89 @@
         }
     }
 
-    /// Datagrams that instances sent, and their bytes.
-    pub fn sent(&self) -> (u64, u64) {
-        (self.shared.sent.load(Ordering::SeqCst), self.shared.bytes.load(Ordering::SeqCst))
+    /// What the instances have sent so far.
+    pub fn sent(&self) -> DatagramCounts {
+        DatagramCounts {
+            datagrams: self.shared.datagrams.load(Ordering::SeqCst),
+            bytes: self.shared.bytes.load(Ordering::SeqCst),
+        }
     }
 }
 
 impl Drop for Relays {
     fn drop(&mut self) {
-        self.shared.over.store(true, Ordering::SeqCst);
+        self.shared.is_over.store(true, Ordering::SeqCst);
     }
 }
 
-/// Datagrams on their way, by the time at which they are due; of one time the first that came.
+/// Datagrams by the time at which they are due; of one time the first that came.
 #[derive(Default)]
-struct Way {
+struct DelayQueue {
     due: BinaryHeap<Reverse<(Instant, u64)>>,
-    bytes: HashMap<u64, Vec<u8>>,
-    next: u64,
+    datagrams: HashMap<u64, Vec<u8>>,
+    last_number: u64,
 }
 
-impl Way {
-    fn put(&mut self, at: Instant, bytes: Vec<u8>) {
-        self.next += 1;
-        self.due.push(Reverse((at, self.next)));
-        self.bytes.insert(self.next, bytes);
+impl DelayQueue {
+    fn push(&mut self, due: Instant, datagram: Vec<u8>) {
+        self.last_number += 1;
+        self.due.push(Reverse((due, self.last_number)));
+        self.datagrams.insert(self.last_number, datagram);
     }
 
-    fn take(&mut self, now: Instant) -> Option<Vec<u8>> {
-        let Reverse((at, _)) = self.due.peek()?;
-        if *at > now {
+    /// The next datagram that is due.
+    fn pop(&mut self, now: Instant) -> Option<Vec<u8>> {
+        let Reverse((due, _)) = self.due.peek()?;
+        if *due > now {
             return None;
         }
-        let Reverse((_, order)) = self.due.pop()?;
-        self.bytes.remove(&order)
+        let Reverse((_, number)) = self.due.pop()?;
+        self.datagrams.remove(&number)
     }
 }
 
-fn relay(shared: &Shared, socket: &UdpSocket, to: usize, target: SocketAddr, seed: u64) {
-    let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let mut way = Way::default();
-    let mut buffer = [0; 4096];
-    while !shared.over.load(Ordering::SeqCst) {
-        while let Some(bytes) = way.take(Instant::now()) {
-            // Nobody listens where an instance has ended.
-            let _ = socket.send_to(&bytes, target);
+/// The relay to one instance.
+struct Relay {
+    shared: Arc<Shared>,
+    socket: UdpSocket,
+    /// The instance's number.
+    to: usize,
+    /// Where it listens.
+    target: SocketAddr,
+    rng: Pcg64Mcg,
+    delayed: DelayQueue,
+}
+
+impl Relay {
+    fn run(mut self) {
+        let mut buffer = [0; LARGEST_DATAGRAM];
+        while !self.shared.is_over.load(Ordering::SeqCst) {
+            while let Some(datagram) = self.delayed.pop(Instant::now()) {
+                // Nobody listens where an instance has ended.
+                let _ = self.socket.send_to(&datagram, self.target);
+            }
+            let wait = if self.delayed.due.is_empty() { IDLE_WAIT_MS } else { BUSY_WAIT_MS };
+            let _ = self.socket.set_read_timeout(Some(Duration::from_millis(wait)));
+            let Ok((length, from)) = self.socket.recv_from(&mut buffer) else { continue };
+            self.relay(from, &buffer[..length]);
         }
-        // While nothing is on its way there is nothing to wait for but the end.
-        let wait = if way.due.is_empty() { 20 } else { 1 };
-        let _ = socket.set_read_timeout(Some(Duration::from_millis(wait)));
-        let Ok((n, from)) = socket.recv_from(&mut buffer) else { continue };
-        shared.sent.fetch_add(1, Ordering::SeqCst);
-        shared.bytes.fetch_add(n as u64, Ordering::SeqCst);
-        let from = shared.senders.lock().unwrap().get(&from).copied();
-        let fate = *shared.fate.lock().unwrap();
-        let cut = from.is_some_and(|from| shared.cuts.lock().unwrap().contains(&(from, to)));
-        if cut || rng.random::<f64>() < fate.lost {
-            continue;
+    }
+
+    /// Counts a datagram, and queues it as often as it is to arrive.
+    fn relay(&mut self, from: SocketAddr, datagram: &[u8]) {
+        self.shared.datagrams.fetch_add(1, Ordering::SeqCst);
+        self.shared.bytes.fetch_add(datagram.len() as u64, Ordering::SeqCst);
+        let sender = self.shared.senders.lock().unwrap().get(&from).copied();
+        let faults = *self.shared.faults.lock().unwrap();
+        let is_cut =
+            sender.is_some_and(|sender| self.shared.cuts.lock().unwrap().contains(&(sender, self.to)));
+        if is_cut || self.rng.random::<f64>() < faults.lost_share {
+            return;
         }
-        let copies = 1 + usize::from(rng.random::<f64>() < fate.doubled);
+        let copies = 1 + usize::from(self.rng.random::<f64>() < faults.duplicated_share);
         for _ in 0..copies {
-            let late = Duration::from_micros(rng.random_range(0..=fate.late * 1000));
-            way.put(Instant::now() + late, buffer[..n].to_vec());
+            let delay = Duration::from_micros(self.rng.random_range(0..=faults.max_delay_ms * 1000));
+            self.delayed.push(Instant::now() + delay, datagram.to_vec());
         }
     }
 }
--- a/crates/deckproxy-rig/tests/fleet_view.rs
+++ b/crates/deckproxy-rig/tests/fleet_view.rs
@@ -8,7 +8,7 @@
                \"board\":\"2d\",\"held\":1,\"observes\":4,\"old\":true,\"larger\":true,\"expected\":5,\"sure\":2,\"heard\":\"i1 i3\",\"lost\":\"i2\"}\nrubbish \"fleet view\"\n";
     let views = views(log);
     assert_eq!(views.len(), 1);
-    assert_eq!((views[0].heard.len(), views[0].observes, views[0].old), (2, 4, true));
+    assert_eq!((views[0].heard.len(), views[0].observes, views[0].is_stale), (2, 4, true));
     assert!(views[0].lost.contains("i2"));
     assert!((views[0].at - 1_796_166_970_704.6).abs() < 1.0, "{}", views[0].at);
 }
--- a/crates/deckproxy-rig/tests/judge.rs
+++ b/crates/deckproxy-rig/tests/judge.rs
@@ -1,6 +1,6 @@
 //! Figures of a run: spans and gaps of times are counted.
 
-use deckproxy_rig::judge::{longest_gap, most_within};
+use deckproxy_rig::intervals::{longest_gap, most_within};
 
 #[test]
 fn spans_and_gaps_are_counted() {
--- a/crates/deckproxy-rig/tests/plans.rs
+++ b/crates/deckproxy-rig/tests/plans.rs
@@ -1,7 +1,8 @@
 //! Plans as files: those of the repository are good, what is written is read again, all faults are told at once.
 
-use deckproxy_rig::draw;
-use deckproxy_rig::plan::{Fault, Plan, Shed, Trouble, What, read};
+use deckproxy_rig::plan::generator::{LEAST_MEMBERSHIP_SECONDS, membership_faults, random_faults};
+use deckproxy_rig::plan::{CacheFault, Fault, FaultKind, OverloadControl, Plan, read};
+use deckproxy_rig::relay::DatagramFaults;
 
 #[test]
 fn the_plans_of_the_repository_are_good() {
@@ -22,40 +23,40 @@
     let mut plan = Plan {
         question: "each \"kind\"".to_string(),
         seconds: 60.0,
-        shed: Shed::Fleet,
-        room: 4,
-        throng: true,
-        hasty: true,
+        overload_control: OverloadControl::Fleet,
+        origin_concurrency: 4,
+        open_loop: true,
+        ignore_retry_after: true,
         skew: 2.5,
         ..Plan::default()
     };
     let whats = [
-        What::Kill(1),
-        What::Pause(2),
-        What::Restart(3),
-        What::Rolling,
-        What::Split(vec![0, 2]),
-        What::Mute(vec![4]),
-        What::Datagrams(0.25, 0.5, 40),
-        What::Cache(0, Trouble::Crashes),
-        What::Cache(1, Trouble::Hangs),
-        What::Cache(2, Trouble::Fails(0.5)),
-        What::Cache(5, Trouble::Slow(300)),
-        What::Cut(vec![], 1, true),
-        What::Cut(vec![2], 0, false),
-        What::Feed(vec![1, 3], 1500),
-        What::Feed(vec![], 0),
-        What::Load(2.5),
-        What::Origin(54),
-        What::Cold(1),
+        FaultKind::Kill(1),
+        FaultKind::Pause(2),
+        FaultKind::Restart(3),
+        FaultKind::RollingRestart,
+        FaultKind::Split(vec![0, 2]),
+        FaultKind::Mute(vec![4]),
+        FaultKind::Datagrams(DatagramFaults { lost_share: 0.25, duplicated_share: 0.5, max_delay_ms: 40 }),
+        FaultKind::Cache(0, CacheFault::Crashes),
+        FaultKind::Cache(1, CacheFault::Hangs),
+        FaultKind::Cache(2, CacheFault::Fails(0.5)),
+        FaultKind::Cache(5, CacheFault::Slow(300)),
+        FaultKind::Cut { instances: vec![], zone: 1, is_silent: true },
+        FaultKind::Cut { instances: vec![2], zone: 0, is_silent: false },
+        FaultKind::Feed { instances: vec![1, 3], delay_ms: 1500 },
+        FaultKind::Feed { instances: vec![], delay_ms: 0 },
+        FaultKind::Load(2.5),
+        FaultKind::SlowOrigin(54),
+        FaultKind::ColdZone(1),
     ];
-    let fault = |(i, what): (usize, What)| Fault { at: i as f64 + 0.5, lasts: 1.25, what };
+    let fault = |(i, kind): (usize, FaultKind)| Fault { at: i as f64 + 0.5, duration: 1.25, kind };
     plan.faults = whats.into_iter().enumerate().map(fault).collect();
     assert_eq!(read(plan.text().as_bytes()).unwrap(), plan);
     for seed in 0..200 {
-        plan.faults = draw::any(seed, &plan);
+        plan.faults = random_faults(seed, &plan);
         assert_eq!(read(plan.text().as_bytes()).unwrap(), plan, "seed {seed}");
-        plan.faults = draw::partings(seed, plan.seconds, plan.instances);
+        plan.faults = membership_faults(seed, plan.seconds, plan.instances);
         assert_eq!(read(plan.text().as_bytes()).unwrap(), plan, "seed {seed}");
     }
 }
@@ -63,13 +64,13 @@
 #[test]
 fn the_shortest_drill_has_each_fault() {
     for seed in 0..200 {
-        let faults = draw::partings(seed, draw::SHORTEST as f64, 5);
-        let has = |fits: fn(&What) -> bool| faults.iter().any(|f| fits(&f.what));
-        assert!(has(|w| matches!(w, What::Kill(_))), "seed {seed}");
-        assert!(has(|w| matches!(w, What::Pause(_))), "seed {seed}");
-        assert!(has(|w| matches!(w, What::Restart(_))), "seed {seed}");
-        assert!(has(|w| matches!(w, What::Split(part) if part.len() == 2)), "seed {seed}");
-        assert!(has(|w| matches!(w, What::Mute(part) if part.len() == 2)), "seed {seed}");
+        let faults = membership_faults(seed, LEAST_MEMBERSHIP_SECONDS as f64, 5);
+        let has = |fits: fn(&FaultKind) -> bool| faults.iter().any(|f| fits(&f.kind));
+        assert!(has(|w| matches!(w, FaultKind::Kill(_))), "seed {seed}");
+        assert!(has(|w| matches!(w, FaultKind::Pause(_))), "seed {seed}");
+        assert!(has(|w| matches!(w, FaultKind::Restart(_))), "seed {seed}");
+        assert!(has(|w| matches!(w, FaultKind::Split(part) if part.len() == 2)), "seed {seed}");
+        assert!(has(|w| matches!(w, FaultKind::Mute(part) if part.len() == 2)), "seed {seed}");
     }
 }
 
--- a/crates/deckproxy-rig/tests/relay.rs
+++ b/crates/deckproxy-rig/tests/relay.rs
@@ -1,6 +1,6 @@
 //! Relays between instances: a cut takes one way of one pair, and datagrams may be lost or doubled.
 
-use deckproxy_rig::relay::{Fate, Relays};
+use deckproxy_rig::relay::{DatagramFaults, Relays};
 use std::net::{SocketAddr, UdpSocket};
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
     assert_eq!(got(1, 0), [1, 9]);
     relays.join([(0, 1)]);
     assert_eq!(got(0, 1), [0, 9]);
-    assert_eq!(relays.sent().0, 6);
+    assert_eq!(relays.sent().datagrams, 6);
 }
 
 #[test]
@@ -35,12 +35,12 @@
     let ends: Vec<UdpSocket> = (0..2).map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
     let at: Vec<SocketAddr> = ends.iter().map(|e| e.local_addr().unwrap()).collect();
     let relays = Relays::to(&at, 2);
-    relays.fate(Fate { lost: 1.0, ..Fate::default() });
+    relays.set_faults(DatagramFaults { lost_share: 1.0, ..DatagramFaults::default() });
     for _ in 0..50 {
         ends[0].send_to(&[1], relays.addresses[1]).unwrap();
     }
-    deckproxy_standins::until("all came to the relay", || relays.sent().0 == 50);
-    relays.fate(Fate { doubled: 1.0, late: 5, ..Fate::default() });
+    deckproxy_standins::until("all came to the relay", || relays.sent().datagrams == 50);
+    relays.set_faults(DatagramFaults { duplicated_share: 1.0, max_delay_ms: 5, ..DatagramFaults::default() });
     ends[0].send_to(&[2], relays.addresses[1]).unwrap();
     let mut buffer = [0; 8];
     ends[1].set_read_timeout(Some(Duration::from_secs(10))).unwrap();
--- a/crates/deckproxy/tests/overload.rs
+++ b/crates/deckproxy/tests/overload.rs
@@ -6,14 +6,17 @@
 use deckproxy_fleet::instance::Instance;
 use deckproxy_fleet::overload::shed_level::{ShedLevel, ShedLine};
 use deckproxy_fleet::wire::{Body, Packet, Wire};
-use deckproxy_rig::overloaded::{Figures, draw, judge, terms};
-use deckproxy_rig::plan::{Fault, Plan, Shed, What};
-use deckproxy_rig::play::{Played, Rig, play};
+use deckproxy_rig::load_generator::AttemptAnswer;
+use deckproxy_rig::overload_judge::{OverloadCriteria, OverloadFigures, judge, requests};
+use deckproxy_rig::plan::{Fault, FaultKind, OverloadControl, Plan};
+use deckproxy_rig::relay::DatagramFaults;
+use deckproxy_rig::rig::Rig;
+use deckproxy_rig::run::{RunRecord, run_plan};
 use deckproxy_standins::record::Outcome;
 use std::net::UdpSocket;
 use std::sync::{Condvar, Mutex};
 
-/// What is counted a second needs the machine's time: so many runs side by side. With two, a moment in which the machine gave
+/// FaultKind is counted a second needs the machine's time: so many runs side by side. With two, a moment in which the machine gave
 /// them no core made answers late by some 100 ms in both.
 const SIDE_BY_SIDE: usize = 1;
 static RUNNING: (Mutex<usize>, Condvar) = (Mutex::new(0), Condvar::new());
@@ -41,10 +44,13 @@
 const LASTS: f64 = 8.0;
 
 /// Four instances at three times the traffic, of which the origin bears half, with faults beside.
-fn plan(seed: u64, faults: &[(f64, f64, What)]) -> Plan {
-    let fault =
-        |(at, lasts, what): &(f64, f64, What)| Fault { at: BEGIN + at, lasts: *lasts, what: what.clone() };
-    let load = Fault { at: BEGIN, lasts: LASTS, what: What::Load(3.0) };
+fn plan(seed: u64, faults: &[(f64, f64, FaultKind)]) -> Plan {
+    let fault = |(at, lasts, what): &(f64, f64, FaultKind)| Fault {
+        at: BEGIN + at,
+        duration: *lasts,
+        kind: what.clone(),
+    };
+    let load = Fault { at: BEGIN, duration: LASTS, kind: FaultKind::Load(3.0) };
     Plan {
         seconds: 20.0,
         instances: 4,
@@ -53,9 +59,9 @@
         rate: 100.0,
         clients: 120,
         seed,
-        room: 3,
-        throng: true,
-        shed: Shed::Fleet,
+        origin_concurrency: 3,
+        open_loop: true,
+        overload_control: OverloadControl::Fleet,
         faults: std::iter::once(load).chain(faults.iter().map(fault)).collect(),
         ..Plan::default()
     }
@@ -63,131 +69,153 @@
 
 /// Plays it, and holds it against what is promised of any run: no rule broken, no more work for a first try than in the calm
 /// time by much, repeats within their budget, worth before less worth, no instance's clients worse off, and all well again.
-fn play_and_check(plan: &Plan) -> (Played, Figures) {
+fn play_and_check(plan: &Plan) -> (RunRecord, OverloadFigures) {
     let _turn = Turn::wait();
-    let played = play(plan, &draw(), |_, _| {});
-    let f = judge(&played, terms());
+    let run = run_plan(plan, &requests(), |_, _| {});
+    let f = judge(&run, OverloadCriteria::default());
     assert!(f.verdict.holds(), "{:#?}", f.verdict.violations);
-    assert_eq!(played.wrongs, Vec::<String>::new());
-    let told = format!("{:?}", Figures { verdict: Default::default(), ..f.clone() });
-    assert!(f.before > 0.95, "the machine is too slow: {told}");
-    assert!(f.trough < 0.9, "it was no overload: {told}");
-    assert!(f.amplification <= 1.3 || plan.hasty, "{told}");
-    assert!(f.attempts <= 1.3, "{told}");
+    assert_eq!(run.process_faults, Vec::<String>::new());
+    let told = format!("{:?}", OverloadFigures { verdict: Default::default(), ..f.clone() });
+    assert!(f.goodput_before > 0.95, "the machine is too slow: {told}");
+    assert!(f.goodput_trough < 0.9, "it was no overload: {told}");
+    assert!(f.amplification <= 1.3 || plan.ignore_retry_after, "{told}");
+    assert!(f.member_amplification <= 1.3, "{told}");
     // Who is at the next instance before word of him is counts as a first try there for a moment.
-    assert!(f.budget <= if plan.hasty { 1.5 } else { 1.2 } && f.budget_split <= 1.5, "{told}");
+    assert!(
+        f.budget_ratio <= if plan.ignore_retry_after { 1.5 } else { 1.2 } && f.split_budget_ratio <= 1.5,
+        "{told}"
+    );
     assert!(f.inversions <= 0.03, "{told}");
-    assert!(f.jain >= 0.95, "{told}");
-    assert!(f.seconds.is_some_and(|s| s <= 6.0), "{told}");
-    (played, f)
+    assert!(f.jain_index >= 0.95, "{told}");
+    assert!(f.recovery_seconds.is_some_and(|s| s <= 6.0), "{told}");
+    (run, f)
 }
 
-fn logged(played: &Played, what: &str) -> usize {
-    played.logs.iter().filter(|log| log.contains(what)).count()
+fn logged(run: &RunRecord, what: &str) -> usize {
+    run.logs.iter().filter(|log| log.contains(what)).count()
 }
 
 #[test]
 fn fleet_sheds_three_times_the_load_consistently() {
     // Twice as long as the others: in its first seconds no time is named, as nobody knows yet how much can be served.
     let mut long = plan(1, &[]);
-    (long.seconds, long.faults[0].lasts) = (28.0, 2.0 * LASTS);
-    let (played, f) = play_and_check(&long);
-    assert_eq!(logged(&played, "the way to the sources is crowded"), 4, "each has the cut");
-    assert_eq!(logged(&played, "the way to the sources: all are let in again"), 4);
-    assert_eq!(logged(&played, "the caches are crowded"), 0, "hits pass");
+    (long.seconds, long.faults[0].duration) = (28.0, 2.0 * LASTS);
+    let (run, f) = play_and_check(&long);
+    assert_eq!(logged(&run, "the way to the sources is crowded"), 4, "each has the cut");
+    assert_eq!(logged(&run, "the way to the sources: all are let in again"), 4);
+    assert_eq!(logged(&run, "the caches are crowded"), 0, "hits pass");
     // Times to come back were told, and came true.
     // Nine in ten are aimed at; what was promised before the queue was seen is not kept.
-    assert!(f.promises >= 5 && 3 * f.kept >= 2 * f.promises, "{} of {}", f.kept, f.promises);
+    assert!(f.returns >= 5 && 3 * f.served_returns >= 2 * f.returns, "{} of {}", f.served_returns, f.returns);
     // Each judge is shown what it is there for.
-    let spoilt = |spoil: &dyn Fn(&mut Played)| {
-        let mut copy = played.clone();
+    let spoilt = |spoil: &dyn Fn(&mut RunRecord)| {
+        let mut copy = run.clone();
         spoil(&mut copy);
-        judge(&copy, terms())
+        judge(&copy, OverloadCriteria::default())
     };
     let twice = spoilt(&|p| {
-        let again: Vec<_> = p.facts.iter().filter(|s| s.at > p.from + 5000.0).cloned().collect();
+        let again: Vec<_> = p.facts.iter().filter(|s| s.at > p.traffic_from + 5000.0).cloned().collect();
         p.facts.extend(again);
         p.facts.sort_by(|a, b| a.at.total_cmp(&b.at));
     });
-    assert!(twice.attempts > 1.5 * f.attempts, "{} and {}", twice.attempts, f.attempts);
+    assert!(
+        twice.member_amplification > 1.5 * f.member_amplification,
+        "{} and {}",
+        twice.member_amplification,
+        f.member_amplification
+    );
     let broken = spoilt(&|p| {
-        for t in p.tries.iter_mut().filter(|t| t.told) {
-            t.end = t.end.map(|(at, _)| (at, Outcome::Rejected(None)));
+        for t in p.attempts.iter_mut().filter(|t| t.after_retry_after) {
+            t.answer = t.answer.map(|answer| AttemptAnswer { outcome: Outcome::Rejected(None), ..answer });
         }
     });
-    assert_eq!(broken.kept, 0);
+    assert_eq!(broken.served_returns, 0);
     let unjust = spoilt(&|p| {
-        for t in p.tries.iter_mut().filter(|t| t.class != "page") {
-            t.end = t.end.map(|(at, _)| (at, Outcome::Rejected(None)));
+        for t in p.attempts.iter_mut().filter(|t| t.class != "page") {
+            t.answer = t.answer.map(|answer| AttemptAnswer { outcome: Outcome::Rejected(None), ..answer });
         }
     });
     assert!(unjust.inversions > 0.03, "{}", unjust.inversions);
     let unfair = spoilt(&|p| {
-        for t in p.tries.iter_mut().filter(|t| t.door < 2) {
-            t.end = t.end.map(|(at, _)| (at, Outcome::Rejected(None)));
+        for t in p.attempts.iter_mut().filter(|t| t.instance < 2) {
+            t.answer = t.answer.map(|answer| AttemptAnswer { outcome: Outcome::Rejected(None), ..answer });
         }
     });
-    assert!(unfair.jain < 0.9, "{}", unfair.jain);
-    let repeats = spoilt(&|p| p.tries.iter_mut().filter(|t| t.wish % 2 == 0).for_each(|t| t.before += 1));
-    assert!(repeats.budget > 1.2, "{}", repeats.budget);
+    assert!(unfair.jain_index < 0.9, "{}", unfair.jain_index);
+    let repeats = spoilt(&|p| {
+        p.attempts.iter_mut().filter(|t| t.request % 2 == 0).for_each(|t| t.earlier_attempts += 1)
+    });
+    assert!(repeats.budget_ratio > 1.2, "{}", repeats.budget_ratio);
     let stuck = spoilt(&|p| {
-        for t in p.tries.iter_mut().filter(|t| t.at > p.to - 5000.0) {
-            t.end = t.end.map(|(at, _)| (at, Outcome::Rejected(None)));
+        for t in p.attempts.iter_mut().filter(|t| t.at > p.traffic_to - 5000.0) {
+            t.answer = t.answer.map(|answer| AttemptAnswer { outcome: Outcome::Rejected(None), ..answer });
         }
     });
-    assert_eq!(stuck.seconds, None);
+    assert_eq!(stuck.recovery_seconds, None);
 }
 
 #[test]
 fn slow_origin_with_half_of_the_instances_killed() {
-    let killed = [(2.0, 2.5, What::Origin(54)), (2.0, 3.0, What::Kill(0)), (2.0, 3.0, What::Kill(3))];
+    let killed = [
+        (2.0, 2.5, FaultKind::SlowOrigin(54)),
+        (2.0, 3.0, FaultKind::Kill(0)),
+        (2.0, 3.0, FaultKind::Kill(3)),
+    ];
     play_and_check(&plan(2, &killed));
 }
 
 #[test]
 fn partition_during_overload() {
-    play_and_check(&plan(3, &[(3.0, 4.0, What::Split(vec![1]))]));
+    play_and_check(&plan(3, &[(3.0, 4.0, FaultKind::Split(vec![1]))]));
 }
 
 #[test]
 fn datagram_loss_during_overload() {
-    play_and_check(&plan(4, &[(0.0, LASTS, What::Datagrams(0.3, 0.2, 40))]));
+    play_and_check(&plan(
+        4,
+        &[(
+            0.0,
+            LASTS,
+            FaultKind::Datagrams(DatagramFaults { lost_share: 0.3, duplicated_share: 0.2, max_delay_ms: 40 }),
+        )],
+    ));
 }
 
 #[test]
 fn paused_instance_during_overload() {
-    let (played, _) = play_and_check(&plan(5, &[(3.0, 3.0, What::Pause(2))]));
-    assert!(played.logs[2].contains("this process stood still"));
+    let (run, _) = play_and_check(&plan(5, &[(3.0, 3.0, FaultKind::Pause(2))]));
+    assert!(run.logs[2].contains("this process stood still"));
 }
 
 #[test]
 fn clients_that_retry_at_every_instance_gain_nothing() {
-    let (_, f) = play_and_check(&Plan { hasty: true, ..plan(6, &[]) });
-    assert!(f.tries > 4 * f.firsts, "they came again and again: {} tries of {}", f.tries, f.firsts);
+    let (_, f) = play_and_check(&Plan { ignore_retry_after: true, ..plan(6, &[]) });
+    assert!(f.attempts > 4 * f.requests, "they came again and again: {} tries of {}", f.attempts, f.requests);
 }
 
 #[test]
 fn skewed_traffic_during_overload() {
-    let (played, _) = play_and_check(&Plan { skew: 5.0, ..plan(7, &[]) });
-    let at = |door: usize| played.tries.iter().filter(|t| t.before == 0 && t.door == door).count();
+    let (run, _) = play_and_check(&Plan { skew: 5.0, ..plan(7, &[]) });
+    let at =
+        |door: usize| run.attempts.iter().filter(|t| t.earlier_attempts == 0 && t.instance == door).count();
     assert!(at(0) > 3 * at(1), "{} and {}", at(0), at(1));
 }
 
 #[test]
 fn empty_caches_of_a_zone_during_retries() {
-    play_and_check(&plan(8, &[(2.5, 2.0, What::Cold(1))]));
+    play_and_check(&plan(8, &[(2.5, 2.0, FaultKind::ColdZone(1))]));
 }
 
 #[test]
 fn rolling_restart_during_overload() {
-    let (played, _) = play_and_check(&plan(9, &[(1.0, 6.0, What::Rolling)]));
-    assert!(played.logs.iter().all(|log| log.matches("\"fleet: takes part\"").count() == 2));
+    let (run, _) = play_and_check(&plan(9, &[(1.0, 6.0, FaultKind::RollingRestart)]));
+    assert!(run.logs.iter().all(|log| log.matches("\"fleet: takes part\"").count() == 2));
 }
 
 #[test]
 fn forged_entries_are_dropped_or_expire() {
     let _turn = Turn::wait();
-    let rig = Rig::start(&Plan { rate: 60.0, faults: Vec::new(), ..plan(10, &[]) }, &draw());
+    let rig = Rig::start(&Plan { rate: 60.0, faults: Vec::new(), ..plan(10, &[]) }, &requests());
     rig.until("each serves", |rig| (0..4).all(|i| rig.log(i).contains("fleet view")));
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     // A cut that lets nobody in, from an instance that nobody knows, said to be new each time.
@@ -222,7 +250,7 @@
     // Garbled, it is dropped.
     let mut bad = good.clone();
     *bad.last_mut().unwrap() ^= 1;
-    let at = (0..4).map(|i| rig.reached_at(i)).collect::<Vec<_>>();
+    let at = (0..4).map(|i| rig.relay_address(i)).collect::<Vec<_>>();
     let say =
         |bytes: &[u8]| at.iter().for_each(|at| assert_eq!(stranger.send_to(bytes, at).unwrap(), bytes.len()));
     say(&bad);
@@ -234,21 +262,21 @@
     say(&good);
     rig.until("it has ended", |rig| (0..4).all(|i| rig.log(i).contains("all are let in again")));
     say(&good);
-    let played = rig.finish();
-    let f = judge(&played, terms());
+    let run = rig.finish();
+    let f = judge(&run, OverloadCriteria::default());
     assert!(f.verdict.holds(), "{:#?}", f.verdict.violations);
-    let told: Vec<&str> = played
+    let told: Vec<&str> = run
         .logs
         .iter()
         .flat_map(|l| l.lines())
         .filter(|l| l.contains("crowded") || l.contains("let in again"))
         .collect();
     assert!(
-        played.logs.iter().all(|log| log.matches("crowded").count() <= 2),
+        run.logs.iter().all(|log| log.matches("crowded").count() <= 2),
         "once for each thing at most: {told:#?}"
     );
     let garbled = |log: &String| {
         log.lines().rfind(|l| l.contains("\"msg\":\"end\"")).is_some_and(|l| l.contains("garbled:1"))
     };
-    assert!(played.logs.iter().all(garbled));
+    assert!(run.logs.iter().all(garbled));
 }
