--- a/crates/deckproxy-adapter/src/host.rs
+++ b/crates/deckproxy-adapter/src/host.rs
@@ -1,22 +1,24 @@
-//! Hosts the instances of the decision module, fully separate from each other.
+//! Hosts the instances of the decision module, separate from each other.
 
-use crate::wire::{Batch, Reply, WireError, WireEvent};
+use crate::wire::{Batch, RecordError, Reply, WireError, WireEvent};
 use deckproxy_control::Control;
 use deckproxy_control::interface::{Action, Event, LoadReport};
-use deckproxy_settings as settings;
+use deckproxy_settings::{self as settings, InstanceSettings};
+use std::any::Any;
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
+/// One instance of the decision module.
 struct Instance {
     control: Control,
-    report: Vec<String>,
+    /// Names of a load report's values, in order.
+    report_fields: Vec<String>,
 }
 
 impl Instance {
-    fn load(&self, values: &[f32]) -> Option<LoadReport> {
-        settings::read_load_report(
-            self.report.iter().map(String::as_str).zip(values.iter().map(|v| f64::from(*v))),
-        )
+    fn load_report(&self, values: &[f32]) -> Option<LoadReport> {
+        let names = self.report_fields.iter().map(String::as_str);
+        settings::read_load_report(names.zip(values.iter().map(|value| f64::from(*value))))
     }
 }
 
@@ -27,38 +29,39 @@
 }
 
 impl Host {
-    /// Hands a batch to its instances and returns the frame that answers it.
+    /// Hands a batch to its instances and returns the frame that answers it. An error ends the batch; a panic of the
+    /// decision module is reported in the frame.
     pub fn answer(&mut self, batch: &Batch) -> Result<Vec<u8>, WireError> {
         let mut reply = Reply::default();
         let mut actions = Vec::new();
-        for at in 0..batch.len() {
-            let (instance, event) = batch.event(at)?;
-            let done = catch_unwind(AssertUnwindSafe(|| self.step(batch.now, instance, event, &mut actions)));
-            match done {
-                Ok(Ok(())) => actions.iter().for_each(|a| reply.push(instance, a)),
-                Ok(Err(text)) => {
-                    return Err(WireError::Malformed(format!("batch {}, record {at}: {text}", batch.number)));
-                }
-                Err(cause) => {
-                    let text = cause
-                        .downcast_ref::<String>()
-                        .cloned()
-                        .or_else(|| cause.downcast_ref::<&str>().map(|s| (*s).to_string()))
-                        .unwrap_or_else(|| "the decision module failed".to_string());
-                    reply.panic(instance, &text);
+        for record in 0..batch.len() {
+            let (instance, event) = batch.event(record)?;
+            let step = || self.step(batch.now, instance, event, &mut actions);
+            match catch_unwind(AssertUnwindSafe(step)) {
+                Ok(Ok(())) => {
+                    for action in &actions {
+                        reply.push(instance, action);
+                    }
                 }
+                Ok(Err(error)) => return Err(WireError::Record { batch: batch.number, record, error }),
+                Err(payload) => reply.push_panic(instance, &panic_message(payload.as_ref())),
             }
             actions.clear();
         }
         Ok(reply.frame(batch.number))
     }
 
-    fn step(&mut self, now: f64, id: u16, event: WireEvent, out: &mut Vec<Action>) -> Result<(), String> {
+    /// Carries out one event. One for an instance that was never started, or has ended, has no effect.
+    fn step(
+        &mut self,
+        now: f64,
+        id: u16,
+        event: WireEvent,
+        actions: &mut Vec<Action>,
+    ) -> Result<(), RecordError> {
         let event = match event {
-            WireEvent::Start { seed, conf } => {
-                let conf = settings::read(&conf).map_err(|error| error.to_string())?;
-                let control = Control::new(conf.settings, seed);
-                self.instances.insert(id, Instance { control, report: conf.report_fields });
+            WireEvent::Start { seed, settings } => {
+                self.start(id, seed, settings::read(&settings).map_err(RecordError::Settings)?);
                 Event::Started
             }
             WireEvent::Destroy => {
@@ -66,25 +69,41 @@
                 return Ok(());
             }
             WireEvent::MemberList(kind, list) => Event::MemberList(kind, list),
-            WireEvent::Request(r) => Event::Request(r),
+            WireEvent::Request(request) => Event::Request(request),
             WireEvent::StreamStarted { request, attempt } => Event::StreamStarted { request, attempt },
             WireEvent::AttemptEnded { request, attempt, member, ending, elapsed, finished, note, load } => {
-                let load = self.instances.get(&id).and_then(|i| i.load(&load));
+                let load = self.load_report(id, &load);
                 Event::AttemptEnded { request, attempt, member, ending, elapsed, finished, note, load }
             }
             WireEvent::ClientGone(request) => Event::ClientGone(request),
             WireEvent::Timer(token) => Event::Timer(token),
             WireEvent::HealthChecked { member, ok, load } => {
-                let load = self.instances.get(&id).and_then(|i| i.load(&load));
-                Event::HealthChecked { member, ok, load }
+                Event::HealthChecked { member, ok, load: self.load_report(id, &load) }
             }
-            WireEvent::PeerMessage(from, text) => Event::PeerMessage(from, text),
+            WireEvent::PeerMessage(from, message) => Event::PeerMessage(from, message),
             WireEvent::Purged { object, group, age } => Event::Purged { object, group, age },
         };
-        // An event for an instance that was never started, or has been destroyed, means nothing.
         if let Some(instance) = self.instances.get_mut(&id) {
-            instance.control.handle(now, event, out);
+            instance.control.handle(now, event, actions);
         }
         Ok(())
     }
+
+    fn start(&mut self, id: u16, seed: u64, settings: InstanceSettings) {
+        let control = Control::new(settings.settings, seed);
+        self.instances.insert(id, Instance { control, report_fields: settings.report_fields });
+    }
+
+    fn load_report(&self, id: u16, values: &[f32]) -> Option<LoadReport> {
+        self.instances.get(&id)?.load_report(values)
+    }
+}
+
+/// The message of a panic, where it has one.
+fn panic_message(payload: &(dyn Any + Send)) -> String {
+    if let Some(message) = payload.downcast_ref::<String>() {
+        return message.clone();
+    }
+    let message = payload.downcast_ref::<&str>().copied();
+    message.unwrap_or("the decision module failed").to_string()
 }
--- a/crates/deckproxy-adapter/src/lib.rs
+++ b/crates/deckproxy-adapter/src/lib.rs
@@ -1,4 +1,4 @@
-//! The adapter: carries deckproxy's decisions over the simulator's wire. It only translates.
+//! The adapter: carries the decision module's events and actions over the simulator's wire. It only translates.
 #![forbid(unsafe_code)]
 
 pub mod host;
--- a/crates/deckproxy-adapter/src/main.rs
+++ b/crates/deckproxy-adapter/src/main.rs
@@ -20,8 +20,8 @@
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("deckproxy-adapter: {e}");
+        Err(error) => {
+            eprintln!("deckproxy-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- /dev/null
+++ b/crates/deckproxy-adapter/src/wire/reply.rs
@@ -0,0 +1,157 @@
+//! Encoding actions into a reply.
+
+use super::ACTION_BYTES;
+use deckproxy_control::interface::{Action, GetOptions};
+
+/// Longest message to another router, in bytes; longer ones are cut.
+const PEER_MESSAGE_MAX: usize = 256;
+/// Stands for all routers in place of one's position.
+const ALL_PEERS: u16 = u16::MAX;
+/// Bytes of a reply's header: length, number of records, number of the batch.
+const HEADER_BYTES: usize = 12;
+
+/// A reply under construction.
+#[derive(Default)]
+pub struct Reply {
+    records: Vec<u8>,
+    tail: Vec<u8>,
+    count: u32,
+}
+
+/// A place in the tail.
+struct TailRange {
+    offset: u32,
+    length: u32,
+}
+
+impl Reply {
+    /// Appends one action of an instance.
+    pub fn push(&mut self, instance: u16, action: &Action) {
+        let mut record = Record::new(instance);
+        match action {
+            Action::Lookup { request, member, deadline } => {
+                record.code(0).u32(3, *request).f64(7, *deadline).u32(15, *member);
+            }
+            Action::Reject { request, retry_after } => {
+                record.code(1).u32(3, *request).f64(7, *retry_after);
+            }
+            Action::Fail { request } => {
+                record.code(2).u32(3, *request);
+            }
+            Action::Cancel { request, attempt } => {
+                record.code(3).u32(3, *request).u8(7, *attempt as u8);
+            }
+            Action::Timer { token, at } => {
+                record.code(4).u64(3, *token).f64(11, *at);
+            }
+            Action::HealthCheck(member) => {
+                record.code(5).u32(3, *member);
+            }
+            Action::CloseIdle(member) => {
+                record.code(6).u32(3, *member);
+            }
+            Action::SendToPeer(peer, message) => {
+                let range = self.append_to_tail(&message[..message.len().min(PEER_MESSAGE_MAX)]);
+                let peer = peer.map_or(ALL_PEERS, |position| position as u16);
+                record.code(7).u16(3, peer).range(5, &range);
+            }
+            Action::Log(line) => {
+                let range = self.append_to_tail(line.as_bytes());
+                record.code(8).range(3, &range);
+            }
+            Action::WatchMembers(on) => {
+                record.code(10).u8(3, u8::from(*on));
+            }
+            Action::FetchMembers => {
+                record.code(11);
+            }
+            Action::Get { request, member, deadline, source, copy_rank, max_age, options } => {
+                record.code(12).u32(3, *request).u32(7, *member).f64(11, *deadline);
+                record.u32(19, *source).u8(23, *copy_rank).f64(24, *max_age).u8(32, option_bits(*options));
+            }
+        }
+        self.append(&record);
+    }
+
+    /// Appends the report that the decision module panicked.
+    pub fn push_panic(&mut self, instance: u16, message: &str) {
+        let range = self.append_to_tail(message.as_bytes());
+        let mut record = Record::new(instance);
+        record.code(9).range(3, &range);
+        self.append(&record);
+    }
+
+    fn append(&mut self, record: &Record) {
+        self.records.extend_from_slice(&record.0);
+        self.count += 1;
+    }
+
+    fn append_to_tail(&mut self, bytes: &[u8]) -> TailRange {
+        let offset = self.tail.len() as u32;
+        self.tail.extend_from_slice(bytes);
+        TailRange { offset, length: bytes.len() as u32 }
+    }
+
+    /// The complete frame, in answer to the batch of that number.
+    pub fn frame(&self, number: u32) -> Vec<u8> {
+        let length = self.records.len() + self.tail.len();
+        let mut frame = Vec::with_capacity(HEADER_BYTES + length);
+        for word in [length as u32, self.count, number] {
+            frame.extend_from_slice(&word.to_le_bytes());
+        }
+        frame.extend_from_slice(&self.records);
+        frame.extend_from_slice(&self.tail);
+        frame
+    }
+}
+
+fn option_bits(options: GetOptions) -> u8 {
+    u8::from(options.join)
+        | u8::from(options.cached_only) << 1
+        | u8::from(options.no_parent_copy) << 2
+        | u8::from(options.renew) << 3
+}
+
+/// An action record under construction. All offsets are in bytes.
+struct Record([u8; ACTION_BYTES]);
+
+impl Record {
+    fn new(instance: u16) -> Self {
+        let mut record = Record([0; ACTION_BYTES]);
+        record.u16(1, instance);
+        record
+    }
+
+    fn put(&mut self, offset: usize, bytes: &[u8]) -> &mut Self {
+        self.0[offset..offset + bytes.len()].copy_from_slice(bytes);
+        self
+    }
+
+    fn code(&mut self, code: u8) -> &mut Self {
+        self.put(0, &[code])
+    }
+
+    fn u8(&mut self, offset: usize, value: u8) -> &mut Self {
+        self.put(offset, &[value])
+    }
+
+    fn u16(&mut self, offset: usize, value: u16) -> &mut Self {
+        self.put(offset, &value.to_le_bytes())
+    }
+
+    fn u32(&mut self, offset: usize, value: u32) -> &mut Self {
+        self.put(offset, &value.to_le_bytes())
+    }
+
+    fn u64(&mut self, offset: usize, value: u64) -> &mut Self {
+        self.put(offset, &value.to_le_bytes())
+    }
+
+    fn f64(&mut self, offset: usize, value: f64) -> &mut Self {
+        self.put(offset, &value.to_le_bytes())
+    }
+
+    fn range(&mut self, offset: usize, range: &TailRange) -> &mut Self {
+        self.u32(offset, range.offset).u32(offset + 4, range.length)
+    }
+}
--- a/crates/deckproxy-adapter/tests/wire.rs
+++ b/crates/deckproxy-adapter/tests/wire.rs
@@ -24,8 +24,8 @@
     let mut body = Vec::new();
     for record in records {
         let mut bytes = hex(record);
-        assert!(bytes.len() <= wire::EVENT);
-        bytes.resize(wire::EVENT, 0);
+        assert!(bytes.len() <= wire::EVENT_BYTES);
+        bytes.resize(wire::EVENT_BYTES, 0);
         body.extend(bytes);
     }
     body.extend(tail);
@@ -218,7 +218,7 @@
     assert_eq!(action(&Action::SendToPeer(None, vec![7; 400])).1.len(), 256);
     let mut reply = Reply::default();
     reply.push(3, &Action::Log("one".into()));
-    reply.panic(5, "broken");
+    reply.push_panic(5, "broken");
     let bytes = reply.frame(9);
     assert_eq!(bytes[..12], hex("59000000 02000000 09000000"));
     assert_eq!(bytes[52..], hex("09 0500 03000000 06000000 +29 6f6e65 62726f6b656e"));
