--- a/crates/deckproxy-adapter/src/host.rs
+++ b/crates/deckproxy-adapter/src/host.rs
@@ -29,8 +29,8 @@
 }
 
 impl Host {
-    /// Hands a batch to its instances and returns the frame that answers it. An error ends the batch; a panic of the
-    /// decision module is reported in the frame.
+    /// Hands a batch to its instances and returns the frame that answers it. An error ends the batch; a panic
+    /// of the decision module is reported in the frame.
     pub fn answer(&mut self, batch: &Batch) -> Result<Vec<u8>, WireError> {
         let mut reply = Reply::default();
         let mut actions = Vec::new();
--- a/crates/deckproxy-adapter/src/lib.rs
+++ b/crates/deckproxy-adapter/src/lib.rs
@@ -1,4 +1,5 @@
-//! The adapter: carries the decision module's events and actions over the simulator's wire. It only translates.
+//! The adapter: carries the decision module's events and actions over the simulator's wire. It only
+//! translates.
 #![forbid(unsafe_code)]
 
 pub mod host;
--- a/crates/deckproxy-adapter/src/wire.rs
+++ b/crates/deckproxy-adapter/src/wire.rs
@@ -1,7 +1,8 @@
 //! The frames of the simulator's wire: batches of events in, replies of actions out.
 //!
-//! Fields are little-endian and unpadded. Event records have [`EVENT_BYTES`], action records [`ACTION_BYTES`], and
-//! data without a fixed size lies in the frame's tail. Times are milliseconds on both sides.
+//! Fields are little-endian and unpadded. Event records have [`EVENT_BYTES`], action records
+//! [`ACTION_BYTES`], and data without a fixed size lies in the frame's tail. Times are milliseconds on both
+//! sides.
 
 mod batch;
 mod error;
--- a/crates/deckproxy-control/src/control.rs
+++ b/crates/deckproxy-control/src/control.rs
@@ -1,9 +1,10 @@
 //! Every decision of the router. Types, events and actions are in `interface.rs`; read that file first.
 //!
-//! The ordinary path: a request is looked up at the cache that a shared hash of its object picks in the location.
-//! After a miss one request per object and part leads a fill from the parent that the same hash picks over all
-//! listed parents, and the others wait for it. Everything else handles faults and overload. `dispatch` is where a
-//! request begins, `attempt_sending` the one way out for attempts, `attempt_outcomes` what follows their end.
+//! The ordinary path: a request is looked up at the cache that a shared hash of its object picks in the
+//! location. After a miss one request per object and part leads a fill from the parent that the same hash
+//! picks over all listed parents, and the others wait for it. Everything else handles faults and overload.
+//! `dispatch` is where a request begins, `attempt_sending` the one way out for attempts, `attempt_outcomes`
+//! what follows their end.
 
 mod admission;
 mod attempt_limits;
--- a/crates/deckproxy-control/src/control/admission.rs
+++ b/crates/deckproxy-control/src/control/admission.rs
@@ -7,8 +7,8 @@
 use crate::interface::Millis;
 
 impl Control {
-    /// Whether an answer that takes so long would come too long after its latency objective to be worth its work.
-    /// Large answers of low weight are shed first, as their objectives leave them the least time.
+    /// Whether an answer that takes so long would come too long after its latency objective to be worth its
+    /// work. Large answers of low weight are shed first, as their objectives leave them the least time.
     pub(super) fn is_too_late(&self, pending: &PendingRequest, takes: Millis) -> bool {
         let class = &self.settings.classes[pending.request.class];
         let stretch = class.latency_objective_stretch * self.sending_time(&pending.request);
@@ -29,14 +29,15 @@
         inflation > 1.0 && self.is_too_late(pending, takes)
     }
 
-    /// Whether the origin was seen to be overloaded for a request. Large answers suffer most there and weigh more.
+    /// Whether the origin was seen to be overloaded for a request. Large answers suffer most there and weigh
+    /// more.
     pub(super) fn is_origin_too_slow(&self, pending: &PendingRequest) -> bool {
         let inflation = self.origin_latency.ratio(ORIGIN_LATENCY_PRIOR, ORIGIN_LATENCY_SPAN, self.now);
         self.is_too_slow(pending, inflation)
     }
 
-    /// Whether the location's link is so full that one more transfer would come too late: a link that everyone fills
-    /// lets nobody through. This sheds too much where the link's rate is told too low.
+    /// Whether the location's link is so full that one more transfer would come too late: a link that
+    /// everyone fills lets nobody through. This sheds too much where the link's rate is told too low.
     pub(super) fn is_link_overloaded(&self, pending: &PendingRequest) -> bool {
         let load = self.link_load();
         load > 0.0 && self.is_too_late_at_load(pending, load)
--- a/crates/deckproxy-control/src/control/attempt_limits.rs
+++ b/crates/deckproxy-control/src/control/attempt_limits.rs
@@ -6,8 +6,8 @@
 use crate::interface::{Class, Group, Idempotency, Member, MemberId};
 
 impl Control {
-    /// Whether an attempt may be sent by the limits of its request, by what may have run already, and by the settings
-    /// on whom this router may ask. Drains and slow start are checked before.
+    /// Whether an attempt may be sent by the limits of its request, by what may have run already, and by the
+    /// settings on whom this router may ask. Drains and slow start are checked before.
     pub(super) fn is_permitted(&self, pending: &PendingRequest, plan: &AttemptPlan) -> bool {
         self.is_within_limits(pending)
             && self.may_run_again(pending, plan.member)
--- a/crates/deckproxy-control/src/control/attempt_outcomes.rs
+++ b/crates/deckproxy-control/src/control/attempt_outcomes.rs
@@ -58,15 +58,16 @@
         self.remove_if_settled(request.id);
     }
 
-    /// Whether the request waits, or another of its attempts decides. After a missed look-up only a fill does.
+    /// Whether the request waits, or another of its attempts decides. After a missed look-up only a fill
+    /// does.
     fn is_left_to_other_attempt(&self, id: RequestId, is_lookup_miss: bool) -> bool {
         let Some(pending) = self.pending.get(&id) else { return true };
         let decides = |other: &Attempt| !is_lookup_miss || other.plan.kind == AttemptKind::Fill;
         pending.waiting_since.is_some() || pending.in_flight.iter().any(decides)
     }
 
-    /// A miss leads or joins a fill. Where misses cannot join another router's fill that the miss notes, the request
-    /// waits for the object's sending time and is looked up again.
+    /// A miss leads or joins a fill. Where misses cannot join another router's fill that the miss notes, the
+    /// request waits for the object's sending time and is looked up again.
     fn handle_lookup_miss(&mut self, request: &Request, attempt: &Attempt, note: FillNote) {
         if self.waits_for_other_router(request, note) {
             // The wait ends early: it counts as begun a waiter's time-out less the fill's time ago.
--- a/crates/deckproxy-control/src/control/attempt_sending.rs
+++ b/crates/deckproxy-control/src/control/attempt_sending.rs
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Whether the parent is asked only for what it has cached, as the origin or the location's link is overloaded.
-    /// What it lacks is given up at once.
+    /// Whether the parent is asked only for what it has cached, as the origin or the location's link is
+    /// overloaded. What it lacks is given up at once.
     fn spares_origin(&self, pending: &PendingRequest, plan: &AttemptPlan) -> bool {
         let is_parent = plan.source.is_some_and(|source| self.is_parent(&self.members[&source].listed));
         if plan.kind != AttemptKind::Fill || !is_parent {
--- a/crates/deckproxy-control/src/control/capacity_estimate.rs
+++ b/crates/deckproxy-control/src/control/capacity_estimate.rs
@@ -38,8 +38,8 @@
         self.updated_at = now;
     }
 
-    /// Answers at full rate that explain the throughput: those in flight on average over the busy share. Without
-    /// reports of the busy share it is the least that the member must have.
+    /// Answers at full rate that explain the throughput: those in flight on average over the busy share.
+    /// Without reports of the busy share it is the least that the member must have.
     fn capacity(&self, now: Millis) -> Option<f64> {
         let span = OBSERVATION_SPAN * (1.0 - decay_factor(self.updated_at - self.since, OBSERVATION_SPAN));
         let reported = self.busy_share_reports > 0.0;
--- a/crates/deckproxy-control/src/control/collapsing.rs
+++ b/crates/deckproxy-control/src/control/collapsing.rs
@@ -37,7 +37,8 @@
         fill.is_some_and(|fill| fill.leader == id)
     }
 
-    /// Decides after a miss at a cache: the request leads a fill, waits for the one that runs, or joins it at once.
+    /// Decides after a miss at a cache: the request leads a fill, waits for the one that runs, or joins it at
+    /// once.
     pub(super) fn handle_miss(&mut self, id: RequestId, cache: MemberId) {
         let Some(pending) = self.pending.get(&id) else { return };
         let is_large = self.sending_time(&pending.request) >= LARGE_SENDING_TIME;
@@ -71,7 +72,8 @@
         if pending.sends == 1 && self.is_too_late_at_load(pending, self.member_load_by_id(cache)) {
             return self.give_up(id);
         }
-        // On an overloaded link nothing comes from the origin, and where notes do not tell what does, nothing at all.
+        // On an overloaded link nothing comes from the origin, and where notes do not tell what does, nothing
+        // at all.
         let spares_link = self.is_leader(id) && self.is_link_overloaded(pending);
         if spares_link && !self.origin_latency.has_observations() {
             return self.give_up(id);
@@ -118,8 +120,8 @@
         }
     }
 
-    /// A request that was not served stops waiting or leading. If it led, its oldest waiter leads, without the
-    /// members that failed the request.
+    /// A request that was not served stops waiting or leading. If it led, its oldest waiter leads, without
+    /// the members that failed the request.
     pub(super) fn release_fill(&mut self, id: RequestId, key: FillKey, failed: Vec<MemberId>) {
         if !self.leave_waiters(id, key) {
             return;
--- a/crates/deckproxy-control/src/control/dispatch.rs
+++ b/crates/deckproxy-control/src/control/dispatch.rs
@@ -49,7 +49,8 @@
         }
         let failed = pending.failed_members.clone();
         for cache in caches.into_iter().filter(|cache| !failed.contains(cache)) {
-            // A cache that warms up is empty, and a look-up weighs on it as much as its fill: that comes at once.
+            // A cache that warms up is empty, and a look-up weighs on it as much as its fill: that comes at
+            // once.
             if self.is_cache_warming_up(cache) && self.accepts_attempts(cache) {
                 return self.handle_miss(id, cache);
             }
@@ -60,8 +61,8 @@
         self.send_past_caches(id);
     }
 
-    /// Whether even the best usable cache is too loaded for a request. One that reports spare capacity is not: its
-    /// load is fills that wait, so it still takes look-ups.
+    /// Whether even the best usable cache is too loaded for a request. One that reports spare capacity is
+    /// not: its load is fills that wait, so it still takes look-ups.
     fn are_caches_overloaded(&self, pending: &PendingRequest, caches: &[MemberId]) -> bool {
         let mut states = caches.iter().filter_map(|cache| self.members.get(cache));
         let best = states.find(|state| state.is_usable(self.now));
@@ -73,8 +74,8 @@
         self.members.get(&cache).is_some_and(|state| self.is_warming_up(&state.listed))
     }
 
-    /// Sends a request past the caches: to the parents in their order, then to the origin. A write runs at the
-    /// origin: it goes straight there, else through a parent, else through a cache.
+    /// Sends a request past the caches: to the parents in their order, then to the origin. A write runs at
+    /// the origin: it goes straight there, else through a parent, else through a cache.
     pub(super) fn send_past_caches(&mut self, id: RequestId) {
         let Some(pending) = self.pending.get(&id) else { return };
         let (request, failed, origin) = (pending.request, pending.failed_members.clone(), self.origin());
@@ -98,8 +99,9 @@
         targets
     }
 
-    /// The sources that take attempts and whose fills would not come too late, in the hash's order. Where there are
-    /// none, the slow ones that are due for another trial: rejecting all would never show that they recovered.
+    /// The sources that take attempts and whose fills would not come too late, in the hash's order. Where
+    /// there are none, the slow ones that are due for another trial: rejecting all would never show that they
+    /// recovered.
     pub(super) fn responsive_sources(&mut self, id: RequestId) -> Vec<MemberId> {
         let Some(request) = self.pending.get(&id).map(|pending| pending.request) else { return Vec::new() };
         let mut sources = self.sources_for(&request);
@@ -114,8 +116,8 @@
         slow
     }
 
-    /// Whether a slow source was left alone long enough: all routers that share it may together ask for a small
-    /// share of what it can send.
+    /// Whether a slow source was left alone long enough: all routers that share it may together ask for a
+    /// small share of what it can send.
     fn is_due_for_trial(&self, source: MemberId, request: &Request) -> bool {
         let state = &self.members[&source];
         let routers = self.routers_sharing(&state.listed);
@@ -125,8 +127,8 @@
         self.now - state.last_used_at > interval
     }
 
-    /// Gives the final answer where nothing more can be done: a rejection if a new request does no harm, else a
-    /// failure.
+    /// Gives the final answer where nothing more can be done: a rejection if a new request does no harm, else
+    /// a failure.
     pub(super) fn give_up(&mut self, id: RequestId) {
         let Some(pending) = self.pending.get_mut(&id) else { return };
         if !pending.has_ended {
--- a/crates/deckproxy-control/src/control/load.rs
+++ b/crates/deckproxy-control/src/control/load.rs
@@ -21,8 +21,8 @@
         }
     }
 
-    /// A member's load: attempts in flight of all routers over its capacity, 0 where that is not known. An outlier
-    /// counts as smaller than it is.
+    /// A member's load: attempts in flight of all routers over its capacity, 0 where that is not known. An
+    /// outlier counts as smaller than it is.
     pub(super) fn member_load(&self, state: &MemberState) -> f64 {
         let in_flight = state.in_flight.total(self.routers_sharing(&state.listed), self.now);
         let load = |capacity: f64| in_flight * self.outlier_slowness(state) / capacity.max(CAPACITY_MIN);
@@ -41,8 +41,8 @@
         is_told.then(|| (rate / self.settings.transfer_rate / FILL_RATE_MULTIPLE).max(1.0))
     }
 
-    /// Load of the location's link with one more transfer: over those that fit it where its rate is told, else as
-    /// the caches report it; 0 where neither is known.
+    /// Load of the location's link with one more transfer: over those that fit it where its rate is told,
+    /// else as the caches report it; 0 where neither is known.
     pub(super) fn link_load(&self) -> f64 {
         match self.link_capacity() {
             Some(capacity) => {
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Attempts in flight as a member's busy share tells them, where its size is listed. A saturated member may have
-    /// more, so its share is only taken as a lower bound.
+    /// Attempts in flight as a member's busy share tells them, where its size is listed. A saturated member
+    /// may have more, so its share is only taken as a lower bound.
     fn in_flight_by_busy_share(&self, state: &MemberState, report: &LoadReport) -> Option<f64> {
         let busy_share = report.busy_share.filter(|_| self.settings.weights_are_sizes)?;
         let in_flight = busy_share * state.listed.weight;
--- a/crates/deckproxy-control/src/control/member_list.rs
+++ b/crates/deckproxy-control/src/control/member_list.rs
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Adds a new process. One that warms up and that a starting router knows from its cached list may have been
-    /// sent to just before the router's own start, so it is left alone for a window.
+    /// Adds a new process. One that warms up and that a starting router knows from its cached list may have
+    /// been sent to just before the router's own start, so it is left alone for a window.
     fn add_member(&mut self, kind: ListKind, member: Member) {
         let may_have_been_used = kind == ListKind::Cached && self.is_warming_up(&member);
         let window = self.settings.cache_slow_start.overload_window;
--- a/crates/deckproxy-control/src/control/member_order.rs
+++ b/crates/deckproxy-control/src/control/member_order.rs
@@ -26,8 +26,8 @@
 }
 
 impl Control {
-    /// Ready members that pass the filter, in the order of their scores for the hash. Those whose load is over the
-    /// limit and over the pool's mean come last (consistent hashing with bounded loads).
+    /// Ready members that pass the filter, in the order of their scores for the hash. Those whose load is
+    /// over the limit and over the pool's mean come last (consistent hashing with bounded loads).
     fn ordered_members(&self, hash: u64, spill_load: f64, filter: impl Fn(&Member) -> bool) -> Vec<MemberId> {
         let mut candidates = Vec::new();
         for state in self.members.values() {
@@ -42,7 +42,8 @@
         candidates.into_iter().map(|candidate| candidate.id).collect()
     }
 
-    /// The location's caches for a request. A hot object is spread by its parts; its first part stays at home.
+    /// The location's caches for a request. A hot object is spread by its parts; its first part stays at
+    /// home.
     pub(super) fn caches_for(&self, request: &Request) -> Vec<MemberId> {
         let spread = request.part > 0 && self.is_hot(request);
         let hash = if spread { request.object ^ mix64(u64::from(request.part)) } else { request.object };
--- a/crates/deckproxy-control/src/control/outcome_accounting.rs
+++ b/crates/deckproxy-control/src/control/outcome_accounting.rs
@@ -8,8 +8,8 @@
 use crate::interface::{AttemptEnding, FillNote, MemberId, Millis, Request};
 
 impl AttemptResult {
-    /// The member to avoid in a retry. A fill that failed is nearly always its source's fault, as the cache had
-    /// room to look up.
+    /// The member to avoid in a retry. A fill that failed is nearly always its source's fault, as the cache
+    /// had room to look up.
     pub(super) fn member_at_fault(&self, attempt: &Attempt) -> MemberId {
         use AttemptEnding::{Cancelled, ConnectFailed, Reset};
         let is_cache_at_fault =
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Books an answer by way of the origin. One in time ends the origin's slow time; what was late was booked
-    /// already, up to the moment at which it became late.
+    /// Books an answer by way of the origin. One in time ends the origin's slow time; what was late was
+    /// booked already, up to the moment at which it became late.
     fn record_origin_latency(&mut self, attempt: &Attempt, elapsed: Millis) {
         let booked = if attempt.is_late { attempt.late_at - attempt.sent_at } else { 0.0 };
         let expected = if attempt.is_late { 0.0 } else { fill_time(attempt.sending_time) };
@@ -136,7 +136,8 @@
         use AttemptEnding::{Rejected, Timeout};
         let is_fill = attempt.plan.kind == AttemptKind::Fill;
         let origin = self.origin_involvement(attempt);
-        // What fails at a parent while the origin fails is not held against the parent: it still has its copies.
+        // What fails at a parent while the origin fails is not held against the parent: it still has its
+        // copies.
         if is_fill && !origin.is_endpoint && origin.is_failing {
             return;
         }
@@ -166,8 +167,8 @@
     }
 }
 
-/// Whether the time of a served fill tells the load of the location's link: it came from a parent's copy, its size is
-/// known, and the cache does not report the link itself.
+/// Whether the time of a served fill tells the load of the location's link: it came from a parent's copy, its
+/// size is known, and the cache does not report the link itself.
 fn shows_link_load(attempt: &Attempt, result: &AttemptResult) -> bool {
     let is_from_copy = !matches!(result.note, FillNote::FilledByOrigin | FillNote::Joined);
     let is_unreported = result.load.is_none_or(|report| report.link.is_none());
--- a/crates/deckproxy-control/src/control/outlier_ejection.rs
+++ b/crates/deckproxy-control/src/control/outlier_ejection.rs
@@ -60,8 +60,9 @@
         }
     }
 
-    /// How many times slower than its pool's median a member answers, if it is an outlier; else 1. An outlier counts
-    /// as a smaller member, so its objects spill sooner. One that only got the harder requests costs a second copy.
+    /// How many times slower than its pool's median a member answers, if it is an outlier; else 1. An outlier
+    /// counts as a smaller member, so its objects spill sooner. One that only got the harder requests costs a
+    /// second copy.
     pub(super) fn outlier_slowness(&self, state: &MemberState) -> f64 {
         let mut inflations: Vec<f64> =
             self.pool_of(&state.listed).map(|other| other.inflation(self.now)).collect();
--- a/crates/deckproxy-control/src/control/periodic_timer.rs
+++ b/crates/deckproxy-control/src/control/periodic_timer.rs
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Marks the attempts that became late. They draw on the location's link no longer: a late fill waits for a
-    /// source that does not send.
+    /// Marks the attempts that became late. They draw on the location's link no longer: a late fill waits for
+    /// a source that does not send.
     fn mark_late_attempts(&mut self) -> LateAttempts {
         let mut late = LateAttempts::default();
         for pending in self.pending.values_mut() {
@@ -80,7 +80,8 @@
         late
     }
 
-    /// Books a late attempt: a fill shows that its source or, behind a parent that is not slow, the origin is slow.
+    /// Books a late attempt: a fill shows that its source or, behind a parent that is not slow, the origin is
+    /// slow.
     fn record_late_attempt(&mut self, attempt: &Attempt) {
         let (now, plan) = (self.now, attempt.plan);
         let is_fill = plan.kind == AttemptKind::Fill;
@@ -102,7 +103,8 @@
         }
     }
 
-    /// Sends late attempts again at the same member where two may be in flight: that makes up for a lost answer.
+    /// Sends late attempts again at the same member where two may be in flight: that makes up for a lost
+    /// answer.
     fn hedge(&mut self, plans: Vec<AttemptPlan>) {
         for plan in plans {
             let may_hedge = self.settings.hedged_requests && self.retry_budget.is_available();
--- a/crates/deckproxy-control/src/control/request_state.rs
+++ b/crates/deckproxy-control/src/control/request_state.rs
@@ -88,8 +88,8 @@
         if self.uses_link { 1.0 } else { 0.0 }
     }
 
-    /// Whose latency it shows: look-ups their cache's, fills their source's. An answer straight from a parent shows
-    /// the link's, so nobody's.
+    /// Whose latency it shows: look-ups their cache's, fills their source's. An answer straight from a parent
+    /// shows the link's, so nobody's.
     pub(super) fn latency_expectation(&self) -> Option<LatencyExpectation> {
         let AttemptPlan { member, source, kind, .. } = self.plan;
         if kind == AttemptKind::Lookup {
--- a/crates/deckproxy-control/src/control/sending_times.rs
+++ b/crates/deckproxy-control/src/control/sending_times.rs
@@ -62,7 +62,8 @@
         learned.unwrap_or(self.class_sending_times[request.class].mean())
     }
 
-    /// Whether the sending time of a request's answer is told or learned of its object, not only of its class.
+    /// Whether the sending time of a request's answer is told or learned of its object, not only of its
+    /// class.
     pub(super) fn knows_sending_time(&self, request: &Request) -> bool {
         let learned = |stats: &ObjectStats| stats.sending_time.is_some();
         request.size.is_some() || self.objects.get(&request.object).is_some_and(learned)
--- a/crates/deckproxy-control/src/control/shared_load.rs
+++ b/crates/deckproxy-control/src/control/shared_load.rs
@@ -6,8 +6,8 @@
 
 /// Attempts in flight at a member or over a link: this router's own, and an estimate of the other routers'.
 ///
-/// The others' part is estimated from the mean of the own load, as a few attempts of the moment would be noise, and
-/// corrected by load reports.
+/// The others' part is estimated from the mean of the own load, as a few attempts of the moment would be
+/// noise, and corrected by load reports.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SharedLoad {
     own: f64,
@@ -29,8 +29,8 @@
         self.own = (self.own + change).max(0.0);
     }
 
-    /// Takes a report of the load of all routers. Reports are smoothed: routers that took the load of one moment
-    /// for more would all turn away at once.
+    /// Takes a report of the load of all routers. Reports are smoothed: routers that took the load of one
+    /// moment for more would all turn away at once.
     pub(super) fn report(&mut self, total: f64, now: Millis) {
         let others = (total - self.own).max(0.0);
         let value = match self.others_reported {
--- a/crates/deckproxy-control/src/control/slow_start.rs
+++ b/crates/deckproxy-control/src/control/slow_start.rs
@@ -38,9 +38,10 @@
 
     /// Whether this router has a turn at a member that warms up.
     ///
-    /// What the rule allows at the member's present capacity comes in evenly. A turn is up once the balance holds
-    /// the dearest send, and lapses a window later, so that lulls save nothing up. The first balances are spread by
-    /// the golden ratio, so that the turns of any run of router positions come one after the other.
+    /// What the rule allows at the member's present capacity comes in evenly. A turn is up once the balance
+    /// holds the dearest send, and lapses a window later, so that lulls save nothing up. The first balances
+    /// are spread by the golden ratio, so that the turns of any run of router positions come one after the
+    /// other.
     pub(super) fn has_turn(&mut self, member: &Member, terms: &SlowStartTerms, now: Millis) -> bool {
         let SlowStartTerms { rule, position, capacity_part, dearest_send } = *terms;
         let age = (now - member.started.unwrap_or(now)).max(0.0);
@@ -74,8 +75,8 @@
         self.class_sending_times[class].mean() * SLOW_START_SEND_COST
     }
 
-    /// Whether a member takes a new attempt: it is listed as ready, not ejected and, while it warms up, this router
-    /// has a turn.
+    /// Whether a member takes a new attempt: it is listed as ready, not ejected and, while it warms up, this
+    /// router has a turn.
     pub(super) fn accepts_attempts(&mut self, id: MemberId) -> bool {
         let Some(state) = self.members.get(&id).filter(|state| state.is_usable(self.now)) else {
             return false;
--- a/crates/deckproxy-control/src/control/tuning.rs
+++ b/crates/deckproxy-control/src/control/tuning.rs
@@ -54,14 +54,16 @@
 pub(super) const CAPACITY_MIN: f64 = 0.1;
 /// Time constant with which answers by way of the origin lose their weight.
 pub(super) const ORIGIN_LATENCY_SPAN: Millis = 5000.0;
-/// Time observed as expected that is assumed beside the origin's answers, so that a few of them decide nothing.
+/// Time observed as expected that is assumed beside the origin's answers, so that a few of them decide
+/// nothing.
 pub(super) const ORIGIN_LATENCY_PRIOR: Millis = 500.0;
 /// Answers as expected that are assumed beside a member's, so that a few of them decide nothing.
 pub(super) const MEMBER_LATENCY_PRIOR: f64 = 1.0;
-/// Share of the slow-start rule that comes up as turns. Each is good for one window, so that two windows' turns,
-/// which can be taken in one, make up what the rule allows.
+/// Share of the slow-start rule that comes up as turns. Each is good for one window, so that two windows'
+/// turns, which can be taken in one, make up what the rule allows.
 pub(super) const SLOW_START_SHARE: f64 = 0.5;
-/// Multiple of its class's mean sending time that a send takes of a slow-start budget, as the mean may be wrong.
+/// Multiple of its class's mean sending time that a send takes of a slow-start budget, as the mean may be
+/// wrong.
 pub(super) const SLOW_START_SEND_COST: f64 = 1.1;
 /// The golden ratio's fraction: multiples of it spread any run of router positions evenly over a turn.
 pub(super) const GOLDEN_FRACTION: f64 = 0.618_033_988_749_895;
--- a/crates/deckproxy-control/tests/link_overload.rs
+++ b/crates/deckproxy-control/tests/link_overload.rs
@@ -122,8 +122,8 @@
     assert!(fills[0] && !fills[10..].contains(&true), "{fills:?}");
 }
 
-/// A report without the link's load does not replace the evidence of fill times; a fill of unknown size is no evidence,
-/// as the object may just be large.
+/// A report without the link's load does not replace the evidence of fill times; a fill of unknown size is no
+/// evidence, as the object may just be large.
 #[test]
 fn fill_times_of_known_sizes_show_link_load_beside_other_reports() {
     let shuts = |size: Option<f64>, held: u64, elapsed: Millis, note: FillNote, link: Option<f64>| {
--- a/crates/deckproxy-control/tests/rules.rs
+++ b/crates/deckproxy-control/tests/rules.rs
@@ -254,7 +254,8 @@
     }
 }
 
-/// The turns went by the places of all routers, and the thirteen that may send to a cache had next to none of them.
+/// The turns went by the places of all routers, and the thirteen that may send to a cache had next to none of
+/// them.
 #[test]
 fn the_routers_of_one_location_use_a_cold_caches_budget_and_keep_it() {
     let rule = settings().cache_slow_start;
--- a/crates/deckproxy-control/tests/slow_sources.rs
+++ b/crates/deckproxy-control/tests/slow_sources.rs
@@ -51,8 +51,8 @@
     assert!(spilled(true) > 0);
 }
 
-/// The observations lose their weight with time. The origin alone as stand-in would be overloaded once half of the
-/// parents slow down.
+/// The observations lose their weight with time. The origin alone as stand-in would be overloaded once half
+/// of the parents slow down.
 #[test]
 fn a_slow_source_yields_to_the_next_parent_then_the_origin() {
     let mut rig = Rig::new();
--- a/crates/deckproxy-control/tests/slow_start.rs
+++ b/crates/deckproxy-control/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! A cold member bears what all routers send it together. The judge counts calls at the member, whoever sent them, in
-//! each window: beyond the budget of N calls of mean work only 2 x root of N + 2 are chance.
+//! A cold member bears what all routers send it together. The judge counts calls at the member, whoever sent
+//! them, in each window: beyond the budget of N calls of mean work only 2 x root of N + 2 are chance.
 
 mod common;
 use common::*;
@@ -46,7 +46,8 @@
         Fleet { rigs, told, cold, judge: SlowStartChecker::default(), object: 10_000 }
     }
 
-    /// Where the member is a cache, another takes what it does not; its parents are warm, or it is the only one.
+    /// Where the member is a cache, another takes what it does not; its parents are warm, or it is the only
+    /// one.
     fn others(cold: &Member) -> Vec<Member> {
         let all = [member(101), member(102), member(201), member(301)];
         all.into_iter().filter(|m| m.kind != cold.kind || m.id != cold.id && m.kind == CACHE).collect()
@@ -95,7 +96,8 @@
     }
 }
 
-/// Warm after five minutes: as the settings say, a lull can be long against the time from one turn to the next.
+/// Warm after five minutes: as the settings say, a lull can be long against the time from one turn to the
+/// next.
 fn slow(rule: SlowStart) -> SlowStart {
     SlowStart { duration: 300_000.0, ..rule }
 }
@@ -109,8 +111,8 @@
     ]
 }
 
-/// 24 routers, the busiest with twelve times the traffic of the quietest. Some hear of the member late, some start
-/// again within the ramp, there is a lull, and after it all ask at once.
+/// 24 routers, the busiest with twelve times the traffic of the quietest. Some hear of the member late, some
+/// start again within the ramp, there is a lull, and after it all ask at once.
 #[test]
 fn twenty_four_routers_keep_a_cold_members_budget_through_lulls_surges_and_restarts() {
     for (cold, rule) in cases() {
--- a/crates/deckproxy-settings/src/lib.rs
+++ b/crates/deckproxy-settings/src/lib.rs
@@ -1,9 +1,9 @@
-//! Reads the settings of an instance: pairs of key and value to the decision module's settings and what a gateway
-//! needs beside them.
+//! Reads the settings of an instance: pairs of key and value to the decision module's settings and what a
+//! gateway needs beside them.
 //!
-//! The simulator sends the pairs as text; a gateway's configuration holds the same keys as JSON, which its decoder
-//! flattens to the same pairs. Unknown keys are ignored, and a neutral value stands in for an absent one. A value that
-//! [`keys`] does not allow is an error, and one error names all of them.
+//! The simulator sends the pairs as text; a gateway's configuration holds the same keys as JSON, which its
+//! decoder flattens to the same pairs. Unknown keys are ignored, and a neutral value stands in for an absent
+//! one. A value that [`keys`] does not allow is an error, and one error names all of them.
 #![forbid(unsafe_code)]
 
 mod classes;
@@ -48,8 +48,8 @@
     pub idle_timeout: f64,
     /// Time in ms after which a connection that is not established has failed.
     pub connect_timeout: f64,
-    /// Time in ms for which a decision holds: an attempt whose sending has not begun by then is not sent. It is the
-    /// shortest of the connect timeout and of the graces of drains and purges.
+    /// Time in ms for which a decision holds: an attempt whose sending has not begun by then is not sent. It
+    /// is the shortest of the connect timeout and of the graces of drains and purges.
     pub unsent_timeout: f64,
     /// Most attempts in flight on one connection, at least 1.
     pub max_streams: usize,
