--- a/crates/deckproxy-fleet/src/overload/tests.rs
+++ b/crates/deckproxy-fleet/src/overload/tests.rs
@@ -14,7 +14,7 @@
         fleet: "edge".to_string(),
         classes: vec![Class { band: 0, has_effect: false }, Class { band: 1, has_effect: true }],
         limits: Limits::default(),
-        retry_budget: budget::Limits { share: 0.2, saved: 2.0 },
+        retry_budget: budget::Limits { share: 0.2, max_saved: 2.0 },
         gives_retry_after: true,
         min_retry_after: 50.0,
         max_retry_after: 2000.0,
--- a/crates/deckproxy-fleet/tests/overload.rs
+++ b/crates/deckproxy-fleet/tests/overload.rs
@@ -38,7 +38,7 @@
     let mut at = from;
     while at + 2000.0 <= all.sim.now {
         let c = all.count(at, at + 2000.0);
-        let saved = settings().retry_budget.saved * all.sim.count() as f64 / 2.0;
+        let saved = settings().retry_budget.max_saved * all.sim.count() as f64 / 2.0;
         worst = worst.max(c.repeats / (RETRY_SHARE * (c.passed - c.repeats) + saved));
         at += 250.0;
     }
--- a/crates/deckproxy-model/src/balancer/gateway.rs
+++ b/crates/deckproxy-model/src/balancer/gateway.rs
@@ -15,7 +15,8 @@
 use deckproxy::protocol::feed::{FeedEvent, KnownEvents, NumberedEvent};
 use deckproxy::protocol::upstream::{AttemptOptions, CopyInfo, Reply};
 use deckproxy::routing::{self, ConnectionFailure, Router};
-use deckproxy_recovery::admission::{self, Admission, RequestOutcome, Verdict};
+use deckproxy_recovery::admission::{self, Admission, RequestInfo, RequestOutcome, Verdict};
+use deckproxy_recovery::retries::RequestKey;
 use std::collections::VecDeque;
 
 /// The router's number of the one client connection that all requests come on.
@@ -87,9 +88,11 @@
     fn rejected_by_admission(&mut self, now: Micros, attempt: &ClientAttempt) -> Option<f64> {
         let ClientRequest { class, object, .. } = attempt.request;
         let admission = self.admission.as_mut()?;
-        match admission.request(unix_ms(now), attempt.client, class as usize, object, attempt.timeout_ms) {
-            Verdict::Refuse(retry_after_ms) => Some(retry_after_ms),
-            _ => None,
+        let key = RequestKey { client: attempt.client, object };
+        let info = RequestInfo { key, class: class as usize, time_left: attempt.timeout_ms };
+        match admission.request(unix_ms(now), info) {
+            Verdict::Reject { retry_after } => Some(retry_after),
+            Verdict::Admit => None,
         }
     }
 
@@ -212,7 +215,10 @@
     fn request_ended(&mut self, now: Micros, id: RequestId, ended: RequestOutcome, advised_ms: f64) -> f64 {
         let Some(OpenRequest { client, request, .. }) = self.open.remove(&id) else { return advised_ms };
         match &mut self.admission {
-            Some(admission) => admission.ended(unix_ms(now), client, request.object, ended, advised_ms),
+            Some(admission) => {
+                let key = RequestKey { client, object: request.object };
+                admission.request_ended(unix_ms(now), key, ended, advised_ms)
+            }
             None => advised_ms,
         }
     }
@@ -221,8 +227,9 @@
 /// Admission control with the classes of [`Class`]. All may be rejected, as a rejected attempt has not run; writes have the
 /// higher priority weight.
 fn admission_control(seed: u64) -> Admission {
-    let class = |worth, refusable| admission::Class { worth, refusable, least: 100.0 };
-    let classes = vec![class(0.0, true), class(1.0, true), class(1.0, true)];
+    let class =
+        |priority_weight| admission::Class { priority_weight, can_be_rejected: true, min_time_left: 100.0 };
+    let classes = vec![class(0.0), class(1.0), class(1.0)];
     Admission::new(admission::Settings { classes, ..admission::Settings::default() }, seed)
 }
 
--- a/crates/deckproxy-operator/src/fleet.rs
+++ b/crates/deckproxy-operator/src/fleet.rs
@@ -112,7 +112,7 @@
                 min_rate: f64::from(self.least_per_s.unwrap_or(defaults::LEAST_PER_S)),
                 retry_share: share,
             },
-            retry_budget: budget::Limits { share, saved: SAVED },
+            retry_budget: budget::Limits { share, max_saved: SAVED },
             gives_retry_after: platform.advice,
             min_retry_after: f64::from(self.least_back_ms.unwrap_or(defaults::FLEET_LEAST_BACK_MS))
                 .min(most_back),
--- a/crates/deckproxy-operator/src/recovery.rs
+++ b/crates/deckproxy-operator/src/recovery.rs
@@ -15,28 +15,32 @@
         };
         let place = |name: &str| classes.iter().position(|(n, _)| n == name);
         let steps = self.give_up.iter().filter_map(|s| {
-            Some(class_shedding::Step { class: place(&s.class)?, enter: s.enter, leave: s.leave })
+            Some(class_shedding::Step { class: place(&s.class)?, shed_from: s.enter, restore_below: s.leave })
         });
         Settings {
             // What is refused at the door has gone nowhere: a new try does no harm, whatever the class.
             classes: classes
                 .iter()
-                .map(|(_, worth)| Class { worth: rank(*worth), refusable: true, least: 100.0 })
+                .map(|(_, worth)| Class {
+                    priority_weight: rank(*worth),
+                    can_be_rejected: true,
+                    min_time_left: 100.0,
+                })
                 .collect(),
-            budget: Some(budget::Limits {
+            retry_budget: Some(budget::Limits {
                 share: self.share_of_repeats.unwrap_or(defaults::SHARE_OF_REPEATS),
-                saved: f64::from(self.repeats_saved.unwrap_or(defaults::REPEATS_SAVED)),
+                max_saved: f64::from(self.repeats_saved.unwrap_or(defaults::REPEATS_SAVED)),
             }),
             storm: Some(retry_storm::Limits {
                 window: f64::from(self.window_ms.unwrap_or(defaults::WINDOW_MS)),
-                bad: self.bad_share.unwrap_or(defaults::BAD_SHARE),
-                good: self.good_share.unwrap_or(defaults::GOOD_SHARE),
-                repeats: self.storm_repeats.unwrap_or(defaults::STORM_REPEATS),
+                bad_share: self.bad_share.unwrap_or(defaults::BAD_SHARE),
+                good_share: self.good_share.unwrap_or(defaults::GOOD_SHARE),
+                retry_ratio: self.storm_repeats.unwrap_or(defaults::STORM_REPEATS),
                 ..retry_storm::Limits::default()
             }),
-            steps: steps.collect(),
-            least_back: f64::from(self.least_back_ms.unwrap_or(defaults::LEAST_BACK_MS)).min(most_back),
-            most_back,
+            shedding_steps: steps.collect(),
+            min_retry_after: f64::from(self.least_back_ms.unwrap_or(defaults::LEAST_BACK_MS)).min(most_back),
+            max_retry_after: most_back,
             remembered: self.remembered.unwrap_or(defaults::REMEMBERED) as usize / 2,
             ..Settings::default()
         }
--- a/crates/deckproxy-operator/tests/files.rs
+++ b/crates/deckproxy-operator/tests/files.rs
@@ -163,8 +163,11 @@
     let recovery = read(&std::fs::read(path).unwrap()).unwrap().recovery.unwrap();
     let classes = [("page".to_string(), 1.0), ("post".to_string(), 3.0), ("once".to_string(), 3.0)];
     let set = recovery.settings(&classes, 500.0);
-    assert_eq!(set.classes.iter().map(|c| c.worth).collect::<Vec<_>>(), [0.0, 1.0, 1.0]);
-    assert_eq!((set.budget.unwrap().share, set.most_back, set.steps.len()), (0.2, 500.0, 1));
+    assert_eq!(set.classes.iter().map(|c| c.priority_weight).collect::<Vec<_>>(), [0.0, 1.0, 1.0]);
+    assert_eq!(
+        (set.retry_budget.unwrap().share, set.max_retry_after, set.shedding_steps.len()),
+        (0.2, 500.0, 1)
+    );
     assert_eq!(recovery.unknown(&["post".to_string()]), ["page"]);
     let told = faults(
         "recovery {\n  bad_share: 0.95\n  give_up { class: \"a\" enter: 0.5 leave: 0.5 }\n  \
--- a/crates/deckproxy-recovery/src/budget.rs
+++ b/crates/deckproxy-recovery/src/budget.rs
@@ -1,57 +1,64 @@
-//! Repeats for each first try.
+//! The retry budget: how many retries are admitted for each first attempt.
 //!
-//! A first try earns a share of a repeat, a repeat costs a whole one. So over any time the repeats that pass are at most
-//! that share of the first tries, and what was saved up: however many layers repeat, and whatever fails.
+//! A first attempt earns a part of a retry, and a retry costs a whole one. So over any time the retries admitted are at most
+//! that part of the first attempts, and what was saved up: however many layers retry, and whatever fails.
 
-/// How a budget is set.
+/// How a budget is filled.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Repeats earned by a first try.
+    /// Retries earned by a first attempt.
     pub share: f64,
-    /// Repeats saved up, at most.
-    pub saved: f64,
+    /// Most retries that are saved up.
+    pub max_saved: f64,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { share: 0.2, saved: 20.0 }
+        Limits { share: 0.2, max_saved: 20.0 }
     }
 }
 
-/// One budget.
+/// Retries that a budget begins with: a process that has just started meets the retries of all that it has forgotten.
+const INITIAL: f64 = 1.0;
+
+/// A retry budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
     limits: Limits,
-    left: f64,
+    available: f64,
 }
 
 impl Budget {
-    /// One in which one repeat is saved: a process that has just started meets the repeats of all that it forgot.
+    /// A budget with one retry, or less where less may be saved.
     pub fn new(limits: Limits) -> Self {
-        Budget { limits, left: limits.saved.min(1.0) }
+        Budget { limits, available: limits.max_saved.min(INITIAL) }
     }
 
-    /// A first try passed.
+    /// A first attempt was admitted.
     pub fn earn(&mut self) {
-        self.left = (self.left + self.limits.share).min(self.limits.saved);
+        self.add(self.limits.share);
     }
 
-    /// Whether a repeat may pass; it is paid for then.
+    /// Takes a retry where there is one; returns whether it did.
     pub fn spend(&mut self) -> bool {
-        let may = self.left >= 1.0;
-        if may {
-            self.left -= 1.0;
+        let admitted = self.available >= 1.0;
+        if admitted {
+            self.available -= 1.0;
         }
-        may
+        admitted
+    }
+
+    /// A retry that was taken was not admitted after all.
+    pub fn refund(&mut self) {
+        self.add(1.0);
     }
 
-    /// A repeat that was paid for did not go, and cost nothing.
-    pub fn give_back(&mut self) {
-        self.left = (self.left + 1.0).min(self.limits.saved);
+    fn add(&mut self, retries: f64) {
+        self.available = (self.available + retries).min(self.limits.max_saved);
     }
 
-    /// Whole repeats left.
-    pub fn left(&self) -> u64 {
-        self.left as u64
+    /// Whole retries that are available.
+    pub fn available(&self) -> u64 {
+        self.available as u64
     }
 }
--- a/crates/deckproxy-recovery/src/lib.rs
+++ b/crates/deckproxy-recovery/src/lib.rs
@@ -1,15 +1,17 @@
-//! How a gateway comes out of a storm without a person: repeats, restarts and cold caches that feed each other.
+//! How a gateway comes out of a retry storm without an operator: retries, restarts and cold caches that feed each other.
 //!
-//! - [`admission`]: all of it together, before the decision module: what passes, and when the rest is asked back.
-//! - [`budget`]: repeats for each first try, by class, whoever makes them.
-//! - [`retries`]: which requests are repeats, known by client and object in bounded memory.
-//! - [`retry_storm`]: whether the gateway works for nobody, and how much it lets in until it works for somebody again.
-//! - [`retry_after`]: when refused clients are asked back, spread so that they do not come as one wave.
-//! - [`class_shedding`]: what is given up first, in the operator's order, without flapping.
-//! - [`recovery_ramp`]: one prober, then more by measured success, for a site, link or member that came back.
+//! - [`admission`]: all parts together, before the decision module: which requests are admitted, and when the clients of the
+//!   others may retry.
+//! - [`budget`]: retries for each first attempt, by class, whoever makes them.
+//! - [`retries`]: which requests are retries, known by client and object in bounded memory.
+//! - [`retry_storm`]: whether most of the work is in vain, and how much is admitted until it is not.
+//! - [`retry_after`]: when rejected clients may retry, spread so that they do not return at once.
+//! - [`class_shedding`]: which classes are shed first, in the operator's order, without flapping.
+//! - [`recovery_ramp`]: one trial request, then more by measured success, for a site, connection or member that returned.
 //!
-//! The decision module still decides which member, whether to retry and what it turns away itself: what passes here is
-//! not promised anything there. All times are milliseconds on the caller's clock; only differences of them count.
+//! The decision module still decides which member is used, whether to retry and what it rejects itself: a request that is
+//! admitted here is promised nothing there. All times are milliseconds on the caller's clock; only differences of them
+//! count.
 #![forbid(unsafe_code)]
 
 pub mod admission;
@@ -20,7 +22,7 @@
 pub mod retry_after;
 pub mod retry_storm;
 
-/// Milliseconds.
+/// A time or a span, in milliseconds.
 pub type Millis = f64;
-/// A class of requests, by its place.
-pub type ClassNo = usize;
+/// The index of a class of requests.
+pub type ClassIndex = usize;
--- a/crates/deckproxy-recovery/src/recovery_ramp.rs
+++ b/crates/deckproxy-recovery/src/recovery_ramp.rs
@@ -1,114 +1,124 @@
-//! One prober, then more by measured success: for a site, a link or a member that came back.
+//! A recovery ramp: one trial request, then more by measured success, for a site, connection or member that returned.
 
 use crate::Millis;
 
-/// How a return goes.
+/// How a ramp goes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Until it is probed again after a failure, at first and at most; doubling.
-    pub again: (Millis, Millis),
-    /// Requests that may be out at the end of the ramp; from there on it bounds nothing.
+    /// First wait until a trial after a failure, in milliseconds; it doubles each time.
+    pub min_wait: Millis,
+    /// Longest wait until a trial, in milliseconds.
+    pub max_wait: Millis,
+    /// Requests in flight at which the ramp ends and bounds nothing any more.
     pub full: u32,
-    /// Share of failures among those of a step from which the step before counts again.
-    pub failures: f64,
+    /// Failed share of a step's requests above which the ramp goes back by one step, 0 to 1.
+    pub max_failures: f64,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { again: (100.0, 5000.0), full: 64, failures: 0.2 }
+        Limits { min_wait: 100.0, max_wait: 5000.0, full: 64, max_failures: 0.2 }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
-    /// It bounds nothing.
+    /// The ramp bounds nothing.
     Full,
-    /// Nothing goes there before that time.
+    /// No request is sent before that time.
     Down { until: Millis },
-    /// So many may be out; of this step, so many went well and wrong.
-    Returning { may: u32, well: u32, wrong: u32 },
+    /// The requests in flight are bounded; results of this step so far.
+    Ramping { limit: u32, successes: u32, failures: u32 },
 }
 
-/// A ramp.
+impl State {
+    fn step(limit: u32) -> Self {
+        State::Ramping { limit, successes: 0, failures: 0 }
+    }
+}
+
+/// The ramp of one site, connection or member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RecoveryRamp {
     limits: Limits,
     state: State,
-    out: u32,
+    in_flight: u32,
+    /// Wait after the next failure.
     wait: Millis,
 }
 
 impl RecoveryRamp {
-    /// Of something that is well.
+    /// The ramp of something that works.
     pub fn new(limits: Limits) -> Self {
-        RecoveryRamp { limits, state: State::Full, out: 0, wait: limits.again.0 }
+        RecoveryRamp { limits, state: State::Full, in_flight: 0, wait: limits.min_wait }
     }
 
-    /// It is lost.
+    /// It is lost: no request is sent for a while.
     pub fn lost(&mut self, now: Millis) {
         self.state = State::Down { until: now + self.wait };
-        self.wait = (self.wait * 2.0).min(self.limits.again.1);
+        self.wait = (self.wait * 2.0).min(self.limits.max_wait);
     }
 
-    /// It is said to be back: it is believed step by step.
-    pub fn back(&mut self) {
+    /// It is announced to be back: a trial may be sent at once.
+    pub fn returned(&mut self) {
         if matches!(self.state, State::Down { .. }) {
-            self.state = State::Returning { may: 1, well: 0, wrong: 0 };
+            self.state = State::step(1);
         }
     }
 
-    /// Whether one more may go there now; it counts as out then.
-    pub fn take(&mut self, now: Millis) -> bool {
+    /// Takes a place for a request, where there is one; returns whether it did.
+    pub fn try_acquire(&mut self, now: Millis) -> bool {
+        // A wait longer than the longest is from before the clock was set back.
         if let State::Down { until } = self.state
-            && (now >= until || until - now > self.limits.again.1)
+            && (now >= until || until - now > self.limits.max_wait)
         {
-            self.state = State::Returning { may: 1, well: 0, wrong: 0 };
+            self.state = State::step(1);
         }
-        let may = match self.state {
+        let acquired = match self.state {
             State::Full => true,
             State::Down { .. } => false,
-            State::Returning { may, .. } => self.out < may,
+            State::Ramping { limit, .. } => self.in_flight < limit,
         };
-        self.out += u32::from(may);
-        may
+        self.in_flight += u32::from(acquired);
+        acquired
     }
 
-    /// One that was out has ended.
-    pub fn ended(&mut self, now: Millis, well: bool) {
-        self.out = self.out.saturating_sub(1);
-        let State::Returning { may, well: w, wrong } = &mut self.state else { return };
-        if well {
-            *w += 1
+    /// A request that had a place ended.
+    pub fn release(&mut self, now: Millis, success: bool) {
+        self.in_flight = self.in_flight.saturating_sub(1);
+        let State::Ramping { limit, successes, failures } = &mut self.state else { return };
+        if success {
+            *successes += 1;
         } else {
-            *wrong += 1
-        }
-        let (done, failed) = (*w + *wrong, f64::from(*wrong));
-        if *may == 1 && *wrong > 0 {
-            return self.lost(now);
+            *failures += 1;
         }
-        if done < *may {
-            return;
+        let (limit, ended, failures) = (*limit, *successes + *failures, *failures);
+        if limit == 1 && failures > 0 {
+            self.lost(now);
+        } else if ended >= limit {
+            self.finish_step(now, limit, ended, failures);
         }
-        let next = match failed > self.limits.failures * f64::from(done) {
-            true => *may / 2,
-            false => *may * 2,
-        };
+    }
+
+    fn finish_step(&mut self, now: Millis, limit: u32, ended: u32, failures: u32) {
+        let has_failed = f64::from(failures) > self.limits.max_failures * f64::from(ended);
+        let next = if has_failed { limit / 2 } else { limit * 2 };
         self.state = match next {
             0 => State::Down { until: now + self.wait },
             next if next >= self.limits.full => {
-                self.wait = self.limits.again.0;
+                self.wait = self.limits.min_wait;
                 State::Full
             }
-            may => State::Returning { may, well: 0, wrong: 0 },
+            next => State::step(next),
         };
     }
 
-    /// Requests that may be out; none: any number.
-    pub fn may(&self) -> Option<u32> {
+    /// Most requests in flight; `None`: any number.
+    pub fn limit(&self) -> Option<u32> {
         match self.state {
             State::Full => None,
             State::Down { .. } => Some(0),
-            State::Returning { may, .. } => Some(may),
+            State::Ramping { limit, .. } => Some(limit),
         }
     }
 }
--- a/crates/deckproxy-recovery/src/retry_storm.rs
+++ b/crates/deckproxy-recovery/src/retry_storm.rs
@@ -1,243 +1,274 @@
-//! Whether a gateway works for nobody, and how much it lets in until it works for somebody again.
+//! Whether most of a gateway's work is in vain, and how much it admits until it is not.
 //!
-//! In a metastable state the cause is over and the trouble stays: members work on requests whose clients have left, the
-//! clients come again, and that work is in the way of theirs. What ends it is to let in less than can be done, and then
-//! more step by step as what was let in is served.
+//! In a metastable failure the cause is over and the fault stays: members work on requests whose clients have left, the
+//! clients retry, and that work delays theirs. What ends it is to admit less than can be done, and then more step by step as
+//! what was admitted is served.
 //!
-//! Time is cut into windows. Of the requests that ended in the last few, the share that was served tells how it goes.
-//! Too small a share twice in a row, with repeats beside first tries, is a storm: what is let in is capped a little over
-//! what was served. Each good window raises the cap, each bad one lowers it; once it has not been in the way for a while
-//! the storm is over.
+//! Time is divided into windows. Of the requests that ended in the last few, the share that was served tells whether a
+//! window is good or bad. Two bad windows in a row, with retries beside first attempts, are a storm: the admitted rate is
+//! capped a little above the served rate. Each good window raises the cap, each bad one lowers it; once the cap has not been
+//! reached for a while the storm is over.
 
 use crate::Millis;
 use std::collections::VecDeque;
 
-/// How storms are seen and left.
+/// How storms are detected and ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Length of a window.
+    /// Length of a window, in milliseconds.
     pub window: Millis,
-    /// Share served below which a window is bad, and from which it is good.
-    pub bad: f64,
-    /// See `bad`.
-    pub good: f64,
-    /// Repeats for each first try from which a bad window is one of a storm.
-    pub repeats: f64,
-    /// Requests that must have ended in the windows looked at for them to tell anything.
-    pub least: u64,
-    /// The cap in a storm is so many times what was served, at first; and never under so many requests a second.
-    pub over: f64,
-    /// See `over`.
-    pub floor: f64,
-    /// What a good window makes of the cap, and a bad one.
-    pub up: f64,
-    /// See `up`.
-    pub down: f64,
-    /// Good windows in a row in which the cap was not in the way, until the storm is over.
-    pub calm: u32,
+    /// Served share below which a window is bad, 0 to 1.
+    pub bad_share: f64,
+    /// Served share from which a window is good, 0 to 1.
+    pub good_share: f64,
+    /// Retries for each first attempt above which a bad window is one of a storm.
+    pub retry_ratio: f64,
+    /// Requests that must have ended in the windows looked at for these to be judged.
+    pub min_ended: u64,
+    /// The first cap of a storm, relative to the served rate.
+    pub first_cap: f64,
+    /// The lowest cap, in requests a second.
+    pub min_cap: f64,
+    /// Factor of the cap after a good window.
+    pub increase: f64,
+    /// Factor of the cap after a bad window.
+    pub decrease: f64,
+    /// Good windows in a row in which the cap was not reached, until the storm is over.
+    pub calm_windows: u32,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Limits {
             window: 250.0,
-            bad: 0.6,
-            good: 0.9,
-            repeats: 0.3,
-            least: 20,
-            over: 1.1,
-            floor: 5.0,
-            up: 1.2,
-            down: 0.7,
-            calm: 4,
+            bad_share: 0.6,
+            good_share: 0.9,
+            retry_ratio: 0.3,
+            min_ended: 20,
+            first_cap: 1.1,
+            min_cap: 5.0,
+            increase: 1.2,
+            decrease: 0.7,
+            calm_windows: 4,
         }
     }
 }
 
-/// What was counted in a window.
+/// Requests counted in a window.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counts {
-    /// First tries and repeats that came.
+    /// First attempts that arrived.
     pub firsts: u64,
-    /// See `firsts`.
-    pub repeats: u64,
-    /// Requests that were let in, and that the cap kept out.
-    pub passed: u64,
-    /// See `passed`.
+    /// Retries that arrived.
+    pub retries: u64,
+    /// Requests admitted.
+    pub admitted: u64,
+    /// Requests rejected by the cap.
     pub capped: u64,
-    /// Requests that were let in and ended: served, turned away by the module, in vain.
+    /// Admitted requests that were served.
     pub served: u64,
-    /// See `served`.
-    pub refused: u64,
-    /// See `served`: failed, or their clients had left.
+    /// Admitted requests that the decision module rejected.
+    pub rejected: u64,
+    /// Admitted requests that failed, or whose clients left.
     pub wasted: u64,
 }
 
 impl Counts {
     fn add(&mut self, other: &Counts) {
         self.firsts += other.firsts;
-        self.repeats += other.repeats;
-        self.passed += other.passed;
+        self.retries += other.retries;
+        self.admitted += other.admitted;
         self.capped += other.capped;
         self.served += other.served;
-        self.refused += other.refused;
+        self.rejected += other.rejected;
         self.wasted += other.wasted;
     }
 
-    fn ended(&self) -> u64 {
-        self.served + self.refused + self.wasted
+    /// Admitted requests that ended.
+    pub fn ended(&self) -> u64 {
+        self.served + self.rejected + self.wasted
     }
 
-    fn share(&self) -> f64 {
+    fn served_share(&self) -> f64 {
         self.served as f64 / self.ended().max(1) as f64
     }
 }
 
-/// Share of what is let in that is kept for the quarters of worth, evenly.
-const KEPT: f64 = 0.2;
-/// Windows looked at together.
-const LOOKED_AT: usize = 4;
+/// Number of windows that are looked at together.
+const WINDOWS: usize = 4;
+/// Bad windows in a row that are a storm.
+const BAD_WINDOWS: u32 = 2;
+/// A clock that is ahead by more windows than this stood still, or was set.
+const LONGEST_GAP: f64 = 40.0;
+/// The cap counts as not reached where it rejected at most one request for so many admitted.
+const ADMITTED_PER_CAPPED: u64 = 20;
+/// Number of reserves, one for each part of the range of priority weights.
+const RESERVES: usize = 4;
+/// Share of the cap that goes to the reserves, evenly.
+const RESERVED_SHARE: f64 = 0.2;
+/// The lowest priority weight leaves one in so many of the tokens to others.
+const LOWEST_LEAVES_ONE_IN: f64 = 3.0;
 
-/// The state of a gateway.
+/// The storm detection and the cap of one gateway.
 #[derive(Clone, Debug)]
 pub struct RetryStorm {
     limits: Limits,
+    /// When the current window began.
     began: Option<Millis>,
-    now: Counts,
+    current: Counts,
     past: VecDeque<Counts>,
-    /// Requests a second that are let in; none: no storm.
+    /// The admitted rate in a storm, in requests a second.
     cap: Option<f64>,
-    /// Requests that may be let in now, by whoever comes; and those kept for each quarter of worth, so that none of them
-    /// is starved by another.
+    /// Requests that may be admitted now, of any class.
     tokens: f64,
-    kept: [f64; 4],
-    filled: Millis,
-    bad: u32,
-    calm: u32,
+    /// Requests that may be admitted of a part of the priority weights alone, so that none starves.
+    reserves: [f64; RESERVES],
+    refilled_at: Millis,
+    bad_windows: u32,
+    calm_windows: u32,
     /// Storms so far.
     pub storms: u64,
 }
 
 impl RetryStorm {
-    /// A calm one.
+    /// Without a storm.
     pub fn new(limits: Limits) -> Self {
         RetryStorm {
             limits,
             began: None,
-            now: Counts::default(),
+            current: Counts::default(),
             past: VecDeque::new(),
             cap: None,
             tokens: 0.0,
-            kept: [0.0; 4],
-            filled: 0.0,
-            bad: 0,
-            calm: 0,
+            reserves: [0.0; RESERVES],
+            refilled_at: 0.0,
+            bad_windows: 0,
+            calm_windows: 0,
             storms: 0,
         }
     }
 
-    /// Requests a second that are let in; none: all.
+    /// The admitted rate in requests a second; `None`: there is no storm.
     pub fn cap(&self) -> Option<f64> {
         self.cap
     }
 
-    /// What was counted lately, and over how long.
-    pub fn lately(&self) -> (Counts, Millis) {
+    /// The counts of the last windows.
+    pub fn recent(&self) -> Counts {
         let mut sum = Counts::default();
-        self.past.iter().for_each(|c| sum.add(c));
-        (sum, self.past.len() as f64 * self.limits.window)
+        self.past.iter().for_each(|counts| sum.add(counts));
+        sum
     }
 
-    /// Requests served a second, lately.
-    pub fn pace(&self) -> f64 {
-        let (sum, span) = self.lately();
-        sum.served as f64 * 1000.0 / span.max(self.limits.window)
+    /// How long the last windows took, in milliseconds.
+    fn recent_span(&self) -> Millis {
+        self.past.len() as f64 * self.limits.window
     }
 
-    /// Counts something in the window that runs.
+    /// Requests served a second in the last windows.
+    pub fn served_rate(&self) -> f64 {
+        self.recent().served as f64 * 1000.0 / self.recent_span().max(self.limits.window)
+    }
+
+    /// Counts something in the current window.
     pub fn count(&mut self, now: Millis, add: impl FnOnce(&mut Counts)) {
         self.tick(now);
-        add(&mut self.now);
+        add(&mut self.current);
     }
 
-    /// Whether one more is let in now. `worth`: its class's place among all, from 0 to 1: in a storm the last part of
-    /// what may be let in is kept for those worth more.
-    pub fn admits(&mut self, now: Millis, worth: f64) -> bool {
+    /// Whether one more request is admitted now. `priority_weight`: its class's position among all, 0 to 1; in a storm the
+    /// last tokens are left to higher weights.
+    pub fn admits(&mut self, now: Millis, priority_weight: f64) -> bool {
         self.tick(now);
         let Some(cap) = self.cap else { return true };
-        let worth = worth.clamp(0.0, 1.0);
-        let most = (cap * self.limits.window / 1000.0).max(1.0);
-        let more = cap * (now - self.filled).max(0.0) / 1000.0;
-        self.filled = now;
-        self.tokens = (self.tokens + more * (1.0 - KEPT)).min(most);
-        self.kept.iter_mut().for_each(|kept| *kept = (*kept + more * KEPT / 4.0).min(1.0));
-        // At worth 0 a third of the tokens is left to others.
-        let needs = 1.0 + (1.0 - worth) * most / 3.0;
-        let kept = &mut self.kept[((worth * 4.0) as usize).min(3)];
-        let from = if self.tokens >= needs.min(most) { &mut self.tokens } else { kept };
-        let may = *from >= 1.0;
-        if may {
-            *from -= 1.0;
+        let weight = priority_weight.clamp(0.0, 1.0);
+        let max_tokens = (cap * self.limits.window / 1000.0).max(1.0);
+        self.refill(now, cap, max_tokens);
+        let needed = 1.0 + (1.0 - weight) * max_tokens / LOWEST_LEAVES_ONE_IN;
+        let reserve = ((weight * RESERVES as f64) as usize).min(RESERVES - 1);
+        let has_tokens = self.tokens >= needed.min(max_tokens);
+        let source = if has_tokens { &mut self.tokens } else { &mut self.reserves[reserve] };
+        let admitted = *source >= 1.0;
+        if admitted {
+            *source -= 1.0;
+        }
+        admitted
+    }
+
+    fn refill(&mut self, now: Millis, cap: f64, max_tokens: f64) {
+        let earned = cap * (now - self.refilled_at).max(0.0) / 1000.0;
+        self.refilled_at = now;
+        self.tokens = (self.tokens + earned * (1.0 - RESERVED_SHARE)).min(max_tokens);
+        for reserve in &mut self.reserves {
+            *reserve = (*reserve + earned * RESERVED_SHARE / RESERVES as f64).min(1.0);
         }
-        may
     }
 
     /// Closes windows that are over.
     pub fn tick(&mut self, now: Millis) {
-        let began = *self.began.get_or_insert(now);
-        // A clock that was set back, or stood still for long, begins anew.
-        if now < began || now - began > self.limits.window * 40.0 {
+        let mut began = *self.began.get_or_insert(now);
+        let window = self.limits.window;
+        if now < began || now - began > window * LONGEST_GAP {
             self.began = Some(now);
-            self.filled = now;
-            self.now = Counts::default();
+            self.refilled_at = now;
+            self.current = Counts::default();
             return;
         }
-        let mut began = began;
-        while now - began >= self.limits.window {
-            began += self.limits.window;
-            self.close(began);
+        while now - began >= window {
+            began += window;
+            self.close_window(began);
         }
         self.began = Some(began);
     }
 
-    fn close(&mut self, at: Millis) {
-        let last = std::mem::take(&mut self.now);
+    fn close_window(&mut self, at: Millis) {
+        let last = std::mem::take(&mut self.current);
         self.past.push_back(last);
-        if self.past.len() > LOOKED_AT {
+        if self.past.len() > WINDOWS {
             self.past.pop_front();
         }
-        let (sum, span) = self.lately();
-        let tells = sum.ended() >= self.limits.least;
-        let is_bad = tells && sum.share() < self.limits.bad;
+        match self.cap {
+            None => self.detect(at),
+            // In a storm each window is judged alone: requests admitted before it began tell nothing.
+            Some(cap) => self.adjust(cap, &last),
+        }
+    }
+
+    /// Begins a storm after bad windows in a row.
+    fn detect(&mut self, at: Millis) {
+        let recent = self.recent();
+        let is_significant = recent.ended() >= self.limits.min_ended;
+        let is_bad = is_significant && recent.served_share() < self.limits.bad_share;
+        let is_retried = recent.retries as f64 > self.limits.retry_ratio * recent.firsts as f64;
+        self.bad_windows = if is_bad && is_retried { self.bad_windows + 1 } else { 0 };
+        if self.bad_windows < BAD_WINDOWS {
+            return;
+        }
+        let served_rate = recent.served as f64 * 1000.0 / self.recent_span();
+        self.cap = Some((served_rate * self.limits.first_cap).max(self.limits.min_cap));
+        (self.tokens, self.reserves, self.refilled_at) = (0.0, [0.0; RESERVES], at);
+        self.calm_windows = 0;
+        self.storms += 1;
+        self.past.clear();
+    }
+
+    /// Adjusts the cap by the last window, or ends the storm.
+    fn adjust(&mut self, cap: f64, last: &Counts) {
         let limits = self.limits;
-        match &mut self.cap {
-            None => {
-                let repeated = sum.repeats as f64 > limits.repeats * sum.firsts as f64;
-                self.bad = if is_bad && repeated { self.bad + 1 } else { 0 };
-                if self.bad >= 2 {
-                    let pace = sum.served as f64 * 1000.0 / span;
-                    self.cap = Some((pace * limits.over).max(limits.floor));
-                    (self.tokens, self.kept, self.filled, self.calm) = (0.0, [0.0; 4], at, 0);
-                    self.storms += 1;
-                    self.past.clear();
-                }
-            }
-            Some(cap) => {
-                // In a storm each window speaks for itself: what was let in before it began tells nothing.
-                let share = last.share();
-                let enough = last.ended() > 0;
-                if enough && share < limits.bad {
-                    *cap = (*cap * limits.down).max(limits.floor);
-                } else if enough && share >= limits.good && last.capped > 0 {
-                    *cap *= limits.up;
-                }
-                let calm = share >= limits.good && enough && last.capped * 20 <= last.passed;
-                self.calm = if calm || (last.capped == 0 && last.passed == 0) { self.calm + 1 } else { 0 };
-                if self.calm >= limits.calm {
-                    self.cap = None;
-                    self.bad = 0;
-                }
-            }
+        let served_share = last.served_share();
+        let is_significant = last.ended() > 0;
+        let is_good = is_significant && served_share >= limits.good_share;
+        if is_significant && served_share < limits.bad_share {
+            self.cap = Some((cap * limits.decrease).max(limits.min_cap));
+        } else if is_good && last.capped > 0 {
+            self.cap = Some(cap * limits.increase);
+        }
+        let is_unreached = is_good && last.capped * ADMITTED_PER_CAPPED <= last.admitted;
+        let is_idle = last.capped == 0 && last.admitted == 0;
+        self.calm_windows = if is_unreached || is_idle { self.calm_windows + 1 } else { 0 };
+        if self.calm_windows >= limits.calm_windows {
+            self.cap = None;
+            self.bad_windows = 0;
         }
     }
 }
--- a/crates/deckproxy/src/program/recovery.rs
+++ b/crates/deckproxy/src/program/recovery.rs
@@ -5,7 +5,8 @@
 };
 use crate::protocol::downstream::{Answer, Call};
 use deckproxy_operator::{Client, Operator};
-use deckproxy_recovery::admission::{self, Admission, RequestOutcome};
+use deckproxy_recovery::admission::{self, Admission, RequestInfo, RequestOutcome};
+use deckproxy_recovery::retries;
 use deckproxy_settings::InstanceSettings;
 use slog::{Logger, info, warn};
 use std::collections::HashMap;
@@ -43,7 +44,7 @@
         let longest_retry_after = conf.settings.max_retry_after.max(1.0);
         let mut settings = recovery.settings(&classes, longest_retry_after);
         // Clients that get no Retry-After can't be held to one.
-        settings.holds_hasty = sends_retry_after;
+        settings.enforces_retry_after = sends_retry_after;
         Some(Box::new(Recovery {
             log: log.clone(),
             admission: Admission::new(settings, seed),
@@ -78,7 +79,8 @@
     fn event(&mut self, cx: &Context<'_>, event: &Event<'_>, _: &mut Effects) {
         for ((client, _), object) in self.open.remove_cancelled(event) {
             let client = self.identities.identity(client);
-            self.admission.ended(cx.now, client, object, RequestOutcome::ClientGone, 0.0);
+            let key = retries::RequestKey { client, object };
+            self.admission.request_ended(cx.now, key, RequestOutcome::ClientGone, 0.0);
         }
         self.identities.event(event);
         if let Event::Housekeeping = event {
@@ -90,12 +92,13 @@
         // A request of an unknown class is left to the router, which answers it as unusable.
         let Some(class) = self.classes.get(&call.class).copied() else { return Verdict::Pass };
         let client = self.identities.identity(request.0);
-        match self.admission.request(cx.now, client, class, call.object.number, call.timeout) {
-            admission::Verdict::Pass => {
+        let key = retries::RequestKey { client, object: call.object.number };
+        match self.admission.request(cx.now, RequestInfo { key, class, time_left: call.timeout }) {
+            admission::Verdict::Admit => {
                 self.open.insert(request, call.object.number);
                 Verdict::Pass
             }
-            admission::Verdict::Refuse(retry_after) => {
+            admission::Verdict::Reject { retry_after } => {
                 let retry_after = if self.sends_retry_after { retry_after } else { 0.0 };
                 Verdict::Answer(Answer::Rejected(retry_after))
             }
@@ -105,7 +108,7 @@
     /// Takes the final answer; a rejection is sent with the Retry-After that the admission control sets.
     fn answer(&mut self, cx: &Context<'_>, request: RequestKey, answer: &Answer) -> Option<Answer> {
         let object = self.open.remove(request)?;
-        let (ended, retry_after) = match answer {
+        let (outcome, retry_after) = match answer {
             Answer::Served(_) | Answer::NotModified => (RequestOutcome::Served, 0.0),
             Answer::Rejected(retry_after) => (RequestOutcome::Rejected, *retry_after),
             Answer::Failed => (RequestOutcome::Failed, 0.0),
@@ -113,26 +116,32 @@
             Answer::Invalid(_) => return None,
         };
         let client = self.identities.identity(request.0);
-        let retry_after = self.admission.ended(cx.now, client, object, ended, retry_after);
-        (ended == RequestOutcome::Rejected && self.sends_retry_after).then_some(Answer::Rejected(retry_after))
+        let key = retries::RequestKey { client, object };
+        let retry_after = self.admission.request_ended(cx.now, key, outcome, retry_after);
+        (outcome == RequestOutcome::Rejected && self.sends_retry_after)
+            .then_some(Answer::Rejected(retry_after))
     }
 
     fn summary(&mut self) -> String {
         let counters = self.admission.counters;
-        let [storms, level, remembered, crowded] = self.admission.sizes();
+        let status = self.admission.status();
         let cap = self.admission.cap().map_or("none".to_string(), |cap| format!("{cap:.0}"));
         format!(
-            "cap:{cap},storms:{storms},given_up:{level},came[first:{},repeat:{}],passed[first:{},repeat:{}],\
-             refused[hasty:{},no_budget:{},capped:{},aged:{},given_up:{}],remembered:{remembered},crowded:{crowded}",
+            "cap:{cap},storms:{},given_up:{},came[first:{},repeat:{}],passed[first:{},repeat:{}],\
+             refused[hasty:{},no_budget:{},capped:{},aged:{},given_up:{}],remembered:{},crowded:{}",
+            status.storms,
+            status.shedding_level,
             counters.firsts,
-            counters.repeats,
-            counters.passed_firsts,
-            counters.passed_repeats,
-            counters.hasty,
+            counters.retries,
+            counters.admitted_firsts,
+            counters.admitted_retries,
+            counters.too_early,
             counters.no_budget,
             counters.capped,
-            counters.aged,
-            counters.given_up,
+            counters.too_late,
+            counters.class_shed,
+            status.remembered,
+            status.overbooked,
         )
     }
 }
