--- a/crates/deckproxy/src/program/accept.rs
+++ b/crates/deckproxy/src/program/accept.rs
@@ -4,7 +4,7 @@
 use crate::program::gateway::Gateway;
 use crate::program::subsystem::Event;
 use crate::program::timer_task::TimerTask;
-use crate::transport::client::Client;
+use crate::transport::client::ClientConnection;
 use crate::transport::listener::{Accepted, Listener};
 use crate::transport::stream::Stream;
 use std::net::TcpStream;
@@ -76,7 +76,7 @@
         let ready = move |gateway: &mut Gateway, readiness| gateway.client_ready(id, readiness);
         match Stream::accepted(&self.handle, &self.client_buffers, socket, ready) {
             Ok(stream) => {
-                self.clients.insert(id, Client::new(stream, now));
+                self.clients.insert(id, ClientConnection::new(stream, now));
                 self.notify(now, &Event::ClientConnected { client: id, address });
             }
             Err(e) => self.log_peer(&format!("a client's connection could not be taken: {e}")),
--- a/crates/deckproxy/src/program/attempts.rs
+++ b/crates/deckproxy/src/program/attempts.rs
@@ -9,7 +9,7 @@
 use crate::routing::members::Endpoint;
 use crate::routing::{AttemptKey, ConnectionFailure};
 use crate::transport::clock;
-use crate::transport::member::{Message, Withdrawn};
+use crate::transport::member::{Lost, MemberMessage, WrittenPart};
 use crate::transport::stream::Progress;
 use calloop::Readiness;
 use deckproxy_control::interface::MemberId;
@@ -22,7 +22,7 @@
         now: f64,
         (key, member, endpoint): (AttemptKey, MemberId, Endpoint),
         name: &str,
-        message: Message,
+        message: MemberMessage,
     ) {
         let Some(id) = self.upstream_for(now, member, endpoint, name) else {
             self.attempt_ended(now, key, Outcome::Cut);
@@ -31,17 +31,17 @@
         let Some(upstream) = self.upstreams.get_mut(&id) else { return };
         self.attempt_upstreams.insert(key, id);
         let unsent_timeout = match message {
-            Message::Ask { parts, unsent } => {
-                upstream.link.ask(key, name.into(), parts, now);
-                unsent
+            MemberMessage::Attempt { parts, unsent_timeout } => {
+                upstream.connection.send_attempt(key, name.into(), parts, now);
+                unsent_timeout
             }
-            Message::Probe => {
-                upstream.link.probe(key, name.into(), now);
+            MemberMessage::HealthCheck => {
+                upstream.connection.send_health_check(key, name.into(), now);
                 self.router.conf().limits.unsent_timeout
             }
         };
         self.flush_upstream(now, id);
-        if self.upstreams.get(&id).is_some_and(|upstream| !upstream.link.is_written(key)) {
+        if self.upstreams.get(&id).is_some_and(|upstream| !upstream.connection.is_written(key)) {
             self.timers.schedule(now + unsent_timeout, TimerTask::ExpireUnsent(key));
         }
     }
@@ -50,7 +50,7 @@
     /// overtaken the decision for it.
     pub(super) fn expire_unsent(&mut self, now: f64, key: AttemptKey) {
         let upstream = self.attempt_upstreams.get(&key).and_then(|id| self.upstreams.get_mut(id));
-        if upstream.is_some_and(|upstream| upstream.link.take_back(key)) {
+        if upstream.is_some_and(|upstream| upstream.connection.cancel_unsent(key)) {
             self.attempt_upstreams.remove(&key);
             self.attempt_ended(now, key, Outcome::Cut);
             self.router.connection_failed(now, key, ConnectionFailure::NotSent);
@@ -70,17 +70,19 @@
             return self.router.attempt_cancelled(now, key, false);
         };
         let upstream = self.upstreams.get_mut(&id);
-        let withdrawn = upstream.and_then(|upstream| upstream.link.withdraw(key, now, connect_timeout));
-        let withdrawn = withdrawn.unwrap_or(Withdrawn::Sent);
-        if withdrawn == Withdrawn::Cut && self.upstreams.get(&id).is_some_and(|u| u.link.load() == 0) {
+        let withdrawn = upstream.and_then(|upstream| upstream.connection.cancel(key, now, connect_timeout));
+        let withdrawn = withdrawn.unwrap_or(WrittenPart::All);
+        if withdrawn == WrittenPart::Some
+            && self.upstreams.get(&id).is_some_and(|u| u.connection.in_flight() == 0)
+        {
             // The rest is never written: a request that did not arrive completely never runs.
             self.close_upstream(id);
         }
         self.flush_upstream(now, id);
         let may_run = match withdrawn {
-            Withdrawn::Unsent => false,
-            Withdrawn::Cut => self.upstreams.contains_key(&id),
-            Withdrawn::Sent => true,
+            WrittenPart::None => false,
+            WrittenPart::Some => self.upstreams.contains_key(&id),
+            WrittenPart::All => true,
         };
         self.attempt_ended(now, key, Outcome::Cut);
         self.router.attempt_cancelled(now, key, may_run);
@@ -89,7 +91,7 @@
     /// Takes readiness of an upstream connection from the kernel.
     pub(super) fn upstream_ready(&mut self, id: UpstreamId, readiness: Readiness) {
         if let Some(upstream) = self.upstreams.get_mut(&id) {
-            upstream.link.stream.note(readiness);
+            upstream.connection.stream.set_ready(readiness);
             self.queue(ReadySource::Upstream(id));
         }
     }
@@ -98,7 +100,7 @@
     pub(super) fn serve_upstream(&mut self, now: f64, id: UpstreamId) {
         let Some(upstream) = self.upstreams.get_mut(&id) else { return };
         if upstream.connecting {
-            match upstream.link.stream.is_connecting() {
+            match upstream.connection.stream.is_connecting() {
                 Ok(connecting) => upstream.connecting = connecting,
                 Err(e) => return self.fail_upstream(now, id, &format!("not connected: {e}")),
             }
@@ -106,10 +108,10 @@
         self.read_waiting_clients(now, id);
         self.flush_upstream(now, id);
         // With clients' write buffers at their bound nothing more is read: it would only wait here for its clients.
-        let full = self.client_buffers.output.get() > self.bounds.unread;
+        let full = self.client_buffers.output() > self.bounds.unread;
         let Some(upstream) = self.upstreams.get_mut(&id) else { return };
-        let readable = upstream.link.stream.is_readable() && !full;
-        let progress = if readable { upstream.link.read(now) } else { Progress::Drained };
+        let readable = upstream.connection.stream.is_readable() && !full;
+        let progress = if readable { upstream.connection.read(now) } else { Progress::Drained };
         if !self.take_replies(now, id) {
             return;
         }
@@ -118,7 +120,9 @@
             Progress::Ended => self.fail_upstream(now, id, "closed"),
             Progress::Drained => {}
         }
-        let retired = |id| self.upstreams.get(id).is_some_and(|u| u.link.retired && u.link.load() == 0);
+        let retired = |id| {
+            self.upstreams.get(id).is_some_and(|u| u.connection.retired && u.connection.in_flight() == 0)
+        };
         if retired(&id) {
             self.close_upstream(id);
         }
@@ -128,9 +132,9 @@
     fn take_replies(&mut self, now: f64, id: UpstreamId) -> bool {
         loop {
             let Some(upstream) = self.upstreams.get_mut(&id) else { return false };
-            let before = upstream.link.stream.input.len();
-            let reply = upstream.link.take_reply(now);
-            let bytes = before - upstream.link.stream.input.len();
+            let before = upstream.connection.stream.input.len();
+            let reply = upstream.connection.take_reply(now);
+            let bytes = before - upstream.connection.stream.input.len();
             let member = upstream.member;
             self.notify_received(now, member, reply.as_ref().ok().and_then(Option::as_ref), bytes);
             match reply {
@@ -172,7 +176,11 @@
     /// Reads the clients whose attempts wait to be written on a connection: it may have been established, or taken
     /// bytes again, after they cancelled or left.
     fn read_waiting_clients(&mut self, now: f64, id: UpstreamId) {
-        let waiting = self.upstreams.get(&id).map(|upstream| upstream.link.unwritten()).unwrap_or_default();
+        let waiting = self
+            .upstreams
+            .get(&id)
+            .map(|upstream| upstream.connection.unwritten_attempts())
+            .unwrap_or_default();
         for client in waiting.iter().filter_map(|key| self.router.client_of(*key)).collect::<Vec<_>>() {
             self.read_client_before_send(now, client);
         }
@@ -187,7 +195,7 @@
         let (subsystems, cx) = (&mut self.subsystems, context(now, &self.router));
         let member = cx.router.member_name(upstream.member);
         let sent = |written| subsystems.notify(&cx, &Event::MemberBytesSent { member, written });
-        if let Err(e) = upstream.link.flush(now, sent) {
+        if let Err(e) = upstream.connection.flush(now, sent) {
             self.fail_upstream(now, id, &format!("broke: {e}"));
         }
     }
@@ -195,13 +203,13 @@
     /// A connection has ended for that reason: what was in flight on it ends by how much of it was written.
     pub(super) fn fail_upstream(&mut self, now: f64, id: UpstreamId, why: &str) {
         let Some(upstream) = self.upstreams.get_mut(&id) else { return };
-        let lost = upstream.link.lost();
+        let lost = upstream.connection.take_lost();
         if !lost.is_empty() {
             let name = self.router.member_name(upstream.member).to_string();
             self.log_peer(&format!("member {name}: connection {why}, {} attempts out", lost.len()));
         }
         self.close_upstream(id);
-        for (key, written) in lost {
+        for Lost { key, written } in lost {
             self.attempt_upstreams.remove(&key);
             let (outcome, failure) = if written {
                 (Outcome::Failed, ConnectionFailure::Reset)
--- a/crates/deckproxy/src/program/client_messages.rs
+++ b/crates/deckproxy/src/program/client_messages.rs
@@ -4,7 +4,7 @@
 use crate::program::subsystem::{Event, RequestKey, Verdict};
 use crate::protocol::downstream::{self, Answer, Call, Message, ProtocolError, RequestError};
 use crate::routing::ClientId;
-use crate::transport::client::Client;
+use crate::transport::client::ClientConnection;
 use crate::transport::clock;
 
 /// Whether an answer is to a request that counts as open on its client's connection.
@@ -30,7 +30,7 @@
                 Ok(Some(message)) => self.handle_message(clock::now(), id, message, bytes),
                 Err(error) => self.handle_protocol_error(now, id, &error, bytes),
             }
-            if self.clients.get(&id).is_some_and(Client::is_overfull) {
+            if self.clients.get(&id).is_some_and(ClientConnection::is_over_write_limit) {
                 self.drain_client(now, id, "it reads none of its refusals");
             }
         }
@@ -83,7 +83,7 @@
             return self.close_client(now, id);
         }
         let Some(client) = self.clients.get_mut(&id) else { return };
-        if !client.follows(request) {
+        if !client.accept_id(request) {
             // The protocol has ids start at 1 and count up.
             let error = RequestError::IdOutOfSequence;
             self.enqueue_answer(now, key, &Answer::Invalid(error), Admitted::No);
@@ -115,7 +115,7 @@
     fn handle_ping(&mut self, now: f64, id: ClientId, request: u32) {
         let ready = !self.is_shutting_down();
         let Some(client) = self.clients.get_mut(&id) else { return };
-        client.follows(request);
+        client.accept_id(request);
         client.push(downstream::encode_ready(request, ready));
         self.notify(now, &Event::PingAnswered { client: id });
         self.flush_client(now, id);
@@ -128,7 +128,7 @@
                 continue;
             }
             let Some(client) = self.clients.get_mut(&id) else { return };
-            let too_many = client.release();
+            let too_many = client.cancel_request();
             self.notify(now, &Event::RequestCancelled { client: id, id: request });
             self.router.cancel(now, id, request);
             if too_many {
@@ -139,7 +139,7 @@
 
     fn handle_invalid(&mut self, now: f64, id: ClientId, request: u32, error: RequestError) {
         let Some(client) = self.clients.get_mut(&id) else { return };
-        client.follows(request);
+        client.accept_id(request);
         self.router.counters.invalid += 1;
         self.enqueue_answer(now, (id, request), &Answer::Invalid(error), Admitted::No);
         self.flush_client(now, id);
--- a/crates/deckproxy/src/program/clients.rs
+++ b/crates/deckproxy/src/program/clients.rs
@@ -6,7 +6,7 @@
 use crate::program::timer_task::TimerTask;
 use crate::protocol::limits;
 use crate::routing::ClientId;
-use crate::transport::client::Client;
+use crate::transport::client::ClientConnection;
 use crate::transport::clock;
 use crate::transport::stream::Progress;
 use calloop::Readiness;
@@ -15,7 +15,7 @@
     /// Takes readiness of a client's connection from the kernel.
     pub(super) fn client_ready(&mut self, id: ClientId, readiness: Readiness) {
         if let Some(client) = self.clients.get_mut(&id) {
-            client.stream.note(readiness);
+            client.stream.set_ready(readiness);
             self.queue(ReadySource::Client(id));
         }
     }
@@ -45,7 +45,7 @@
                 Progress::More => self.decode_messages(now, id),
             }
             // A closing connection's data is only dropped, and a flood of small messages must not delay others.
-            if self.clients.get(&id).is_none_or(Client::is_closing)
+            if self.clients.get(&id).is_none_or(ClientConnection::is_closing)
                 || clock::now() - began > limits::CLIENT_READ_AGE
             {
                 break;
@@ -57,7 +57,7 @@
     /// Reads a client's connection also where the kernel has not reported anything to read.
     pub(super) fn recheck_client(&mut self, now: f64, id: ClientId) {
         if let Some(client) = self.clients.get_mut(&id) {
-            client.stream.doubt();
+            client.stream.assume_readable();
             self.read_client(now, id);
         }
     }
@@ -66,8 +66,8 @@
     /// even if the kernel has not reported it, as a turn took long or the process had no core.
     pub(super) fn read_client_before_send(&mut self, now: f64, id: ClientId) {
         let Some(client) = self.clients.get_mut(&id) else { return };
-        if clock::now() - client.heard() > limits::CLIENT_READ_AGE {
-            client.stream.doubt();
+        if clock::now() - client.drained_at() > limits::CLIENT_READ_AGE {
+            client.stream.assume_readable();
         }
         self.read_client(now, id);
     }
@@ -75,12 +75,12 @@
     /// Begins to close an idle connection, after a look at what came in the moment before: on the half-close the client
     /// closes its side, and sends again on another connection what it sent meanwhile.
     pub(super) fn close_idle_client(&mut self, now: f64, id: ClientId) {
-        let idle_since = self.clients.get(&id).map(Client::idle_since);
+        let idle_since = self.clients.get(&id).map(ClientConnection::idle_since);
         self.recheck_client(now, id);
         let shutting_down = self.is_shutting_down();
         let Some(client) = self.clients.get_mut(&id).filter(|client| !client.is_closing()) else { return };
         let was_active = Some(client.idle_since()) != idle_since && !shutting_down;
-        if client.is_idle() && !client.is_amid() && !was_active {
+        if client.is_idle() && !client.is_mid_message() && !was_active {
             client.begin_close();
             self.flush_client(now, id);
         }
@@ -104,7 +104,7 @@
         let sent = |bytes| subsystems.notify(&cx, &Event::ClientBytesSent { client: id, bytes });
         if client.flush(now, sent).is_err() {
             self.close_client(now, id);
-        } else if client.shut(now) {
+        } else if client.half_close_if_done(now) {
             // Lingering close: from here on the client has a while to close its side.
             self.timers.schedule(now + limits::LINGER, TimerTask::LingerExpired(id));
         }
@@ -114,13 +114,13 @@
     /// and a while longer if the client still sends.
     pub(super) fn linger_expired(&mut self, now: f64, id: ClientId) {
         match self.clients.get(&id) {
-            Some(client) if !client.is_shut() && self.router.owes_to(id) => {
+            Some(client) if !client.is_half_closed() && self.router.owes_to(id) => {
                 self.timers.schedule(now + limits::CLOSING_INTERVAL, TimerTask::LingerExpired(id));
             }
-            Some(client) if client.still_comes(now) => {
+            Some(client) if client.is_still_sending(now) => {
                 self.timers.schedule(now + limits::LINGER, TimerTask::LingerExpired(id));
             }
-            Some(client) if client.is_shut() => self.close_client(now, id),
+            Some(client) if client.is_half_closed() => self.close_client(now, id),
             _ => self.reset_client(now, id),
         }
     }
@@ -128,7 +128,7 @@
     /// Closes a connection by a reset, as its client does not read what is written.
     pub(super) fn reset_client(&mut self, now: f64, id: ClientId) {
         if let Some(client) = self.clients.get(&id) {
-            client.stream.abort();
+            client.stream.reset_on_close();
             self.close_client(now, id);
         }
     }
@@ -138,7 +138,7 @@
     pub(super) fn close_client(&mut self, now: f64, id: ClientId) {
         if let Some(mut client) = self.clients.remove(&id) {
             client.stream.read();
-            let cut = client.stream.cut().map_or(0, |written| written.bytes);
+            let cut = client.stream.partially_written().map_or(0, |written| written.bytes);
             let event = Event::ClientGone { client: id, cut, unread: client.stream.input.len() };
             client.stream.close(&self.handle);
             self.notify(now, &event);
--- a/crates/deckproxy/src/program/collectors.rs
+++ b/crates/deckproxy/src/program/collectors.rs
@@ -3,8 +3,8 @@
 use crate::program::connections::{CollectorId, ReadySource};
 use crate::program::gateway::{Gateway, context};
 use crate::program::subsystem::Event;
-use crate::transport::collector::Exit;
-use crate::transport::outbox::Written;
+use crate::transport::collector::CollectorConnection;
+use crate::transport::write_buffer::WrittenMessage;
 use bytes::Bytes;
 use calloop::Readiness;
 use deckproxy_flow::export::Transport;
@@ -14,10 +14,10 @@
 impl Gateway {
     /// Closes connections that a collector has closed already, before more messages are handed to them.
     pub(super) fn close_gone_collectors(&mut self, now: f64) {
-        let count = self.collectors.as_ref().map_or(0, |collectors| collectors.held.len());
+        let count = self.collectors.as_ref().map_or(0, |collectors| collectors.len());
         for index in 0..count {
-            let collector = self.collectors.as_mut().and_then(|collectors| collectors.at(index));
-            if collector.is_some_and(Exit::is_gone) {
+            let collector = self.collectors.as_mut().and_then(|collectors| collectors.get_mut(index));
+            if collector.is_some_and(CollectorConnection::is_gone) {
                 self.close_collector(index);
                 self.notify(now, &Event::CollectorFailed(index));
             }
@@ -29,9 +29,9 @@
         let id = self.next_connection_id();
         let Some(collectors) = &mut self.collectors else { return };
         let ready = move |gateway: &mut Gateway, readiness| gateway.collector_ready(id, readiness);
-        match Exit::open(&self.handle, &collectors.ledger, to, transport, ready) {
+        match CollectorConnection::open(&self.handle, &collectors.usage, to, transport, ready) {
             Ok(collector) => {
-                collectors.held[index] = Some((id, collector));
+                collectors.set(index, id, collector);
                 if transport == Transport::Udp {
                     self.notify(now, &Event::CollectorConnected(index));
                 }
@@ -46,10 +46,10 @@
     /// Sends a message to a collector, or buffers what the kernel does not take.
     pub(super) fn send_to_collector(&mut self, now: f64, index: usize, number: u64, message: Bytes) {
         let mut written = Vec::new();
-        let collector = self.collectors.as_mut().and_then(|collectors| collectors.at(index));
+        let collector = self.collectors.as_mut().and_then(|collectors| collectors.get_mut(index));
         let Some(collector) = collector else { return };
         let sent = collector.send(number, message, &mut written);
-        self.collector_sent(now, index, sent.map(|sent| sent.moved), &written);
+        self.collector_sent(now, index, sent, &written);
     }
 
     /// Closes a collector's connection, if there is one.
@@ -67,7 +67,13 @@
     }
 
     /// Notifies of the messages that were written completely, and of progress or failure.
-    fn collector_sent(&mut self, now: f64, index: usize, progress: io::Result<bool>, written: &[Written]) {
+    fn collector_sent(
+        &mut self,
+        now: f64,
+        index: usize,
+        progress: io::Result<bool>,
+        written: &[WrittenMessage],
+    ) {
         for message in written {
             self.notify(now, &Event::CollectorMessageSent { index, number: message.key });
         }
@@ -83,8 +89,8 @@
 
     fn collector_ready(&mut self, id: CollectorId, readiness: Readiness) {
         let Some(collectors) = &mut self.collectors else { return };
-        if let Some(collector) = collectors.place(id).and_then(|index| collectors.at(index)) {
-            collector.note(readiness);
+        if let Some(collector) = collectors.position(id).and_then(|index| collectors.get_mut(index)) {
+            collector.set_ready(readiness);
             self.queue(ReadySource::Collector(id));
         }
     }
@@ -92,10 +98,10 @@
     /// Takes up the end of a connect, a close by the collector, and room to write.
     pub(super) fn serve_collector(&mut self, now: f64, id: CollectorId) {
         let Some(collectors) = &mut self.collectors else { return };
-        let Some(index) = collectors.place(id) else { return };
-        let Some(collector) = collectors.at(index) else { return };
+        let Some(index) = collectors.position(id) else { return };
+        let Some(collector) = collectors.get_mut(index) else { return };
         let mut written = Vec::new();
-        let was_connecting = matches!(collector, Exit::Tcp(stream) if !stream.is_open());
+        let was_connecting = matches!(collector, CollectorConnection::Tcp(stream) if !stream.is_open());
         let progress = match collector.is_connecting() {
             Ok(true) => return,
             Err(e) => Err(e),
@@ -105,7 +111,7 @@
                     let event = Event::CollectorConnected(index);
                     self.subsystems.notify(&context(now, &self.router), &event);
                 }
-                collector.flush(&mut written).map(|sent| sent.moved)
+                collector.flush(&mut written)
             }
         };
         self.collector_sent(now, index, progress, &written);
--- a/crates/deckproxy/src/program/connections.rs
+++ b/crates/deckproxy/src/program/connections.rs
@@ -3,7 +3,7 @@
 use crate::program::subsystem::LinkId;
 use crate::routing::ClientId;
 use crate::routing::members::Endpoint;
-use crate::transport::member::Link;
+use crate::transport::member::MemberConnection;
 use deckproxy_control::interface::MemberId;
 
 /// An upstream connection to a member; never reused within a process.
@@ -31,7 +31,7 @@
 /// An upstream connection with the member that it leads to.
 pub(super) struct UpstreamConnection {
     /// The socket and the attempts in flight on it.
-    pub(super) link: Link,
+    pub(super) connection: MemberConnection,
     /// The member it was opened for.
     pub(super) member: MemberId,
     /// Address and incarnation of the member at that time.
--- a/crates/deckproxy/src/program/effects.rs
+++ b/crates/deckproxy/src/program/effects.rs
@@ -6,7 +6,7 @@
 use crate::protocol::upstream;
 use crate::routing::{AttemptKey, ClientId, Effect};
 use crate::transport::clock;
-use crate::transport::member::Message;
+use crate::transport::member::MemberMessage;
 use deckproxy_flow::work::{Micros, TaskId};
 
 impl Gateway {
@@ -34,12 +34,12 @@
                 let event = Event::AttemptSent { key, client, class: &call.class, member: name };
                 self.subsystems.notify(&context(now, &self.router), &event);
                 let parts = upstream::encode_attempt(&call, &options);
-                let message = Message::Ask { parts, unsent: unsent_timeout };
+                let message = MemberMessage::Attempt { parts, unsent_timeout };
                 self.send_attempt(now, (key, member, endpoint), &call.name, message);
             }
             Effect::SendHealthCheck { key, member, endpoint } => {
                 let tag = format!("p{:x}", key & 0xffff_ffff);
-                self.send_attempt(now, (key, member, endpoint), &tag, Message::Probe);
+                self.send_attempt(now, (key, member, endpoint), &tag, MemberMessage::HealthCheck);
             }
             Effect::CancelAttempt { key, .. } => self.cancel_attempt(now, key),
             Effect::Answer { client, id, answer, copy } => match client {
--- a/crates/deckproxy/src/program/event_loop.rs
+++ b/crates/deckproxy/src/program/event_loop.rs
@@ -24,7 +24,7 @@
             self.accept_clients(clock::now());
             self.apply_effects(start);
         }
-        if self.site_links.as_ref().is_some_and(|links| links.accepting) {
+        if self.site_links.as_ref().is_some_and(|links| links.accept_pending) {
             self.accept_links(clock::now());
         }
         self.serve_ready();
@@ -35,7 +35,7 @@
         }
         self.peak_sockets = self.peak_sockets.max(self.clients.len() + self.upstreams.len());
         self.longest_turn = self.longest_turn.max(clock::now() - start);
-        self.alarm.set(&self.handle, self.next_timer())
+        self.loop_timer.set(&self.handle, self.next_timer())
     }
 
     /// When the loop has to turn again without an event from the kernel, ms.
@@ -68,7 +68,7 @@
     /// Receives the datagrams that wait, a batch at most.
     fn receive_datagrams(&mut self, now: f64) {
         for _ in 0..BATCH {
-            let Some((from, bytes)) = self.fleet_socket.as_mut().and_then(|socket| socket.take()) else {
+            let Some((from, bytes)) = self.fleet_socket.as_mut().and_then(|socket| socket.receive()) else {
                 return;
             };
             self.subsystems.notify(&context(now, &self.router), &Event::Datagram { from, bytes });
@@ -150,7 +150,7 @@
         self.accept_retry_scheduled = false;
         self.accept_pending = true;
         if let Some(links) = &mut self.site_links {
-            links.accepting = true;
+            links.accept_pending = true;
         }
     }
 }
--- a/crates/deckproxy/src/program/eviction.rs
+++ b/crates/deckproxy/src/program/eviction.rs
@@ -4,7 +4,7 @@
 use crate::program::gateway::Gateway;
 use crate::protocol::limits;
 use crate::routing::ClientId;
-use crate::transport::client::Client;
+use crate::transport::client::ClientConnection;
 
 /// Candidates looked at for one eviction; each may turn out to have sent something meanwhile.
 const EVICTION_TRIES: usize = 16;
@@ -16,11 +16,11 @@
     pub(super) fn evict_client(&mut self, now: f64, reason: EvictionReason) -> bool {
         for _ in 0..EVICTION_TRIES {
             let Some(id) = self.eviction_candidate(now, reason) else { return false };
-            let idle_since = self.clients.get(&id).map(Client::idle_since);
+            let idle_since = self.clients.get(&id).map(ClientConnection::idle_since);
             self.recheck_client(now, id);
             let Some(client) = self.clients.get(&id) else { return true };
             let still_idle = Some(client.idle_since()) == idle_since && client.is_idle();
-            if client.is_shut() || still_idle {
+            if client.is_half_closed() || still_idle {
                 self.close_client(now, id);
                 return true;
             }
@@ -37,7 +37,7 @@
         // Numbers grow: the first is the oldest.
         let mut unproven =
             self.clients.iter().filter(|(_, client)| !client.is_proven() && !client.is_closing()).peekable();
-        let first = unproven.peek().map(|(id, client)| (**id, now - client.opened()));
+        let first = unproven.peek().map(|(id, client)| (**id, now - client.accepted_at()));
         let overdue = first.filter(|(_, age)| *age > limits::CLIENT_MIN_AGE).map(|(id, _)| id);
         let young = first.filter(|_| reason == EvictionReason::Internal).map(|(id, _)| id);
         let crowded = unproven.count() >= self.bounds.clients / 2;
@@ -45,7 +45,7 @@
             self.clients.iter().filter(|(_, client)| !crowded && client.is_idle() && client.is_proven());
         let longest_idle =
             idle.min_by(|a, b| a.1.idle_since().total_cmp(&b.1.idle_since())).map(|(id, _)| *id);
-        let shut = self.clients.iter().find(|(_, client)| client.is_shut()).map(|(id, _)| *id);
+        let shut = self.clients.iter().find(|(_, client)| client.is_half_closed()).map(|(id, _)| *id);
         shut.or(overdue).or(longest_idle).or(young)
     }
 }
--- a/crates/deckproxy/src/program/feed.rs
+++ b/crates/deckproxy/src/program/feed.rs
@@ -5,7 +5,7 @@
 use crate::program::timer_task::TimerTask;
 use crate::protocol::feed::FeedLine;
 use crate::protocol::limits;
-use crate::transport::feed::Feed;
+use crate::transport::feed::FeedConnection;
 use crate::transport::stream::{Progress, Stream, is_exhausted};
 use calloop::Readiness;
 use std::io;
@@ -21,7 +21,7 @@
             connected = self.open_feed(address);
         }
         match connected {
-            Ok(stream) => self.feed = Some(Feed::new(stream, self.router.last_event(), now)),
+            Ok(stream) => self.feed = Some(FeedConnection::new(stream, self.router.last_event(), now)),
             Err(e) => self.reconnect_feed_later(now, &e.to_string()),
         }
     }
@@ -33,7 +33,7 @@
 
     fn feed_ready(&mut self, readiness: Readiness) {
         if let Some(feed) = &mut self.feed {
-            feed.stream.note(readiness);
+            feed.stream.set_ready(readiness);
             self.queue(ReadySource::Feed);
         }
     }
@@ -43,7 +43,7 @@
         let Some(feed) = &mut self.feed else { return };
         match feed.stream.is_connecting() {
             Ok(true) => return,
-            Ok(false) => feed.is_up(now),
+            Ok(false) => feed.set_established(now),
             Err(e) => return self.reconnect_feed_later(now, &e.to_string()),
         }
         if feed.flush().is_err() {
--- a/crates/deckproxy/src/program/flows/accounting.rs
+++ b/crates/deckproxy/src/program/flows/accounting.rs
@@ -3,7 +3,7 @@
 use crate::program::subsystem::{FIRST_LINK_CLIENT, RequestKey, micros};
 use crate::protocol::upstream::Status;
 use crate::routing::{AttemptKey, ClientId};
-use crate::transport::outbox::Written;
+use crate::transport::write_buffer::WrittenMessage;
 use ahash::RandomState;
 use deckproxy_flow::account::{self, Asker, Attempts, ClientAccount, Micros, Names};
 use deckproxy_flow::meter::{Limits, Meter, Name, Outcome, Top};
@@ -166,7 +166,7 @@
     }
 
     /// The kernel took a message to a member, completely or in part.
-    pub(super) fn member_bytes_sent(&mut self, now: f64, member: &str, written: Written) {
+    pub(super) fn member_bytes_sent(&mut self, now: f64, member: &str, written: WrittenMessage) {
         let bytes = written.bytes as u64;
         if !self.attempts.wrote(written.key, bytes) {
             let member = self.names.number(member);
--- a/crates/deckproxy/src/program/gateway.rs
+++ b/crates/deckproxy/src/program/gateway.rs
@@ -12,15 +12,15 @@
 use crate::protocol::limits::{self, Bounds};
 use crate::routing::timers::Timers;
 use crate::routing::{AttemptKey, ClientId, Router};
-use crate::transport::alarm::Alarm;
-use crate::transport::client::Client;
+use crate::transport::buffer_usage::BufferUsage;
+use crate::transport::client::ClientConnection;
 use crate::transport::clock;
-use crate::transport::collector::Exits;
-use crate::transport::datagrams::Datagrams;
-use crate::transport::feed::Feed;
-use crate::transport::line::Lines;
+use crate::transport::collector::CollectorConnections;
+use crate::transport::datagram_socket::DatagramSocket;
+use crate::transport::feed::FeedConnection;
 use crate::transport::listener::Listener;
-use crate::transport::stream::Ledger;
+use crate::transport::loop_timer::LoopTimer;
+use crate::transport::site_link::SiteLinks;
 use calloop::LoopHandle;
 use deckproxy_control::interface::MemberId;
 use deckproxy_flow::work::{Kind, Scheduler, TaskId};
@@ -58,11 +58,11 @@
     pub(super) handle: LoopHandle<'static, Gateway>,
     pub(super) log: Logger,
     pub(super) router: Router,
-    pub(super) alarm: Alarm<Gateway>,
+    pub(super) loop_timer: LoopTimer<Gateway>,
     pub(super) timers: Timers<TimerTask>,
     /// Where clients connect; none once a shutdown has closed it.
     pub(super) listener: Option<Listener>,
-    pub(super) clients: BTreeMap<ClientId, Client>,
+    pub(super) clients: BTreeMap<ClientId, ClientConnection>,
     pub(super) upstreams: BTreeMap<UpstreamId, UpstreamConnection>,
     /// Upstream connections by the member that they lead to.
     pub(super) upstream_pools: HashMap<MemberId, Vec<UpstreamId>>,
@@ -71,7 +71,7 @@
     /// The clients' address in force.
     pub(super) listen: SocketAddr,
     pub(super) feed_address: Option<SocketAddr>,
-    pub(super) feed: Option<Feed>,
+    pub(super) feed: Option<FeedConnection>,
     /// Delay before the next connection to the feed, ms; grows with each failure.
     pub(super) feed_backoff: f64,
     /// The last event before a gap for which the feed was polled again.
@@ -87,19 +87,19 @@
     /// How many connections and bytes may be held.
     pub(super) bounds: Bounds,
     /// Bytes buffered on clients' connections.
-    pub(super) client_buffers: Rc<Ledger>,
+    pub(super) client_buffers: Rc<BufferUsage>,
     /// Bytes buffered on upstream connections.
-    pub(super) upstream_buffers: Rc<Ledger>,
+    pub(super) upstream_buffers: Rc<BufferUsage>,
     /// Bytes buffered on the feed's connection.
-    pub(super) feed_buffers: Rc<Ledger>,
+    pub(super) feed_buffers: Rc<BufferUsage>,
     /// What an operator file switched on.
     pub(super) subsystems: Subsystems,
     /// Links to gateways of other sites, where there are such.
-    pub(super) site_links: Option<Box<Lines>>,
+    pub(super) site_links: Option<Box<SiteLinks>>,
     /// Connections to flow collectors, where there are such.
-    pub(super) collectors: Option<Box<Exits>>,
+    pub(super) collectors: Option<Box<CollectorConnections>>,
     /// The socket shared with the fleet's other instances, where there are such.
-    pub(super) fleet_socket: Option<Box<Datagrams>>,
+    pub(super) fleet_socket: Option<Box<DatagramSocket>>,
     /// Work for the time that requests leave.
     pub(super) background: Scheduler,
     pub(super) housekeeping_task: TaskId,
@@ -127,12 +127,12 @@
     handle: &LoopHandle<'static, Gateway>,
     sockets: usize,
     operator: &Operator,
-) -> io::Result<Option<Box<Lines>>> {
+) -> io::Result<Option<Box<SiteLinks>>> {
     let Some(sites) = &operator.sites else { return Ok(None) };
     let address = sites.listen.as_deref().and_then(|address| address.parse::<SocketAddr>().ok());
     let ready = |gateway: &mut Gateway| {
         if let Some(links) = &mut gateway.site_links {
-            links.accepting = true;
+            links.accept_pending = true;
         }
     };
     let listener = match address {
@@ -142,17 +142,17 @@
         ),
         None => None,
     };
-    Ok(Some(Box::new(Lines::new(listener, sockets))))
+    Ok(Some(Box::new(SiteLinks::new(listener, sockets))))
 }
 
 /// Binds the address for datagrams of the fleet's other instances, where an operator file names one.
 fn bind_fleet_socket(
     handle: &LoopHandle<'static, Gateway>,
     operator: &Operator,
-) -> io::Result<Option<Box<Datagrams>>> {
+) -> io::Result<Option<Box<DatagramSocket>>> {
     let Some(address) = operator.fleet.as_ref().and_then(|fleet| fleet.listens()) else { return Ok(None) };
     let ready = |gateway: &mut Gateway| gateway.queue(ReadySource::FleetSocket);
-    let socket = Datagrams::bind(handle, address, ready)
+    let socket = DatagramSocket::bind(handle, address, ready)
         .map_err(|e| io::Error::new(e.kind(), format!("the fleet's address {address}: {e}")))?;
     Ok(Some(Box::new(socket)))
 }
@@ -183,13 +183,13 @@
         let subsystems = Subsystems::start(&log, now, identity, &router, &operator, &mut background)
             .map_err(io::Error::other)?;
         let collectors = subsystems.collectors();
-        let alarm = Alarm::register(&handle).map_err(io::Error::other)?;
+        let loop_timer = LoopTimer::register(&handle).map_err(io::Error::other)?;
         let listener = bind_clients(&handle, config.listen)?;
         let mut gateway = Gateway {
             handle,
             log,
             router,
-            alarm,
+            loop_timer,
             timers: Timers::default(),
             listener: Some(listener),
             clients: BTreeMap::new(),
@@ -211,7 +211,7 @@
             feed_buffers: Rc::default(),
             subsystems,
             site_links,
-            collectors: (collectors > 0).then(|| Box::new(Exits::new(collectors))),
+            collectors: (collectors > 0).then(|| Box::new(CollectorConnections::new(collectors))),
             fleet_socket,
             background,
             housekeeping_task,
@@ -232,7 +232,7 @@
     /// Sets the bounds for clients and members, from the process's memory in MB and its descriptors less those
     /// reserved for links, collectors and the fleet's socket.
     pub(super) fn set_bounds(&mut self, memory: f64, sockets: usize) {
-        let links = self.site_links.as_ref().map_or(0, |links| links.most);
+        let links = self.site_links.as_ref().map_or(0, |links| links.limit);
         let fleet_sockets = usize::from(self.fleet_socket.is_some());
         let reserved = links + self.subsystems.collectors() + fleet_sockets;
         self.bounds = Bounds::of(memory, sockets.saturating_sub(reserved));
@@ -261,9 +261,9 @@
     /// Whether connections and bodies hold as many bytes as they may.
     pub(super) fn is_memory_full(&self) -> bool {
         let (clients, upstreams) = (&self.client_buffers, &self.upstream_buffers);
-        let buffered = clients.input.get() + clients.output.get() + upstreams.input.get();
-        let links = self.site_links.as_ref().map_or(0, |links| links.holds());
-        let collectors = self.collectors.as_ref().map_or(0, |collectors| collectors.holds());
+        let buffered = clients.input() + clients.output() + upstreams.input();
+        let links = self.site_links.as_ref().map_or(0, |links| links.buffered_bytes());
+        let collectors = self.collectors.as_ref().map_or(0, |collectors| collectors.buffered_bytes());
         let bodies = self.router.body_bytes() + self.subsystems.buffered_bytes();
         buffered + bodies + links + collectors > self.bounds.buffered
     }
--- a/crates/deckproxy/src/program/housekeeping.rs
+++ b/crates/deckproxy/src/program/housekeeping.rs
@@ -11,14 +11,14 @@
     /// One round of housekeeping.
     pub(super) fn housekeeping(&mut self, now: f64) {
         self.notify(now, &Event::Housekeeping);
-        if self.feed.as_ref().is_some_and(|feed| now - feed.heard > limits::FEED_SILENCE) {
+        if self.feed.as_ref().is_some_and(|feed| now - feed.last_line_at > limits::FEED_SILENCE) {
             self.reconnect_feed_later(now, "silent");
         }
         self.close_idle_upstreams(now);
         for id in self.clients.keys().copied().collect::<Vec<_>>() {
             self.check_client(now, id);
         }
-        if self.client_buffers.output.get() <= self.bounds.unread {
+        if self.client_buffers.output() <= self.bounds.unread {
             self.resume_upstreams();
         } else {
             self.reset_largest_client(now);
@@ -30,9 +30,9 @@
     fn close_idle_upstreams(&mut self, now: f64) {
         let idle_timeout = self.router.conf().limits.idle_timeout;
         let is_idle = |upstream: &UpstreamConnection| {
-            let idle = now - upstream.link.idle_since();
+            let idle = now - upstream.connection.idle_since();
             let expires = idle_timeout > 0.0 && idle > idle_timeout - limits::IDLE_MARGIN;
-            upstream.link.load() == 0 && (upstream.link.retired || expires)
+            upstream.connection.in_flight() == 0 && (upstream.connection.retired || expires)
         };
         let idle: Vec<UpstreamId> =
             self.upstreams.iter().filter(|(_, upstream)| is_idle(upstream)).map(|(id, _)| *id).collect();
@@ -48,7 +48,7 @@
         if client.is_stalled(now) {
             debug!(self.log, "closing a client's connection that leaves its answers unread"; "client" => id);
             self.reset_client(now, id);
-        } else if client.is_overdue(now) {
+        } else if client.is_read_timed_out(now) {
             // What it asked for before is still answered.
             self.drain_client(now, id, "it keeps a message waiting");
         } else if client.is_idle() && idle > limits::CLIENT_IDLE_TIMEOUT {
@@ -58,7 +58,7 @@
 
     /// Queues the upstream connections that were not read while clients' write buffers were at their bound.
     fn resume_upstreams(&mut self) {
-        let readable = self.upstreams.iter().filter(|(_, upstream)| upstream.link.stream.is_readable());
+        let readable = self.upstreams.iter().filter(|(_, upstream)| upstream.connection.stream.is_readable());
         for id in readable.map(|(id, _)| *id).collect::<Vec<_>>() {
             self.queue(ReadySource::Upstream(id));
         }
@@ -66,7 +66,8 @@
 
     /// With clients' write buffers over their bound, resets the client's connection that holds most.
     fn reset_largest_client(&mut self, now: f64) {
-        let largest = self.clients.iter().max_by_key(|(_, client)| client.holds()).map(|(id, _)| *id);
+        let largest =
+            self.clients.iter().max_by_key(|(_, client)| client.buffered_bytes()).map(|(id, _)| *id);
         if let Some(id) = largest {
             self.log_peer("closing the client's connection that leaves most unread");
             self.reset_client(now, id);
--- a/crates/deckproxy/src/program/site_links.rs
+++ b/crates/deckproxy/src/program/site_links.rs
@@ -5,8 +5,8 @@
 use crate::program::subsystem::{Event, LinkId};
 use crate::program::timer_task::TimerTask;
 use crate::protocol::limits;
-use crate::transport::line::{Held, Line};
 use crate::transport::listener::Accepted;
+use crate::transport::site_link::{LinkTarget, SiteLink};
 use crate::transport::stream::{Progress, Stream};
 use calloop::Readiness;
 use deckproxy_sites::frame::Frame;
@@ -20,7 +20,7 @@
     pub(super) fn accept_links(&mut self, now: f64) {
         loop {
             let Some(links) = &mut self.site_links else { return };
-            links.accepting = false;
+            links.accept_pending = false;
             let Some(listener) = &links.listener else { return };
             match listener.accept() {
                 Accepted::None => return,
@@ -38,7 +38,7 @@
     }
 
     fn accept_link(&mut self, now: f64, socket: TcpStream) {
-        if self.site_links.as_ref().is_none_or(|links| links.held.len() >= links.most) {
+        if self.site_links.as_ref().is_none_or(|links| links.open.len() >= links.limit) {
             return self.log_peer("a link is turned away: too many connections");
         }
         // A short send buffer: what is more urgent must not wait behind much. Fails only where the socket is gone.
@@ -46,9 +46,9 @@
         let id = self.next_connection_id();
         let Some(links) = &mut self.site_links else { return };
         let ready = move |gateway: &mut Gateway, readiness| gateway.link_ready(id, readiness);
-        match Stream::accepted(&self.handle, &links.ledger, socket, ready) {
+        match Stream::accepted(&self.handle, &links.usage, socket, ready) {
             Ok(stream) => {
-                links.held.insert(id, Held { line: Line::new(stream), connecting: None });
+                links.open.insert(id, SiteLink::new(stream, None));
                 self.notify(now, &Event::LinkAccepted(id));
             }
             Err(e) => self.log_peer(&format!("a link could not be taken: {e}")),
@@ -67,11 +67,11 @@
         let id = self.next_connection_id();
         let Some(links) = &mut self.site_links else { return };
         let ready = move |gateway: &mut Gateway, readiness| gateway.link_ready(id, readiness);
-        let error = match to.filter(|_| links.held.len() < links.most) {
-            Some(to) => match Stream::connect(&self.handle, &links.ledger, to, ready) {
+        let error = match to.filter(|_| links.open.len() < links.limit) {
+            Some(to) => match Stream::connect(&self.handle, &links.usage, to, ready) {
                 Ok(stream) => {
-                    let connecting = Some((peer, address_index));
-                    links.held.insert(id, Held { line: Line::new(stream), connecting });
+                    let connecting = Some(LinkTarget { peer, address_index });
+                    links.open.insert(id, SiteLink::new(stream, connecting));
                     return self.timers.schedule(now + connect_timeout, TimerTask::LinkConnectTimeout(id));
                 }
                 Err(e) => Some(e),
@@ -86,15 +86,15 @@
 
     /// Closes a link that is not established in time.
     pub(super) fn link_connect_timeout(&mut self, now: f64, id: LinkId) {
-        let link = self.site_links.as_ref().and_then(|links| links.held.get(&id));
+        let link = self.site_links.as_ref().and_then(|links| links.open.get(&id));
         if link.is_some_and(|link| link.connecting.is_some()) {
             self.close_link(now, id);
         }
     }
 
     fn link_ready(&mut self, id: LinkId, readiness: Readiness) {
-        if let Some(link) = self.site_links.as_mut().and_then(|links| links.held.get_mut(&id)) {
-            link.line.stream.note(readiness);
+        if let Some(link) = self.site_links.as_mut().and_then(|links| links.open.get_mut(&id)) {
+            link.stream.set_ready(readiness);
             self.queue(ReadySource::Link(id));
         }
     }
@@ -102,19 +102,19 @@
     /// Appends a frame to a link's write buffer.
     pub(super) fn send_frame(&mut self, id: LinkId, frame: &Frame) {
         let Some(links) = &mut self.site_links else { return };
-        if let Some(link) = links.held.get_mut(&id).filter(|link| !link.line.closing) {
-            link.line.send(frame);
-            links.touched.insert(id);
+        if let Some(link) = links.open.get_mut(&id).filter(|link| !link.closing) {
+            link.send(frame);
+            links.to_flush.insert(id);
         }
     }
 
     /// Has a link closed once its write buffer is empty.
     pub(super) fn close_link_when_written(&mut self, id: LinkId, why: &str) {
         if let Some(links) = &mut self.site_links
-            && let Some(link) = links.held.get_mut(&id)
+            && let Some(link) = links.open.get_mut(&id)
         {
-            link.line.closing = true;
-            links.touched.insert(id);
+            link.closing = true;
+            links.to_flush.insert(id);
         }
         self.log_peer(&format!("a link closes: {why}"));
     }
@@ -125,12 +125,12 @@
             return;
         }
         let Some(links) = &mut self.site_links else { return };
-        let Some(link) = links.held.get_mut(&id) else { return };
-        links.touched.insert(id);
-        let before = link.line.stream.input.len();
-        let readable = link.line.stream.is_readable();
-        let progress = if readable { link.line.read() } else { Progress::Drained };
-        let received = link.line.stream.input.len() - before;
+        let Some(link) = links.open.get_mut(&id) else { return };
+        links.to_flush.insert(id);
+        let before = link.stream.input.len();
+        let readable = link.stream.is_readable();
+        let progress = if readable { link.read() } else { Progress::Drained };
+        let received = link.stream.input.len() - before;
         if received > 0 {
             self.subsystems.link_bytes_received(&context(now, &self.router), id, received);
         }
@@ -146,10 +146,10 @@
 
     /// Whether a link's connection is established; one whose connect failed is closed.
     fn is_link_established(&mut self, now: f64, id: LinkId) -> bool {
-        let link = self.site_links.as_mut().and_then(|links| links.held.get_mut(&id));
+        let link = self.site_links.as_mut().and_then(|links| links.open.get_mut(&id));
         let Some(link) = link else { return false };
-        let Some((peer, address_index)) = link.connecting else { return true };
-        match link.line.stream.is_connecting() {
+        let Some(LinkTarget { peer, address_index }) = link.connecting else { return true };
+        match link.stream.is_connecting() {
             Ok(true) => false,
             Ok(false) => {
                 link.connecting = None;
@@ -166,9 +166,9 @@
     /// Hands the complete frames that came on a link to the subsystem. Returns whether the link is still open.
     fn take_frames(&mut self, now: f64, id: LinkId) -> bool {
         loop {
-            let link = self.site_links.as_mut().and_then(|links| links.held.get_mut(&id));
+            let link = self.site_links.as_mut().and_then(|links| links.open.get_mut(&id));
             let Some(link) = link else { return false };
-            match link.line.take_frame() {
+            match link.take_frame() {
                 Ok(None) => return true,
                 Ok(Some(frame)) => self.subsystems.frame(&context(now, &self.router), id, frame),
                 Err(why) => {
@@ -184,7 +184,7 @@
     /// Writes to all links that have something to write. Returns whether there were any.
     pub(super) fn flush_links(&mut self, now: f64) -> bool {
         let mut any = false;
-        while let Some(id) = self.site_links.as_mut().and_then(|links| links.touched.pop_first()) {
+        while let Some(id) = self.site_links.as_mut().and_then(|links| links.to_flush.pop_first()) {
             any = true;
             self.flush_link(now, id);
         }
@@ -195,20 +195,20 @@
     fn flush_link(&mut self, now: f64, id: LinkId) {
         for _ in 0..PIECES {
             let Some(links) = &mut self.site_links else { return };
-            let Some(link) = links.held.get_mut(&id) else { return };
+            let Some(link) = links.open.get_mut(&id) else { return };
             if link.connecting.is_some() {
                 return;
             }
-            let before = link.line.stream.queued();
-            let broken = link.line.flush().is_err();
-            let left = link.line.stream.queued();
+            let before = link.stream.unwritten_bytes();
+            let broken = link.flush().is_err();
+            let left = link.stream.unwritten_bytes();
             self.subsystems.link_bytes_sent(&context(now, &self.router), id, before - left);
-            if broken || left > limits::LINK_STALLED || link.line.closing && left == 0 {
+            if broken || left > limits::LINK_STALLED || link.closing && left == 0 {
                 return self.close_link(now, id);
             }
-            let piece = link.line.takes_pieces().then(|| self.subsystems.body_piece(id)).flatten();
+            let piece = link.accepts_pieces().then(|| self.subsystems.body_piece(id)).flatten();
             let Some(piece) = piece else { return };
-            link.line.send(&piece);
+            link.send(&piece);
         }
         // Other connections have their turn first.
         self.queue(ReadySource::Link(id));
@@ -217,12 +217,12 @@
     /// Closes a link, or one that has ended.
     fn close_link(&mut self, now: f64, id: LinkId) {
         let Some(links) = &mut self.site_links else { return };
-        let Some(mut link) = links.held.remove(&id) else { return };
-        links.touched.remove(&id);
-        let unsent = link.line.unsent();
-        link.line.stream.close(&self.handle);
+        let Some(mut link) = links.open.remove(&id) else { return };
+        links.to_flush.remove(&id);
+        let unsent = link.take_unsent();
+        link.stream.close(&self.handle);
         let event = match link.connecting {
-            Some((peer, address_index)) => Event::LinkConnectFailed { peer, address_index },
+            Some(LinkTarget { peer, address_index }) => Event::LinkConnectFailed { peer, address_index },
             None => Event::LinkClosed { link: id, unsent: &unsent },
         };
         self.notify(now, &event);
--- a/crates/deckproxy/src/program/subsystem/event.rs
+++ b/crates/deckproxy/src/program/subsystem/event.rs
@@ -4,7 +4,7 @@
 use crate::protocol::downstream::Answer;
 use crate::protocol::upstream::Status;
 use crate::routing::{AttemptKey, ClientId};
-use crate::transport::outbox::Written;
+use crate::transport::write_buffer::WrittenMessage;
 use deckproxy_control::interface::MemberId;
 use deckproxy_flow::meter::Outcome;
 use deckproxy_sites::responder::RunId;
@@ -90,7 +90,7 @@
         /// The member's name.
         member: &'a str,
         /// The message and how much of it.
-        written: Written,
+        written: WrittenMessage,
     },
     /// A member answered.
     MemberReplied {
--- a/crates/deckproxy/src/program/summary.rs
+++ b/crates/deckproxy/src/program/summary.rs
@@ -41,8 +41,8 @@
             ("chores", self.timers.len()),
         ];
         let bytes = [
-            ("read", self.client_buffers.input.get() + self.upstream_buffers.input.get()),
-            ("unread", self.client_buffers.output.get()),
+            ("read", self.client_buffers.input() + self.upstream_buffers.input()),
+            ("unread", self.client_buffers.output()),
         ];
         let all = tables.into_iter().chain(bytes).chain(self.router.table_sizes());
         all.map(|(name, size)| format!("{name}:{size}")).collect::<Vec<_>>().join(",")
--- a/crates/deckproxy/src/program/upstream_pool.rs
+++ b/crates/deckproxy/src/program/upstream_pool.rs
@@ -7,7 +7,7 @@
 use crate::protocol::limits;
 use crate::routing::members::Endpoint;
 use crate::transport::clock;
-use crate::transport::member::Link;
+use crate::transport::member::MemberConnection;
 use crate::transport::stream::{Stream, is_exhausted};
 use deckproxy_control::interface::MemberId;
 use std::io;
@@ -57,14 +57,15 @@
             let Some(upstream) = self.upstreams.get_mut(&id) else { continue };
             // A new incarnation, or another address: the old connections carry nothing new. Nor does one that the
             // member is about to close for being idle.
-            let idle_since = upstream.link.idle_since();
+            let idle_since = upstream.connection.idle_since();
             let expires = idle_timeout > 0.0 && now - idle_since > idle_timeout - limits::IDLE_MARGIN;
-            upstream.link.retired |= upstream.endpoint != endpoint || expires && upstream.link.load() == 0;
+            upstream.connection.retired |=
+                upstream.endpoint != endpoint || expires && upstream.connection.in_flight() == 0;
             connecting += usize::from(upstream.connecting);
-            if upstream.link.load() > 0 {
+            if upstream.connection.in_flight() > 0 {
                 continue;
             }
-            if upstream.link.retired {
+            if upstream.connection.retired {
                 self.close_upstream(id);
             } else {
                 idle.push((idle_since, id));
@@ -78,12 +79,12 @@
     fn reusable_upstream(&mut self, now: f64, idle: Vec<UpstreamId>, name: &str) -> Option<UpstreamId> {
         for id in idle {
             let Some(upstream) = self.upstreams.get_mut(&id) else { continue };
-            if upstream.link.is_stale(now) {
+            if upstream.connection.is_stale(now) {
                 self.close_upstream(id);
-            } else if !upstream.link.stream.input.is_empty() {
+            } else if !upstream.connection.stream.input.is_empty() {
                 // What came unasked is handled in its turn; behind half of a message no answer could be read.
                 self.queue(ReadySource::Upstream(id));
-            } else if upstream.link.takes(name) {
+            } else if upstream.connection.accepts(name) {
                 return Some(id);
             }
         }
@@ -93,17 +94,17 @@
     /// The member's connection with the fewest attempts in flight that can take one more of that name.
     fn shareable_upstream(&self, member: MemberId, name: &str) -> Option<UpstreamId> {
         let streams = self.router.conf().limits.max_streams;
-        let is_shareable = |link: &Link| {
+        let is_shareable = |connection: &MemberConnection| {
             // An idle connection with half of an answer that nobody waits for is not to be shared.
-            (link.load() > 0 || link.stream.input.is_empty())
-                && link.load() < streams
-                && link.stream.queued() < limits::MEMBER_WRITE_BUFFER
-                && link.takes(name)
+            (connection.in_flight() > 0 || connection.stream.input.is_empty())
+                && connection.in_flight() < streams
+                && connection.stream.unwritten_bytes() < limits::MEMBER_WRITE_BUFFER
+                && connection.accepts(name)
         };
         let pool = self.upstream_pools.get(&member).into_iter().flatten();
-        pool.filter_map(|id| self.upstreams.get(id).map(|upstream| (*id, &upstream.link)))
-            .filter(|(_, link)| is_shareable(link))
-            .map(|(id, link)| (link.load(), id))
+        pool.filter_map(|id| self.upstreams.get(id).map(|upstream| (*id, &upstream.connection)))
+            .filter(|(_, connection)| is_shareable(connection))
+            .map(|(id, connection)| (connection.in_flight(), id))
             .min()
             .map(|(_, id)| id)
     }
@@ -127,8 +128,12 @@
                 return None;
             }
         };
-        let upstream =
-            UpstreamConnection { link: Link::new(stream, now), member, endpoint, connecting: true };
+        let upstream = UpstreamConnection {
+            connection: MemberConnection::new(stream, now),
+            member,
+            endpoint,
+            connecting: true,
+        };
         self.upstreams.insert(id, upstream);
         self.upstream_pools.entry(member).or_default().push(id);
         let connect_timeout = self.router.conf().limits.connect_timeout;
@@ -142,8 +147,9 @@
     }
 
     fn longest_idle_upstream(&self) -> Option<UpstreamId> {
-        let idle = self.upstreams.iter().filter(|(_, upstream)| upstream.link.load() == 0);
-        idle.min_by(|a, b| a.1.link.idle_since().total_cmp(&b.1.link.idle_since())).map(|(id, _)| *id)
+        let idle = self.upstreams.iter().filter(|(_, upstream)| upstream.connection.in_flight() == 0);
+        idle.min_by(|a, b| a.1.connection.idle_since().total_cmp(&b.1.connection.idle_since()))
+            .map(|(id, _)| *id)
     }
 
     /// Closes a connection on which no attempt is in flight.
@@ -158,17 +164,17 @@
         if self.subsystems.is_on() {
             self.notify_cut_messages(&upstream);
         }
-        upstream.link.stream.close(&self.handle);
+        upstream.connection.stream.close(&self.handle);
     }
 
     /// Notifies the subsystems of messages that were sent and received in part on a connection that closes.
     fn notify_cut_messages(&mut self, upstream: &UpstreamConnection) {
         let cx = context(clock::now(), &self.router);
         let member = cx.router.member_name(upstream.member);
-        if let Some(written) = upstream.link.stream.cut() {
+        if let Some(written) = upstream.connection.stream.partially_written() {
             self.subsystems.notify(&cx, &Event::MemberBytesSent { member, written });
         }
-        let bytes = upstream.link.stream.input.len();
+        let bytes = upstream.connection.stream.input.len();
         self.subsystems.notify(&cx, &Event::MemberBytesReceived { member, bytes });
     }
 
@@ -176,8 +182,8 @@
     pub(super) fn retire_upstreams(&mut self, member: MemberId) {
         for id in self.upstream_pools.get(&member).cloned().unwrap_or_default() {
             let Some(upstream) = self.upstreams.get_mut(&id) else { continue };
-            upstream.link.retired = true;
-            if upstream.link.load() == 0 {
+            upstream.connection.retired = true;
+            if upstream.connection.in_flight() == 0 {
                 self.close_upstream(id);
             }
         }
--- a/crates/deckproxy/src/transport/collector.rs
+++ b/crates/deckproxy/src/transport/collector.rs
@@ -1,7 +1,8 @@
-//! The way to a collector of flows: a TCP connection or a UDP socket.
+//! Connections to flow collectors: a TCP connection or a UDP socket each.
 
-use crate::transport::outbox::{Outgoing, Written};
-use crate::transport::stream::{Ledger, Progress, Stream};
+use crate::transport::buffer_usage::BufferUsage;
+use crate::transport::stream::{Progress, Stream};
+use crate::transport::write_buffer::{OutgoingMessage, WrittenMessage};
 use bytes::Bytes;
 use calloop::{LoopHandle, Readiness};
 use deckproxy_flow::export::Transport;
@@ -9,75 +10,95 @@
 use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr, UdpSocket};
 use std::rc::Rc;
 
-/// The way to one collector.
-pub enum Exit {
-    /// A connection, or one that is being made.
+/// A connection to a collector.
+pub enum CollectorConnection {
+    /// A TCP connection, established or not.
     Tcp(Box<Stream>),
     /// A socket for datagrams.
     Udp(UdpSocket),
 }
 
-/// The ways to all collectors, by place, each under a number that no later one has.
+/// A connection under its number; no later one gets the same.
+struct Numbered {
+    id: u64,
+    connection: CollectorConnection,
+}
+
+/// The connections to all collectors, by the collectors' positions.
 #[derive(Default)]
-pub struct Exits {
-    /// Those that are open or being made.
-    pub held: Vec<Option<(u64, Exit)>>,
-    /// Bytes that wait on them.
-    pub ledger: Rc<Ledger>,
+pub struct CollectorConnections {
+    /// The connections, where there are any.
+    slots: Vec<Option<Numbered>>,
+    /// Bytes in their buffers.
+    pub usage: Rc<BufferUsage>,
 }
 
-impl Exits {
-    /// None is open yet.
+impl CollectorConnections {
+    /// No connection yet to so many collectors.
     pub fn new(collectors: usize) -> Self {
-        Exits { held: (0..collectors).map(|_| None).collect(), ledger: Rc::default() }
+        CollectorConnections { slots: (0..collectors).map(|_| None).collect(), usage: Rc::default() }
     }
 
-    /// Bytes that wait on them.
-    pub fn holds(&self) -> usize {
-        self.ledger.input.get() + self.ledger.output.get()
+    /// How many collectors there are.
+    pub fn len(&self) -> usize {
+        self.slots.len()
     }
 
-    /// The place of the one with that number.
-    pub fn place(&self, id: u64) -> Option<usize> {
-        self.held.iter().position(|e| e.as_ref().is_some_and(|(other, _)| *other == id))
+    /// Whether there is no collector.
+    pub fn is_empty(&self) -> bool {
+        self.slots.is_empty()
     }
 
-    /// The one at a place.
-    pub fn at(&mut self, place: usize) -> Option<&mut Exit> {
-        self.held.get_mut(place).and_then(Option::as_mut).map(|(_, exit)| exit)
+    /// Bytes in their buffers.
+    pub fn buffered_bytes(&self) -> usize {
+        self.usage.total()
     }
 
-    /// Takes the one at a place out.
-    pub fn take(&mut self, place: usize) -> Option<Exit> {
-        self.held.get_mut(place).and_then(Option::take).map(|(_, exit)| exit)
+    /// The position of the collector whose connection has that number.
+    pub fn position(&self, id: u64) -> Option<usize> {
+        self.slots.iter().position(|slot| slot.as_ref().is_some_and(|numbered| numbered.id == id))
     }
 
-    /// Puts them in another order: where each was before. Gives those that have no place any more.
-    pub fn reorder(&mut self, before: &[Option<usize>]) -> Vec<Exit> {
-        let mut old = std::mem::take(&mut self.held);
-        self.held = before.iter().map(|place| place.and_then(|p| old.get_mut(p)?.take())).collect();
-        old.into_iter().flatten().map(|(_, exit)| exit).collect()
+    /// The connection to the collector at a position.
+    pub fn get_mut(&mut self, position: usize) -> Option<&mut CollectorConnection> {
+        self.slots.get_mut(position).and_then(Option::as_mut).map(|numbered| &mut numbered.connection)
+    }
+
+    /// Sets the connection to the collector at a position.
+    ///
+    /// # Panics
+    /// There is no collector at that position.
+    pub fn set(&mut self, position: usize, id: u64, connection: CollectorConnection) {
+        self.slots[position] = Some(Numbered { id, connection });
+    }
+
+    /// Takes the connection to the collector at a position.
+    pub fn take(&mut self, position: usize) -> Option<CollectorConnection> {
+        self.slots.get_mut(position).and_then(Option::take).map(|numbered| numbered.connection)
     }
-}
 
-/// What sending has brought.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sent {
-    /// Some bytes went, though no further message is whole.
-    pub moved: bool,
+    /// Reorders the collectors, given where each was before. Returns the connections to those that are no more.
+    pub fn reorder(&mut self, previous: &[Option<usize>]) -> Vec<CollectorConnection> {
+        let mut old = std::mem::take(&mut self.slots);
+        let slots =
+            previous.iter().map(|position| position.and_then(|position| old.get_mut(position)?.take()));
+        self.slots = slots.collect();
+        old.into_iter().flatten().map(|numbered| numbered.connection).collect()
+    }
 }
 
-impl Exit {
-    /// Opens it. `ready` is called when the kernel has news of a connection.
+impl CollectorConnection {
+    /// Opens a connection. `ready` is called when the kernel reports readiness of a TCP connection.
     pub fn open<D: 'static>(
         handle: &LoopHandle<'static, D>,
-        ledger: &Rc<Ledger>,
+        usage: &Rc<BufferUsage>,
         to: SocketAddr,
         transport: Transport,
         ready: impl FnMut(&mut D, Readiness) + 'static,
     ) -> io::Result<Self> {
         if transport == Transport::Tcp {
-            return Stream::connect(handle, ledger, to, ready).map(|s| Exit::Tcp(Box::new(s)));
+            let stream = Stream::connect(handle, usage, to, ready)?;
+            return Ok(CollectorConnection::Tcp(Box::new(stream)));
         }
         let any: SocketAddr = match to {
             SocketAddr::V4(_) => (Ipv4Addr::UNSPECIFIED, 0).into(),
@@ -86,73 +107,86 @@
         let socket = UdpSocket::bind(any)?;
         socket.set_nonblocking(true)?;
         socket.connect(to)?;
-        Ok(Exit::Udp(socket))
+        Ok(CollectorConnection::Udp(socket))
     }
 
-    /// Takes news from the kernel.
-    pub fn note(&mut self, readiness: Readiness) {
-        if let Exit::Tcp(stream) = self {
-            stream.note(readiness);
+    /// Takes readiness that the kernel reported.
+    pub fn set_ready(&mut self, readiness: Readiness) {
+        if let CollectorConnection::Tcp(stream) = self {
+            stream.set_ready(readiness);
         }
     }
 
-    /// Whether it is still being made.
+    /// Whether the handshake is not over yet.
+    ///
+    /// # Errors
+    /// The connection could not be established.
     pub fn is_connecting(&mut self) -> io::Result<bool> {
         match self {
-            Exit::Tcp(stream) => stream.is_connecting(),
-            Exit::Udp(_) => Ok(false),
+            CollectorConnection::Tcp(stream) => stream.is_connecting(),
+            CollectorConnection::Udp(_) => Ok(false),
         }
     }
 
-    /// Whether the collector is known to be gone: it closed the connection, or the network says that nobody listens.
-    /// What it says otherwise is dropped: neither protocol has a word for the exporter.
+    /// Whether the collector is known to be gone: it closed the connection, or the network reports that nobody listens.
+    /// What it sends otherwise is dropped: neither protocol has a message to the exporter.
     pub fn is_gone(&mut self) -> bool {
         match self {
-            Exit::Tcp(stream) => {
-                while stream.is_open() && stream.is_readable() {
-                    match stream.read() {
-                        Progress::Ended => return true,
-                        Progress::Drained => break,
-                        Progress::More => {}
-                    }
-                    stream.input.clear();
-                }
-                stream.input.clear();
-                stream.trim(true);
-                false
-            }
-            Exit::Udp(socket) => !matches!(socket.take_error(), Ok(None)),
+            CollectorConnection::Tcp(stream) => has_ended(stream),
+            CollectorConnection::Udp(socket) => !matches!(socket.take_error(), Ok(None)),
         }
     }
 
-    /// Puts a message behind what waits, or sends the datagram; appends the messages that are with the kernel whole.
-    pub fn send(&mut self, number: u64, message: Bytes, written: &mut Vec<Written>) -> io::Result<Sent> {
+    /// Appends a message to the write buffer and writes, or sends the datagram; appends the messages that are written
+    /// completely. Returns whether any bytes were written.
+    pub fn send(
+        &mut self,
+        number: u64,
+        message: Bytes,
+        written: &mut Vec<WrittenMessage>,
+    ) -> io::Result<bool> {
         match self {
-            Exit::Tcp(stream) => {
-                stream.push(Outgoing::whole(number, message));
+            CollectorConnection::Tcp(stream) => {
+                stream.push(OutgoingMessage::single(number, message));
                 self.flush(written)
             }
-            Exit::Udp(socket) => {
-                // An error here tells of a datagram before this one; this one did not go.
+            CollectorConnection::Udp(socket) => {
+                // An error here reports a datagram before this one; this one was not sent.
                 socket.send(&message)?;
-                written.push(Written { key: number, bytes: message.len() });
-                Ok(Sent { moved: true })
+                written.push(WrittenMessage { key: number, bytes: message.len() });
+                Ok(true)
             }
         }
     }
 
-    /// Writes what the kernel takes.
-    pub fn flush(&mut self, written: &mut Vec<Written>) -> io::Result<Sent> {
-        let Exit::Tcp(stream) = self else { return Ok(Sent::default()) };
-        let before = stream.queued();
+    /// Writes what the kernel takes; appends the messages that are written completely. Returns whether any bytes were
+    /// written, be it without a further message complete.
+    pub fn flush(&mut self, written: &mut Vec<WrittenMessage>) -> io::Result<bool> {
+        let CollectorConnection::Tcp(stream) = self else { return Ok(false) };
+        let before = stream.unwritten_bytes();
         stream.flush(written)?;
-        Ok(Sent { moved: stream.queued() < before })
+        Ok(stream.unwritten_bytes() < before)
     }
 
-    /// Ends it.
+    /// Closes the connection.
     pub fn close<D: 'static>(self, handle: &LoopHandle<'static, D>) {
-        if let Exit::Tcp(stream) = self {
+        if let CollectorConnection::Tcp(stream) = self {
             stream.close(handle);
         }
     }
 }
+
+/// Reads and drops what has come. Returns whether the connection has ended.
+fn has_ended(stream: &mut Stream) -> bool {
+    while stream.is_open() && stream.is_readable() {
+        match stream.read() {
+            Progress::Ended => return true,
+            Progress::Drained => break,
+            Progress::More => {}
+        }
+        stream.input.clear();
+    }
+    stream.input.clear();
+    stream.trim(true);
+    false
+}
--- a/crates/deckproxy/src/transport/feed.rs
+++ b/crates/deckproxy/src/transport/feed.rs
@@ -1,32 +1,42 @@
 //! The connection to the control feed.
 
 use crate::protocol::feed::{self, Decoder, FeedLine, LineTooLong};
-use crate::transport::outbox::{Outgoing, Written};
 use crate::transport::stream::{Progress, Stream};
+use crate::transport::write_buffer::{OutgoingMessage, WrittenMessage};
 use std::io;
 
-/// The feed's connection, or one that is being made.
-pub struct Feed {
+/// Key of the subscription, the only message that is written.
+const SUBSCRIPTION: u64 = 0;
+
+/// The feed's connection, established or not.
+pub struct FeedConnection {
     /// The socket and its buffers.
     pub stream: Stream,
     decoder: Decoder,
-    /// When the last line came, or when it came up.
-    pub heard: f64,
-    up: bool,
-    written: Vec<Written>,
+    /// When the last line came, or when the connection was established, Unix ms.
+    pub last_line_at: f64,
+    established: bool,
+    written: Vec<WrittenMessage>,
 }
 
-impl Feed {
-    /// A connection that is being made; it subscribes to what follows an event.
+impl FeedConnection {
+    /// A connection that is not established yet; it subscribes to the events after that number.
     pub fn new(mut stream: Stream, last: u64, now: f64) -> Self {
-        stream.push(Outgoing::whole(0, feed::subscribe(last)));
-        Feed { stream, decoder: Decoder::default(), heard: now, up: false, written: Vec::new() }
+        stream.push(OutgoingMessage::single(SUBSCRIPTION, feed::subscribe(last)));
+        FeedConnection {
+            stream,
+            decoder: Decoder::default(),
+            last_line_at: now,
+            established: false,
+            written: Vec::new(),
+        }
     }
 
-    /// Its handshake is over: from now on a line comes each second, however long it took to come up.
-    pub fn is_up(&mut self, now: f64) {
-        if !std::mem::replace(&mut self.up, true) {
-            self.heard = now;
+    /// Notes that the connection is established: from now on a line comes each second, however long the handshake
+    /// took.
+    pub fn set_established(&mut self, now: f64) {
+        if !std::mem::replace(&mut self.established, true) {
+            self.last_line_at = now;
         }
     }
 
@@ -35,11 +45,14 @@
         self.stream.read()
     }
 
-    /// The next line, as the decoder gives it.
+    /// The next complete line.
+    ///
+    /// # Errors
+    /// The line is too long: the connection is of no more use.
     pub fn take_line(&mut self, now: f64) -> Result<Option<FeedLine>, LineTooLong> {
         let line = self.decoder.next(&mut self.stream.input)?;
         match line {
-            Some(_) => self.heard = now,
+            Some(_) => self.last_line_at = now,
             None => self.stream.trim(true),
         }
         Ok(line)
--- /dev/null
+++ b/crates/deckproxy/src/transport/loop_timer.rs
@@ -0,0 +1,34 @@
+//! One timer in the event loop that can be set again: it wakes the loop when the next deadline is due.
+
+use crate::transport::clock;
+use calloop::timer::{TimeoutAction, Timer};
+use calloop::{Dispatcher, LoopHandle, RegistrationToken};
+
+/// The timer. It only ends the loop's wait; its owner looks at what is due.
+pub struct LoopTimer<D: 'static> {
+    source: Dispatcher<'static, Timer, D>,
+    token: RegistrationToken,
+    /// What it is set to, Unix ms.
+    deadline: f64,
+}
+
+impl<D: 'static> LoopTimer<D> {
+    /// Registers a timer that is not set.
+    pub fn register(handle: &LoopHandle<'static, D>) -> calloop::Result<Self> {
+        let idle = Timer::from_deadline(clock::instant(f64::MAX));
+        let source =
+            Dispatcher::new(idle, |_, _, _: &mut D| TimeoutAction::ToInstant(clock::instant(f64::MAX)));
+        let token = handle.register_dispatcher(source.clone())?;
+        Ok(LoopTimer { source, token, deadline: f64::MAX })
+    }
+
+    /// Sets it to a Unix time in ms; one that has passed wakes the loop at once.
+    pub fn set(&mut self, handle: &LoopHandle<'static, D>, deadline: f64) -> calloop::Result<()> {
+        if self.deadline == deadline && deadline > clock::now() {
+            return Ok(());
+        }
+        self.deadline = deadline;
+        self.source.as_source_mut().set_deadline(clock::instant(deadline));
+        handle.update(&self.token)
+    }
+}
--- a/crates/deckproxy/src/transport/mod.rs
+++ b/crates/deckproxy/src/transport/mod.rs
@@ -1,13 +1,15 @@
-//! Sockets, connections, buffers, the alarm and the clock. This layer moves bytes and knows no rule.
+//! Sockets, connections, buffers, the event loop's timer and the clock. This layer moves bytes and knows no rule.
 
-pub mod alarm;
+pub mod buffer_usage;
 pub mod client;
 pub mod clock;
 pub mod collector;
-pub mod datagrams;
+pub mod datagram_socket;
 pub mod feed;
-pub mod line;
 pub mod listener;
+pub mod loop_timer;
 pub mod member;
-pub mod outbox;
+mod registration;
+pub mod site_link;
 pub mod stream;
+pub mod write_buffer;
--- /dev/null
+++ b/crates/deckproxy/src/transport/write_buffer.rs
@@ -0,0 +1,134 @@
+//! The write buffer of one connection.
+
+use bytes::Bytes;
+use std::collections::VecDeque;
+use std::io::{self, ErrorKind, IoSlice, Write};
+
+/// Slices handed to the kernel in one call, at most.
+const SLICES: usize = 48;
+
+/// One encoded message.
+#[derive(Debug)]
+pub struct OutgoingMessage {
+    /// By which its owner knows it.
+    pub key: u64,
+    /// Its bytes, in order; the body in the middle is shared, not copied.
+    pub parts: [Bytes; 3],
+}
+
+impl OutgoingMessage {
+    /// A message in a single part.
+    pub fn single(key: u64, bytes: impl Into<Bytes>) -> Self {
+        OutgoingMessage { key, parts: [bytes.into(), Bytes::new(), Bytes::new()] }
+    }
+
+    /// Its length in bytes.
+    pub fn len(&self) -> usize {
+        self.parts.iter().map(Bytes::len).sum()
+    }
+
+    /// Whether it has no bytes.
+    pub fn is_empty(&self) -> bool {
+        self.len() == 0
+    }
+}
+
+/// A message of which the kernel took some or all bytes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct WrittenMessage {
+    /// By which its owner knows it.
+    pub key: u64,
+    /// Bytes of it that the kernel took.
+    pub bytes: usize,
+}
+
+/// Messages in order, the first of them perhaps written in part.
+#[derive(Debug, Default)]
+pub struct WriteBuffer {
+    queue: VecDeque<OutgoingMessage>,
+    /// Bytes of the first message that the kernel took.
+    first_written: usize,
+    /// Bytes that wait.
+    bytes: usize,
+}
+
+impl WriteBuffer {
+    /// Appends a message.
+    pub fn push(&mut self, message: OutgoingMessage) {
+        self.bytes += message.len();
+        self.queue.push_back(message);
+    }
+
+    /// Bytes that the kernel has not taken yet.
+    pub fn bytes(&self) -> usize {
+        self.bytes
+    }
+
+    /// Whether all is written.
+    pub fn is_empty(&self) -> bool {
+        self.queue.is_empty()
+    }
+
+    /// The message that is written in part, with how many of its bytes are.
+    pub fn partially_written(&self) -> Option<WrittenMessage> {
+        let first = self.queue.front().filter(|_| self.first_written > 0)?;
+        Some(WrittenMessage { key: first.key, bytes: self.first_written })
+    }
+
+    /// Removes a message of which no byte is written. Returns whether there was one.
+    pub fn cancel(&mut self, key: u64) -> bool {
+        let Some(position) = self.queue.iter().position(|message| message.key == key) else { return false };
+        if position == 0 && self.first_written > 0 {
+            return false;
+        }
+        if let Some(message) = self.queue.remove(position) {
+            self.bytes -= message.len();
+        }
+        true
+    }
+
+    /// Writes until the kernel has taken all or takes no more; appends the messages that are written completely.
+    /// Returns whether all is written.
+    pub fn flush(&mut self, socket: &mut impl Write, written: &mut Vec<WrittenMessage>) -> io::Result<bool> {
+        while !self.queue.is_empty() {
+            match socket.write_vectored(&self.slices()) {
+                Ok(0) => return Err(ErrorKind::WriteZero.into()),
+                Ok(bytes) => self.advance(bytes, written),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(false),
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) => return Err(error),
+            }
+        }
+        Ok(true)
+    }
+
+    /// The first bytes that wait.
+    fn slices(&self) -> Vec<IoSlice<'_>> {
+        let mut written = self.first_written;
+        let mut slices = Vec::with_capacity(SLICES);
+        for part in self.queue.iter().flat_map(|message| &message.parts).filter(|part| !part.is_empty()) {
+            let skipped = written.min(part.len());
+            written -= skipped;
+            if skipped < part.len() {
+                slices.push(IoSlice::new(&part[skipped..]));
+            }
+            if slices.len() == SLICES {
+                break;
+            }
+        }
+        slices
+    }
+
+    /// Accounts for bytes that the kernel took.
+    fn advance(&mut self, bytes: usize, written: &mut Vec<WrittenMessage>) {
+        self.bytes -= bytes;
+        self.first_written += bytes;
+        while let Some(length) =
+            self.queue.front().map(OutgoingMessage::len).filter(|length| *length <= self.first_written)
+        {
+            self.first_written -= length;
+            let message = self.queue.pop_front();
+            written.extend(message.map(|message| WrittenMessage { key: message.key, bytes: length }));
+        }
+    }
+}
--- a/crates/deckproxy/tests/connection_close.rs
+++ b/crates/deckproxy/tests/connection_close.rs
@@ -246,18 +246,18 @@
     let _other = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let (socket, _) = listener.accept().unwrap();
     let stream = Stream::accepted(&events.handle(), &Rc::default(), socket, |(), _| {}).unwrap();
-    let mut client = transport::Client::new(stream, 0.0);
+    let mut client = transport::ClientConnection::new(stream, 0.0);
     let mut id = 0;
-    while client.holds() < limits::CLIENT_REJECTIONS {
-        assert!(!client.is_overfull(), "{} bytes", client.holds());
+    while client.buffered_bytes() < limits::CLIENT_REJECTIONS {
+        assert!(!client.is_over_write_limit(), "{} bytes", client.buffered_bytes());
         id += 1;
         client.answer(id, &downstream::Answer::Rejected(0.0), false);
     }
     client.answer(id + 1, &downstream::Answer::Rejected(0.0), false);
-    assert!(client.is_overfull());
+    assert!(client.is_over_write_limit());
     // What the kernel has is not held here; answers to open requests are bounded by their number.
     client.flush(1.0, |_| {}).unwrap();
-    assert!(!client.is_overfull() && client.holds() == 0);
+    assert!(!client.is_over_write_limit() && client.buffered_bytes() == 0);
     client.answer(id + 2, &downstream::Answer::Served(vec![0; 200_000].into()), true);
-    assert!(!client.is_overfull());
+    assert!(!client.is_over_write_limit());
 }
--- a/crates/deckproxy/tests/outbox.rs
+++ b/crates/deckproxy/tests/write_buffer.rs
@@ -1,7 +1,7 @@
 //! The queue of messages that wait to be written, against a kernel that accepts little at a time.
 
 use bytes::Bytes;
-use deckproxy::transport::outbox::{Outbox, Outgoing, Written};
+use deckproxy::transport::write_buffer::{OutgoingMessage, WriteBuffer, WrittenMessage};
 use proptest::prelude::*;
 use std::io::{self, IoSlice, Write};
 
@@ -34,9 +34,9 @@
     }
 }
 
-fn message(key: u64, sizes: [usize; 3]) -> Outgoing {
+fn message(key: u64, sizes: [usize; 3]) -> OutgoingMessage {
     let byte = u8::try_from(key % 251).unwrap();
-    Outgoing { key, parts: sizes.map(|n| Bytes::from(vec![byte; n])) }
+    OutgoingMessage { key, parts: sizes.map(|n| Bytes::from(vec![byte; n])) }
 }
 
 proptest! {
@@ -50,19 +50,19 @@
         sizes in prop::collection::vec((0usize..50, 0usize..500, 1usize..5), 1..80),
         takes in prop::collection::vec(0usize..700, 0..60),
     ) {
-        let mut outbox = Outbox::default();
+        let mut buffer = WriteBuffer::default();
         let mut want = Vec::new();
         for (key, (a, b, c)) in (1u64..).zip(&sizes) {
             let m = message(key, [*a, *b, *c]);
             m.parts.iter().for_each(|p| want.extend_from_slice(p));
-            outbox.push(m);
+            buffer.push(m);
         }
         let mut kernel = Kernel { takes, got: Vec::new() };
         let mut written = Vec::new();
         let mut done = false;
         while !done {
-            done = outbox.flush(&mut kernel, &mut written).unwrap();
-            prop_assert_eq!(outbox.bytes(), want.len() - kernel.got.len());
+            done = buffer.flush(&mut kernel, &mut written).unwrap();
+            prop_assert_eq!(buffer.bytes(), want.len() - kernel.got.len());
             // A key is told once all of its bytes are out, and not before.
             let whole: usize = sizes[..written.len()].iter().map(|(a, b, c)| a + b + c).sum();
             let next: usize = sizes.get(written.len()).map_or(1, |(a, b, c)| a + b + c);
@@ -73,25 +73,28 @@
         }
         prop_assert_eq!(kernel.got, want);
         let lengths = sizes.iter().map(|(a, b, c)| a + b + c);
-        let all = (1..).zip(lengths).map(|(key, bytes)| Written { key, bytes });
+        let all = (1..).zip(lengths).map(|(key, bytes)| WrittenMessage { key, bytes });
         prop_assert_eq!(written, all.collect::<Vec<_>>());
     }
 }
 
 #[test]
 fn only_unstarted_messages_can_be_withdrawn() {
-    let mut outbox = Outbox::default();
-    (1..=3).for_each(|key| outbox.push(message(key, [10, 10, 10])));
+    let mut buffer = WriteBuffer::default();
+    (1..=3).for_each(|key| buffer.push(message(key, [10, 10, 10])));
     let mut kernel = Kernel { takes: vec![0, 5], got: Vec::new() };
     let mut written = Vec::new();
-    assert!(!outbox.flush(&mut kernel, &mut written).unwrap());
-    assert!(!outbox.withdraw(1), "five of its bytes are out");
-    assert!(outbox.withdraw(2));
-    assert!(!outbox.withdraw(2) && !outbox.withdraw(9));
-    assert_eq!(outbox.bytes(), 55);
+    assert!(!buffer.flush(&mut kernel, &mut written).unwrap());
+    assert!(!buffer.cancel(1), "five of its bytes are out");
+    assert!(buffer.cancel(2));
+    assert!(!buffer.cancel(2) && !buffer.cancel(9));
+    assert_eq!(buffer.bytes(), 55);
     kernel.takes = vec![1000; 3];
-    assert!(outbox.flush(&mut kernel, &mut written).unwrap());
-    assert_eq!((written, kernel.got.len()), ([1, 3].map(|key| Written { key, bytes: 30 }).to_vec(), 60));
+    assert!(buffer.flush(&mut kernel, &mut written).unwrap());
+    assert_eq!(
+        (written, kernel.got.len()),
+        ([1, 3].map(|key| WrittenMessage { key, bytes: 30 }).to_vec(), 60)
+    );
 }
 
 #[test]
@@ -105,7 +108,7 @@
             Ok(())
         }
     }
-    let mut outbox = Outbox::default();
-    outbox.push(message(1, [1, 1, 1]));
-    assert!(outbox.flush(&mut Closed, &mut Vec::new()).is_err());
+    let mut buffer = WriteBuffer::default();
+    buffer.push(message(1, [1, 1, 1]));
+    assert!(buffer.flush(&mut Closed, &mut Vec::new()).is_err());
 }
