--- a/crates/deckproxy-standins/tests/wait.rs
+++ b/crates/deckproxy-standins/tests/wait.rs
@@ -1,12 +1,12 @@
-//! Free addresses: nobody answers there before the one that it is for.
+//! Free addresses: no connection is accepted there before the intended listener exists.
 
 use deckproxy_standins::wait::reserve;
 use std::net::{TcpListener, TcpStream};
 
-/// A process that another thread starts at that moment holds a copy of the socket for a while: it took the first
-/// connection, a test went on as if its program listened, and the next connection was refused.
+/// Regression test: a process that another thread starts at that moment has a copy of the socket for a while. That accepted
+/// the first connection, so that a test continued before its program listened, and the next connection was refused.
 #[test]
-fn a_free_address_takes_no_connection_and_can_be_listened_on_while_a_copy_of_its_socket_is_open() {
+fn free_address_accepts_nothing_and_can_be_bound_while_a_copy_of_its_socket_is_open() {
     let (socket, at) = reserve();
     let _copy = socket.try_clone().unwrap();
     assert!(TcpStream::connect(at).is_err(), "nobody listens");
--- a/crates/deckproxy/tests/attempt_endings.rs
+++ b/crates/deckproxy/tests/attempt_endings.rs
@@ -1,4 +1,4 @@
-//! What happens to an attempt and which ending the module is told, row by row as docs/architecture.md has it.
+//! How attempts end and which ending is reported to the decision module, case by case as in docs/architecture.md.
 
 use bytes::Bytes;
 use deckproxy::protocol::config;
@@ -10,12 +10,12 @@
 
 const NOW: f64 = 1_764_576_000_000.0;
 
-/// A router that knows one cache and the origin, and attempts nothing twice where it may have run.
+/// A router that knows one cache and the origin.
 fn router() -> Router {
     router_with("127.0.0.1:9")
 }
 
-/// The same, with what the list tells of the members' address.
+/// The same, with this address of the members in the list.
 fn router_with(address: &str) -> Router {
     let entry = |id: &str, zone: &str, kind: &str| {
         json!({"id": id, "host_port": address, "locality": zone, "flavor": kind, "cell": 0,
@@ -54,13 +54,13 @@
     }
 }
 
-/// What is to be done for requests.
+/// The effects that concern requests.
 fn effects(router: &mut Router) -> Vec<Effect> {
     let others = |e: &Effect| matches!(e, Effect::Log(_) | Effect::MembersChanged);
     std::iter::from_fn(|| router.next_effect()).filter(|e| !others(e)).collect()
 }
 
-/// Begins a request that must not run twice; gives the key of its attempt.
+/// Starts a request that must not run twice; returns the key of its attempt.
 fn start_request(router: &mut Router) -> AttemptKey {
     router.request(NOW, 1, 7, call("once", 1));
     match &effects(router)[..] {
@@ -83,7 +83,7 @@
     router.counters.endings[ENDINGS.iter().position(|e| *e == ending).unwrap()]
 }
 
-/// After that happened, the ending told; and whether the module may send again or refuse, as it never ran.
+/// Checks which ending is reported after an event, and that the module retries or rejects only if the attempt never ran.
 fn check_ending(what: &str, ending: &str, never_ran: bool, happen: impl Fn(&mut Router, AttemptKey)) {
     let mut router = router();
     let key = start_request(&mut router);
@@ -160,7 +160,7 @@
     let answer = Answer::Served(Bytes::from_static(b"body"));
     assert_eq!(effects(&mut router), [Effect::Answer { client: 1, id: 7, answer, copy: None }]);
     assert_eq!((count(&router, "ok"), router.unanswered()), (1, 0));
-    // Nothing is left that a timer could find.
+    // No timer is left.
     router.tick(NOW + 100_000.0);
     assert!(effects(&mut router).is_empty());
     assert_eq!((router.counters.overdue, router.counters.broken_invariants), (0, 0));
@@ -172,12 +172,12 @@
     let key = start_request(&mut router);
     router.cancel(NOW + 5.0, 1, 7);
     assert!(matches!(&effects(&mut router)[..], [Effect::CancelAttempt { key: k, .. }] if *k == key));
-    // Its answer crosses: it counts as the ending, and reaches nobody.
+    // Its answer crosses the cancellation: it counts as the ending, and is sent to nobody.
     router.reply(NOW + 6.0, key, reply(Status::Ok));
     router.attempt_cancelled(NOW + 6.0, key, true);
     assert!(effects(&mut router).is_empty());
     assert_eq!((router.counters.cancelled, count(&router, "ok"), count(&router, "cancelled")), (1, 1, 0));
-    // The name is free again once nothing is out under it.
+    // The name is free again once no attempt has it.
     router.request(NOW + 7.0, 1, 8, call("once", 1));
     assert!(matches!(&effects(&mut router)[..], [Effect::SendAttempt { .. }]));
 }
@@ -195,7 +195,7 @@
 fn no_request_outlives_its_deadline_whatever_its_attempts_do() {
     let mut router = router();
     start_request(&mut router);
-    // The withdrawal is never confirmed: a connection that lost track of it must not cost the answer.
+    // The cancellation is never confirmed: that must not cost the client its answer.
     router.tick(NOW + 1000.0);
     assert!(matches!(&effects(&mut router)[..], [Effect::CancelAttempt { .. }]));
     router.tick(NOW + 1058.0);
--- a/crates/deckproxy/tests/client_disconnect.rs
+++ b/crates/deckproxy/tests/client_disconnect.rs
@@ -1,5 +1,5 @@
-//! Clients that left: nothing is begun for them, whatever their requests wait for and however far behind the loop is.
-//! The process stands still while what is to be heard and what is not to happen are laid into the kernel.
+//! Clients that disconnect or cancel: no attempt begins for them, whatever their requests wait for and however late the
+//! event loop is. The process is paused while a test places the events to be read in the kernel's buffers.
 
 mod common;
 use common::*;
@@ -9,33 +9,38 @@
 use std::thread;
 use std::time::Duration;
 
-/// Longer than a client may be gone before a further attempt is a broken rule.
+/// Longer than the time after a disconnect within which a further attempt is tolerated.
 const PAST_TOLERANCE: Duration = Duration::from_millis(120);
 
 fn now() -> f64 {
     unix_ms() as f64
 }
 
-/// Has a write served, so that a connection to the origin rests: what is sent next is written at once.
+/// A client whose write was served, so that an idle connection to the origin exists: the next write is sent at once.
 fn client_with_idle_origin_connection(site: &TestSite, gateway: &Gateway) -> Client {
     let mut client = gateway.client();
     site.serve_write(&mut client, b"warm", b"warm");
     client
 }
 
-/// A leader whose fill is out at a cache, and a client that waits for it: both look-ups' names too.
-fn start_collapsed_fill<'a>(
-    site: &'a TestSite,
-    gateway: &Gateway,
-) -> (&'a Member, Client, MemberRequest, Client, String) {
+/// A fill in flight at a cache that a second client's request waits for.
+struct CollapsedFill<'a> {
+    cache: &'a Member,
+    _leader: Client,
+    fill: MemberRequest,
+    waiter: Client,
+    /// The name of the waiter's request.
+    waiter_request: String,
+}
+
+fn start_collapsed_fill<'a>(site: &'a TestSite, gateway: &Gateway) -> CollapsedFill<'a> {
     let mut leader = gateway.client();
     let (_, cache, fill) = site.start_fill(&mut leader, OBJECT);
     let mut waiter = gateway.client();
     waiter.request_object(OBJECT);
     let lookup = cache.answer_miss();
-    // Answered by now: a ping behind it was heard after the miss.
     until("it waits", || cache.request_if_any().is_none());
-    (cache, leader, fill, waiter, lookup.id)
+    CollapsedFill { cache, _leader: leader, fill, waiter, waiter_request: lookup.id }
 }
 
 /// Reports the attempts that the caches receive in a short while, and expects that none was for a client that had left.
@@ -56,15 +61,16 @@
 fn disconnected_waiter_does_not_become_leader_when_leader_failure_is_read_first() {
     let site = TestSite::start();
     let gateway = site.setup().start();
-    let (cache, _leader, fill, waiter, waiter_name) = start_collapsed_fill(&site, &gateway);
+    let CollapsedFill { cache, _leader, fill, waiter, waiter_request } =
+        start_collapsed_fill(&site, &gateway);
     gateway.pause();
     cache.answer(&fill, "500", &[]);
     drop(waiter);
     let mut checker = CancellationChecker::default();
-    checker.client_left(&waiter_name, now());
+    checker.client_left(&waiter_request, now());
     thread::sleep(PAST_TOLERANCE);
     gateway.resume();
-    // The leader leads on, and nobody is sent for the one that left.
+    // The leader retries, and nothing is sent for the client that left.
     let (_, next) = site.next_request();
     assert_eq!(next.id, fill.id);
     expect_no_late_attempts(&site, checker);
@@ -77,7 +83,7 @@
     let mut leader = gateway.client();
     let (_, cache, fill) = site.start_fill(&mut leader, OBJECT);
     let mut waiter = gateway.client();
-    // It has so little time that its wait ends long before the leader's fill.
+    // Its timeout is so short that its wait ends long before the leader's fill.
     waiter.send_request("page", &[("lookup", OBJECT), ("allow", "700")], &[]);
     let lookup = cache.answer_miss();
     until("it waits", || cache.request_if_any().is_none());
@@ -85,7 +91,7 @@
     drop(waiter);
     let mut checker = CancellationChecker::default();
     checker.client_left(&lookup.id, now());
-    // Its time to go alone comes while the process stands still, some 160 ms before it ends.
+    // While the process is paused, the waiter's own fill becomes due, some 160 ms before its timeout.
     thread::sleep(Duration::from_millis(450));
     gateway.resume();
     cache.answer(&fill, "200", b"filled");
@@ -127,7 +133,7 @@
 #[test]
 fn cancellation_is_read_while_answers_wait_for_a_slow_reader() {
     let (site, gateway, mut client) = TestSite::start_with_client();
-    // The kernel holds little for a client that does not read.
+    // A small receive buffer, as the client does not read.
     socket2::SockRef::from(&client.stream_handle()).set_recv_buffer_size(64 * 1024).unwrap();
     let body = vec![7u8; 240_000];
     let ids: Vec<u64> = (0..31).map(|_| client.request_object(OBJECT)).collect();
@@ -137,7 +143,7 @@
     for (cache, request) in &requests {
         cache.answer(request, "200", &body);
     }
-    // All is read from the caches: over 7 MB, of which the kernel takes a part.
+    // Over 7 MB have been read from the caches, of which the kernel accepts a part.
     let mut other = gateway.client();
     until("the answers wait for their reader", || {
         let ping = other.ping();
@@ -155,7 +161,7 @@
     let _site = TestSite::start();
     let mut listener = StalledListener::start();
     let mut setup = Setup::knowing(&[entry("s-00000009", listener.address, "hub", "origin", "Ready")]);
-    // The handshake has the time that the kernel takes for its second try.
+    // The connect timeout covers the kernel's second attempt of the handshake.
     setup.settings["limits"]["connectTimeoutMs"] = json!(8000.0);
     setup.settings["rules"]["drainGraceMs"] = json!(8000.0);
     setup.settings["familyInfo"]["obeyAfterMs"] = json!(8000.0);
@@ -191,7 +197,7 @@
     let setup = site.setup_with_cache_at(listener.address);
     let gateway = setup.start();
     let mut client = gateway.client();
-    // Its connection to the parent rests then.
+    // Leaves an idle connection to the parent.
     let id = client.request_object(OBJECT);
     let request = site.parent.next_request();
     site.parent.answer(&request, "200", b"warm");
@@ -200,7 +206,7 @@
     listener.wait_for_handshake();
     gateway.pause();
     drop(client);
-    // The connect time-out of 400 ms passes meanwhile.
+    // The connect timeout of 400 ms passes meanwhile.
     thread::sleep(Duration::from_millis(450));
     gateway.resume();
     expect_next_write_is_of_new_client(&site, &gateway);
--- a/crates/deckproxy/tests/codecs.rs
+++ b/crates/deckproxy/tests/codecs.rs
@@ -1,4 +1,4 @@
-//! Properties of the decoders: any split gives the same values, and no bytes make them panic or grow.
+//! Properties of the decoders: any split gives the same values, and no bytes make them panic or allocate without bound.
 
 use bytes::{Bytes, BytesMut};
 use deckproxy::protocol::downstream::{self, Answer, Call, Message, ObjectId, ProtocolError, RequestError};
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 use rmpv::Value;
 
-/// Feeds bytes in pieces and takes all messages after each.
+/// Decodes bytes piece by piece.
 fn in_pieces<T>(bytes: &[u8], cuts: &[usize], mut take: impl FnMut(&mut BytesMut) -> Vec<T>) -> Vec<T> {
     let mut cuts: Vec<usize> = cuts.iter().map(|c| c % (bytes.len() + 1)).collect();
     cuts.push(bytes.len());
@@ -205,7 +205,7 @@
     let nested: Vec<u8> = std::iter::repeat_n(0x91, 2000).collect();
     assert_eq!(broken(&nested).error, RequestError::MessageTooLarge);
     assert_eq!(broken(&nested).error.to_string(), "a message over the limit");
-    // Lengths far beyond what came are refused on sight.
+    // Lengths over the limits are rejected before their bytes arrive.
     assert_eq!(
         broken(b"\x94\x00\x05\xdb\xff\xff\xff\xff"),
         ProtocolError { error: RequestError::MessageTooLarge, request_id: Some(5) }
@@ -267,7 +267,7 @@
 fn health_checks_and_cancellations_encode_with_one_argument() {
     assert_eq!(upstream::encode_health_check("p1"), &b"*2\r\n$4\r\nINFO\r\n$2\r\np1\r\n"[..]);
     assert_eq!(upstream::encode_cancel("9b1f"), &b"*2\r\n$4\r\nQUIT\r\n$4\r\n9b1f\r\n"[..]);
-    // Answers to probes come with or without fields and body.
+    // Answers to health checks come with or without fields and body.
     for (text, alive, report) in [
         ("*2\r\n$2\r\np1\r\n$5\r\nalive\r\n", true, vec![]),
         ("*3\r\n$2\r\np1\r\n$4\r\ndead\r\n$1\r\n-\r\n", false, vec![]),
--- a/crates/deckproxy/tests/connection_close.rs
+++ b/crates/deckproxy/tests/connection_close.rs
@@ -1,4 +1,4 @@
-//! Closes by the gateway: each looks at what has come first, and takes back nothing that was written.
+//! Closes by the gateway: each reads what has arrived first, and discards nothing that was written.
 
 mod common;
 use common::*;
@@ -22,13 +22,13 @@
 fn client_with_unread_request_is_not_evicted() {
     let site = TestSite::start();
     let mut setup = site.setup();
-    // Ten places for clients, one of which is kept free.
+    // Ten places for clients, one of which is reserved.
     setup.sockets = 30;
     let gateway = setup.start();
     let mut oldest = ready_client(&gateway);
     let _others: Vec<Client> = (0..8).map(|_| ready_client(&gateway)).collect();
     gateway.pause();
-    // The newcomer is looked at first; the request of the one idle for longest lies beside it.
+    // The new connection is read first; the request of the client that was idle for longest is unread at that moment.
     let mut newcomer = gateway.client();
     let ping = newcomer.ping();
     let id = oldest.request_object(OBJECT);
@@ -43,7 +43,7 @@
 fn requests_received_before_shutdown_ends_are_answered_however_many() {
     let site = TestSite::start();
     let mut gateway = site.setup().start();
-    // More than have their turn before the loop looks on.
+    // More than the event loop serves in one iteration.
     let mut idle: Vec<Client> = (0..150).map(|_| ready_client(&gateway)).collect();
     let start = Instant::now();
     gateway.signal("TERM");
@@ -60,7 +60,7 @@
     assert_eq!(gateway.wait_for_exit(), Some(0));
 }
 
-/// Housekeeping has its turn while more wait to be read than one turn serves.
+/// The idle timeout is checked while more connections are readable than one iteration serves.
 #[test]
 fn request_arriving_at_the_idle_timeout_is_answered() {
     let site = TestSite::start();
@@ -115,7 +115,7 @@
     client.expect_clean_close();
 }
 
-/// Somebody always waits to be accepted, and those who were accepted came a moment ago.
+/// There is always a connection to accept, and those that were accepted are new.
 #[test]
 fn shutdown_ends_in_time_while_idle_clients_keep_connecting() {
     let site = TestSite::start();
@@ -152,7 +152,7 @@
             thread::sleep(Duration::from_millis(2));
             code = gateway.child.try_wait().unwrap().and_then(|c| c.code());
         }
-        // Whatever came of it: the others wait for this.
+        // In any case: the other threads wait for this.
         filling.store(false, Ordering::SeqCst);
         (code, start.elapsed())
     });
@@ -198,7 +198,7 @@
     client.expect_clean_close();
 }
 
-/// All is written and the connection shut, but most of the answer waits in the gateway's kernel for its slow reader.
+/// Everything is written and the connection shut down, but most of the answer is in the gateway's kernel buffer.
 #[test]
 fn slow_reader_that_keeps_sending_gets_its_answer_before_close() {
     let (site, gateway, mut client) = TestSite::start_with_client();
@@ -210,7 +210,7 @@
     cache.answer(&request, "200", &vec![3; 200_000]);
     let mut handle = client.stream_handle();
     handle.peek(&mut [0]).unwrap();
-    // Three times as long as a quiet one has to close its side.
+    // Three times the time that a client has to close its side.
     let start = Instant::now();
     while start.elapsed() < Duration::from_millis(900) {
         handle.write_all(&[0; 1024]).expect("it is taken off and not answered with a reset");
@@ -232,7 +232,7 @@
     let (_, bytes) = client.encode_request("page", &[("lookup", OBJECT)], &[]);
     client.send(&bytes[..20]);
     until("the connection is to close", || gateway.log().contains("keeps a message waiting"));
-    // Longer than a connection that closes and owes nothing is kept.
+    // Longer than a closing connection without pending answers is kept.
     thread::sleep(Duration::from_millis(1700));
     cache.answer(&request, "200", b"owed");
     client.expect_served(id, b"owed");
@@ -255,7 +255,7 @@
     }
     client.answer(id + 1, &downstream::Answer::Rejected(0.0), false);
     assert!(client.is_over_write_limit());
-    // What the kernel has is not held here; answers to open requests are bounded by their number.
+    // Bytes in the kernel's buffer are not counted; answers to requests in flight are bounded by their number.
     client.flush(1.0, |_| {}).unwrap();
     assert!(!client.is_over_write_limit() && client.buffered_bytes() == 0);
     client.answer(id + 2, &downstream::Answer::Served(vec![0; 200_000].into()), true);
--- a/crates/deckproxy/tests/control_feed.rs
+++ b/crates/deckproxy/tests/control_feed.rs
@@ -1,4 +1,4 @@
-//! The control feed: its numbers, its silence, and a gateway without it.
+//! The control feed: event numbers, heartbeats, reconnects, and a gateway without it.
 
 mod common;
 use common::*;
@@ -24,7 +24,7 @@
     drop(subscription);
     let (from, subscription) = feed.accept();
     assert_eq!(from, 2);
-    // Told again, or cut in pieces: it counts once and whole.
+    // An event that is repeated, or that arrives in pieces, is applied once.
     send_line(&subscription, &group_purge(2, 6));
     let text = format!("{}\n", group_purge(3, 7));
     let (a, b) = text.split_at(20);
@@ -41,10 +41,10 @@
     send_line(&subscription, &group_purge(4, 5));
     let (from, subscription) = feed.accept();
     assert_eq!(from, 1, "2 and 3 are missing");
-    // The feed has them no more: what follows still counts.
+    // The feed no longer has them; later events still apply.
     send_line(&subscription, &group_purge(4, 5));
     until("the purge is known", || site.is_bound_by_purge(&mut client, 5));
-    // A heartbeat with a later number tells of missing ones too.
+    // A heartbeat with a later number reveals missing events too.
     send_line(&subscription, &json!(9));
     let (from, subscription) = feed.accept();
     assert_eq!(from, 4);
@@ -81,7 +81,7 @@
     let _gateway = setup.start();
     let (_, subscription) = feed.accept();
     let start = Instant::now();
-    // A few heartbeats keep it; then none comes.
+    // Three heartbeats keep the connection, then they stop.
     for _ in 0..3 {
         send_line(&subscription, &json!(1));
         std::thread::sleep(Duration::from_millis(300));
@@ -110,7 +110,7 @@
     assert!(!site.is_bound_by_purge(&mut client, 5));
 }
 
-/// It was taken for silent before it could have said anything, and so was each one after it.
+/// Regression test: the feed was considered silent before its connection was up, and so was each later one.
 #[test]
 fn feed_timeout_starts_when_the_connection_is_up() {
     let site = TestSite::start();
@@ -118,7 +118,7 @@
     let mut setup = site.setup();
     setup.feed = listener.address;
     let _gateway = setup.start();
-    // Up at the handshake's second try, after a second; the first line comes 1.9 s after that.
+    // The connection is up at the second attempt of the handshake, after 1 s; nothing is sent for 1.9 s after that.
     let mut connection = listener.accept();
     let mut first_line = [0; 6];
     connection.set_read_timeout(Some(PATIENCE)).unwrap();
@@ -129,8 +129,8 @@
     assert!(matches!(&got, Err(e) if e.kind() == std::io::ErrorKind::WouldBlock), "given up: {got:?}");
 }
 
-/// Idle clients take each descriptor that comes free, and honest newcomers come one after another, while discovery is
-/// down and when it is back.
+/// Idle clients take each descriptor that is freed, and new clients arrive one after another, while service discovery is
+/// down and after it is restored.
 #[test]
 fn descriptor_exhaustion_by_idle_clients_spares_the_watch_and_new_clients() {
     let site = TestSite::start();
@@ -148,7 +148,7 @@
     let mut checker = DescriptorExhaustionChecker::default();
     let (filling, caches) = (AtomicBool::new(true), AtomicBool::new(true));
     thread::scope(|scope| {
-        // As many again come whenever one was closed.
+        // Further idle clients connect whenever one was closed.
         scope.spawn(|| {
             let mut more = Vec::new();
             while filling.load(Ordering::SeqCst) {
@@ -194,13 +194,13 @@
         caches.store(false, Ordering::SeqCst);
     });
     assert!(checker.holds(), "{checker:?}");
-    // Told once in an interval of the summary: at each newcomer it used up all that may be said of peers.
+    // Logged once in an interval of the log's summary: logged for each client, it would use up the rate limit.
     let lacks = gateway.log().matches("no descriptor is left").count();
     assert!((1..=2).contains(&lacks), "{lacks} lines");
 }
 
-/// Clients that came a moment ago hold all descriptors when the watch's try is due: none had the time yet to send its
-/// first message. The try was given up, and so was each later one that found such a moment.
+/// Clients that connected a moment ago use all descriptors when the watch is due to reconnect, and none is overdue with
+/// its first message. Regression test: that attempt failed, and so did each later one at such a moment.
 #[test]
 fn watch_gets_a_descriptor_when_all_clients_are_new() {
     let site = TestSite::start();
@@ -209,7 +209,7 @@
     setup.feed = at;
     let gateway = setup.start_limited("ulimit -n 32");
     let refusals = || gateway.log().matches("control feed: Connection refused").count();
-    // From the sixth on the tries are a second apart.
+    // From the sixth on the attempts are 1 s apart.
     until("its tries are a second apart", || refusals() >= 6);
     let tried = refusals();
     until("the next one has just been", || refusals() > tried);
@@ -224,7 +224,7 @@
     assert!(start.elapsed() < Duration::from_millis(1900), "not at its first try: {:?}", start.elapsed());
 }
 
-/// An honest newcomer: whether it is served before its time is over.
+/// Whether a new client is served before its request times out.
 fn is_served_in_time(gateway: &Gateway) -> bool {
     let mut client = gateway.client();
     let (_, bytes) = client.encode_request("page", &[("lookup", OBJECT)], &[]);
--- a/crates/deckproxy/tests/fleet.rs
+++ b/crates/deckproxy/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Several processes of the gateway that know of each other, with faults between them. FaultKind is judged was counted at
-//! members, relays and clients; of whom each takes for dead and what is on its board its own log tells.
+//! Several processes of the gateway that know of each other, with faults between them. What is judged was counted at
+//! members, relays and clients; which peers an instance considers dead and its gossip store are read from its log.
 
 use deckproxy_rig::judge::{FleetFigures, judge};
 use deckproxy_rig::plan::{CacheFault, FaultKind, Plan};
@@ -37,7 +37,7 @@
     Rig::start(&plan(instances, seed), &draw())
 }
 
-/// Waits until each cache was probed so often again.
+/// Waits until each cache has received so many further health checks.
 fn wait_for_health_checks(rig: &Rig, times: usize) {
     let before: Vec<usize> = rig.caches().iter().map(|c| rig.health_checks(c)).collect();
     rig.until("each cache is probed again", |rig| {
@@ -49,7 +49,8 @@
     rig.view(i).map_or(0, |view| view.heard.len())
 }
 
-/// Ends all; no rule was broken, no member probed twice as often as is meant, nobody taken for gone without cause.
+/// Ends all processes; expects that no rule was broken, no member got twice the intended health checks, and no instance was
+/// considered dead without cause.
 fn finish_and_check(rig: Rig) -> (RunRecord, FleetFigures) {
     let run = rig.finish();
     let figures = judge(&run);
@@ -81,7 +82,7 @@
     check_judges_detect_planted_faults(&run);
 }
 
-/// Each judge is shown what it is there for.
+/// Each judge detects a fault that is planted in the record.
 fn check_judges_detect_planted_faults(run: &RunRecord) {
     let member = run.members[0].clone();
     let middle = (run.traffic_from + run.traffic_to) / 2.0;
@@ -92,7 +93,7 @@
         copy.facts.sort_by(|a, b| a.at.total_cmp(&b.at));
         judge(&copy)
     };
-    // An instance that goes on with what was taken over: its probes come on top.
+    // An instance that continues checks which others took over.
     let more = spoilt(&|p| {
         let probe = |i: usize| Seen {
             at: middle + i as f64 * 100.0,
@@ -101,7 +102,7 @@
         p.facts.extend((0..16).map(probe));
     });
     assert!(more.check_ratio_max >= 2.0, "{}", more.check_ratio_max);
-    // One that ignores that it is to take over: nobody probes for a while.
+    // An instance that does not take over: nobody checks a member for a while.
     let hole = spoilt(&|p| {
         let within = middle - 2500.0..middle + 2500.0;
         p.facts.retain(|s| {
@@ -109,11 +110,11 @@
         });
     });
     assert!(hole.coverage_gap_ms > 4000.0 && hole.coverage_gap_ms > good.coverage_gap_ms);
-    // A board that believes an old life: it never is that of the others.
+    // A gossip store with an outdated incarnation never equals the others.
     let board = spoilt(&|p| p.logs[0] = p.logs[0].replace("\"board\":\"", "\"board\":\"ff"));
     assert!(good.convergence_ms.is_some());
     assert_ne!(board.convergence_ms, good.convergence_ms);
-    // One that takes another for gone, though nothing is between them.
+    // An instance that considers another dead, though nothing is between them.
     let deaf = spoilt(&|p| {
         let last = p.logs[0].rfind("\"lost\":\"").expect("it says who is lost") + "\"lost\":\"".len();
         p.logs[0].insert_str(last, "i2 ");
@@ -219,7 +220,7 @@
     rig.until("all hold it back", |rig| (0..4).all(|i| rig.view(i).is_some_and(|v| v.ejected == 1)));
     let (before, probes) = (rig.attempts(&cache), rig.health_checks(&cache));
     rig.until("it is probed still", |rig| rig.health_checks(&cache) > probes + 4);
-    // FaultKind was on its way when the last one learned of it may have come.
+    // Requests that were in flight when the last instance learned of it may have arrived.
     assert!(rig.attempts(&cache) <= before + 2, "{} requests came to it", rig.attempts(&cache) - before);
     rig.end_fault(&hangs);
     rig.until("all have taken it back", |rig| (0..4).all(|i| rig.view(i).is_some_and(|v| v.ejected == 0)));
@@ -255,7 +256,7 @@
     let others: Vec<usize> = (0..4).filter(|i| *i != observer).collect();
     rig.until("the others take it for gone", |rig| others.iter().all(|i| heard(rig, *i) == 2));
     let (before, probes) = (rig.attempts(&cache), rig.health_checks(&cache));
-    // Its successor has made up its mind by then.
+    // Its successor has decided by then.
     rig.until("it is probed on", |rig| rig.health_checks(&cache) > probes + 10);
     assert!(rig.attempts(&cache) <= before, "{} requests came to it", rig.attempts(&cache) - before);
     assert!(others.iter().all(|i| rig.view(*i).is_some_and(|v| v.ejected == 1)));
@@ -278,7 +279,7 @@
     let probes = rig.health_checks(&rig.caches()[3]);
     rig.until("it is probed, slow as it is", |rig| rig.health_checks(&rig.caches()[3]) > probes + 8);
     assert!((0..3).all(|i| rig.view(i).is_some_and(|v| v.ejected == 0)));
-    // Half of what it is asked fails: whatever its observers make of that, it is not probed more.
+    // Half of its requests fail: whatever its observers conclude, it gets no more health checks.
     rig.begin_fault(&FaultKind::Cache(3, CacheFault::Fails(0.5)), 0.0);
     let probes = rig.health_checks(&rig.caches()[3]);
     rig.until("it is probed on", |rig| rig.health_checks(&rig.caches()[3]) > probes + 8);
@@ -290,7 +291,7 @@
 #[test]
 fn isolated_zone_keeps_serving_and_rejoins() {
     let mut plan = plan(5, 15);
-    // Instances 1 and 3 stand in the second zone. The rig places relays where the plan has cuts.
+    // Instances 1 and 3 are in the second zone. The rig places relays where the plan has cuts.
     let cut = FaultKind::Cut { instances: vec![1, 3], zone: 0, is_silent: true };
     plan.faults.push(deckproxy_rig::plan::Fault { at: 1.0, duration: 1.0, kind: cut.clone() });
     let mut rig = Rig::start(&plan, &draw());
@@ -306,7 +307,7 @@
     let before: Vec<u64> = (0..5).map(|i| rig.served_by(i)).collect();
     rig.until("both serve their clients", |rig| (0..5).all(|i| rig.served_by(i) > before[i] + 5));
     wait_for_health_checks(&rig, 4);
-    // The larger part sees all caches well: what the cut-off ones see of the other zone holds nothing back there.
+    // The larger part reaches all caches: what the isolated instances observe of the other zone ejects nothing there.
     assert!([0, 2, 4].into_iter().all(|i| rig.view(i).is_some_and(|v| v.ejected == 0)));
     all.iter().for_each(|what| rig.end_fault(what));
     rig.wait_for_processes();
@@ -404,7 +405,7 @@
         let at = rig.relay_address(i);
         stranger.send_to(b"hello", at).unwrap();
         stranger.send_to(&[0; 1500], at).unwrap();
-        // A whole datagram of another fleet.
+        // A valid datagram of another fleet.
         let other = deckproxy_fleet::wire::Wire::new("other", vec!["127.0.0.0/8".parse().unwrap()]);
         let from = deckproxy_fleet::instance::Instance {
             name: "i9".into(),
--- a/crates/deckproxy/tests/flows.rs
+++ b/crates/deckproxy/tests/flows.rs
@@ -1,4 +1,4 @@
-//! Flow export of the real gateway: another decoder collects, clients and members count what passed.
+//! Flow export of the real gateway: an independent decoder collects, clients and members count what passed.
 
 mod common;
 use common::collector::{Collection, Collector, FlowRecord};
@@ -30,7 +30,7 @@
     client.expect_served(id, &body);
 }
 
-/// The flows of clients' pages: what a client that requests for nothing else has written and read.
+/// The sums of clients' flows of class `page`: what a client that sends no other requests has written and read.
 fn page_sums(collection: &Collection) -> [u64; 3] {
     collection.sums(|f| f.leg == "client" && f.class == "page")
 }
@@ -49,14 +49,14 @@
     for size in [0, 10, 5000, 150_000] {
         serve_bytes(&site, &mut client, size);
     }
-    // One that the caches are too full for is another flow.
+    // A request that all caches reject is another flow.
     let id = client.request_object(OBJECT);
     for _ in 0..6 {
         let Some((cache, request)) = site.request_if_any() else { break };
         cache.answer(&request, "503", b"");
     }
     assert_eq!(client.next_answer().0, id);
-    // One that can't be used has no class that is known.
+    // An invalid request has no known class.
     let before = (client.bytes_written, client.bytes_read);
     let id = client.send_request("nonsense", &[("lookup", OBJECT)], &[]);
     assert_eq!(client.next_answer().0, id);
@@ -67,7 +67,7 @@
     assert_eq!(unusable, [client.bytes_read - before.1, client.bytes_written - before.0, 1]);
     let served = got.sums(|f| f.leg == "client" && f.result == "served");
     assert_eq!(served[2], 4);
-    // Attempts are flows of their own, with who caused them.
+    // Attempts are flows of their own, with the client that caused them.
     let of_members: Vec<&FlowRecord> =
         got.flows.iter().filter(|f| f.leg == "member" && f.requests > 0).collect();
     assert!(of_members.iter().all(|f| f.member.starts_with("s-0000") && f.class == "page"), "{of_members:?}");
@@ -84,7 +84,7 @@
 #[test]
 fn graceful_shutdown_flushes_flows() {
     let (site, collector) = (TestSite::start(), Collector::tcp());
-    // Nothing would be told for a minute.
+    // Nothing would be exported for a minute.
     let operator =
         operator_text(&[(collector.address, "TCP")], "").replace("active_ms: 300 idle_ms: 100", "");
     let gateway = start(&site, operator);
@@ -105,7 +105,7 @@
     drop(client);
     let told = Instant::now();
     let log = shut_down(gateway);
-    // 700 ms for stragglers, 200 for flows.
+    // 700 ms for late requests, 200 ms for flows.
     assert!(told.elapsed() < Duration::from_millis(2000), "{:?}", told.elapsed());
     assert!(!log.contains("waiting[flows:0"), "what was not told is named: {log}");
 }
@@ -124,7 +124,7 @@
     collector.restart();
     until("all is told", || page_sums(&collector.collection())[2] == 5);
     assert_eq!(page_sums(&collector.collection()), [client.bytes_read, client.bytes_written, 5]);
-    // Restarted with its templates forgotten: it is told them again, and reads on.
+    // After a restart without templates it receives them again, and decodes on.
     collector.stop();
     collector.restart();
     serve_bytes(&site, &mut client, 700);
@@ -143,7 +143,7 @@
     let mut client = gateway.client();
     serve_bytes(&site, &mut client, 1000);
     until("it is told", || page_sums(&old.collection())[2] == 1);
-    // A request is open while the collectors change.
+    // A request is in flight while the collectors change.
     let id = client.request_object(OBJECT);
     let (cache, request) = site.next_request();
     gateway.reload_operator(&operator_text(&[(new.address, "UDP")], "rate: 50 domain: 9"));
@@ -200,13 +200,13 @@
 fn client_disconnect_is_reported_as_cut_with_bytes_the_kernel_accepted() {
     let (site, collector) = (TestSite::start(), Collector::tcp());
     let gateway = start(&site, operator_text(&[(collector.address, "TCP")], ""));
-    // With little room in the kernel, most of the answer stays with the gateway.
+    // With a small kernel buffer, most of the answer stays with the gateway.
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4096).unwrap();
     socket.connect(&gateway.address.into()).unwrap();
     let mut stream: TcpStream = socket.into();
-    // As much as the kernel takes for one connection, whatever it grants, and as the gateway holds for a client before
-    // it reads no further requests of its.
+    // More than the kernel buffers for one connection, whatever it grants, and than the gateway buffers for a client
+    // before it reads no further requests.
     let mut requests = Client::connect(gateway.address);
     let (mut wrote, mut asked) = (0, 0);
     for n in 0..30 {
@@ -229,7 +229,7 @@
     assert!((3000..asked * 200_100).contains(&out), "{out} of {asked}");
     assert_eq!(back, wrote);
     let before = got.sums(cut)[2];
-    // One that gives a request up, and one that only begins to say something.
+    // A client that cancels a request and then sends an incomplete message.
     let mut client = gateway.client();
     let id = client.request_object(OBJECT);
     let _ = site.next_request();
@@ -239,7 +239,7 @@
     drop(client);
     until("it is told", || collector.collection().sums(cut)[2] == before + 1);
     let word = |f: &FlowRecord| f.leg == "client" && f.class.is_empty();
-    // The ping of the start is among the words, as is the one that takes back and the two bytes of the end.
+    // The flow without a class has the ping of the start, the cancellation and the two bytes of the incomplete message.
     until("the words are told", || collector.collection().sums(word)[1] > 2);
     until("all bytes are told", || collector.collection().leg_sums("client")[1] >= back + wrote + 2);
     assert_eq!(collector.collection().leg_sums("client")[2], asked + 1);
@@ -253,7 +253,7 @@
         &site,
         operator_text(&[(first.address, "TCP"), (second.address, "TCP")], "message_bytes: 65000"),
     );
-    // Each client's address is a flow: more of them than the kernel holds for one that does not read.
+    // Each client's address is a flow: more of them than the kernel buffers for a collector that does not read.
     let request = |n: u32| {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         let from = SocketAddr::from((std::net::Ipv4Addr::from(0x7f40_0000 + n), 0));
--- a/crates/deckproxy/tests/hostile_clients.rs
+++ b/crates/deckproxy/tests/hostile_clients.rs
@@ -1,4 +1,4 @@
-//! What clients send, and how a gateway holds against it.
+//! Malformed, silent, slow and flooding clients, and the limits that protect the gateway from them.
 
 mod common;
 use common::*;
@@ -103,7 +103,7 @@
     client.expect_closed();
 }
 
-/// Closed within 3 s of connecting, however its bytes are spread.
+/// They are closed within 3 s of connecting, however their bytes are spread.
 #[test]
 fn clients_with_incomplete_messages_are_closed_and_idle_ones_are_not() {
     let site = TestSite::start();
@@ -264,7 +264,7 @@
         answered += 1;
     }
     assert!(answered > 600, "{answered}");
-    // While the caches are taken for crowded it may be refused, and comes back.
+    // While the caches count as overloaded the request may be rejected, and is retried.
     let mut other = gateway.client();
     let mut serve = || {
         let id = other.request_object("00000000000000aa");
@@ -281,7 +281,7 @@
     until("another client is served", &mut serve);
     let memory = gateway.usage().peak_memory_kb;
     assert!(memory < 128 * 1024, "{memory} KB");
-    // Over 140 MB were answered to clients that read nothing; all of that is gone with them.
+    // Over 140 MB were answered to clients that read nothing; all of it is freed with them.
     drop(greedy);
     until("it is served again", serve);
 }
@@ -312,7 +312,7 @@
     let gateway = site.setup().start_limited("ulimit -n 32");
     let mut busy: Vec<Client> = Vec::new();
     let mut requests = Vec::new();
-    // Fewer open requests than descriptors, then idle connections until there are no more.
+    // Fewer requests in flight than descriptors, then idle connections until no descriptor is left.
     for _ in 0..4 {
         let mut client = gateway.client();
         client.request_object(OBJECT);
@@ -350,7 +350,7 @@
             client.send_request("once", &[("lookup", OBJECT)], &body);
         });
     }
-    // 154 MB were sent; all of it is answered, what found no room at once.
+    // 154 MB were sent; every request is answered, rejected if it could not be queued.
     for client in &mut clients {
         (0..32).for_each(|_| assert!(matches!(client.next_answer().1, Answer::Error(..))));
     }
@@ -358,7 +358,7 @@
     assert!(memory < 128 * 1024, "{memory} KB");
 }
 
-/// The smallest limits that a deployment gives: what connections hold ends by the memory, also half of messages.
+/// With the smallest limits of a deployment, buffered bytes, partial messages included, are bounded by the memory limit.
 #[test]
 fn hostile_clients_stay_within_32_mb_and_256_descriptors() {
     let site = TestSite::start();
@@ -390,7 +390,7 @@
                     usize::from(matches!(client.next_answer().1, Answer::Error(word, _) if word == "Shed"));
             }
         }
-        // The program's own pages, 5 MB as it is deployed, are within the 32 MB too, with 3 MB to spare.
+        // The program's own pages, 5 MB as deployed, are within the 32 MB too, with 3 MB to spare.
         let (memory, descriptors) = (gateway.own_memory_kb(), gateway.usage().descriptors);
         most = (memory.max(most.0), descriptors.max(most.1));
         assert!(memory < 24 * 1024 && descriptors <= 256, "round {round}: {memory} KB, {descriptors}");
--- a/crates/deckproxy/tests/lifecycle.rs
+++ b/crates/deckproxy/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Start, planned end, kill.
+//! Start, graceful shutdown and kill.
 
 mod common;
 use common::*;
@@ -132,7 +132,7 @@
         cache.answer(request, "200", &body);
     }
     gateway.signal("TERM");
-    // Long after all is answered, and well before the last call, it reads.
+    // The client reads long after all is answered, and well before the deadline of the shutdown.
     std::thread::sleep(Duration::from_millis(1400));
     assert!(gateway.child.try_wait().unwrap().is_none(), "7 MB are not in the kernel's buffers");
     for _ in 0..32 {
@@ -147,7 +147,7 @@
     let site = TestSite::start();
     let SubscribedGateway { mut gateway, mut client, feed, subscription: line } = site.start_subscribed();
     gateway.stop_reading_log();
-    // Each lost feed writes a line; the first closes the reader, the others find a broken pipe.
+    // Each lost feed connection logs a line; the first closes the log's reader, the others meet a broken pipe.
     drop(line);
     for _ in 0..4 {
         drop(feed.accept());
@@ -157,14 +157,14 @@
     assert_eq!(gateway.wait_for_exit(), Some(0));
 }
 
-/// Whoever connected in time is told, also where there was no place for it until the end.
+/// Clients that connected in time are answered, also where no place was free for them until the end.
 #[test]
 fn shutdown_answers_connections_waiting_to_be_accepted() {
     let site = TestSite::start();
     let mut setup = site.setup();
     setup.sockets = 30;
     let mut gateway = setup.start();
-    // All ten places are taken by clients with a request open.
+    // All ten places are taken by clients with a request in flight.
     let mut busy: Vec<Client> = (0..10).map(|_| gateway.client()).collect();
     let ids: Vec<u64> = busy.iter_mut().map(|c| c.request_object(OBJECT)).collect();
     let requests: Vec<(&Member, MemberRequest)> = ids.iter().map(|_| site.next_request()).collect();
@@ -182,7 +182,7 @@
     assert_eq!(gateway.wait_for_exit(), Some(0));
 }
 
-/// Its configuration comes through a pipe: whoever opens that for writing knows that it is being read.
+/// The configuration is a pipe: opening that for writing proves that the gateway reads it.
 #[test]
 fn shutdown_before_ready_exits() {
     let site = TestSite::start();
@@ -201,7 +201,7 @@
     assert!(gateway.log().contains("told to end"), "{}", gateway.log());
 }
 
-/// The stand-in removed it when the log ended, which may be after a next life has its own under the same name.
+/// Regression test: the stand-in removed the file when the log ended, when a successor may have its own of that name.
 #[test]
 fn configuration_file_exists_until_its_gateway_is_dropped() {
     let site = TestSite::start();
--- a/crates/deckproxy/tests/link_codec.rs
+++ b/crates/deckproxy/tests/link_codec.rs
@@ -1,4 +1,4 @@
-//! The codec of links: every frame however it is split, and bytes that mean nothing.
+//! The codec of links between sites: frames in any split, and malformed bytes.
 
 use bytes::{Bytes, BytesMut};
 use deckproxy::protocol::link::{self, Decoder};
--- a/crates/deckproxy/tests/member_connections.rs
+++ b/crates/deckproxy/tests/member_connections.rs
@@ -1,12 +1,12 @@
-//! What members and their connections do, and the ending that follows. A broken promise would show as a request
-//! sent twice, not sent again, or answered late.
+//! What members and their connections do, and how attempts end by that. A fault would show as a request that is sent
+//! twice, not retried, or answered late.
 
 mod common;
 use common::*;
 use serde_json::json;
 use std::time::{Duration, Instant};
 
-/// Asks and answers once, so that the connection is up; tells which cache holds the object.
+/// Serves one request, so that a connection is up; returns the cache of the object and the connection's number.
 fn use_connection<'a>(site: &'a TestSite, client: &mut Client) -> (&'a Member, u64) {
     let (cache, request) = site.serve_object(client, OBJECT, b"warm");
     (cache, request.connection)
@@ -18,7 +18,7 @@
     site.origin.stop_listening();
     let gateway = site.setup().start();
     let mut client = gateway.client();
-    // Without a key it may be refused, with the word that a new try does no harm, only since it never ran.
+    // Without an idempotency key it may be rejected as safe to retry only because it never ran.
     let id = client.send_request("once", &[("lookup", OBJECT)], b"x");
     client.expect_error(id, "Shed");
 }
@@ -30,7 +30,7 @@
     let setup = site.setup_with_cache_at(late.address);
     let gateway = setup.start();
     let mut client = gateway.client();
-    // Once it has answered, the gateway holds this client's descriptor.
+    // The gateway has this client's descriptor once it has answered.
     client.expect_ready();
     let before = gateway.usage().descriptors;
     let start = Instant::now();
@@ -39,7 +39,7 @@
     assert!((380..1100).contains(&start.elapsed().as_millis()), "{:?}", start.elapsed());
     site.parent.answer(&request, "200", b"done");
     client.expect_served(id, b"done");
-    // Only the parent's connection is new: the one that never came up is gone.
+    // Only the parent's connection is new: the failed one is closed.
     until("the handshake is given up", || gateway.usage().descriptors <= before + 1);
 }
 
@@ -55,7 +55,7 @@
     let took = start.elapsed().as_millis();
     assert!((1195..1700).contains(&took), "{took} ms");
     cache.expect_cancelled(&request.id);
-    // The process may be gone without a word: the next request tries a new connection.
+    // The process may have crashed silently: the next request uses a new connection.
     let id = client.request_object(OBJECT);
     let again = cache.next_request();
     assert_ne!(again.connection, connection);
@@ -71,7 +71,7 @@
         let before = gateway.usage().descriptors;
         cache.close(connection);
         cache.expect_closed();
-        // The gateway learns of it by its own socket: what it sends before that crosses the close, which is another case.
+        // A request sent before the gateway's socket reports the close would cross it, which is another case.
         until("the gateway has seen it", || gateway.usage().descriptors < before);
     }
     assert!(!gateway.log().contains("attempts out"), "{}", gateway.log());
@@ -85,7 +85,7 @@
     let gateway = setup.start();
     let mut client = gateway.client();
     let (cache, first) = use_connection(&site, &mut client);
-    // The gateway closes it itself, half a second before the member would.
+    // The gateway closes it half a second before the member would.
     let start = Instant::now();
     cache.expect_closed();
     assert!(start.elapsed() < Duration::from_millis(1000), "{:?}", start.elapsed());
@@ -93,7 +93,7 @@
     assert_ne!(first, second);
 }
 
-/// Sends so many requests, one after another, and waits for each at the origin.
+/// Sends so many writes, one after another, and waits for each at the origin.
 fn send_writes(site: &TestSite, client: &mut Client, count: usize) -> Vec<(u64, MemberRequest)> {
     (0..count)
         .map(|_| (client.send_request("once", &[("lookup", OBJECT)], b"x"), site.origin.next_request()))
@@ -105,7 +105,7 @@
     let (site, _gateway, mut client) = TestSite::start_with_client();
     let all = send_writes(&site, &mut client, 10);
     site.origin.send(all[3].1.connection, b"$5\r\nnoise\r\n");
-    // The class may not be repeated once it may have run.
+    // The class must not be retried once it may have run.
     client.expect_error(all[3].0, "Fault");
     for (id, request) in all.iter().filter(|(id, _)| *id != all[3].0) {
         site.origin.answer(request, "200", b"whole");
@@ -172,7 +172,7 @@
         member.answer(request, "200", b"kept");
         served += 1;
     }
-    // Those of the one that vanished go to the other, as far as the budget for further attempts reaches.
+    // Requests of the crashed cache are retried at the other, as far as the retry budget reaches.
     let mut answers = 0;
     while answers < ids.len() {
         while let Some(request) = site.caches[1].request_if_any() {
@@ -209,7 +209,7 @@
         entry("s-0000000a", cache.address, "edge", "box", "Ready"),
     ];
     send_line(&line, &member_update(2, &members));
-    // The old member's idle connection ends, though the address is the same.
+    // The old member's idle connection is closed, though the address is the same.
     cache.expect_closed();
     let id = client.request_object(OBJECT);
     let request = cache.next_request();
@@ -226,7 +226,7 @@
     setup.sockets = 40;
     let gateway = setup.start();
     let mut client = gateway.client();
-    // The origin's connection is up, then it reads no more: the kernel's buffers fill with bodies.
+    // Once its connection is up the origin stops reading: the kernel's buffers fill with bodies.
     let id = client.send_request("once", &[("lookup", OBJECT)], b"x");
     let request = site.origin.next_request();
     site.origin.answer(&request, "200", b"done");
@@ -257,7 +257,7 @@
         }
     }
     assert!(refused.len() > 50 && failed.len() > 5, "{} refused, {} failed", refused.len(), failed.len());
-    // Now it reads what the kernel kept: nothing of what was refused is in it.
+    // When it reads on, nothing that was rejected is among what the kernel had buffered.
     site.origin.resume_reading();
     while let Some(request) = site.origin.request_if_any() {
         assert!(failed.contains(&request.id), "{} was refused and yet came", request.id);
@@ -292,7 +292,7 @@
     let site = TestSite::start();
     let SubscribedGateway { gateway: _gateway, mut client, subscription: line, .. } = site.start_subscribed();
     let (cache, connection) = use_connection(&site, &mut client);
-    // Its old process vanished without a word: the connection still looks open.
+    // Its old process crashed silently: the connection still looks open.
     let mut again = cache.entry("edge", "box", "Ready");
     again["up_since_ms"] = json!(unix_ms() - 60_000);
     let other = site.other_cache(cache).entry("edge", "box", "Terminating");
@@ -308,7 +308,7 @@
     let (site, _gateway, mut client) = TestSite::start_with_client();
     let request = site.serve_write(&mut client, b"x", b"done");
     site.origin.send(request.connection, b"*4\r\n$16\r\n0123");
-    // What must not run twice would be lost behind it.
+    // A request that must not run twice would be lost after the partial answer.
     let id = client.send_request("once", &[("lookup", OBJECT)], b"y");
     let next = site.origin.next_request();
     assert_ne!(next.connection, request.connection);
@@ -316,12 +316,12 @@
     client.expect_served(id, b"whole");
 }
 
-/// Where attempts share connections it was the one with least out, and taken before all others.
+/// Regression test: it was the shared connection with the fewest attempts in flight, and therefore preferred.
 #[test]
 fn partial_answer_on_an_idle_connection_is_not_shared_when_descriptors_are_scarce() {
     let site = TestSite::start();
     let mut setup = site.setup();
-    // Five connections to members, of which the last is kept free: attempts share the four.
+    // Five connections to members, one of which is reserved: attempts share four.
     setup.sockets = 12;
     let gateway = setup.start();
     let mut client = gateway.client();
@@ -337,7 +337,7 @@
     client.expect_served(id, b"whole");
 }
 
-/// Its attempt is given up in the end, and the connection looked like any other that has one out.
+/// Regression test: its attempt timed out, and the connection looked like any other with one attempt in flight.
 #[test]
 fn connection_with_an_incomplete_answer_is_not_reused() {
     let site = TestSite::start();
@@ -351,7 +351,7 @@
     assert_eq!(all[3].1.connection, first.connection, "the fifth shares");
     let whole = Member::encode(&first.id, "200", "-", &[7; 5000]);
     site.origin.send(first.connection, &whole[..3000]);
-    // Its time is over, longer than a connection may take to come up after the last byte.
+    // Its timeout is over, and more than the connect timeout has passed since the last byte.
     client.expect_error(broken, "Fault");
     let id = client.send_request("once", &[("lookup", OBJECT)], b"y");
     let next = site.origin.next_request();
@@ -360,7 +360,7 @@
     client.expect_served(id, b"whole");
 }
 
-/// It came behind the fill under the same name, and was taken for its end: the next attempt went out beside it.
+/// Regression test: the second answer was taken for the fill's, and the next attempt was sent beside the fill.
 #[test]
 fn second_answer_to_a_lookup_does_not_end_its_fill() {
     let (site, _gateway, mut client) = TestSite::start_with_client();
@@ -389,7 +389,7 @@
     client.expect_served(id, b"done");
 }
 
-/// Decided in time for a repeat, it waited for its connection until long after.
+/// Regression test: the retry was decided in time, and then waited for its connection until long after the window.
 #[test]
 fn idempotent_write_is_not_sent_after_its_retry_window() {
     let site = TestSite::start();
@@ -411,7 +411,7 @@
     let mut first = origin.accept();
     let mut got = [0; 4];
     std::io::Read::read_exact(&mut first, &mut got).unwrap();
-    // It may have run. Nobody takes a connection now, until the handshake's second try.
+    // It may have run. No connection comes up until the handshake's second attempt.
     origin.fill_queue();
     socket2::SockRef::from(&first).set_linger(Some(Duration::ZERO)).unwrap();
     drop(first);
--- a/crates/deckproxy/tests/member_drain.rs
+++ b/crates/deckproxy/tests/member_drain.rs
@@ -1,5 +1,5 @@
-//! A drain told in the middle of something: while an attempt waits for its connection, while a fill by way of the member
-//! that drains is out, and while the lead of a fill passes on. Nothing new goes to a drained member after its time.
+//! A drain is announced while an attempt waits for its connection, while a fill through the draining member is in flight,
+//! and while a waiter becomes the leader. Nothing new is sent to a draining member after the grace period.
 
 mod common;
 use common::*;
@@ -7,10 +7,10 @@
 use std::io::Read;
 use std::time::{Duration, Instant};
 
-/// Longer than the settings allow after word of a drain.
+/// Longer than the grace period after the announcement of a drain.
 const PAST_GRACE: Duration = Duration::from_millis(560);
 
-/// Waits until a purge told behind it binds: by then the gateway has heard all that was told before.
+/// Waits until a purge that was announced last applies: all earlier events have been applied by then.
 fn wait_until_applied(site: &TestSite, client: &mut Client, subscription: &std::net::TcpStream, number: u64) {
     let group = 200 + number;
     send_line(subscription, &group_purge(number, group));
@@ -35,7 +35,7 @@
     let caches = [site.caches[0].entry("edge", "box", "Ready"), site.caches[1].entry("edge", "box", "Ready")];
     let entries = [&caches[..], &[parent, slow]].concat();
     setup.events = vec![complete_member_list(&entries)];
-    // The handshake has the time that the kernel takes for its second try, and so has what waits for it.
+    // The connect timeout covers the kernel's second attempt of the handshake, and so does the request's deadline.
     setup.settings["limits"]["connectTimeoutMs"] = json!(8000.0);
     setup.settings["services"][2]["deadlineMs"] = json!(3000.0);
     setup.feed = feed.address;
@@ -52,7 +52,7 @@
     up.set_read_timeout(Some(Duration::from_millis(500))).unwrap();
     let got = up.read(&mut [0; 64]);
     assert!(!matches!(got, Ok(1..)), "written after the drain: {got:?}");
-    // It never ran: so a new try does no harm, or another way was found.
+    // It never ran, so that it may be rejected as safe to retry.
     let answered = client.next_answer();
     assert!(
         answered.0 == id && matches!(&answered.1, Answer::Error(word, _) if word == "Shed"),
@@ -72,7 +72,7 @@
     wait_until_applied(&site, &mut other, &subscription, 3);
     until("the drain's time is over", || told.elapsed() > PAST_GRACE);
     cache.answer(&fill, "500", &[]);
-    // It goes again at the cache, whose source is taken to have failed, and by way of the origin.
+    // It is retried at the cache, whose source counts as failed, with the origin as the source.
     let next = cache.next_request();
     assert_eq!((next.id.as_str(), next.field("miss")), (fill.id.as_str(), Some(&*site.origin.id)));
     cache.answer(&next, "200", b"filled");
@@ -96,7 +96,7 @@
     until("the drain's time is over", || told.elapsed() > PAST_GRACE);
     drop(leader);
     cache.expect_cancelled(&fill.id);
-    // The waiter leads, at the other cache, from wherever that fills by now.
+    // The waiter leads at the other cache, from whichever source is in use by then.
     let next = site.other_cache(cache).next_request();
     assert!(next.id == lookup.id && next.field("miss").is_some(), "{next:?}");
     site.other_cache(cache).answer(&next, "200", b"filled");
--- a/crates/deckproxy/tests/migrate.rs
+++ b/crates/deckproxy/tests/migrate.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-/// A folder of one test's own.
+/// A temporary folder of one test.
 struct TestFolder(tempfile::TempDir);
 
 impl TestFolder {
@@ -38,7 +38,7 @@
     path.to_str().unwrap()
 }
 
-/// A configuration of the old shape that holds nothing this program does not read.
+/// A configuration of the old shape with only fields that this program reads.
 fn clean() -> Value {
     let mut config = Setup::knowing(&[]).config();
     config["settings"]["report"].as_object_mut().unwrap().remove("via");
@@ -68,7 +68,7 @@
     let (code, out, _) = run(&words);
     assert_eq!(code, Some(0));
     assert!(out.contains("is that already"), "{out}");
-    // And the counterpart's counterpart is itself.
+    // Migrating the migrated file changes nothing.
     let again = folder.path("again.json");
     assert_eq!(run(&["migrate", text(&new), "--out", text(&again), "--shape", text(&shape)]).0, Some(0));
     assert_eq!(std::fs::read(&again).unwrap(), first);
@@ -94,7 +94,7 @@
     config["flavour"] = json!("of old");
     config["settings"]["familyInfo"]["colour"] = json!(3);
     let old = folder.put("old.json", &config.to_string());
-    // Another number of classes and zones, and no kind of the name that the old members have.
+    // Other numbers of classes and zones, and no machine type of the old members' name.
     let shape = json!({"settings": {
         "services": [{"name": "page", "aimMs": 600.0, "deadlineMs": 1500.0, "effect": "retryable"}],
         "zones": ["hub", "edge", "far"], "machineTypes": ["small", "parent", "origin"]}});
@@ -176,7 +176,7 @@
     let moved: Value = serde_json::from_slice(&std::fs::read(&new).unwrap()).unwrap();
     assert_eq!(moved["settings"]["weightKind"], "rough");
     assert_eq!(folder.files(), 2, "no temporary file is left");
-    // Fields given one by one lie over the shape, the later over the earlier; null takes one away.
+    // `--set` overrides the shape, later ones override earlier ones, and null removes a field.
     let shape =
         folder.put("shape.json", r#"{"settings": {"weightKind": "none", "limits": {"probes": false}}}"#);
     let last =
@@ -199,7 +199,7 @@
     assert!(err.contains("settings.weightKind: \"heavy\" is not allowed"), "{err}");
 }
 
-/// The real gateway serves on a file of the old shape, and on what becomes of it in the new one.
+/// The real gateway serves with a file of the old shape, and with the migrated one.
 #[test]
 fn gateway_serves_with_the_old_file_and_the_migrated_one() {
     let folder = TestFolder::new();
@@ -219,7 +219,7 @@
         let mut client = gateway.client();
         site.serve_object(&mut client, "7f3a9c21e0b4d655", b"x");
     }
-    // A value out of range is refused at the start, with field, value and what is allowed.
+    // A value out of range is rejected at the start, with field, value and what is allowed.
     let mut bad: Value = serde_json::from_slice(&std::fs::read(&new).unwrap()).unwrap();
     bad["settings"]["weightKind"] = json!("heavy");
     let mut gateway = Gateway::spawn(&bad.to_string(), setup.listen);
--- a/crates/deckproxy/tests/overload.rs
+++ b/crates/deckproxy/tests/overload.rs
@@ -1,5 +1,5 @@
-//! Several processes of the gateway under more than can be served, hurt by faults: what they let in in sum, what comes back
-//! and when. All is counted at clients and members.
+//! Several processes of the gateway under overload and faults: what they admit in sum, what is retried and when. Everything
+//! is counted at clients and members.
 
 use deckproxy_fleet::fleet::kinds;
 use deckproxy_fleet::gossip_store::{AuthorUpdate, Delta, EntryUpdate, Key};
@@ -16,8 +16,8 @@
 use std::net::UdpSocket;
 use std::sync::{Condvar, Mutex};
 
-/// FaultKind is counted a second needs the machine's time: so many runs side by side. With two, a moment in which the machine gave
-/// them no core made answers late by some 100 ms in both.
+/// Runs side by side: figures by the second need the machine's cores. With two runs, moments without a core made answers
+/// some 100 ms late in both.
 const SIDE_BY_SIDE: usize = 1;
 static RUNNING: (Mutex<usize>, Condvar) = (Mutex::new(0), Condvar::new());
 
@@ -33,7 +33,7 @@
 
 impl Drop for Turn {
     fn drop(&mut self) {
-        // Also where the test that holds it has failed.
+        // Also when the test that has the turn failed.
         *RUNNING.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner) -= 1;
         RUNNING.1.notify_one();
     }
@@ -43,7 +43,7 @@
 const BEGIN: f64 = 4.0;
 const LASTS: f64 = 8.0;
 
-/// Four instances at three times the traffic, of which the origin bears half, with faults beside.
+/// Four instances at three times the traffic, half of which the origin can serve, and further faults.
 fn plan(seed: u64, faults: &[(f64, f64, FaultKind)]) -> Plan {
     let fault = |(at, lasts, what): &(f64, f64, FaultKind)| Fault {
         at: BEGIN + at,
@@ -67,8 +67,9 @@
     }
 }
 
-/// Plays it, and holds it against what is promised of any run: no rule broken, no more work for a first try than in the calm
-/// time by much, repeats within their budget, worth before less worth, no instance's clients worse off, and all well again.
+/// Plays a plan and checks what every run must keep: no rule is broken, a first attempt costs little more work than without
+/// overload, retries stay within their budget, higher priority is served first, no instance's clients are worse off, and
+/// service recovers.
 fn play_and_check(plan: &Plan) -> (RunRecord, OverloadFigures) {
     let _turn = Turn::wait();
     let run = run_plan(plan, &requests(), |_, _| {});
@@ -80,7 +81,7 @@
     assert!(f.goodput_trough < 0.9, "it was no overload: {told}");
     assert!(f.amplification <= 1.3 || plan.ignore_retry_after, "{told}");
     assert!(f.member_amplification <= 1.3, "{told}");
-    // Who is at the next instance before word of him is counts as a first try there for a moment.
+    // A client that moves to another instance faster than the gossip counts as a first attempt there for a moment.
     assert!(
         f.budget_ratio <= if plan.ignore_retry_after { 1.5 } else { 1.2 } && f.split_budget_ratio <= 1.5,
         "{told}"
@@ -97,17 +98,17 @@
 
 #[test]
 fn fleet_sheds_three_times_the_load_consistently() {
-    // Twice as long as the others: in its first seconds no time is named, as nobody knows yet how much can be served.
+    // Twice as long as the others: in the first seconds no Retry-After is given, as the capacity is not known yet.
     let mut long = plan(1, &[]);
     (long.seconds, long.faults[0].duration) = (28.0, 2.0 * LASTS);
     let (run, f) = play_and_check(&long);
     assert_eq!(logged(&run, "the way to the sources is crowded"), 4, "each has the cut");
     assert_eq!(logged(&run, "the way to the sources: all are let in again"), 4);
     assert_eq!(logged(&run, "the caches are crowded"), 0, "hits pass");
-    // Times to come back were told, and came true.
-    // Nine in ten are aimed at; what was promised before the queue was seen is not kept.
+    // Retry-After was given, and kept for two in three: nine in ten is the target, but times given before the queue was
+    // measured are not kept.
     assert!(f.returns >= 5 && 3 * f.served_returns >= 2 * f.returns, "{} of {}", f.served_returns, f.returns);
-    // Each judge is shown what it is there for.
+    // Each judge detects a fault that is planted in the record.
     let spoilt = |spoil: &dyn Fn(&mut RunRecord)| {
         let mut copy = run.clone();
         spoil(&mut copy);
@@ -218,7 +219,7 @@
     let rig = Rig::start(&Plan { rate: 60.0, faults: Vec::new(), ..plan(10, &[]) }, &requests());
     rig.until("each serves", |rig| (0..4).all(|i| rig.log(i).contains("fleet view")));
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
-    // A cut that lets nobody in, from an instance that nobody knows, said to be new each time.
+    // A shed level that admits nobody, from an unknown instance, claimed to be new each time.
     let line = ShedLine {
         min_priority: 65_535,
         admitted_rate: 1.0,
@@ -247,14 +248,14 @@
     let wire = Wire::new("rig", vec!["127.0.0.0/8".parse().unwrap()]);
     let packet = Packet { from, body: Body::Delta(Delta { authors: vec![author] }) };
     let good = wire.encode(&packet).unwrap();
-    // Garbled, it is dropped.
+    // A garbled one is dropped.
     let mut bad = good.clone();
     *bad.last_mut().unwrap() ^= 1;
     let at = (0..4).map(|i| rig.relay_address(i)).collect::<Vec<_>>();
     let say =
         |bytes: &[u8]| at.iter().for_each(|at| assert_eq!(stranger.send_to(bytes, at).unwrap(), bytes.len()));
     say(&bad);
-    // Whole and again and again, it counts for as long as it says it does and no longer, however new it is said to be.
+    // A valid one that is repeated applies for its stated lifetime and no longer, however new it is claimed to be.
     let crowded = |rig: &Rig| (0..4).filter(|i| rig.log(*i).contains("crowded")).count();
     assert_eq!(crowded(&rig), 0);
     say(&good);
--- a/crates/deckproxy/tests/reload.rs
+++ b/crates/deckproxy/tests/reload.rs
@@ -26,7 +26,7 @@
         assert_eq!(from, 2, "asked for what follows the last event");
         lines.push(line);
     }
-    // The old connection is closed, and nothing requests there again.
+    // The old connection is closed, and no new one is made there.
     line.set_read_timeout(Some(PATIENCE)).unwrap();
     assert!(matches!((&line).read(&mut [0]), Ok(0) | Err(_)));
     send_line(&lines[2], &group_purge(3, 6));
@@ -71,7 +71,7 @@
     drop(all);
 }
 
-/// The file could not be opened: the configuration in force stayed, and the gateway went on asking where no feed is.
+/// Regression test: the file could not be opened, so the old configuration stayed in force and its feed was retried.
 #[test]
 fn reload_gets_a_descriptor_when_clients_use_all() {
     let site = TestSite::start();
--- a/crates/deckproxy/tests/request_path.rs
+++ b/crates/deckproxy/tests/request_path.rs
@@ -1,4 +1,4 @@
-//! The ordinary path and what the module does after each ending, from a client's bytes to a member's and back.
+//! The ordinary path of a request, and what follows each ending, from a client's bytes to a member's and back.
 
 mod common;
 use common::*;
@@ -64,7 +64,7 @@
     assert_eq!((got, answer), (id, Answer::Served(Vec::new(), notmod)));
 }
 
-/// Told to the client, it would take its own copy for the one that was meant.
+/// If it were forwarded to the client, it would take its own copy for the one that was meant.
 #[test]
 fn not_modified_for_another_tag_is_retried() {
     for fields in ["entity=4be0c1927d55a6f4,issued=1", "entity=,issued=1", "issued=1", "-"] {
@@ -167,7 +167,7 @@
     let feed = Feed::start();
     let mut setup = site.setup();
     setup.feed = feed.address;
-    // One purge in the past of the start, one told later; one of the object, one of its group.
+    // One purge of the object before the start, and one of its group later.
     setup.events.push(json!({"n": 2, "purge": {"key": OBJECT, "at": unix_ms() - 1000}}));
     let gateway = setup.start();
     let mut client = gateway.client();
@@ -203,7 +203,7 @@
     let draining = cache.entry("edge", "box", "Terminating");
     send_line(&line, &member_update(2, &[draining]));
     let other = site.other_cache(cache);
-    // Whatever still goes to the draining one was sent before the news came.
+    // Requests that still reach the draining cache were sent before the event was applied.
     until("requests go to the other cache", || {
         let id = client.request_object(OBJECT);
         let (cache, request) = site.next_request();
--- a/crates/deckproxy/tests/restart.rs
+++ b/crates/deckproxy/tests/restart.rs
@@ -1,4 +1,4 @@
-//! A whole fleet that starts again at once, while discovery is away.
+//! A whole fleet that restarts at once while service discovery is unavailable.
 
 mod common;
 use common::*;
@@ -10,7 +10,7 @@
 
 const PROCESSES: usize = 24;
 
-/// How long a process takes until it says that it is ready, ms: as the front requests, again and again.
+/// The time that a process takes until it answers a ping that it is ready, ms; polled as the load balancer does.
 fn time_until_ready(start: Instant, at: SocketAddr) -> Option<f64> {
     while start.elapsed() < Duration::from_secs(15) {
         if let Ok(stream) = TcpStream::connect(at) {
@@ -26,7 +26,7 @@
     None
 }
 
-/// Discovery refuses, takes connections and says nothing, or lets none come up: three of a kind in turn.
+/// Service discovery refuses connections, accepts them silently, or lets none come up: a third of the processes each.
 #[test]
 fn nine_in_ten_restarted_gateways_are_ready_in_time_without_discovery() {
     let site = TestSite::start();
@@ -39,7 +39,7 @@
             setup
         })
         .collect();
-    // They serve, with clients that stay connected; then all are killed and started again at their addresses.
+    // They serve clients that stay connected; then all are killed and restarted at their addresses.
     let first: Vec<Gateway> = thread::scope(|scope| {
         let all: Vec<_> = setups.iter().map(|setup| scope.spawn(|| setup.start())).collect();
         all.into_iter().map(|one| one.join().unwrap()).collect()
@@ -59,16 +59,16 @@
         all.into_iter().for_each(|one| checker.record_start(one.join().unwrap()));
     });
     assert!(checker.holds(), "{checker:?}");
-    // And each serves, from the list in its configuration.
+    // Each serves, from the member list in its configuration.
     for gateway in &next {
         let mut client = gateway.client();
         site.serve_object(&mut client, OBJECT, b"there");
     }
-    // Those of before hear that their connections are gone.
+    // The earlier clients' connections are closed.
     for client in &clients {
         let mut handle = client.stream_handle();
         handle.set_read_timeout(Some(PATIENCE)).unwrap();
-        // The pong, perhaps, and then the end, by a close or a reset.
+        // Perhaps the pong, and then a close or a reset.
         let silent = loop {
             match handle.read(&mut [0; 64]) {
                 Ok(1..) => {}
--- a/crates/deckproxy/tests/routing.rs
+++ b/crates/deckproxy/tests/routing.rs
@@ -1,5 +1,5 @@
-//! Whatever happens in whatever order, the router keeps what it owes: one final answer in time, nothing for a
-//! request that has ended, one attempt at a time, no more of them than the settings allow.
+//! Invariants of the router under any order of events: one final answer in time, nothing for a request that has ended,
+//! one attempt at a time, and no more attempts than the settings allow.
 
 use bytes::Bytes;
 use deckproxy::protocol::config;
@@ -13,7 +13,7 @@
 
 const NOW: f64 = 1_764_576_000_000.0;
 const ATTEMPTS: usize = 4;
-/// Half of the slack in the settings and of the sockets' own.
+/// Half of the slack in the settings and of the sockets' own, ms.
 const SLACK: f64 = (8.0 + 50.0) / 2.0;
 
 #[derive(Clone, Debug)]
@@ -107,7 +107,7 @@
     class: usize,
     due: f64,
     asks: usize,
-    /// Its attempt may have run.
+    /// Whether its attempt may have run.
     may_have_run: bool,
     over: bool,
 }
@@ -257,7 +257,7 @@
         self.settle();
     }
 
-    /// Lets time pass as the loop would: from one due time to the next.
+    /// Advances time as the event loop does: from one due time to the next.
     fn wait(&mut self, span: f64) {
         let end = self.now + span;
         while let Some(due) = self.router.next_deadline().filter(|due| *due <= end) {
@@ -309,7 +309,7 @@
     }
 }
 
-/// Ids, addresses' owners, clients and objects keep changing for as long as a gateway serves.
+/// Ids, owners of addresses, clients and objects keep changing while a gateway serves.
 #[test]
 fn thousands_of_member_lists_leak_nothing() {
     let mut router = router();
@@ -354,7 +354,7 @@
         }
         while let Some(effect) = router.next_effect() {
             let Effect::SendAttempt { key, call, .. } = effect else { continue };
-            // One in seven is never answered, one in five breaks.
+            // One attempt in seven is never answered, one in five fails.
             match call.object.number % 35 {
                 n if n % 7 == 0 => {}
                 n if n % 5 == 0 => router.connection_failed(now, key, ConnectionFailure::Reset),
@@ -443,7 +443,7 @@
     router.set_ejected(NOW + 20.0, &[one]);
     let held = asked(&mut router, NOW + 30.0, 100);
     assert!(held.iter().all(|m| m == "s-2"), "{held:?}");
-    // The list has it drain; that it is held back no more does not bring it back.
+    // The list has it drain; the end of its ejection does not bring it back.
     let drains = FeedEvent::Members {
         complete: false,
         entries: vec![entry(0, Phase::Terminating, None)],
@@ -453,7 +453,7 @@
     router.set_ejected(NOW + 50.0, &[]);
     let drained = asked(&mut router, NOW + 60.0, 200);
     assert!(drained.iter().all(|m| m == "s-2"), "{drained:?}");
-    // What the list tells while it is held back holds it back no less.
+    // Updates of the list do not end an ejection.
     router.set_ejected(NOW + 70.0, &[one, two]);
     let ready = FeedEvent::Members {
         complete: true,
--- a/crates/deckproxy/tests/sites.rs
+++ b/crates/deckproxy/tests/sites.rs
@@ -1,4 +1,4 @@
-//! Gateways of two and three sites on sockets, members answering by hand, links that are cut.
+//! Gateways of two and three sites on sockets, with members answered by hand and links that are cut.
 
 mod common;
 use common::link_relay::{LinkRelay, LinkState};
@@ -12,7 +12,7 @@
 /// Objects of the north begin with a, those of the south with b, those of the east with c.
 const SOUTHERN: &str = "b000000000000001";
 
-/// A site's file: routes as prefix, home and what else.
+/// The operator file of a site; a route is a prefix, its home site and further fields.
 fn operator_text(
     name: &str,
     listen: SocketAddr,
@@ -54,7 +54,7 @@
     }
 }
 
-/// A northern and a southern site; the north's link passes a link.
+/// A northern and a southern site; the north's connection to the south goes through a relay.
 struct SitePair {
     north: LinkedSite,
     south: LinkedSite,
@@ -111,7 +111,7 @@
 #[test]
 fn rejection_returns_with_retry_after() {
     let pair = SitePair::start();
-    // No cache of the south is left: its module refuses.
+    // No cache of the south is left: its decision module rejects.
     let entries: Vec<_> = ["s-00000001", "s-00000002", "s-00000003", "s-00000004"]
         .iter()
         .map(|id| {
@@ -159,7 +159,7 @@
         let origin = &pair.south.members.origin;
         let request = origin.next_request();
         pair.link.set_state(state);
-        // The near side has to notice a silence.
+        // The requesting side needs time to notice a silent link.
         std::thread::sleep(Duration::from_millis(if state == LinkState::Reset { 20 } else { 400 }));
         origin.answer(&request, "200", b"written");
         std::thread::sleep(Duration::from_millis(50));
@@ -199,7 +199,7 @@
     pair.client.expect_served(id, b"again");
 }
 
-/// The south has two gateways in front of the same caches; one of them is killed.
+/// The south has two gateways with the same caches; one of them is killed.
 #[test]
 fn second_path_takes_over_at_once() {
     let [first, second] = [free_address(), free_address()];
@@ -257,7 +257,7 @@
 fn slow_link_is_not_treated_as_cut() {
     let mut pair = SitePair::start();
     until("its round trip is known", || pair.north.gateway.log().contains("all peers are heard"));
-    // One piece of 16 KB takes three times the silence.
+    // One frame of 16 KB takes three times the silence timeout.
     pair.link.throttle(24);
     let body = vec![5; 20_000];
     let id = pair.client.send_request("page", &[("lookup", SOUTHERN), ("room", "20")], b"");
@@ -278,7 +278,7 @@
     let took = start.elapsed().as_millis();
     assert!((150..600).contains(&took), "{took} ms");
     assert!(fields["cooldown"].parse::<u32>().unwrap() >= 1, "{fields:?}");
-    // One that comes in time before the link is back is served.
+    // A request that comes just before the link is back is served.
     let id = pair.client.request_object(SOUTHERN);
     pair.link.set_state(LinkState::Up);
     let (cache, request) = pair.south.members.next_request();
@@ -299,7 +299,7 @@
         within.is_some()
     });
     assert!(within.unwrap() < 5000, "{within:?}");
-    // An answer from an older copy than a purge that the near side was told is not passed on.
+    // An answer older than a purge that the requesting side knows is not passed on.
     let id = pair.client.request_object("b000000000000005");
     let (cache, request) = pair.south.members.next_request();
     let key = serde_json::json!({"n": 3, "purge": {"key": "b000000000000005", "at": unix_ms()}});
@@ -351,7 +351,7 @@
         &[("north", a)],
         &[("a", "north", ""), ("d", "south", "via: \"north\"")],
     ));
-    // The south holds d to be the east's, the east holds it to be the south's: no file is wrong by itself.
+    // To the south the home of d is the east, to the east it is the south: neither file is invalid by itself.
     let routes = [("c", "east", ""), ("d", "east", "")];
     let south = LinkedSite::start(operator_text("south", b, &[("east", c)], &routes));
     let north = LinkedSite::start(operator_text(
@@ -369,7 +369,7 @@
     assert!(matches!(client.next_answer(), (got, Answer::Error(..)) if got == id), "it would come back");
     // A log line may be read later than the answer.
     until("it is turned away", || [&south, &east].iter().any(|s| s.gateway.log().contains("turned away")));
-    // A purge told in the north comes to all.
+    // A purge announced in the north reaches all sites.
     send_line(
         &north.feed_connection,
         &serde_json::json!({"n": 2, "purge": {"key": "c000000000000001", "at": unix_ms()}}),
@@ -387,7 +387,7 @@
     let open = pair.client.request_object(SOUTHERN);
     let (cache, request) = pair.south.members.next_request();
     let text = std::fs::read_to_string(pair.north.gateway.operator_file()).unwrap();
-    // A file with a fault changes nothing.
+    // An invalid file changes nothing.
     pair.north.gateway.reload_operator(&text.replace("home: \"south\"", "home: \"west\""));
     until("the fault is told", || pair.north.gateway.log().contains("no peer is named"));
     pair.north.gateway.reload_operator(&text.replace("prefix: \"b\"", "prefix: \"e\""));
@@ -395,7 +395,7 @@
     pair.north.members.serve_object(&mut pair.client, "b000000000000009", b"here now");
     cache.answer(&request, "200", b"as it went out");
     pair.client.expect_served(open, b"as it went out");
-    // Without the peer its links close, and with it they come back.
+    // Without the peer its links are closed, and with it they are opened again.
     let alone = pair.north.setup.operator.as_ref().unwrap();
     let alone: String =
         alone.lines().filter(|l| !l.starts_with("peers") && !l.starts_with("routes")).collect();
@@ -440,7 +440,7 @@
     Payload::Hello(hello).into()
 }
 
-/// All that the other side says until it closes the connection.
+/// All frames that the other side sends until it closes the connection.
 fn read_frames(mut stream: &TcpStream) -> Vec<Frame> {
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
     let mut all = Vec::new();
@@ -468,7 +468,7 @@
     }
 }
 
-/// Accepting stopped until another link came.
+/// Regression test: accepting stopped until another link connected.
 #[test]
 fn link_gets_a_descriptor_when_clients_use_all() {
     let members = TestSite::start();
@@ -489,7 +489,7 @@
     let at: SocketAddr =
         pair.south.setup.operator.as_ref().unwrap().split('"').nth(3).unwrap().parse().unwrap();
     let mut good = link::encode_frame(&hello("south", 1)).to_vec();
-    // A hello, then what no near end says.
+    // A valid hello, followed by one that a requesting side never sends.
     good.extend(link::encode_frame(&Payload::Hello(Hello::default()).into()));
     let cases: [&[u8]; 5] =
         [b"\xff\xff\xff\xffrest", b"\0\0\0\x05nodes", &[0; 64], b"GET / HTTP/1.1\r\n\r\n", &good];
@@ -500,7 +500,7 @@
         stream.write_all(bytes).unwrap();
         read_frames(&stream);
     }
-    // One that says nothing is ended too.
+    // A silent connection is closed too.
     read_frames(&TcpStream::connect(at).unwrap());
     cache.answer(&request, "200", b"unharmed");
     pair.client.expect_served(id, b"unharmed");
--- a/crates/deckproxy/tests/slow_start.rs
+++ b/crates/deckproxy/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! Cold members under all processes of a fleet together: 24 of them, of unequal traffic, that hear of the start at
-//! different moments, some just restarted. The checker counts at the members, fills by way of a parent among them.
+//! Members in slow start under a fleet of 24 processes of unequal traffic that learn of the member's start at different
+//! moments, some of them just restarted. The checker counts at the members, fills through a parent included.
 
 mod common;
 use common::*;
@@ -12,9 +12,9 @@
 use std::time::{Duration, Instant};
 
 const PROCESSES: usize = 24;
-/// Sending time of each request, ms: 100 KB at 1,000 KB a second. So all are of mean work.
+/// Sending time of each answer, ms: 100 KB at 1,000 KB a second, so that all have mean work.
 const WORK: f64 = 100.0;
-/// Requests of one process in a surge: at least one of them has the cold member as its home.
+/// Requests of one process in a surge: at least one of them has the starting member as its home.
 const SURGE: usize = 8;
 
 /// A request that a member received.
@@ -30,7 +30,7 @@
 /// The requests that all members received.
 type ReceivedRequests = Arc<Mutex<Vec<ReceivedRequest>>>;
 
-/// A member that misses look-ups, serves all else, and notes what comes.
+/// A member that misses lookups, serves everything else, and records what it receives.
 struct RecordingMember {
     address: std::net::SocketAddr,
     id: String,
@@ -76,7 +76,7 @@
     }
 }
 
-/// One process, a client of it, and what was asked.
+/// One process, a client of it, and the requests in flight.
 struct Process {
     gateway: Gateway,
     client: Client,
@@ -87,7 +87,7 @@
 impl Process {
     fn new(gateway: Gateway, number: usize) -> Self {
         let mut client = gateway.client();
-        // It says something at once: the others start before it requests, and who stays silent for 2 s is closed.
+        // It sends a ping at once: the other processes start before its first request, and silent clients are closed after 2 s.
         client.expect_ready();
         Process { gateway, client, ids: Vec::new(), objects: (number as u64 + 1) << 32 }
     }
@@ -99,7 +99,7 @@
         self.ids.push(id);
     }
 
-    /// Waits for the final answers to all that was asked.
+    /// Waits for the final answers to all requests.
     fn settle(&mut self) {
         for _ in self.ids.drain(..) {
             self.client.next_answer();
@@ -107,7 +107,7 @@
     }
 }
 
-/// A fleet of which all know the warm members. Two at a time: each is 24 processes.
+/// A fleet in which each process knows the warm members. It is 24 processes.
 struct Fleet {
     settings: Value,
     known: Vec<Value>,
@@ -145,8 +145,8 @@
     }
 }
 
-/// A member starts cold while the fleet serves; the fleet hears of it bit by bit. What comes to it is judged in each
-/// window, in all of these: unequal traffic, a lull in which each could save up, a surge of all, a restart of some.
+/// A member starts while the fleet serves, and the fleet learns of it step by step. Its load is checked in each window
+/// of all these: unequal traffic, a pause in which budgets could accumulate, a surge of all, a restart of some.
 fn check_slow_start(cold_is_a_parent: bool) {
     let received = ReceivedRequests::default();
     let cold = RecordingMember::start(if cold_is_a_parent { "s-p0000001" } else { "s-c0000001" }, &received);
@@ -168,7 +168,7 @@
     }
     settings["groupSize"] = json!(PROCESSES);
     settings["familyInfo"]["zoneBalancers"] = json!([0, PROCESSES]);
-    // Warm after five minutes: what it bears is the same all along, a handful in a window.
+    // Warm after five minutes: its budget is nearly constant throughout, a handful of calls in a window.
     settings["rules"]["rampTimeMs"] = json!(300_000.0);
     settings["familyInfo"]["upperColdMs"] = json!(300_000.0);
     settings["rules"]["fallMs"] = json!(500.0);
@@ -192,11 +192,11 @@
         }
     }
     fleet.all.iter_mut().for_each(Process::settle);
-    // Its turns come each 2.9 s (cold cache) or 2.9 s (cold parent): a lull in which each would save one up.
+    // A process gets a slot each 2.9 s: a pause in which each could save one.
     thread::sleep(Duration::from_millis(3300));
     (0..SURGE).for_each(|_| fleet.all.iter_mut().for_each(Process::send_request));
     fleet.all.iter_mut().for_each(Process::settle);
-    // What was sent just before is not known to those that start again.
+    // The restarted processes do not know what was sent just before.
     (0..PROCESSES).step_by(4).for_each(|i| fleet.restart(i, &entry));
     (0..SURGE).for_each(|_| fleet.all.iter_mut().for_each(Process::send_request));
     fleet.all.iter_mut().for_each(Process::settle);
--- a/crates/deckproxy/tests/write_buffer.rs
+++ b/crates/deckproxy/tests/write_buffer.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use std::io::{self, IoSlice, Write};
 
-/// A kernel that takes so many bytes at each call, then no more until it is asked again.
+/// A writer that accepts so many bytes at each call, the last first, and then would block.
 struct Kernel {
     takes: Vec<usize>,
     got: Vec<u8>,
@@ -63,7 +63,7 @@
         while !done {
             done = buffer.flush(&mut kernel, &mut written).unwrap();
             prop_assert_eq!(buffer.bytes(), want.len() - kernel.got.len());
-            // A key is told once all of its bytes are out, and not before.
+            // A key is reported once all of its bytes are written, and not before.
             let whole: usize = sizes[..written.len()].iter().map(|(a, b, c)| a + b + c).sum();
             let next: usize = sizes.get(written.len()).map_or(1, |(a, b, c)| a + b + c);
             prop_assert!((whole..whole + next).contains(&kernel.got.len()));
