--- a/crates/deckproxy/src/lib.rs
+++ b/crates/deckproxy/src/lib.rs
@@ -1,7 +1,8 @@
-//! deckproxy on sockets: clients, caches and the control feed around the decision module.
+//! The gateway: clients, caches and the control feed on sockets, around the decision module.
 //!
 //! Layers, each of which uses only those before it: `protocol` (messages, without I/O), `transport` (sockets and
-//! connections), `routing` (requests and attempts around the module, without I/O), `program` (wiring).
+//! connections), `routing` (requests and attempts around the decision module, without I/O), `program` (the event loop,
+//! the subsystems and the command line).
 #![forbid(unsafe_code)]
 
 pub mod program;
--- a/crates/deckproxy/src/main.rs
+++ b/crates/deckproxy/src/main.rs
@@ -1,4 +1,4 @@
-//! The gateway's process.
+//! The program `deckproxy`: the gateway and its commands.
 #![forbid(unsafe_code)]
 
 use std::io::{self, Write};
@@ -7,9 +7,9 @@
 fn main() -> ExitCode {
     match deckproxy::program::main(std::env::args_os()) {
         Ok(code) => code,
-        Err(why) => {
-            // Where even that can't be written, the exit code still tells.
-            let _ = writeln!(io::stderr(), "deckproxy: {why}");
+        Err(error) => {
+            // Where standard error can't be written, the exit code still says it.
+            let _ = writeln!(io::stderr(), "deckproxy: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/deckproxy/src/program/fleet.rs
+++ b/crates/deckproxy/src/program/fleet/mod.rs
@@ -1,21 +1,19 @@
 //! This instance among the others of its fleet: gossip datagrams, health checks on behalf of all, ejected members, and
 //! admission control while the fleet is overloaded.
 
-use crate::program::subsystem::{
-    ClientIdentities, Context, Effect, Effects, Event, OpenRequests, RequestKey, Subsystem, Verdict,
-};
+mod admission;
+mod report;
+
+use crate::program::subsystem::{Context, Effect, Effects, Event, RequestKey, Subsystem, Verdict};
 use crate::protocol::downstream::{Answer, Call};
 use crate::protocol::upstream::Status;
 use crate::routing::{AttemptKey, Router};
 use crate::transport::clock;
-use deckproxy_control::interface::{self, Lifecycle};
-use deckproxy_fleet::fleet::{self, FleetStatus, ListedMember};
-use deckproxy_fleet::instance::Name;
-use deckproxy_fleet::liveness::PeerStatus;
-use deckproxy_fleet::overload::{self, RequestInfo, RequestOutcome, Ticket};
-use deckproxy_fleet::wire::DROP_REASONS;
+use admission::{RequestAdmission, platform};
+use deckproxy_control::interface::Lifecycle;
+use deckproxy_fleet::fleet::{self, ListedMember};
 use deckproxy_flow::meter::Outcome;
-use deckproxy_operator::{Client, Operator, Platform};
+use deckproxy_operator::{Client, Operator};
 use slog::{Logger, info, warn};
 use std::collections::HashMap;
 
@@ -43,17 +41,6 @@
     zone: String,
 }
 
-/// What admission control knows of clients' requests.
-struct RequestAdmission {
-    /// Requests that were admitted and have no answer yet.
-    open: OpenRequests<Ticket>,
-    /// Indices of the classes by name.
-    classes: HashMap<Box<str>, usize>,
-    identities: ClientIdentities,
-    /// Whether clients get a Retry-After.
-    sends_retry_after: bool,
-}
-
 /// Trial attempts remembered at most; one whose end is not seen would stay for ever.
 const TRIAL_ATTEMPTS: usize = 65_536;
 
@@ -67,18 +54,6 @@
     })
 }
 
-/// What the platform's configuration says that admission control depends on.
-fn platform(router: &Router) -> Platform {
-    let settings = &router.conf().settings;
-    let has_effect =
-        |class: &interface::Class| class.write || class.idempotency != interface::Idempotency::Idempotent;
-    Platform {
-        classes: settings.classes.iter().map(|class| (class.priority_weight, has_effect(class))).collect(),
-        advice: settings.retry_after,
-        most_back: settings.max_retry_after,
-    }
-}
-
 impl Fleet {
     /// Starts what the operator file asks for; none where it asks for nothing.
     ///
@@ -107,13 +82,8 @@
         if let Some(overload) = &file.overload {
             let platform = platform(router);
             settings.overload = Some(overload.settings(&file.name, &platform));
-            let classes = conf.classes.iter().enumerate().map(|(i, name)| (name.as_str().into(), i));
-            admission = Some(RequestAdmission {
-                open: OpenRequests::default(),
-                classes: classes.collect(),
-                identities: ClientIdentities::by_address(overload.known_by() == Client::Address),
-                sends_retry_after: platform.advice,
-            });
+            let by_address = overload.known_by() == Client::Address;
+            admission = Some(RequestAdmission::new(&conf.classes, by_address, platform.advice));
         }
         let own = settings.own.clone();
         info!(log, "fleet: takes part"; "fleet" => &file.name, "instance" => &*own.name, "zone" => &*own.zone,
@@ -143,16 +113,7 @@
 
     /// Whether clients' addresses are wanted.
     pub(super) fn wants_addresses(&self) -> bool {
-        self.admission.as_ref().is_some_and(|admission| admission.identities.wants_addresses())
-    }
-
-    /// Takes up clients that came and went, and requests that were cancelled.
-    fn admission_event(&mut self, event: &Event<'_>) {
-        let Some(admission) = &mut self.admission else { return };
-        for (_, ticket) in admission.open.remove_cancelled(event) {
-            self.core.request_ended(clock::steady(), &ticket, RequestOutcome::ClientGone, 0.0);
-        }
-        admission.identities.event(event);
+        self.admission.as_ref().is_some_and(|admission| admission.wants_addresses())
     }
 
     /// Remembers an attempt if it goes to a member on trial.
@@ -173,55 +134,13 @@
             self.core.attempt_ended(clock::steady(), member, good);
         }
     }
-
-    /// Admission control's part of the summary; empty where that is off.
-    fn overload_summary(&self) -> String {
-        let Some(overload) = self.core.overload() else { return String::new() };
-        let c = overload.counters;
-        let counts = overload.rejection_counts();
-        let line = |line: &Option<overload::shed_level::ShedLine>| {
-            line.map_or("none".to_string(), |l| {
-                format!(
-                    "{:.0}/{:.0}@{:.3}",
-                    l.admitted_rate,
-                    l.offered_rate,
-                    f64::from(l.min_priority) / f64::from(overload::priority::PRIORITIES)
-                )
-            })
-        };
-        let [caches, sources] = &overload.level().lines;
-        format!(
-            ",overload[epoch:{},caches:{},sources:{},leads:{},passed:{},kept:{},refused[hasty:{},below:{},no_budget:{},broken:{}],\
-             promised:{},remembered:{},untold:{}]",
-            overload.level().epoch,
-            line(caches),
-            line(sources),
-            overload.is_leader(),
-            c.admitted,
-            c.reservations_kept,
-            c.too_early,
-            c.below_level,
-            c.no_budget,
-            c.reservations_broken,
-            c.reservations,
-            counts.remembered,
-            counts.not_shared,
-        )
-    }
-
-    /// Logs what this instance sees of the fleet.
-    fn log_status(&self, status: &FleetStatus) {
-        let names = |all: &[Name]| all.iter().map(|name| &**name).collect::<Vec<_>>().join(" ");
-        let view = &status.view;
-        info!(self.log, "fleet view"; "heard" => names(&status.alive), "lost" => names(&status.lost),
-            "sure" => view.confirmed, "expected" => view.expected, "larger" => view.is_majority, "old" => view.is_stale, "observes" => self.core.observed_count(), "held" => status.ejected,
-            "board" => format!("{:016x}", status.store_checksum));
-    }
 }
 
 impl Subsystem for Fleet {
     fn event(&mut self, cx: &Context<'_>, event: &Event<'_>, _: &mut Effects) {
-        self.admission_event(event);
+        if let Some(admission) = &mut self.admission {
+            admission.event(&mut self.core, event);
+        }
         match *event {
             Event::Datagram { from, bytes } => self.core.handle_datagram(clock::steady(), from, bytes),
             Event::HealthChecked { member, healthy } => {
@@ -246,42 +165,14 @@
     }
 
     fn request(&mut self, _: &Context<'_>, request: RequestKey, call: &Call, _: &mut Effects) -> Verdict {
-        let Some(admission) = &mut self.admission else { return Verdict::Pass };
-        // A request of an unknown class is left to the router, which answers it as unusable.
-        let Some(class) = admission.classes.get(&call.class).copied() else { return Verdict::Pass };
-        let client = admission.identities.identity(request.0);
-        let info = RequestInfo {
-            client,
-            class,
-            object: call.object.number,
-            time_left: call.timeout,
-            size_kb: call.size_kb,
-            is_retry: call.is_retry,
-        };
-        match self.core.request(clock::steady(), info) {
-            Some(overload::Verdict::Admit(ticket)) => {
-                admission.open.insert(request, ticket);
-                Verdict::Pass
-            }
-            Some(overload::Verdict::Reject { retry_after }) => Verdict::Answer(Answer::Rejected(retry_after)),
+        match &mut self.admission {
+            Some(admission) => admission.request(&mut self.core, request, call),
             None => Verdict::Pass,
         }
     }
 
-    /// Takes the final answer; a rejection is sent with the Retry-After that the fleet sets.
     fn answer(&mut self, _: &Context<'_>, request: RequestKey, answer: &Answer) -> Option<Answer> {
-        let admission = self.admission.as_mut()?;
-        let ticket = admission.open.remove(request)?;
-        let (outcome, retry_after) = match answer {
-            Answer::Served(_) | Answer::NotModified => (RequestOutcome::Served, 0.0),
-            Answer::Rejected(retry_after) => (RequestOutcome::Rejected, *retry_after),
-            Answer::Failed => (RequestOutcome::Failed, 0.0),
-            // That says nothing of the load.
-            Answer::Invalid(_) => return None,
-        };
-        let retry_after = self.core.request_ended(clock::steady(), &ticket, outcome, retry_after);
-        (outcome == RequestOutcome::Rejected && admission.sends_retry_after)
-            .then_some(Answer::Rejected(retry_after))
+        self.admission.as_mut().and_then(|admission| admission.answer(&mut self.core, request, answer))
     }
 
     fn poll(&mut self, _: &Context<'_>, out: &mut Effects) {
@@ -329,33 +220,6 @@
     }
 
     fn summary(&mut self) -> String {
-        let c = self.core.counters;
-        let view = self.core.view();
-        let dropped = DROP_REASONS.iter().zip(c.dropped).filter(|(_, n)| *n > 0);
-        let dropped: Vec<String> = dropped.map(|(what, n)| format!("{what}:{n}")).collect();
-        let lost = self.core.instances_with(PeerStatus::Lost).count();
-        let size = self.core.store().size();
-        format!(
-            "heard:{}/{},sure:{},lost:{lost},larger:{},old:{},observes:{},held:{},probes:{},board[authors:{},\
-             entries:{},over:{}],datagrams[sent:{},bytes:{},kept_back:{},taken:{},dropped[{}]],renewed:{},pauses:{}",
-            view.alive,
-            view.expected,
-            view.confirmed,
-            view.is_majority,
-            view.is_stale,
-            self.core.observed_count(),
-            self.core.ejected().len(),
-            c.health_checks,
-            size.authors,
-            size.entries,
-            c.over_limit,
-            c.sent,
-            c.sent_bytes,
-            c.over_budget,
-            c.received,
-            dropped.join(" "),
-            c.renewals,
-            c.pauses,
-        ) + &self.overload_summary()
+        self.report()
     }
 }
--- a/crates/deckproxy/src/program/usage.rs
+++ b/crates/deckproxy/src/program/usage.rs
@@ -1,8 +1,8 @@
-//! What the process uses, as the kernel tells it.
+//! The process's use of CPU, memory and descriptors, as the kernel reports it.
 
 use std::fs;
 
-/// CPU time in ms, memory in KB, open descriptors; 0 where the kernel does not tell.
+/// Resource usage of the process; 0 where the kernel does not report it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
     /// CPU time used by the main thread, ms.
@@ -14,16 +14,16 @@
 }
 
 impl Usage {
-    /// Reads it.
+    /// Reads the current usage.
     pub fn now() -> Self {
-        let first = |path: &str, at: usize| -> u64 {
+        let number_at = |path: &str, position: usize| -> u64 {
             let text = fs::read_to_string(path).unwrap_or_default();
-            text.split_whitespace().nth(at).and_then(|n| n.parse().ok()).unwrap_or(0)
+            text.split_whitespace().nth(position).and_then(|n| n.parse().ok()).unwrap_or(0)
         };
         Usage {
-            cpu: first("/proc/self/schedstat", 0) / 1_000_000,
-            memory: first("/proc/self/statm", 1) * 4,
-            descriptors: fs::read_dir("/proc/self/fd").map_or(0, |all| all.count().saturating_sub(1)),
+            cpu: number_at("/proc/self/schedstat", 0) / 1_000_000,
+            memory: number_at("/proc/self/statm", 1) * 4,
+            descriptors: fs::read_dir("/proc/self/fd").map_or(0, |entries| entries.count().saturating_sub(1)),
         }
     }
 }
