--- a/crates/deckproxy-fleet/tests/instances.rs
+++ b/crates/deckproxy-fleet/tests/instances.rs
@@ -1,14 +1,18 @@
 //! Several instances in simulated time: membership, health checks and ejected members.
 
 use deckproxy_fleet::liveness::PeerStatus;
-use deckproxy_rig::simulated::{Net, Sim, address, name};
+use deckproxy_rig::simulated_fleet::{NetworkConditions, SimulatedFleet, address, name};
 
 /// Time for all to hear each other after a start, in milliseconds.
 const CONVERGENCE: f64 = 8000.0;
 
-fn converged(instances: usize, seed: u64) -> Sim {
-    let mut sim = Sim::new(instances, 2, 12, Net::default(), seed);
-    assert!(sim.until(CONVERGENCE, Sim::agree).is_some(), "all hear each other: {:?}", sim.logs);
+fn converged(instances: usize, seed: u64) -> SimulatedFleet {
+    let mut sim = SimulatedFleet::new(instances, 2, 12, NetworkConditions::default(), seed);
+    assert!(
+        sim.until(CONVERGENCE, SimulatedFleet::hears_all).is_some(),
+        "all hear each other: {:?}",
+        sim.logs
+    );
     sim.run(4000.0);
     sim
 }
@@ -20,10 +24,10 @@
         let from = sim.now;
         sim.run(20_000.0);
         let observers = instances.min(2) as f64 / 2.0;
-        let ratio = sim.ratio(from, sim.now);
+        let ratio = sim.check_ratio(from, sim.now);
         assert!((0.85 * observers..1.1 * observers).contains(&ratio), "{instances} instances: {ratio}");
-        assert!(sim.same_boards() && sim.agree());
-        assert!(sim.logs.iter().all(|l| !l.2.contains("taken for dead")), "{:?}", sim.logs);
+        assert!(sim.has_same_stores() && sim.hears_all());
+        assert!(sim.logs.iter().all(|line| !line.text.contains("taken for dead")), "{:?}", sim.logs);
     }
 }
 
@@ -37,10 +41,14 @@
         let over = sim.now;
         sim.run(10_000.0);
         // Each member has two observers again.
-        let ratio = sim.ratio(over, sim.now);
+        let ratio = sim.check_ratio(over, sim.now);
         assert!(ratio > 0.9, "seed {seed}: {ratio}");
-        assert!(sim.longest_gap(from, sim.now) < 4000.0, "seed {seed}: {}", sim.longest_gap(from, sim.now));
-        assert!(sim.worst_ratio(from, 2000.0) < 2.0, "seed {seed}");
+        assert!(
+            sim.longest_unchecked(from, sim.now) < 4000.0,
+            "seed {seed}: {}",
+            sim.longest_unchecked(from, sim.now)
+        );
+        assert!(sim.peak_check_ratio(from, 2000.0) < 2.0, "seed {seed}");
         assert_eq!(sim.fleet(0).status_of("i003"), Some(PeerStatus::Lost));
     }
 }
@@ -54,7 +62,7 @@
     assert!(sim.running().iter().all(|i| sim.fleet(*i).status_of("i002") == Some(PeerStatus::Left)));
     let from = sim.now;
     sim.run(5000.0);
-    assert!(sim.longest_gap(from, sim.now) < 2000.0, "{}", sim.longest_gap(from, sim.now));
+    assert!(sim.longest_unchecked(from, sim.now) < 2000.0, "{}", sim.longest_unchecked(from, sim.now));
     assert_eq!(sim.fleet(0).view().expected, 4, "an instance that left is not expected");
 }
 
@@ -71,7 +79,7 @@
         assert_eq!(fleet.status_of(&name(2)), Some(PeerStatus::Alive), "instance {i}: {:?}", sim.logs);
         assert!(fleet.store().incarnation(&name(2)) > Some(old.incarnation));
     }
-    assert!(sim.agree());
+    assert!(sim.hears_all());
 }
 
 #[test]
@@ -80,7 +88,7 @@
     sim.kill(2);
     sim.run(300.0);
     sim.start_as(2, 17);
-    let heard = sim.until(6000.0, Sim::agree);
+    let heard = sim.until(6000.0, SimulatedFleet::hears_all);
     assert!(heard.is_some(), "{:?}", sim.logs);
     assert!(sim.fleet(2).own().incarnation > 1_000_000);
 }
@@ -90,21 +98,29 @@
     for seed in 20..24 {
         let mut sim = converged(5, seed);
         let from = sim.now;
-        sim.stop(1);
+        sim.pause(1);
         sim.run(3500.0);
         assert_eq!(sim.fleet(0).status_of("i001"), Some(PeerStatus::Lost), "seed {seed}");
-        sim.go_on(1);
+        sim.resume(1);
         let woke = sim.now;
         assert!(sim.fleet(1).view().is_stale, "it knows that its view is stale");
         sim.run(300.0);
-        let own = sim.probes.iter().filter(|p| p.1 == 1 && p.0 > woke && p.0 < woke + 300.0).count();
+        let own = sim
+            .health_checks
+            .iter()
+            .filter(|check| check.instance == 1 && check.at > woke && check.at < woke + 300.0)
+            .count();
         assert_eq!(own, 0, "it does not check members that others have taken over");
-        assert!(sim.until(6000.0, |s| s.agree() && !s.fleet(1).view().is_stale).is_some(), "seed {seed}");
+        assert!(sim.until(6000.0, |s| s.hears_all() && !s.fleet(1).view().is_stale).is_some(), "seed {seed}");
         sim.run(6000.0);
-        assert!(sim.worst_ratio(from, 2000.0) < 2.0, "seed {seed}: {}", sim.worst_ratio(from, 2000.0));
+        assert!(
+            sim.peak_check_ratio(from, 2000.0) < 2.0,
+            "seed {seed}: {}",
+            sim.peak_check_ratio(from, 2000.0)
+        );
         // It did not take others for dead because it was paused itself.
         assert!(
-            sim.logs.iter().all(|(_, i, text)| *i == 1 || !text.contains("taken for dead")),
+            sim.logs.iter().all(|line| line.instance == 1 || !line.text.contains("taken for dead")),
             "{:?}",
             sim.logs
         );
@@ -118,19 +134,22 @@
         let from = sim.now;
         sim.split(&[majority.clone(), minority.clone()]);
         sim.run(15_000.0);
-        assert!(sim.worst_ratio(from, 2000.0) < 2.0, "{}", sim.worst_ratio(from, 2000.0));
+        assert!(sim.peak_check_ratio(from, 2000.0) < 2.0, "{}", sim.peak_check_ratio(from, 2000.0));
         let settled = sim.now - 8000.0;
         let by = |part: &[usize]| {
-            sim.probes.iter().filter(|p| p.0 >= settled && part.contains(&p.1)).count() as f64
+            sim.health_checks
+                .iter()
+                .filter(|check| check.at >= settled && part.contains(&check.instance))
+                .count() as f64
                 / (12.0 * 2.0 * 8.0)
         };
         assert!((0.9..1.1).contains(&by(&majority)), "the majority does all: {}", by(&majority));
         assert!((0.3..0.45).contains(&by(&minority)), "the minority its share: {}", by(&minority));
         sim.cuts.clear();
-        let healed = sim.until(8000.0, Sim::agree);
+        let healed = sim.until(8000.0, SimulatedFleet::hears_all);
         assert!(healed.is_some(), "{:?}", sim.logs);
         sim.run(3000.0);
-        assert!(sim.same_boards());
+        assert!(sim.has_same_stores());
     }
 }
 
@@ -143,26 +162,32 @@
         sim.cuts.extend((0..3).map(|other| (one, other)));
     }
     sim.run(15_000.0);
-    assert!(sim.worst_ratio(from, 2000.0) < 2.0, "{}", sim.worst_ratio(from, 2000.0));
+    assert!(sim.peak_check_ratio(from, 2000.0) < 2.0, "{}", sim.peak_check_ratio(from, 2000.0));
     let settled = sim.now - 8000.0;
-    let few = sim.probes.iter().filter(|p| p.0 >= settled && p.1 >= 3).count() as f64 / (12.0 * 2.0 * 8.0);
+    let few = sim.health_checks.iter().filter(|check| check.at >= settled && check.instance >= 3).count()
+        as f64
+        / (12.0 * 2.0 * 8.0);
     assert!(few < 0.5, "{few}");
     sim.cuts.clear();
-    assert!(sim.until(8000.0, Sim::agree).is_some());
+    assert!(sim.until(8000.0, SimulatedFleet::hears_all).is_some());
 }
 
 #[test]
 fn loss_and_reordering_neither_kill_nor_split() {
     for loss in [0.1, 0.3] {
-        let net = Net { loss, doubled: 0.2, late: 60.0 };
-        let mut sim = Sim::new(6, 2, 12, net, 50);
-        assert!(sim.until(15_000.0, Sim::agree).is_some(), "{loss}: {:?}", sim.logs);
+        let net = NetworkConditions { lost_share: loss, duplicated_share: 0.2, max_delay: 60.0 };
+        let mut sim = SimulatedFleet::new(6, 2, 12, net, 50);
+        assert!(sim.until(15_000.0, SimulatedFleet::hears_all).is_some(), "{loss}: {:?}", sim.logs);
         sim.run(5000.0);
         let from = sim.now;
         sim.run(60_000.0);
-        let ratio = sim.ratio(from, sim.now);
+        let ratio = sim.check_ratio(from, sim.now);
         assert!((0.8..1.15).contains(&ratio), "loss {loss}: {ratio}");
-        assert!(sim.worst_ratio(from, 2000.0) < 2.0, "loss {loss}: {}", sim.worst_ratio(from, 2000.0));
+        assert!(
+            sim.peak_check_ratio(from, 2000.0) < 2.0,
+            "loss {loss}: {}",
+            sim.peak_check_ratio(from, 2000.0)
+        );
     }
 }
 
@@ -179,13 +204,13 @@
 #[test]
 fn a_failing_member_is_ejected_by_all_and_reinstated_by_its_observers_first() {
     let mut sim = converged(5, 70);
-    sim.sick.insert(4);
+    sim.failing_members.insert(4);
     sim.run(7000.0);
     assert!((0..5).all(|i| sim.fleet(i).ejected().contains(&4)), "{:?}", sim.logs);
-    sim.sick.remove(&4);
+    sim.failing_members.remove(&4);
     let observers: Vec<usize> = (0..5).filter(|i| sim.fleet(*i).observes(4)).collect();
     assert_eq!(observers.len(), 2);
-    let back = |s: &Sim| observers.iter().all(|i| !s.fleet(*i).ejected().contains(&4));
+    let back = |s: &SimulatedFleet| observers.iter().all(|i| !s.fleet(*i).ejected().contains(&4));
     assert!(sim.until(5000.0, back).is_some(), "observers send it trial requests");
     let others = (0..5).filter(|i| !observers.contains(i));
     assert!(others.clone().all(|i| sim.fleet(i).ejected().contains(&4)), "and they alone");
@@ -193,10 +218,10 @@
     assert!((0..5).all(|i| sim.fleet(i).ejected().is_empty()), "{:?}", sim.logs);
     // The others reinstated it one by one.
     let mut reinstated: Vec<f64> = sim
-        .holds
+        .ejections
         .iter()
-        .filter(|(_, i, held)| !observers.contains(i) && held.is_empty())
-        .map(|h| h.0)
+        .filter(|ejection| !observers.contains(&ejection.instance) && ejection.members.is_empty())
+        .map(|ejection| ejection.at)
         .collect();
     reinstated.sort_by(f64::total_cmp);
     assert_eq!(reinstated.len(), 3);
@@ -207,7 +232,7 @@
 fn an_observer_that_is_cut_off_ejects_nothing() {
     let mut sim = converged(5, 80);
     // Instance 1 reaches no member; all others do.
-    sim.deaf.extend((0..12).map(|member| (1, member)));
+    sim.unreachable_members.extend((0..12).map(|member| (1, member)));
     sim.run(15_000.0);
     assert!((0..5).all(|i| sim.fleet(i).ejected().is_empty()), "{:?}", sim.logs);
 }
@@ -215,7 +240,7 @@
 #[test]
 fn no_more_than_the_allowed_share_of_members_is_ejected() {
     let mut sim = converged(5, 81);
-    sim.sick.extend(0..10);
+    sim.failing_members.extend(0..10);
     sim.run(10_000.0);
     for i in 0..5 {
         assert_eq!(sim.fleet(i).ejected().len(), 4, "0.34 of 12");
@@ -225,7 +250,7 @@
 
 #[test]
 fn an_instance_that_knows_no_other_is_not_the_majority() {
-    let mut sim = Sim::new(3, 1, 12, Net::default(), 90);
+    let mut sim = SimulatedFleet::new(3, 1, 12, NetworkConditions::default(), 90);
     // Before any datagram has arrived.
     sim.kill(0);
     sim.kill(1);
@@ -240,7 +265,7 @@
     let mut sim = converged(4, 95);
     // Another process with the name i002, at another address and started later.
     let rival = {
-        let mut settings = deckproxy_rig::simulated::settings(2, 2, u64::MAX / 2);
+        let mut settings = deckproxy_rig::simulated_fleet::settings(2, 2, u64::MAX / 2);
         settings.own.address = address(9);
         settings
     };
@@ -249,28 +274,31 @@
         fleet.tick(sim.now);
         while let Some(effect) = fleet.next_effect() {
             if let deckproxy_fleet::fleet::Effect::Send { to, bytes } = effect {
-                sim.put(1.0, address(9), to, bytes.clone());
+                sim.send(1.0, address(9), to, bytes.clone());
                 // Its datagrams also arrive at the one whose name it has.
-                sim.put(1.0, address(9), address(2), bytes);
+                sim.send(1.0, address(9), address(2), bytes);
             }
         }
         sim.run(100.0);
     }
     assert!(
-        sim.logs.iter().any(|(_, i, text)| *i == 2 && text.contains("another process")),
+        sim.logs.iter().any(|line| line.instance == 2 && line.text.contains("another process")),
         "{:?}",
         sim.logs
     );
-    let before = sim.probes.len();
+    let before = sim.health_checks.len();
     sim.run(3000.0);
-    assert!(sim.probes[before..].iter().all(|p| p.1 != 2), "it checks no members any more");
+    assert!(
+        sim.health_checks[before..].iter().all(|check| check.instance != 2),
+        "it checks no members any more"
+    );
 }
 
 #[test]
 fn an_ejected_member_stays_ejected_while_its_observers_change() {
     for seed in 100..110 {
         let mut sim = converged(6, seed);
-        sim.sick.insert(4);
+        sim.failing_members.insert(4);
         sim.run(7000.0);
         assert!((0..6).all(|i| sim.fleet(i).ejected().contains(&4)), "seed {seed}: {:?}", sim.logs);
         let observers: Vec<usize> = (0..6).filter(|i| sim.fleet(*i).observes(4)).collect();
@@ -281,12 +309,16 @@
         sim.kill(observers[1]);
         sim.run(9000.0);
         let reinstated: Vec<_> = sim
-            .holds
+            .ejections
             .iter()
-            .filter(|(at, i, held)| *at > from && !held.contains(&4) && !observers.contains(i))
+            .filter(|ejection| {
+                ejection.at > from
+                    && !ejection.members.contains(&4)
+                    && !observers.contains(&ejection.instance)
+            })
             .collect();
         assert!(reinstated.is_empty(), "seed {seed}: sent there again: {reinstated:?} {:?}", sim.logs);
-        sim.sick.remove(&4);
+        sim.failing_members.remove(&4);
         sim.run(14_000.0);
         assert!(
             sim.running().iter().all(|i| sim.fleet(*i).ejected().is_empty()),
@@ -301,7 +333,7 @@
     let (mut suspect, mut lost, mut looks) = (0, 0, 0);
     for seed in 1..13 {
         let mut sim = converged(5, seed);
-        sim.net = Net { loss: 0.3, doubled: 0.2, late: 60.0 };
+        sim.network = NetworkConditions { lost_share: 0.3, duplicated_share: 0.2, max_delay: 60.0 };
         let from = sim.now;
         while sim.now < from + 30_000.0 {
             sim.run(100.0);
--- a/crates/deckproxy-fleet/tests/schedules.rs
+++ b/crates/deckproxy-fleet/tests/schedules.rs
@@ -1,7 +1,7 @@
 //! Hundreds of random schedules of kills, pauses, splits, one-way faults, restarts, loss and reordering, and what must hold
 //! in all of them. DECKPROXY_SCHEDULES sets how many are played, DECKPROXY_SCHEDULE plays that one alone.
 
-use deckproxy_rig::simulated::{Net, Sim};
+use deckproxy_rig::simulated_fleet::{NetworkConditions, Peak, SimulatedFleet};
 use proptest::prelude::*;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
@@ -16,7 +16,7 @@
 }
 
 /// Plays a schedule of 30 s, one fault at a time with others beside it now and then; returns what it was.
-fn play(sim: &mut Sim, rng: &mut Pcg64Mcg, loss: bool) -> Vec<String> {
+fn play(sim: &mut SimulatedFleet, rng: &mut Pcg64Mcg, loss: bool) -> Vec<String> {
     let mut events = Vec::new();
     let end = sim.now + 30_000.0;
     let mut heals: Vec<(f64, u8, usize)> = Vec::new();
@@ -31,7 +31,7 @@
                 heals.push((sim.now + lasts, 0, one));
             }
             1 if sim.running().contains(&one) && sim.running().len() > n / 2 + 1 => {
-                sim.stop(one);
+                sim.pause(one);
                 events.push(format!("{:.0} stop {one}", sim.now));
                 heals.push((sim.now + lasts, 1, one));
             }
@@ -57,8 +57,12 @@
                 heals.push((sim.now + lasts, 2, 0));
             }
             4 if loss => {
-                sim.net = Net { loss: rng.random_range(0.0..0.3), doubled: 0.2, late: 80.0 };
-                events.push(format!("{:.0} loss {:.2}", sim.now, sim.net.loss));
+                sim.network = NetworkConditions {
+                    lost_share: rng.random_range(0.0..0.3),
+                    duplicated_share: 0.2,
+                    max_delay: 80.0,
+                };
+                events.push(format!("{:.0} loss {:.2}", sim.now, sim.network.lost_share));
                 heals.push((sim.now + lasts, 3, 0));
             }
             _ => {}
@@ -71,16 +75,16 @@
         }
     }
     heals.into_iter().for_each(|(_, kind, one)| heal(sim, kind, one));
-    sim.net = Net::default();
+    sim.network = NetworkConditions::default();
     events
 }
 
-fn heal(sim: &mut Sim, kind: u8, one: usize) {
+fn heal(sim: &mut SimulatedFleet, kind: u8, one: usize) {
     match kind {
         0 => sim.start(one),
-        1 => sim.go_on(one),
+        1 => sim.resume(one),
         2 => sim.cuts.clear(),
-        _ => sim.net = Net::default(),
+        _ => sim.network = NetworkConditions::default(),
     }
 }
 
@@ -91,23 +95,23 @@
     for seed in schedules(150) {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let n = rng.random_range(3..8);
-        let mut sim = Sim::new(n, 2, 8, Net::default(), seed);
+        let mut sim = SimulatedFleet::new(n, 2, 8, NetworkConditions::default(), seed);
         // A part in which no instance is left that knew all others can only learn the fleet's size from the operators.
-        sim.size = n;
+        sim.expected_instances = n;
         sim.run(6000.0);
         let from = sim.now;
         let events = play(&mut sim, &mut rng, seed % 2 == 1);
-        let agree = sim.until(12_000.0, |s| s.agree() && s.same_boards());
+        let agree = sim.until(12_000.0, |s| s.hears_all() && s.has_same_stores());
         assert!(agree.is_some(), "seed {seed}, {n} instances: not converged: {events:#?} {:#?}", sim.logs);
         slowest = slowest.max(agree.unwrap_or_default());
-        let (ratio, probes) = sim.worst(from, 2000.0);
+        let Peak { ratio, checks } = sim.check_peak(from, 2000.0);
         worst = worst.max(ratio);
-        assert!(ratio < 2.0, "seed {seed}, {n} instances: {ratio} times the probes: {probes:?} {events:#?}");
+        assert!(ratio < 2.0, "seed {seed}, {n} instances: {ratio} times the probes: {checks:?} {events:#?}");
         // After that each member has its observers, and no more.
         sim.run(4000.0);
         let from = sim.now;
         sim.run(12_000.0);
-        let ratio = sim.ratio(from, sim.now);
+        let ratio = sim.check_ratio(from, sim.now);
         assert!((0.88..1.05).contains(&ratio), "seed {seed}: {ratio} afterwards: {events:#?}");
     }
     println!("worst ratio over 2 s {worst:.2}, slowest to agree after the last heal {slowest:.0} ms");
@@ -117,11 +121,15 @@
 fn a_kill_is_covered_within_four_seconds() {
     for seed in schedules(50) {
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0xc0de);
-        let mut sim = Sim::new(5, 2, 10, Net::default(), seed);
+        let mut sim = SimulatedFleet::new(5, 2, 10, NetworkConditions::default(), seed);
         sim.run(6000.0);
         let victim = rng.random_range(0..5);
         if rng.random_bool(0.5) {
-            sim.net = Net { loss: rng.random_range(0.0..0.3), doubled: 0.1, late: 40.0 };
+            sim.network = NetworkConditions {
+                lost_share: rng.random_range(0.0..0.3),
+                duplicated_share: 0.1,
+                max_delay: 40.0,
+            };
         }
         sim.run(rng.random_range(0.0..2000.0));
         sim.kill(victim);
@@ -129,9 +137,9 @@
         sim.run(4000.0);
         let covered = sim.now;
         sim.run(12_000.0);
-        let ratio = sim.ratio(covered, sim.now);
+        let ratio = sim.check_ratio(covered, sim.now);
         assert!(ratio > 0.8, "seed {seed}: {ratio} of the probes from 4 s after the kill on");
-        let gap = sim.longest_gap(killed, sim.now);
+        let gap = sim.longest_unchecked(killed, sim.now);
         assert!(gap < 4000.0, "seed {seed}: {gap}");
     }
 }
@@ -143,8 +151,8 @@
     #[test]
     fn invalid_datagrams_change_nothing(bytes in prop::collection::vec(any::<u8>(), 0..1300), flips in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..4)) {
         use deckproxy_fleet::fleet::{Effect, Fleet};
-        let mut one = Fleet::new(0.0, deckproxy_rig::simulated::settings(0, 1, 5), 1);
-        let mut other = Fleet::new(0.0, deckproxy_rig::simulated::settings(1, 1, 5), 2);
+        let mut one = Fleet::new(0.0, deckproxy_rig::simulated_fleet::settings(0, 1, 5), 1);
+        let mut other = Fleet::new(0.0, deckproxy_rig::simulated_fleet::settings(1, 1, 5), 2);
         other.tick(1.0);
         let good = std::iter::from_fn(|| other.next_effect()).find_map(|e| match e {
             Effect::Send { bytes, .. } => Some(bytes),
@@ -158,7 +166,7 @@
         let cut = good[..flips[0].0.index(good.len())].to_vec();
         for datagram in [bytes, bad.clone(), cut] {
             let before = one.counters;
-            one.handle_datagram(2.0, deckproxy_rig::simulated::address(1), &datagram);
+            one.handle_datagram(2.0, deckproxy_rig::simulated_fleet::address(1), &datagram);
             if datagram != good {
                 prop_assert_eq!(one.counters.received, before.received);
                 prop_assert_eq!(one.counters.dropped.iter().sum::<u64>(), before.dropped.iter().sum::<u64>() + 1);
@@ -168,7 +176,7 @@
         one.handle_datagram(3.0, "192.0.2.1:7100".parse().unwrap(), &good);
         prop_assert_eq!(one.counters.dropped[0], 1);
         prop_assert_eq!(one.status_of("i001").is_some(), bad == good);
-        one.handle_datagram(4.0, deckproxy_rig::simulated::address(1), &good);
+        one.handle_datagram(4.0, deckproxy_rig::simulated_fleet::address(1), &good);
         prop_assert!(one.status_of("i001").is_some());
     }
 }
--- a/crates/deckproxy-lab/src/measure/fleet.rs
+++ b/crates/deckproxy-lab/src/measure/fleet.rs
@@ -6,7 +6,7 @@
 use deckproxy_fleet::liveness::PeerStatus;
 use deckproxy_rig::plan::Plan;
 use deckproxy_rig::rig::Rig;
-use deckproxy_rig::simulated::{Net, Sim, name};
+use deckproxy_rig::simulated_fleet::{NetworkConditions, SimulatedFleet, name};
 use deckproxy_standins::free_address;
 use deckproxy_standins::record::Record;
 use deckproxy_standins::site::{Site, SiteConfig};
@@ -68,9 +68,9 @@
     show(&["gateways", "shared", "each for itself", "times"], &rows);
 }
 
-fn met(instances: usize, seed: u64, net: Net) -> Option<Sim> {
-    let mut sim = Sim::new(instances, 4, 64, net, seed);
-    sim.until(120_000.0, Sim::agree)?;
+fn met(instances: usize, seed: u64, net: NetworkConditions) -> Option<SimulatedFleet> {
+    let mut sim = SimulatedFleet::new(instances, 4, 64, net, seed);
+    sim.until(120_000.0, SimulatedFleet::hears_all)?;
     sim.run(10_000.0);
     Some(sim)
 }
@@ -81,14 +81,14 @@
     );
     let mut rows = Vec::new();
     for instances in [1, 2, 4, 16, 64, 128] {
-        let Some(mut sim) = met(instances, options.seed, Net::default()) else {
+        let Some(mut sim) = met(instances, options.seed, NetworkConditions::default()) else {
             rows.push(vec![instances.to_string(), "did not meet".to_string()]);
             continue;
         };
         let (from, before) = (sim.now, sim.bytes.iter().sum::<u64>());
         sim.run(20_000.0);
         let bytes = (sim.bytes.iter().sum::<u64>() - before) as f64 / instances as f64 / 20.0;
-        let probes = sim.ratio(from, sim.now) * MEANT;
+        let probes = sim.check_ratio(from, sim.now) * MEANT;
         rows.push(vec![
             instances.to_string(),
             format!("{bytes:.0}"),
@@ -106,12 +106,12 @@
     );
     let mut rows = Vec::new();
     for loss in [0.0, 0.1, 0.3] {
-        let net = Net { loss, doubled: 0.0, late: 10.0 };
+        let net = NetworkConditions { lost_share: loss, duplicated_share: 0.0, max_delay: 10.0 };
         let mut took: [Vec<f64>; 3] = Default::default();
         for run in 0..20 {
             let Some(mut sim) = met(16, options.seed.wrapping_add(run), net) else { continue };
             sim.kill(5);
-            let lost = |s: &Sim| {
+            let lost = |s: &SimulatedFleet| {
                 s.running().into_iter().all(|i| s.fleet(i).status_of(&name(5)) == Some(PeerStatus::Lost))
             };
             took[0].extend(sim.until(60_000.0, lost));
@@ -120,10 +120,10 @@
             sim.run(6000.0);
             sim.cuts.clear();
             let healed = sim.now;
-            if sim.until(60_000.0, Sim::agree).is_some() {
+            if sim.until(60_000.0, SimulatedFleet::hears_all).is_some() {
                 took[1].push(sim.now - healed);
             }
-            if sim.until(60_000.0, |s| s.agree() && s.same_boards()).is_some() {
+            if sim.until(60_000.0, |s| s.hears_all() && s.has_same_stores()).is_some() {
                 took[2].push(sim.now - healed);
             }
         }
--- a/crates/deckproxy-rig/src/lib.rs
+++ b/crates/deckproxy-rig/src/lib.rs
@@ -10,7 +10,7 @@
 //! - [`judge`], [`overload_judge`]: what was counted at members and clients; [`fleet_view`]: what instances logged.
 //! - [`timeline`]: a page of what happened.
 //!
-//! The same fleet in simulated time, for many instances and long spans: [`simulated`], and clients around it:
+//! The same fleet in simulated time, for many instances and long spans: [`simulated_fleet`], and clients around it:
 //! [`simulated_load`].
 #![forbid(unsafe_code)]
 
@@ -29,6 +29,6 @@
 pub mod relay;
 pub mod rig;
 pub mod run;
-pub mod simulated;
+pub mod simulated_fleet;
 pub mod simulated_load;
 pub mod timeline;
--- a/crates/deckproxy-rig/src/simulated_load.rs
+++ b/crates/deckproxy-rig/src/simulated_load.rs
@@ -1,7 +1,7 @@
-//! Clients and what serves them in simulated time, around instances that handle overload as one: what comes, what passes,
-//! what is served is counted here, by the clients' and the servers' side.
+//! Clients in simulated time, and what serves them, around instances that shed load as one. What comes, is admitted and is
+//! served is counted here, on the clients' and the servers' side.
 
-use crate::simulated::Sim;
+use crate::simulated_fleet::SimulatedFleet;
 use deckproxy_fleet::Millis;
 use deckproxy_fleet::overload::{
     Class, RequestInfo, RequestOutcome, Settings, Ticket, Verdict, shed_controller,
@@ -12,64 +12,89 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
-/// How clients take a refusal.
+/// Step of the simulation, ms.
+const STEP_MS: Millis = 5.0;
+/// The same in seconds.
+const STEP_SECONDS: f64 = 0.005;
+/// Seconds of capacity that servers may save up.
+const SAVED_CAPACITY_SECONDS: f64 = 0.05;
+/// Less time than this is not enough for an answer, ms.
+const LEAST_TIME_MS: Millis = 50.0;
+/// Popular objects.
+const POPULAR_OBJECTS: u64 = 50;
+/// Time from one attempt to the next with [`RetryPolicy::Immediate`], ms.
+const IMMEDIATE_RETRY_MS: Millis = 20.0;
+/// Time until the next instance is tried after the first rejection, ms.
+const NEXT_INSTANCE_MS: Millis = 5.0;
+/// Time until the next instance is tried where one does not run, ms.
+const UNREACHABLE_MS: Millis = 10.0;
+/// Time that serving takes, ms.
+const SERVED_MS: Millis = 20.0;
+/// Time until a server that has no capacity rejects, ms.
+const REJECTED_MS: Millis = 2.0;
+/// Time until it fails instead, ms.
+const FAILED_MS: Millis = 200.0;
+/// Probability that a client comes back to the instance that rejected it, and not to any.
+const SAME_INSTANCE_PROBABILITY: f64 = 0.5;
+
+/// How clients take a rejection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manners {
-    /// They go to the next instance at once, and from there follow what they are told.
-    Moves,
-    /// They go from instance to instance, at once and for ever.
-    Hasty,
-    /// They follow what they are told.
-    Told,
+pub enum RetryPolicy {
+    /// They go to the next instance at once, and after a second rejection follow Retry-After.
+    NextInstanceFirst,
+    /// They go from instance to instance at once, until their time is over.
+    Immediate,
+    /// They follow Retry-After.
+    RetryAfter,
 }
 
-/// How all is set.
+/// The clients, and what can serve them.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct LoadSettings {
     /// Clients.
     pub clients: u64,
-    /// First tries a second of all.
+    /// Requests a second of all clients, retries not counted.
     pub rate: f64,
-    /// Share of them for objects that caches hold, and of those that are worth more.
-    pub popular: f64,
-    /// See `popular`.
-    pub dear: f64,
-    /// What the sources and the caches can do a second.
-    pub sources: f64,
-    /// See `sources`.
-    pub caches: f64,
-    /// Of what is too much, the share that fails late instead of being turned away.
-    pub fails: f64,
-    /// How long a client waits, ms.
-    pub patience: Millis,
-    /// How it takes a refusal.
-    pub manners: Manners,
-    /// Clients mark their repeats.
-    pub marks: bool,
-    /// The traffic of the first instance beside each other's.
+    /// Share of the requests that are for objects that caches hold.
+    pub popular_share: f64,
+    /// Share of the requests that are of the higher class.
+    pub priority_share: f64,
+    /// Requests a second that the origin can serve.
+    pub origin_rate: f64,
+    /// Requests a second that the caches can serve.
+    pub cache_rate: f64,
+    /// Share of the requests beyond that which fail late, and are not rejected.
+    pub late_failure_share: f64,
+    /// How long a client gives a request, ms.
+    pub timeout: Millis,
+    /// How clients take a rejection.
+    pub retry_policy: RetryPolicy,
+    /// Clients mark their retries.
+    pub marks_retries: bool,
+    /// Traffic of the first instance beside that of each other one.
     pub skew: f64,
 }
 
-impl Default for Terms {
+impl Default for LoadSettings {
     fn default() -> Self {
-        Terms {
+        LoadSettings {
             clients: 600,
             rate: 300.0,
-            popular: 0.3,
-            dear: 0.1,
-            sources: 250.0,
-            caches: 2000.0,
-            fails: 0.2,
-            patience: 1500.0,
-            manners: Manners::Moves,
-            marks: true,
+            popular_share: 0.3,
+            priority_share: 0.1,
+            origin_rate: 250.0,
+            cache_rate: 2000.0,
+            late_failure_share: 0.2,
+            timeout: 1500.0,
+            retry_policy: RetryPolicy::NextInstanceFirst,
+            marks_retries: true,
             skew: 1.0,
         }
     }
 }
 
-/// How overload is handled where nothing else is said.
-pub fn settings() -> Settings {
+/// How instances handle overload, unless a test says otherwise.
+pub fn overload_settings() -> Settings {
     let class = |band, has_effect| Class { band, has_effect };
     Settings {
         fleet: "test".to_string(),
@@ -84,249 +109,295 @@
     }
 }
 
-/// A try that ended.
+/// An attempt that came to an instance.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Try {
+pub struct Attempt {
     /// When it came, ms.
     pub at: Millis,
-    /// Where.
+    /// The instance.
     pub instance: usize,
-    /// Who asks, what for, and since when.
+    /// The client.
     pub client: u64,
-    /// See `client`.
-    pub wish: u64,
-    /// See `wish`.
+    /// Number of the request that it is an attempt of.
+    pub request: u64,
+    /// The class of the request: 0, or 1 for the higher one.
     pub class: usize,
-    /// See `wish`.
-    pub since: Millis,
+    /// When the request was wanted, ms.
+    pub requested_at: Millis,
     /// The object is one that caches hold.
-    pub popular: bool,
-    /// Tries of the same wish before it.
-    pub before: u32,
-    /// It was let in.
-    pub passed: bool,
+    pub is_popular: bool,
+    /// Attempts of the same request before it.
+    pub earlier_attempts: u32,
+    /// The instance admitted it.
+    pub admitted: bool,
     /// It was served.
     pub served: bool,
-    /// It came when it had been told to.
-    pub told: bool,
+    /// It came at the time that a Retry-After had named.
+    pub after_retry_after: bool,
 }
 
+/// A request that a client wants.
 #[derive(Clone, Copy, Debug)]
-struct Wish {
+struct Request {
     client: u64,
     class: usize,
     object: u64,
-    popular: bool,
-    since: Millis,
-    tries: u32,
-    told: bool,
+    is_popular: bool,
+    requested_at: Millis,
+    /// Attempts so far.
+    attempts: u32,
+    /// The next attempt is made at the time that a Retry-After named.
+    after_retry_after: bool,
+}
+
+impl Request {
+    fn number(&self) -> u64 {
+        self.object ^ self.client << 20 ^ (self.requested_at as u64) << 40
+    }
+}
+
+/// An admitted attempt, until it is answered.
+struct InFlight {
+    ends_at: Millis,
+    instance: usize,
+    ticket: Ticket,
+    outcome: RequestOutcome,
+    request: Request,
+}
+
+/// Capacity that servers have saved up, requests.
+#[derive(Default)]
+struct Capacity {
+    caches: f64,
+    origin: f64,
 }
 
-/// The run.
+/// The clients of a simulated fleet.
 pub struct SimulatedLoad {
     /// The instances.
-    pub sim: Sim,
-    /// How all is set; may be changed on the way.
-    pub terms: Terms,
-    /// All tries.
-    pub tries: Vec<Try>,
+    pub fleet: SimulatedFleet,
+    /// The clients and servers; may be changed during the run.
+    pub settings: LoadSettings,
+    /// All attempts so far.
+    pub attempts: Vec<Attempt>,
     rng: Pcg64Mcg,
-    next: f64,
-    queue: BinaryHeap<Reverse<(u64, u64)>>,
-    due: BTreeMap<u64, (Wish, usize)>,
-    order: u64,
-    ends: VecDeque<(Millis, usize, Ticket, RequestOutcome, usize)>,
-    wishes: BTreeMap<usize, (Wish, usize)>,
-    room: [f64; 2],
+    next_request: Millis,
+    /// Retries by time, µs, and number.
+    due: BinaryHeap<Reverse<(u64, u64)>>,
+    /// Retries and their instances by number.
+    retries: BTreeMap<u64, (Request, usize)>,
+    last_retry: u64,
+    /// Admitted attempts in the order in which they end.
+    in_flight: VecDeque<InFlight>,
+    capacity: Capacity,
 }
 
 impl SimulatedLoad {
-    /// Clients around instances that have met.
-    pub fn new(sim: Sim, terms: Terms, seed: u64) -> Self {
-        let next = sim.now;
+    /// Clients around instances that hear each other.
+    pub fn new(fleet: SimulatedFleet, settings: LoadSettings, seed: u64) -> Self {
+        let next_request = fleet.now;
         SimulatedLoad {
-            sim,
-            terms,
-            tries: Vec::new(),
+            fleet,
+            settings,
+            attempts: Vec::new(),
             rng: Pcg64Mcg::seed_from_u64(seed ^ 0xc0_ded),
-            next,
-            queue: BinaryHeap::new(),
-            due: BTreeMap::new(),
-            order: 0,
-            ends: VecDeque::new(),
-            wishes: BTreeMap::new(),
-            room: [0.0; 2],
+            next_request,
+            due: BinaryHeap::new(),
+            retries: BTreeMap::new(),
+            last_retry: 0,
+            in_flight: VecDeque::new(),
+            capacity: Capacity::default(),
         }
     }
 
-    /// Plays for a span, ms.
+    /// Runs for a span, ms.
     pub fn run(&mut self, span: Millis) {
-        let end = self.sim.now + span;
-        while self.sim.now < end {
-            self.sim.run(5.0);
-            let now = self.sim.now;
-            for (room, rate) in self.room.iter_mut().zip([self.terms.caches, self.terms.sources]) {
-                *room = (*room + rate * 0.005).min(rate * 0.05);
-            }
-            while self.ends.front().is_some_and(|e| e.0 <= now) {
-                let Some((_, i, ticket, ended, at)) = self.ends.pop_front() else { break };
-                if let Some(fleet) = self.sim.fleet_mut(i) {
-                    let back = fleet.request_ended(now, &ticket, ended, 0.0);
-                    self.settle(now, at, ended, back);
-                }
+        let end = self.fleet.now + span;
+        while self.fleet.now < end {
+            self.fleet.run(STEP_MS);
+            let now = self.fleet.now;
+            self.refill_capacity();
+            self.end_attempts(now);
+            while self.next_request <= now {
+                self.new_request(now);
             }
-            while self.next <= now {
-                self.next += -(1.0 - self.rng.random::<f64>()).ln() * 1000.0 / self.terms.rate;
-                let popular = self.rng.random::<f64>() < self.terms.popular;
-                let dear = self.rng.random::<f64>() < self.terms.dear;
-                let object = if popular && !dear { self.rng.random_range(0..50) } else { self.rng.random() };
-                let client = self.rng.random_range(0..self.terms.clients);
-                let wish = Wish {
-                    client,
-                    class: usize::from(dear),
-                    object,
-                    popular: popular && !dear,
-                    since: now,
-                    tries: 0,
-                    told: false,
-                };
-                let n = self.sim.count() as f64;
-                let at = self.rng.random::<f64>() * (n - 1.0 + self.terms.skew);
-                let i = (at - self.terms.skew + 1.0).max(0.0) as usize;
-                self.ask(now, wish, i);
+            self.send_due_retries(now);
+        }
+    }
+
+    fn refill_capacity(&mut self) {
+        let refill = |capacity: &mut f64, rate: f64| {
+            *capacity = (*capacity + rate * STEP_SECONDS).min(rate * SAVED_CAPACITY_SECONDS);
+        };
+        refill(&mut self.capacity.caches, self.settings.cache_rate);
+        refill(&mut self.capacity.origin, self.settings.origin_rate);
+    }
+
+    fn end_attempts(&mut self, now: Millis) {
+        while self.in_flight.front().is_some_and(|attempt| attempt.ends_at <= now) {
+            let Some(ended) = self.in_flight.pop_front() else { break };
+            let InFlight { instance, ticket, outcome, request, .. } = ended;
+            let Some(fleet) = self.fleet.fleet_mut(instance) else { continue };
+            let retry_after = fleet.request_ended(now, &ticket, outcome, 0.0);
+            if outcome == RequestOutcome::Rejected {
+                self.retry_rejected(now, request, instance, retry_after);
             }
-            while self.queue.peek().is_some_and(|due| due.0.0 as f64 / 1000.0 <= now) {
-                let Some(Reverse((_, order))) = self.queue.pop() else { break };
-                if let Some((wish, i)) = self.due.remove(&order) {
-                    self.ask(now, wish, i);
-                }
+        }
+    }
+
+    fn new_request(&mut self, now: Millis) {
+        let settings = self.settings;
+        self.next_request += -(1.0 - self.rng.random::<f64>()).ln() * 1000.0 / settings.rate;
+        let is_popular = self.rng.random::<f64>() < settings.popular_share;
+        let has_priority = self.rng.random::<f64>() < settings.priority_share;
+        let is_popular = is_popular && !has_priority;
+        let object = if is_popular { self.rng.random_range(0..POPULAR_OBJECTS) } else { self.rng.random() };
+        let client = self.rng.random_range(0..settings.clients);
+        let request = Request {
+            client,
+            class: usize::from(has_priority),
+            object,
+            is_popular,
+            requested_at: now,
+            attempts: 0,
+            after_retry_after: false,
+        };
+        let instances = self.fleet.count() as f64;
+        let place = self.rng.random::<f64>() * (instances - 1.0 + settings.skew);
+        let instance = (place - settings.skew + 1.0).max(0.0) as usize;
+        self.attempt(now, request, instance);
+    }
+
+    fn send_due_retries(&mut self, now: Millis) {
+        while self.due.peek().is_some_and(|due| due.0.0 as f64 / 1000.0 <= now) {
+            let Some(Reverse((_, number))) = self.due.pop() else { break };
+            if let Some((request, instance)) = self.retries.remove(&number) {
+                self.attempt(now, request, instance);
             }
         }
     }
 
-    fn later(&mut self, now: Millis, after: Millis, wish: Wish, i: usize) {
-        // Less than this is not enough for an answer.
-        if now + after + 50.0 < wish.since + self.terms.patience {
-            self.order += 1;
-            self.queue.push(Reverse((((now + after) * 1000.0) as u64, self.order)));
-            self.due.insert(self.order, (wish, i % self.sim.count()));
+    /// Has a request attempted after a time, unless too little is left of its own then.
+    fn schedule(&mut self, now: Millis, after: Millis, request: Request, instance: usize) {
+        if now + after + LEAST_TIME_MS < request.requested_at + self.settings.timeout {
+            self.last_retry += 1;
+            self.due.push(Reverse((((now + after) * 1000.0) as u64, self.last_retry)));
+            self.retries.insert(self.last_retry, (request, instance % self.fleet.count()));
         }
     }
 
-    fn ask(&mut self, now: Millis, wish: Wish, i: usize) {
-        let tried = Wish { tries: wish.tries + 1, told: false, ..wish };
-        let asked = RequestInfo {
-            client: wish.client,
-            class: wish.class,
-            object: wish.object,
-            time_left: wish.since + self.terms.patience - now,
+    fn attempt(&mut self, now: Millis, request: Request, instance: usize) {
+        let info = RequestInfo {
+            client: request.client,
+            class: request.class,
+            object: request.object,
+            time_left: request.requested_at + self.settings.timeout - now,
             size_kb: None,
-            is_retry: wish.tries > 0 && self.terms.marks,
+            is_retry: request.attempts > 0 && self.settings.marks_retries,
         };
-        let Some(fleet) = self.sim.fleet_mut(i) else { return self.later(now, 10.0, wish, i + 1) };
-        let verdict = fleet.request(now, asked);
-        let mut told = Try {
+        let Some(fleet) = self.fleet.fleet_mut(instance) else {
+            return self.schedule(now, UNREACHABLE_MS, request, instance + 1);
+        };
+        let Some(verdict) = fleet.request(now, info) else { return };
+        let attempt = Attempt {
             at: now,
-            instance: i,
-            client: wish.client,
-            wish: wish.object ^ wish.client << 20 ^ (wish.since as u64) << 40,
-            class: wish.class,
-            since: wish.since,
-            popular: wish.popular,
-            before: wish.tries,
-            passed: true,
+            instance,
+            client: request.client,
+            request: request.number(),
+            class: request.class,
+            requested_at: request.requested_at,
+            is_popular: request.is_popular,
+            earlier_attempts: request.attempts,
+            admitted: true,
             served: false,
-            told: wish.told,
+            after_retry_after: request.after_retry_after,
         };
+        let request = Request { attempts: request.attempts + 1, after_retry_after: false, ..request };
         match verdict {
-            Some(Verdict::Admit(ticket)) => {
-                let room = &mut self.room[usize::from(!wish.popular)];
-                let ended = if *room >= 1.0 {
-                    *room -= 1.0;
-                    RequestOutcome::Served
-                } else if self.rng.random::<f64>() < self.terms.fails {
-                    RequestOutcome::Failed
-                } else {
-                    RequestOutcome::Rejected
-                };
-                let after = match ended {
-                    RequestOutcome::Served => 20.0,
-                    RequestOutcome::Rejected => 2.0,
-                    _ => 200.0,
-                };
-                told.served = ended == RequestOutcome::Served;
-                self.tries.push(told);
-                let at = self.tries.len() - 1;
-                self.wishes.insert(at, (tried, i));
-                let place = self.ends.partition_point(|e| e.0 <= now + after);
-                self.ends.insert(place, (now + after, i, ticket, ended, at));
-            }
-            Some(Verdict::Reject { retry_after: back }) => {
-                told.passed = false;
-                self.tries.push(told);
-                self.refused(now, tried, i, back);
+            Verdict::Admit(ticket) => self.serve(now, attempt, request, ticket),
+            Verdict::Reject { retry_after } => {
+                self.attempts.push(Attempt { admitted: false, ..attempt });
+                self.retry_rejected(now, request, instance, retry_after);
             }
-            None => {}
         }
     }
 
-    fn settle(&mut self, now: Millis, at: usize, ended: RequestOutcome, back: Millis) {
-        if let Some((wish, i)) = self.wishes.remove(&at)
-            && ended == RequestOutcome::Rejected
-        {
-            self.refused(now, wish, i, back);
-        }
+    /// Has an admitted attempt served, as far as there is capacity.
+    fn serve(&mut self, now: Millis, attempt: Attempt, request: Request, ticket: Ticket) {
+        let capacity = if attempt.is_popular { &mut self.capacity.caches } else { &mut self.capacity.origin };
+        let outcome = if *capacity >= 1.0 {
+            *capacity -= 1.0;
+            RequestOutcome::Served
+        } else if self.rng.random::<f64>() < self.settings.late_failure_share {
+            RequestOutcome::Failed
+        } else {
+            RequestOutcome::Rejected
+        };
+        let duration = match outcome {
+            RequestOutcome::Served => SERVED_MS,
+            RequestOutcome::Rejected => REJECTED_MS,
+            _ => FAILED_MS,
+        };
+        self.attempts.push(Attempt { served: outcome == RequestOutcome::Served, ..attempt });
+        let ends_at = now + duration;
+        let place = self.in_flight.partition_point(|other| other.ends_at <= ends_at);
+        let instance = attempt.instance;
+        self.in_flight.insert(place, InFlight { ends_at, instance, ticket, outcome, request });
     }
 
-    fn refused(&mut self, now: Millis, wish: Wish, i: usize, back: Millis) {
-        match self.terms.manners {
-            Manners::Hasty => self.later(now, 20.0, wish, i + 1),
-            Manners::Moves if wish.tries == 1 => self.later(now, 5.0, wish, i + 1),
-            _ => {
-                let to =
-                    if self.rng.random_bool(0.5) { i } else { self.rng.random_range(0..self.sim.count()) };
-                self.later(now, back, Wish { told: true, ..wish }, to);
+    fn retry_rejected(&mut self, now: Millis, request: Request, instance: usize, retry_after: Millis) {
+        match self.settings.retry_policy {
+            RetryPolicy::Immediate => self.schedule(now, IMMEDIATE_RETRY_MS, request, instance + 1),
+            RetryPolicy::NextInstanceFirst if request.attempts == 1 => {
+                self.schedule(now, NEXT_INSTANCE_MS, request, instance + 1);
+            }
+            RetryPolicy::NextInstanceFirst | RetryPolicy::RetryAfter => {
+                let comes_back = self.rng.random_bool(SAME_INSTANCE_PROBABILITY);
+                let instance =
+                    if comes_back { instance } else { self.rng.random_range(0..self.fleet.count()) };
+                self.schedule(now, retry_after, Request { after_retry_after: true, ..request }, instance);
             }
         }
     }
 
-    /// Tries from one time to another.
-    pub fn within(&self, from: Millis, to: Millis) -> impl Iterator<Item = &Try> {
-        self.tries.iter().filter(move |t| t.at >= from && t.at < to)
+    /// Attempts from one time to another.
+    pub fn within(&self, from: Millis, to: Millis) -> impl Iterator<Item = &Attempt> {
+        self.attempts.iter().filter(move |attempt| attempt.at >= from && attempt.at < to)
     }
 
     /// What was counted from one time to another.
-    pub fn count(&self, from: Millis, to: Millis) -> Count {
-        let mut c = Count::default();
-        let second = 1000.0 / (to - from);
-        for t in self.within(from, to) {
-            c.firsts += second * f64::from(u8::from(t.before == 0));
-            c.tries += second;
-            c.passed += second * f64::from(u8::from(t.passed));
-            c.served += second * f64::from(u8::from(t.served));
-            c.repeats += second * f64::from(u8::from(t.passed && t.before > 0));
-            c.told += second * f64::from(u8::from(t.told));
-            c.kept += second * f64::from(u8::from(t.told && t.served));
+    pub fn count(&self, from: Millis, to: Millis) -> Rates {
+        let mut rates = Rates::default();
+        let each = 1000.0 / (to - from);
+        let rate = |is_counted: bool| each * f64::from(u8::from(is_counted));
+        for attempt in self.within(from, to) {
+            rates.requests += rate(attempt.earlier_attempts == 0);
+            rates.attempts += each;
+            rates.admitted += rate(attempt.admitted);
+            rates.served += rate(attempt.served);
+            rates.admitted_retries += rate(attempt.admitted && attempt.earlier_attempts > 0);
+            rates.returns += rate(attempt.after_retry_after);
+            rates.served_returns += rate(attempt.after_retry_after && attempt.served);
         }
-        c
+        rates
     }
 }
 
 /// Events a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Count {
-    /// First tries, and all.
-    pub firsts: f64,
-    /// See `firsts`.
-    pub tries: f64,
-    /// Let in, served, and repeats that were let in.
-    pub passed: f64,
-    /// See `passed`.
+pub struct Rates {
+    /// Requests, retries not counted.
+    pub requests: f64,
+    /// Attempts of them.
+    pub attempts: f64,
+    /// Attempts that were admitted.
+    pub admitted: f64,
+    /// Attempts that were served.
     pub served: f64,
-    /// See `passed`.
-    pub repeats: f64,
-    /// Came when they were told to, and were served then.
-    pub told: f64,
-    /// See `told`.
-    pub kept: f64,
+    /// Retries that were admitted.
+    pub admitted_retries: f64,
+    /// Attempts at the time that a Retry-After had named.
+    pub returns: f64,
+    /// Those that were served.
+    pub served_returns: f64,
 }
