--- a/crates/deckproxy/src/program/check.rs
+++ b/crates/deckproxy/src/program/check.rs
@@ -3,6 +3,7 @@
 use crate::program::error::ProgramError;
 use crate::program::files::{self, FileError};
 use crate::program::migrate;
+use crate::protocol::config_file::Completeness;
 use deckproxy_operator::Operator;
 use std::path::{Path, PathBuf};
 
@@ -16,7 +17,8 @@
     let mut operators = Vec::new();
     for path in paths {
         if is_configuration(path) {
-            faults.extend(migrate::read_configuration(path, false).err().unwrap_or_default());
+            faults
+                .extend(migrate::read_configuration(path, Completeness::Complete).err().unwrap_or_default());
             continue;
         }
         match files::read_operator(path) {
--- a/crates/deckproxy/src/program/migrate.rs
+++ b/crates/deckproxy/src/program/migrate.rs
@@ -2,7 +2,8 @@
 
 use crate::program::cli::Migrate;
 use crate::protocol::config::{self, ConfigError};
-use crate::protocol::shape;
+use crate::protocol::config_file::{self, Completeness};
+use crate::protocol::config_migration::{self, Migrated};
 use serde_json::{Value, json};
 use std::fs::File;
 use std::io::{self, Write};
@@ -72,7 +73,7 @@
 ///
 /// # Errors
 /// Every fault as `FILE:LINE:COLUMN: FIELD: WHAT`, or that the file can't be read.
-pub fn read_configuration(path: &Path, partial: bool) -> Result<Value, Vec<String>> {
+pub fn read_configuration(path: &Path, completeness: Completeness) -> Result<Value, Vec<String>> {
     let shown = path.display();
     let bytes = fs::read(path).map_err(|e| vec![format!("{shown}: cannot be read: {e}")])?;
     let text = String::from_utf8(bytes).map_err(|e| {
@@ -80,7 +81,7 @@
         let line = e.as_bytes()[..valid].iter().filter(|byte| **byte == b'\n').count() + 1;
         vec![format!("{shown}:{line}:1: file: not UTF-8 from byte {valid} on")]
     })?;
-    shape::read(&text, partial)
+    config_file::read(&text, completeness)
         .map_err(|faults| faults.iter().map(|fault| format!("{shown}:{fault}")).collect())
 }
 
@@ -90,7 +91,7 @@
 /// See [`MigrateError`].
 pub fn run(arguments: &Migrate) -> Result<ExitCode, MigrateError> {
     let (old, shapes) = read_input(arguments)?;
-    let (new, losses) = shape::migrate(&old, &shapes);
+    let Migrated { config: new, losses } = config_migration::migrate(&old, &shapes);
     let text = format!("{new:#}\n");
     config::read(text.as_bytes()).map_err(MigrateError::UnusableResult)?;
     for loss in &losses {
@@ -112,11 +113,12 @@
 /// Reads the old configuration, and the shapes to lay over it in order. All faults are found in one go.
 fn read_input(arguments: &Migrate) -> Result<(Value, Vec<Value>), MigrateError> {
     let mut faults = Vec::new();
-    let mut read = |path: &Path, partial| {
-        read_configuration(path, partial).map_err(|found| faults.extend(found)).unwrap_or_default()
+    let mut read = |path: &Path, completeness| {
+        read_configuration(path, completeness).map_err(|found| faults.extend(found)).unwrap_or_default()
     };
-    let old = read(&arguments.old, false);
-    let mut shapes: Vec<Value> = arguments.shape.iter().map(|path| read(path, true)).collect();
+    let old = read(&arguments.old, Completeness::Complete);
+    let mut shapes: Vec<Value> =
+        arguments.shape.iter().map(|path| read(path, Completeness::Partial)).collect();
     for set in &arguments.set {
         let (shape, found) = read_set(set)?;
         faults.extend(found);
@@ -130,11 +132,10 @@
     let (path, value) = set.split_once('=').ok_or_else(|| MigrateError::SetWithoutValue(set.to_string()))?;
     let value = serde_json::from_str(value).unwrap_or_else(|_| Value::String(value.to_string()));
     let shape = path.rsplit('.').fold(value, |value, field| json!({ field: value }));
-    let faults = shape::read(&shape.to_string(), true).err().unwrap_or_default();
+    let faults = config_file::read(&shape.to_string(), Completeness::Partial).err().unwrap_or_default();
     let faults = faults.into_iter().map(|fault| {
         // Line and column are of a text that the user has never seen.
-        let fault = fault.splitn(3, ':').last().unwrap_or_default().to_string();
-        format!("--set {set}:{fault}")
+        format!("--set {set}: {}", fault.what)
     });
     let faults = faults.collect();
     Ok((shape, faults))
--- /dev/null
+++ b/crates/deckproxy/src/protocol/config_migration.rs
@@ -0,0 +1,200 @@
+//! Migration of a configuration to the shape of another deployment. No I/O.
+
+use crate::protocol::config_file::{LIMITS, join};
+use deckproxy_settings::keys;
+use serde_json::{Map, Value};
+
+/// The fields beside the settings that are read.
+const FIELDS: [&str; 9] =
+    ["name", "listen", "seed", "limits", "feed", "flow_bytes_per_s", "link_bytes_per_s", "known", "settings"];
+/// Settings of the family that hold a value for each class.
+const BY_CLASS: [&str; 4] = ["maxAgeMs", "usableAfterMs", "agedWorth", "goesThrough"];
+/// Settings of the family that hold a value for each zone.
+const BY_ZONE: [&str; 2] = ["zoneBalancers", "inletKbPerS"];
+/// Settings that hold a position in a list.
+const POSITIONS: [PositionSetting; 3] = [
+    PositionSetting { group: Some("familyInfo"), field: "shieldKind", list: "machineTypes" },
+    PositionSetting { group: Some("familyInfo"), field: "sourceKind", list: "machineTypes" },
+    PositionSetting { group: None, field: "locality", list: "zones" },
+];
+
+/// A setting that holds a position in a list.
+struct PositionSetting {
+    /// The group of settings that it is in.
+    group: Option<&'static str>,
+    /// Its name.
+    field: &'static str,
+    /// The list.
+    list: &'static str,
+}
+
+/// A field that could not be carried over, and why.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Loss {
+    /// Path of the field.
+    pub field: String,
+    /// Why it was left out.
+    pub why: String,
+}
+
+/// A configuration in another shape.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Migrated {
+    /// The configuration.
+    pub config: Value,
+    /// What could not be carried over.
+    pub losses: Vec<Loss>,
+}
+
+/// Migrates a configuration to another shape: what the shape's parts hold, one after the other, replaces what the file
+/// holds, field by field (RFC 7386, so `null` removes a field); what then fits nowhere is left out and reported.
+pub fn migrate(old: &Value, shape: &[Value]) -> Migrated {
+    let mut migration = Migration { config: old.clone(), losses: Vec::new() };
+    migration.remove_unread();
+    for part in shape {
+        json_patch::merge(&mut migration.config, part);
+    }
+    let zones = migration.names("zones");
+    let kinds = migration.names("machineTypes");
+    let classes = migration.config["settings"].get("services").and_then(Value::as_array).map(Vec::len);
+    migration.remove_misfit_lists(&BY_CLASS, classes, "classes");
+    migration.remove_misfit_lists(&BY_ZONE, zones.as_ref().map(Vec::len), "zones");
+    for position in &POSITIONS {
+        migration.remove_misfit_position(position);
+    }
+    migration.remove_misfit_members(zones.as_deref(), kinds.as_deref());
+    Migrated { config: migration.config, losses: migration.losses }
+}
+
+/// A configuration on its way to another shape.
+struct Migration {
+    config: Value,
+    losses: Vec<Loss>,
+}
+
+impl Migration {
+    /// The names in a list of the settings.
+    fn names(&self, list: &str) -> Option<Vec<String>> {
+        let names = self.config["settings"].get(list)?.as_array()?;
+        Some(names.iter().filter_map(|name| name.as_str().map(str::to_string)).collect())
+    }
+
+    fn lose(&mut self, field: String, why: String) {
+        self.losses.push(Loss { field, why });
+    }
+
+    /// Removes the fields that this program does not read.
+    fn remove_unread(&mut self) {
+        let Migration { config, losses } = self;
+        if let Some(root) = config.as_object_mut() {
+            retain(root, "", losses, |name| FIELDS.contains(&name));
+        }
+        if let Some(limits) = config.get_mut("limits").and_then(Value::as_object_mut) {
+            retain(limits, "limits", losses, |name| LIMITS.contains(&name));
+        }
+        if let Some(settings) = config.get_mut("settings").and_then(Value::as_object_mut) {
+            retain(settings, "settings", losses, |name| is_key(name) || is_group(name));
+            for (name, value) in settings.iter_mut() {
+                retain_setting(name, value, losses);
+            }
+        }
+    }
+
+    /// Removes lists by class or zone that the shape left alone, though it has another number of those.
+    fn remove_misfit_lists(&mut self, lists: &[&str], count: Option<usize>, of: &str) {
+        for list in lists {
+            let family = &self.config["settings"]["familyInfo"];
+            let length = family.get(*list).and_then(Value::as_array).map(Vec::len);
+            let (Some(length), Some(count)) = (length, count) else { continue };
+            if length != count {
+                remove(&mut self.config["settings"]["familyInfo"], list);
+                let why = format!("has {length} values for {count} {of}; give it in the shape");
+                self.lose(format!("settings.familyInfo.{list}"), why);
+            }
+        }
+    }
+
+    /// Removes a position that is not in its list any more.
+    fn remove_misfit_position(&mut self, setting: &PositionSetting) {
+        let PositionSetting { group, field, list } = setting;
+        let length = self.names(list).map(|names| names.len() as i64);
+        let settings = &mut self.config["settings"];
+        let holder = match group {
+            Some(group) => &mut settings[*group],
+            None => settings,
+        };
+        let position = holder.get(*field).and_then(Value::as_f64).map(|position| position as i64);
+        let (Some(position), Some(length)) = (position, length) else { return };
+        if position >= length {
+            remove(holder, field);
+            let path = group.map_or(String::new(), |group| format!("{group}."));
+            let why = format!("place {position} of {length} {list}; give it in the shape");
+            self.lose(format!("settings.{path}{field}"), why);
+        }
+    }
+
+    /// Removes members whose zone or kind the new shape does not have.
+    fn remove_misfit_members(&mut self, zones: Option<&[String]>, kinds: Option<&[String]>) {
+        let Migration { config, losses } = self;
+        let Some(events) = config["known"].get_mut("events").and_then(Value::as_array_mut) else { return };
+        for (event_position, event) in events.iter_mut().enumerate() {
+            let list = event.get_mut("members").and_then(|list| list.get_mut("members"));
+            let Some(members) = list.and_then(Value::as_array_mut) else { continue };
+            let mut position = 0;
+            members.retain(|member| {
+                let why = unknown_name(member, "locality", zones, "zones")
+                    .or_else(|| unknown_name(member, "flavor", kinds, "machineTypes"));
+                let field = format!("known.events.{event_position}.members.members.{position}");
+                position += 1;
+                let keep = why.is_none();
+                losses.extend(why.map(|why| Loss { field, why }));
+                keep
+            });
+        }
+    }
+}
+
+/// What is wrong with a member's field that must name an entry of a list, if anything is.
+fn unknown_name(member: &Value, field: &str, names: Option<&[String]>, list: &str) -> Option<String> {
+    let name = member[field].as_str().unwrap_or_default();
+    let is_unknown = names.is_some_and(|names| !names.iter().any(|other| other == name));
+    is_unknown.then(|| format!("{field} {name:?} is none of the {list}"))
+}
+
+/// Whether a path is a key of the settings.
+fn is_key(path: &str) -> bool {
+    keys::KEYS.iter().any(|(key, _)| *key == path)
+}
+
+/// Whether there are keys of the settings below a path.
+fn is_group(path: &str) -> bool {
+    keys::KEYS.iter().any(|(key, _)| key.starts_with(&format!("{path}.")))
+}
+
+/// Removes what is not read below a setting.
+fn retain_setting(name: &str, value: &mut Value, losses: &mut Vec<Loss>) {
+    if let Some(fields) = value.as_object_mut().filter(|_| !is_key(name)) {
+        retain(fields, &format!("settings.{name}"), losses, |field| is_key(&join(name, field)));
+    }
+    for (position, item) in value.as_array_mut().into_iter().flatten().enumerate() {
+        if let Some(fields) = item.as_object_mut() {
+            let is_read = |field: &str| keys::format_of(&format!("{name}.{position}.{field}")).is_some();
+            retain(fields, &format!("settings.{name}.{position}"), losses, is_read);
+        }
+    }
+}
+
+/// Removes all other fields than those to keep.
+fn retain(fields: &mut Map<String, Value>, path: &str, losses: &mut Vec<Loss>, keep: impl Fn(&str) -> bool) {
+    let removed: Vec<String> = fields.keys().filter(|name| !keep(name)).cloned().collect();
+    for name in removed {
+        fields.remove(&name);
+        losses.push(Loss { field: join(path, &name), why: "not read by this program".to_string() });
+    }
+}
+
+fn remove(holder: &mut Value, field: &str) {
+    if let Some(fields) = holder.as_object_mut() {
+        fields.remove(field);
+    }
+}
--- a/crates/deckproxy/src/protocol/mod.rs
+++ b/crates/deckproxy/src/protocol/mod.rs
@@ -2,9 +2,11 @@
 //! the terms of the code where they are parsed.
 
 pub mod config;
+pub mod config_file;
+pub mod config_migration;
 pub mod downstream;
 pub mod feed;
 pub mod limits;
 pub mod link;
-pub mod shape;
+
 pub mod upstream;
