--- /dev/null
+++ b/crates/deckproxy-flow/src/export/effects.rs
@@ -0,0 +1,74 @@
+//! What the exporter decides, and what it counts.
+
+use bytes::Bytes;
+use std::fmt;
+
+/// A collector, by its index in the list.
+pub type CollectorIndex = usize;
+
+/// What the caller has to do.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Effect {
+    /// Open a connection (over UDP: a socket).
+    Connect(CollectorIndex),
+    /// Send a message.
+    Send {
+        /// The collector.
+        collector: CollectorIndex,
+        /// The number under which the caller reports that the message is written.
+        number: u64,
+        /// The message.
+        message: Bytes,
+    },
+    /// Close the connection.
+    Close(CollectorIndex),
+    /// Write a line for the operators.
+    Log(LogEvent),
+}
+
+/// A line for the operators.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LogEvent {
+    /// A collector is connected.
+    Up(CollectorIndex),
+    /// The connection to a collector has ended.
+    Lost(CollectorIndex),
+    /// A collector took nothing within the stall timeout.
+    Stalled(CollectorIndex),
+}
+
+impl fmt::Display for LogEvent {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            LogEvent::Up(collector) => write!(formatter, "collector {collector}: up"),
+            LogEvent::Lost(collector) => write!(formatter, "collector {collector}: lost"),
+            LogEvent::Stalled(collector) => write!(formatter, "collector {collector}: takes nothing"),
+        }
+    }
+}
+
+/// Events since the start.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Counters {
+    /// Messages written.
+    pub messages: u64,
+    /// Flows in those messages.
+    pub flows: u64,
+    /// Bytes of those flows, in both directions.
+    pub octets: u64,
+    /// Requests of those flows.
+    pub requests: u64,
+    /// Flows dropped because the spool was full, as reported to collectors.
+    pub lost: u64,
+    /// Connections to collectors that were lost.
+    pub breaks: u64,
+}
+
+/// Flows that are not exported yet.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Backlog {
+    /// Flows in the spools.
+    pub spooled: usize,
+    /// Flows in messages that are not written completely.
+    pub in_flight: usize,
+}
--- /dev/null
+++ b/crates/deckproxy-flow/src/export/mod.rs
@@ -0,0 +1,276 @@
+//! The exporting process, without sockets: templates, messages, and collectors that connect and disconnect.
+//!
+//! Collectors are replicas (each gets all flows, from a spool of its own) or stand by for one another (the first that is
+//! up gets them, from one spool). A message counts as sent once it was written completely to a connection: neither
+//! protocol acknowledges, and the sequence numbers show a collector what it lacks. Other messages are sent again.
+//!
+//! - [`settings`]: how the export is set up.
+//! - [`effects`]: what the exporter decides and counts.
+//! - `collector`: one collector's connection, backoff and rate limit.
+//! - `messages`: building and sending messages.
+//! - `templates`, `records`: what the messages consist of.
+
+mod collector;
+pub mod effects;
+mod messages;
+mod records;
+pub mod settings;
+mod templates;
+
+pub use effects::{Backlog, CollectorIndex, Counters, Effect, LogEvent};
+pub use settings::{Settings, Transport};
+
+use crate::codec::Encoder;
+use crate::meter::Flow;
+use crate::spool::{Loss, Spool};
+use collector::{Collector, State};
+use std::collections::VecDeque;
+use templates::Templates;
+
+/// Unix milliseconds.
+pub type Millis = u64;
+
+/// The exporting process.
+#[derive(Debug)]
+pub struct Exporter {
+    settings: Settings,
+    collectors: Vec<Collector>,
+    /// One for each collector where they are replicas, else one for all.
+    spools: Vec<Spool>,
+    templates: Templates,
+    last_message: u64,
+    effects: VecDeque<Effect>,
+    /// Events since the start.
+    pub counters: Counters,
+}
+
+impl Exporter {
+    /// An exporter to these collectors. `sequence`: where sequence numbers begin.
+    pub fn new(settings: Settings, collectors: &[Transport], sequence: u32, now: Millis) -> Self {
+        let encoder = new_encoder(&settings, sequence, now);
+        let collector = |transport: &Transport| Collector::new(*transport, encoder.clone(), now);
+        let spools = if settings.replicate { collectors.len() } else { 1 };
+        Exporter {
+            settings,
+            collectors: collectors.iter().map(collector).collect(),
+            spools: (0..spools).map(|_| Spool::new(settings.spool_size)).collect(),
+            templates: Templates::new(&settings),
+            last_message: 0,
+            effects: VecDeque::new(),
+            counters: Counters::default(),
+        }
+    }
+
+    /// Takes the next effect that the caller has to carry out.
+    pub fn next_effect(&mut self) -> Option<Effect> {
+        self.effects.pop_front()
+    }
+
+    /// Accepts a flow for export.
+    pub fn push(&mut self, flow: Flow) {
+        for spool in &mut self.spools {
+            spool.push(flow);
+        }
+    }
+
+    /// Flows that are not exported yet.
+    pub fn backlog(&self) -> Backlog {
+        let in_flight = self.collectors.iter().flat_map(|collector| &collector.in_flight);
+        Backlog {
+            spooled: self.spools.iter().map(Spool::len).sum(),
+            in_flight: in_flight.map(|message| message.flows.len()).sum(),
+        }
+    }
+
+    /// Losses that were not reported to a collector yet.
+    pub fn unreported_loss(&self) -> Loss {
+        let mut sum = Loss::default();
+        for spool in &self.spools {
+            sum.add(spool.loss());
+        }
+        sum
+    }
+
+    /// Whether nothing is left to export or report.
+    pub fn is_settled(&self) -> bool {
+        self.backlog() == Backlog::default() && self.unreported_loss().is_none()
+    }
+
+    /// For each collector whether it is up.
+    pub fn collectors_up(&self) -> impl Iterator<Item = bool> {
+        self.collectors.iter().map(Collector::is_up)
+    }
+
+    /// Flows merged in the spools since the start.
+    pub fn merged(&self) -> u64 {
+        self.spools.iter().map(|spool| spool.merged).sum()
+    }
+
+    /// The index of the spool that feeds a collector.
+    fn spool_of(&self, index: CollectorIndex) -> usize {
+        if self.settings.replicate { index } else { 0 }
+    }
+
+    /// Replaces the list of collectors. Each comes with its index in the old list, if it was there: its connection
+    /// stays, and where collectors are replicas so does its spool. A new one takes over the spool and the sequence
+    /// numbers of the one that was removed from its index. The spools of removed collectors that no one takes over are
+    /// dropped. The protocol version, domain, enterprise, message size and replication take a restart.
+    pub fn replace_collectors(
+        &mut self,
+        settings: Settings,
+        collectors: &[(Transport, Option<CollectorIndex>)],
+        now: Millis,
+    ) {
+        debug_assert!(settings.has_same_fixed_part(&self.settings), "these take a restart");
+        let is_kept = |index| collectors.iter().any(|(_, previous)| *previous == Some(index));
+        for index in (0..self.collectors.len()).filter(|index| !is_kept(*index)) {
+            // The caller closes its connection; what was not written goes back into the spool.
+            self.disconnected(now, index);
+        }
+        let mut old_collectors: Vec<Option<Collector>> =
+            std::mem::take(&mut self.collectors).into_iter().map(Some).collect();
+        let mut old_spools: Vec<Option<Spool>> =
+            std::mem::take(&mut self.spools).into_iter().map(Some).collect();
+        for (index, (transport, previous)) in collectors.iter().enumerate() {
+            let source = previous.or(Some(index).filter(|index| !is_kept(*index)));
+            let old = source.and_then(|source| old_collectors.get_mut(source)).and_then(Option::take);
+            self.collectors.push(match old {
+                Some(collector) if previous.is_some() => collector,
+                removed => {
+                    let sequence = removed.map_or(0, |collector| collector.encoder.sequence());
+                    Collector::new(*transport, new_encoder(&settings, sequence, now), now)
+                }
+            });
+            if settings.replicate {
+                let spool = source.and_then(|source| old_spools.get_mut(source)).and_then(Option::take);
+                self.spools.push(spool.unwrap_or_else(|| Spool::new(settings.spool_size)));
+            }
+        }
+        if !settings.replicate {
+            self.spools.extend(old_spools.into_iter().flatten());
+        }
+        self.settings = settings;
+    }
+
+    /// A requested connection is open.
+    pub fn connected(&mut self, now: Millis, index: CollectorIndex) {
+        let Some(collector) = self.collectors.get_mut(index) else { return };
+        collector.state = State::Up;
+        collector.templates_sent_at = None;
+        collector.progress_at = now;
+        self.effects.push_back(Effect::Log(LogEvent::Up(index)));
+    }
+
+    /// A connection could not be opened, or has ended. Messages that were not written are sent again.
+    pub fn disconnected(&mut self, now: Millis, index: CollectorIndex) {
+        let spool_index = self.spool_of(index);
+        let Some(collector) = self.collectors.get_mut(index) else { return };
+        match collector.state {
+            State::Down { .. } => return,
+            State::Connecting => {}
+            State::Up => {
+                self.counters.breaks += 1;
+                self.effects.push_back(Effect::Log(LogEvent::Lost(index)));
+            }
+        }
+        collector.set_down(now);
+        let unsent = std::mem::take(&mut collector.in_flight);
+        // Messages that were not written never counted: the sequence numbers continue from the first of them.
+        if let Some(first) = unsent.front() {
+            collector.encoder.rewind(first.sequence);
+        }
+        let spool = &mut self.spools[spool_index];
+        for message in &unsent {
+            spool.restore_loss(message.loss);
+        }
+        let flows: Vec<Flow> = unsent.into_iter().flat_map(|message| message.flows).collect();
+        spool.put_back(flows.into_iter());
+    }
+
+    /// A message was written completely.
+    pub fn message_sent(&mut self, now: Millis, index: CollectorIndex, number: u64) {
+        let Some(collector) = self.collectors.get_mut(index) else { return };
+        collector.progress_at = now;
+        let position = collector.in_flight.iter().position(|message| message.number == number);
+        let Some(message) = position.and_then(|position| collector.in_flight.remove(position)) else {
+            return;
+        };
+        if !message.flows.is_empty() {
+            // Templates alone do not show that the collector is reachable.
+            collector.reset_backoff();
+        }
+        self.counters.messages += 1;
+        for flow in &message.flows {
+            self.counters.flows += 1;
+            self.counters.octets += flow.counts.out + flow.counts.back;
+            self.counters.requests += flow.counts.requests;
+        }
+    }
+
+    /// Some bytes were written, though no complete message.
+    pub fn bytes_sent(&mut self, now: Millis, index: CollectorIndex) {
+        if let Some(collector) = self.collectors.get_mut(index) {
+            collector.progress_at = now;
+        }
+    }
+
+    /// Does what is due: connects to collectors, closes stalled connections, and sends up to `max_messages`. Returns
+    /// whether there is more to send now. `name` resolves the flows' names.
+    pub fn poll<'a>(&mut self, now: Millis, max_messages: usize, name: &impl Fn(u32) -> &'a str) -> bool {
+        let mut messages_left = max_messages;
+        let mut has_more = false;
+        let mut has_served = false;
+        for index in 0..self.collectors.len() {
+            self.poll_connection(now, index);
+            // Collectors that stand by get nothing while one before them is up.
+            if !self.collectors[index].is_up() || (has_served && !self.settings.replicate) {
+                continue;
+            }
+            has_served = true;
+            while self.can_send(now, index) {
+                if messages_left == 0 {
+                    has_more = true;
+                    break;
+                }
+                messages_left -= 1;
+                self.send_message(now, index, name);
+            }
+        }
+        has_more
+    }
+
+    /// Connects to a collector, or closes its connection, where that is due.
+    fn poll_connection(&mut self, now: Millis, index: CollectorIndex) {
+        let collector = &mut self.collectors[index];
+        collector.fill_tokens(now, self.settings.message_rate);
+        let is_stalled = collector.is_stalled(now, self.settings.stall_timeout);
+        match collector.state {
+            State::Down { reconnect_at } if now >= reconnect_at => {
+                collector.state = State::Connecting;
+                collector.progress_at = now;
+                self.effects.push_back(Effect::Connect(index));
+            }
+            State::Down { .. } => collector.correct_reconnect(now),
+            State::Up if is_stalled && !collector.in_flight.is_empty() => {
+                self.effects.push_back(Effect::Log(LogEvent::Stalled(index)));
+                self.effects.push_back(Effect::Close(index));
+                self.disconnected(now, index);
+            }
+            State::Connecting if is_stalled => {
+                self.effects.push_back(Effect::Close(index));
+                self.disconnected(now, index);
+            }
+            State::Connecting | State::Up => {}
+        }
+    }
+
+    /// When [`Exporter::poll`] has to be called next, at the latest, where nothing happens before.
+    pub fn next_timer(&self, now: Millis) -> Option<Millis> {
+        let timers = self.collectors.iter().filter_map(|collector| collector.next_timer(now, &self.settings));
+        timers.min().map(|at| at.max(now))
+    }
+}
+
+fn new_encoder(settings: &Settings, sequence: u32, now: Millis) -> Encoder {
+    Encoder::new(settings.version, settings.domain, settings.max_message, sequence, now)
+}
--- /dev/null
+++ b/crates/deckproxy-flow/src/export/records.rs
@@ -0,0 +1,74 @@
+//! A flow as a record: its values in the order of the template's fields.
+
+use crate::codec::{Value, elements};
+use crate::meter::{Flow, Leg, Outcome, Reason};
+use bytes::Bytes;
+use ipnet::IpNet;
+use std::net::IpAddr;
+
+/// The values of a flow. `name` resolves its names.
+pub(super) fn flow_record<'a>(flow: &Flow, name: &impl Fn(u32) -> &'a str) -> Vec<Value> {
+    let (address, prefix_length) = client(flow.key.client);
+    let counts = &flow.counts;
+    vec![
+        address,
+        Value::Number(u64::from(prefix_length)),
+        Value::Number(counts.out),
+        Value::Number(counts.back),
+        Value::Number(counts.requests),
+        Value::Number(counts.first),
+        Value::Number(counts.last),
+        Value::Number(end_reason(flow.reason)),
+        text(name(flow.key.class)),
+        text(name(flow.key.member)),
+        text(name(flow.key.site)),
+        text(outcome(flow.key.outcome)),
+        Value::Number(counts.p99()),
+        Value::Number(u64::from(flow.key.folded)),
+        Value::text(leg(flow.key.leg)),
+    ]
+}
+
+/// A client's address and the length of its prefix.
+fn client(client: Option<IpNet>) -> (Value, u8) {
+    let Some(net) = client else { return (Value::Number(0), 0) };
+    let address = match net.addr() {
+        IpAddr::V4(v4) => Bytes::copy_from_slice(&v4.octets()),
+        IpAddr::V6(v6) => Bytes::copy_from_slice(&v6.octets()),
+    };
+    (Value::Bytes(address), net.prefix_len())
+}
+
+/// A text, or the one that stands for none: there are decoders that discard a set because of one empty text.
+fn text(text: &str) -> Value {
+    Value::text(if text.is_empty() { elements::NONE } else { text })
+}
+
+fn outcome(outcome: Option<Outcome>) -> &'static str {
+    match outcome {
+        None => "",
+        Some(Outcome::Served) => "served",
+        Some(Outcome::Refused) => "refused",
+        Some(Outcome::Failed) => "failed",
+        Some(Outcome::Cut) => "cut",
+        Some(Outcome::Unusable) => "unusable",
+        Some(Outcome::Missed) => "missed",
+    }
+}
+
+fn leg(leg: Leg) -> &'static str {
+    match leg {
+        Leg::Client => "client",
+        Leg::Member => "member",
+        Leg::Link => "link",
+    }
+}
+
+/// The reason as IANA numbers it (element 136).
+fn end_reason(reason: Reason) -> u64 {
+    match reason {
+        Reason::Idle => 1,
+        Reason::Active => 2,
+        Reason::End => 4,
+    }
+}
--- /dev/null
+++ b/crates/deckproxy-flow/src/export/templates.rs
@@ -0,0 +1,134 @@
+//! The templates that are sent: of flows by IPv4 and IPv6 clients, of losses, and of this project's own elements.
+
+use super::settings::Settings;
+use crate::codec::elements::{self, Own};
+use crate::codec::{Element, Field, Template, VARIABLE, Value, Version};
+
+/// Template ids (RFC 7011, 3.4.1: from 256 on).
+const FLOW_V4_ID: u16 = 256;
+const FLOW_V6_ID: u16 = 257;
+const LOSS_ID: u16 = 258;
+const ELEMENT_ID: u16 = 259;
+/// First number of this project's own elements in NetFlow v9, which has no enterprises: vendors may use numbers from
+/// there on.
+const FIRST_OWN_V9: u16 = 0xe000;
+/// Lengths of texts in NetFlow v9, which has no variable lengths, bytes.
+const NAME_LENGTH: u16 = 24;
+const WORD_LENGTH: u16 = 8;
+const ELEMENT_NAME_LENGTH: u16 = 32;
+
+/// All templates of one exporter.
+#[derive(Clone, Debug)]
+pub(super) struct Templates {
+    /// Flows whose client has an IPv4 prefix, or none.
+    pub(super) flow_v4: Template,
+    /// Flows whose client has an IPv6 prefix.
+    pub(super) flow_v6: Template,
+    /// Options: flows that were dropped.
+    pub(super) loss: Template,
+    /// Options: the type of an own element (RFC 5610).
+    pub(super) element: Template,
+}
+
+impl Templates {
+    /// The templates for these settings.
+    pub(super) fn new(settings: &Settings) -> Self {
+        let version = settings.version;
+        Templates {
+            flow_v4: flow_template(settings, FLOW_V4_ID, elements::CLIENT_V4, elements::CLIENT_V4_LENGTH, 4),
+            flow_v6: flow_template(settings, FLOW_V6_ID, elements::CLIENT_V6, elements::CLIENT_V6_LENGTH, 16),
+            loss: Template {
+                id: LOSS_ID,
+                scope: 1,
+                fields: vec![
+                    field(elements::EXPORTER, 4),
+                    field(elements::LOST_FLOWS, 8),
+                    field(elements::LOST_OCTETS, 8),
+                    field(elements::FLOWS, 8),
+                ],
+            },
+            element: Template {
+                id: ELEMENT_ID,
+                scope: 2,
+                fields: vec![
+                    field(elements::IE_ENTERPRISE, 4),
+                    field(elements::IE_ID, 2),
+                    field(elements::IE_TYPE, 1),
+                    field(elements::IE_SEMANTICS, 1),
+                    field(elements::IE_UNITS, 2),
+                    text_field(version, elements::IE_NAME, ELEMENT_NAME_LENGTH),
+                ],
+            },
+        }
+    }
+
+    /// All of them, in the order in which they are sent.
+    pub(super) fn all(&self) -> [&Template; 4] {
+        [&self.flow_v4, &self.flow_v6, &self.loss, &self.element]
+    }
+}
+
+fn field(element: Element, length: u16) -> Field {
+    Field { element, length }
+}
+
+/// A field for a text: of variable length in IPFIX, of the given one in NetFlow v9.
+fn text_field(version: Version, element: Element, length: u16) -> Field {
+    match version {
+        Version::Ipfix => field(element, VARIABLE),
+        Version::NetflowV9 => field(element, length),
+    }
+}
+
+/// One of this project's own elements as the protocol numbers it.
+fn own_element(settings: &Settings, own: Own) -> Element {
+    match settings.version {
+        Version::Ipfix => own.under(settings.enterprise),
+        Version::NetflowV9 => Element { id: FIRST_OWN_V9 + own.id, enterprise: None },
+    }
+}
+
+fn flow_template(
+    settings: &Settings,
+    id: u16,
+    client: Element,
+    prefix_length: Element,
+    address_bytes: u16,
+) -> Template {
+    let version = settings.version;
+    let octets_back = match version {
+        Version::Ipfix => elements::reverse(elements::OCTETS),
+        Version::NetflowV9 => elements::OCTETS_BACK_V9,
+    };
+    let own = |element| own_element(settings, element);
+    let fields = vec![
+        field(client, address_bytes),
+        field(prefix_length, 1),
+        field(elements::OCTETS, 8),
+        field(octets_back, 8),
+        field(elements::FLOWS, 8),
+        field(elements::START, 8),
+        field(elements::END, 8),
+        field(elements::END_REASON, 1),
+        text_field(version, elements::APPLICATION, NAME_LENGTH),
+        text_field(version, own(elements::MEMBER), NAME_LENGTH),
+        text_field(version, own(elements::SITE), NAME_LENGTH),
+        text_field(version, own(elements::RESULT), WORD_LENGTH),
+        field(own(elements::P99), 4),
+        field(own(elements::FOLDED), 1),
+        text_field(version, own(elements::LEG), WORD_LENGTH),
+    ];
+    Template { id, scope: 0, fields }
+}
+
+/// The record that describes one of this project's own elements (RFC 5610).
+pub(super) fn element_record(enterprise: u32, own: Own) -> Vec<Value> {
+    vec![
+        Value::Number(u64::from(enterprise)),
+        Value::Number(u64::from(own.id)),
+        Value::Number(u64::from(own.kind)),
+        Value::Number(u64::from(own.semantics)),
+        Value::Number(u64::from(own.units)),
+        Value::text(own.name),
+    ]
+}
--- a/crates/deckproxy-flow/src/spool.rs
+++ b/crates/deckproxy-flow/src/spool.rs
@@ -1,17 +1,17 @@
 //! Flows that wait for a collector.
 //!
-//! The queue is bounded in bytes. When it is full, the older half is merged by key: the sums stay, the times get coarser.
-//! Only when that frees too little is the oldest dropped, and counted, so that the loss can be told.
+//! The queue is bounded in bytes. When it is full, the older part is merged by key: the sums stay, the times get
+//! coarser. Only when that frees too little is the oldest flow dropped, and counted, so that the loss can be reported.
 
 use crate::meter::{Flow, Key};
 use std::collections::{HashMap, VecDeque};
 
-/// What was dropped and not told yet.
+/// Flows that were dropped and not reported yet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Loss {
     /// Flows.
     pub flows: u64,
-    /// Their bytes, both ways.
+    /// Their bytes, in both directions.
     pub octets: u64,
     /// Their requests.
     pub requests: u64,
@@ -23,10 +23,10 @@
         *self == Loss::default()
     }
 
-    /// One flow.
+    /// The loss of one flow.
     pub fn of(flow: &Flow) -> Self {
-        let c = &flow.counts;
-        Loss { flows: 1, octets: c.out + c.back, requests: c.requests }
+        let counts = &flow.counts;
+        Loss { flows: 1, octets: counts.out + counts.back, requests: counts.requests }
     }
 
     /// Adds another loss.
@@ -40,67 +40,69 @@
 /// The queue.
 #[derive(Debug)]
 pub struct Spool {
-    most: usize,
+    /// Flows that the queue holds at most.
+    capacity: usize,
     queue: VecDeque<Flow>,
     loss: Loss,
-    /// Flows that were merged into others.
+    /// Flows that were merged into others since the start.
     pub merged: u64,
 }
 
-/// Bytes that one flow takes.
-const EACH: usize = size_of::<Flow>();
-/// Least number of flows that there is room for.
-const LEAST: usize = 16;
+/// Memory of one flow, bytes.
+const FLOW_BYTES: usize = size_of::<Flow>();
+/// Smallest capacity, flows.
+const LEAST_CAPACITY: usize = 16;
 
 impl Spool {
-    /// Room for so many bytes.
+    /// An empty queue that takes so many bytes, or a few flows where that is more.
     pub fn new(bytes: usize) -> Self {
-        Spool { most: (bytes / EACH).max(LEAST), queue: VecDeque::new(), loss: Loss::default(), merged: 0 }
+        let capacity = (bytes / FLOW_BYTES).max(LEAST_CAPACITY);
+        Spool { capacity, queue: VecDeque::new(), loss: Loss::default(), merged: 0 }
     }
 
     /// Appends a flow.
     pub fn push(&mut self, flow: Flow) {
-        if self.queue.len() >= self.most {
-            self.merge();
+        if self.queue.len() >= self.capacity {
+            self.merge_older();
         }
-        while self.queue.len() >= self.most {
-            self.drop_first();
+        while self.queue.len() >= self.capacity {
+            self.drop_oldest();
         }
         self.queue.push_back(flow);
     }
 
-    /// Puts flows back in front that were taken and did not go.
+    /// Puts flows back in front that were taken and not exported.
     pub fn put_back(&mut self, flows: impl DoubleEndedIterator<Item = Flow>) {
         for flow in flows.rev() {
-            if self.queue.len() >= self.most {
-                self.merge();
+            if self.queue.len() >= self.capacity {
+                self.merge_older();
             }
             self.queue.push_front(flow);
         }
-        while self.queue.len() > self.most {
-            self.drop_first();
+        while self.queue.len() > self.capacity {
+            self.drop_oldest();
         }
     }
 
-    fn drop_first(&mut self) {
+    fn drop_oldest(&mut self) {
         if let Some(flow) = self.queue.pop_front() {
             self.loss.add(Loss::of(&flow));
         }
     }
 
     /// Merges the older three quarters by key; the newest keep their times.
-    fn merge(&mut self) {
+    fn merge_older(&mut self) {
         let newer = self.queue.split_off(self.queue.len() * 3 / 4);
         let older = std::mem::take(&mut self.queue);
-        let mut at: HashMap<Key, usize> = HashMap::new();
+        let mut positions: HashMap<Key, usize> = HashMap::new();
         for flow in older {
-            match at.get(&flow.key) {
-                Some(i) => {
-                    self.queue[*i].counts.merge(&flow.counts);
+            match positions.get(&flow.key) {
+                Some(position) => {
+                    self.queue[*position].counts.merge(&flow.counts);
                     self.merged += 1;
                 }
                 None => {
-                    at.insert(flow.key, self.queue.len());
+                    positions.insert(flow.key, self.queue.len());
                     self.queue.push_back(flow);
                 }
             }
@@ -118,27 +120,27 @@
         self.queue.pop_front()
     }
 
-    /// Flows that wait.
+    /// Number of flows.
     pub fn len(&self) -> usize {
         self.queue.len()
     }
 
-    /// Whether none waits.
+    /// Whether there are no flows.
     pub fn is_empty(&self) -> bool {
         self.queue.is_empty()
     }
 
-    /// What was lost since this was asked last.
+    /// Takes the loss, to be reported.
     pub fn take_loss(&mut self) -> Loss {
         std::mem::take(&mut self.loss)
     }
 
-    /// A loss could not be told: it counts on.
-    pub fn untold(&mut self, loss: Loss) {
+    /// Takes back a loss that could not be reported.
+    pub fn restore_loss(&mut self, loss: Loss) {
         self.loss.add(loss);
     }
 
-    /// What was lost and not told.
+    /// The loss that is not reported yet.
     pub fn loss(&self) -> Loss {
         self.loss
     }
--- a/crates/deckproxy-flow/tests/export.rs
+++ b/crates/deckproxy-flow/tests/export.rs
@@ -1,9 +1,9 @@
-//! The exporting process against a collector that reads its messages: nothing is lost that is not told.
+//! The exporting process against a collector that reads its messages: each loss is reported.
 
 use bytes::Bytes;
 use deckproxy_flow::codec::elements::{self, EXAMPLE_ENTERPRISE};
 use deckproxy_flow::codec::{Decoder, Element, Limits, Value, Version};
-use deckproxy_flow::export::{Effect, Exporter, Settings, Transport};
+use deckproxy_flow::export::{Backlog, Effect, Exporter, Settings, Transport};
 use deckproxy_flow::meter::{Flow, Key, Leg, Limits as MeterLimits, Meter, Outcome, Update};
 use std::net::{IpAddr, Ipv4Addr};
 
@@ -11,13 +11,13 @@
     version: Version::Ipfix,
     domain: 1,
     enterprise: EXAMPLE_ENTERPRISE,
-    largest: 1400,
-    rate: 0,
-    refresh: 60_000,
-    spool: 64 * 1024,
-    queued: 8 * 1024,
-    stall: 3000,
-    copies: false,
+    max_message: 1400,
+    message_rate: 0,
+    template_interval: 60_000,
+    spool_size: 64 * 1024,
+    max_in_flight: 8 * 1024,
+    stall_timeout: 3000,
+    replicate: false,
 };
 
 fn name(n: u32) -> &'static str {
@@ -40,7 +40,7 @@
     meter.end()
 }
 
-/// What collectors have read: sums of bytes out and requests, and of losses that were told.
+/// What a collector has read: sums of bytes out and requests, and of reported losses.
 #[derive(Default)]
 struct Read {
     decoder: Option<Decoder>,
@@ -81,32 +81,32 @@
     }
 }
 
-/// Works, answers what is asked, and has `takes` tell for each collector whether it is there and writes.
+/// Polls the exporter and carries out its effects; `takes` says for each collector whether it can be reached.
 fn run(exporter: &mut Exporter, now: u64, reads: &mut [Read], takes: impl Fn(usize) -> bool) {
     for _ in 0..2000 {
-        let more = exporter.work(now, 4, &name);
+        let more = exporter.poll(now, 4, &name);
         let mut any = false;
-        while let Some(effect) = exporter.effect() {
+        while let Some(effect) = exporter.next_effect() {
             any = true;
             match effect {
                 Effect::Connect(place) if takes(place) => exporter.connected(now, place),
-                Effect::Connect(place) => exporter.broke(now, place),
-                Effect::Send(place, number, bytes) if takes(place) => {
-                    reads[place].message(&bytes);
-                    exporter.written(now, place, number);
+                Effect::Connect(place) => exporter.disconnected(now, place),
+                Effect::Send { collector: place, number, message } if takes(place) => {
+                    reads[place].message(&message);
+                    exporter.message_sent(now, place, number);
                 }
-                Effect::Send(..) | Effect::Close(_) | Effect::Log(_) => {}
+                Effect::Send { .. } | Effect::Close(_) | Effect::Log(_) => {}
             }
         }
         if !more && !any {
             return;
         }
     }
-    panic!("it never comes to rest");
+    panic!("the exporter never becomes idle");
 }
 
 #[test]
-fn all_flows_come_with_their_names_and_types() {
+fn all_flows_are_exported_with_their_names_and_types() {
     let mut exporter = Exporter::new(SETTINGS, &[Transport::Tcp], 0, 0);
     let mut reads = [Read::default()];
     flows(0..250).into_iter().for_each(|f| exporter.push(f));
@@ -117,11 +117,11 @@
         elements::OWN.len(),
         "each of our elements is described once a connection"
     );
-    assert_eq!((exporter.waiting(), exporter.counters.requests), ((0, 0), 250));
+    assert_eq!((exporter.backlog(), exporter.counters.requests), (Backlog::default(), 250));
 }
 
 #[test]
-fn a_collector_that_is_gone_for_minutes_gets_all_sums_later() {
+fn a_collector_that_was_down_for_minutes_gets_all_sums_later() {
     let mut exporter = Exporter::new(SETTINGS, &[Transport::Tcp], 0, 0);
     let mut reads = [Read::default()];
     // The same 100 clients again and again: merged by key, nothing is dropped.
@@ -129,58 +129,62 @@
         flows(0..100).into_iter().for_each(|f| exporter.push(f));
         run(&mut exporter, minute * 5000, &mut reads, |_| false);
     }
-    assert!(exporter.waiting().0 * size_of::<Flow>() <= SETTINGS.spool, "bounded");
+    assert!(exporter.backlog().spooled * size_of::<Flow>() <= SETTINGS.spool_size, "bounded");
     run(&mut exporter, 400_000, &mut reads, |_| true);
     assert_eq!((reads[0].requests, reads[0].out, reads[0].lost_flows), (6000, 600_000, 0));
 }
 
 #[test]
-fn what_has_to_be_dropped_is_counted_and_told() {
+fn dropped_flows_are_counted_and_reported() {
     let mut exporter = Exporter::new(SETTINGS, &[Transport::Tcp], 0, 0);
     let mut reads = [Read::default()];
     // Every flow another client: there is nothing to merge.
     flows(0..5000).into_iter().for_each(|f| exporter.push(f));
-    assert!(exporter.untold().flows > 0);
+    assert!(exporter.unreported_loss().flows > 0);
     run(&mut exporter, 10, &mut reads, |_| true);
     assert!(reads[0].lost_flows > 0 && reads[0].requests > 100);
-    assert_eq!(reads[0].requests + reads[0].lost_requests, 5000, "each request is exported or told as lost");
-    assert!(exporter.untold().is_none());
+    assert_eq!(
+        reads[0].requests + reads[0].lost_requests,
+        5000,
+        "each request is exported or reported as lost"
+    );
+    assert!(exporter.unreported_loss().is_none());
 }
 
 #[test]
-fn what_a_connection_did_not_write_goes_again() {
+fn flows_of_unwritten_messages_are_sent_again() {
     let mut exporter = Exporter::new(SETTINGS, &[Transport::Tcp], 0, 0);
     let mut reads = [Read::default()];
     flows(0..300).into_iter().for_each(|f| exporter.push(f));
-    exporter.work(10, 100, &name);
-    assert_eq!(exporter.effect(), Some(Effect::Connect(0)));
+    exporter.poll(10, 100, &name);
+    assert_eq!(exporter.next_effect(), Some(Effect::Connect(0)));
     exporter.connected(10, 0);
-    exporter.work(10, 100, &name);
-    let held = exporter.waiting().1;
-    assert!(held > 0);
-    // Its window is shut: given up after the stall, and not before.
+    exporter.poll(10, 100, &name);
+    let in_flight = exporter.backlog().in_flight;
+    assert!(in_flight > 0);
+    // Its window is closed: the connection is closed after the stall timeout, and not before.
     run(&mut exporter, 3000, &mut reads, |_| false);
-    assert_eq!(exporter.waiting().1, held);
-    exporter.work(3011, 100, &name);
-    let effects: Vec<Effect> = std::iter::from_fn(|| exporter.effect()).collect();
+    assert_eq!(exporter.backlog().in_flight, in_flight);
+    exporter.poll(3011, 100, &name);
+    let effects: Vec<Effect> = std::iter::from_fn(|| exporter.next_effect()).collect();
     assert!(effects.contains(&Effect::Close(0)), "{effects:?}");
-    assert_eq!(exporter.waiting(), (300, 0));
+    assert_eq!(exporter.backlog(), Backlog { spooled: 300, in_flight: 0 });
     run(&mut exporter, 20_000, &mut reads, |_| true);
     assert_eq!(reads[0].requests, 300);
 }
 
 #[test]
-fn one_that_stands_by_takes_over_and_copies_get_everything() {
+fn a_standby_collector_takes_over_and_replicas_get_all_flows() {
     let mut exporter = Exporter::new(SETTINGS, &[Transport::Tcp, Transport::Tcp], 0, 0);
     let mut reads = [Read::default(), Read::default()];
     flows(0..100).into_iter().for_each(|f| exporter.push(f));
     run(&mut exporter, 10, &mut reads, |_| true);
     flows(0..100).into_iter().for_each(|f| exporter.push(f));
-    exporter.broke(20, 0);
+    exporter.disconnected(20, 0);
     run(&mut exporter, 20, &mut reads, |place| place == 1);
     assert_eq!((reads[0].requests, reads[1].requests), (100, 100));
-    let copies = Settings { copies: true, ..SETTINGS };
-    let mut exporter = Exporter::new(copies, &[Transport::Tcp, Transport::Udp], 0, 0);
+    let replicas = Settings { replicate: true, ..SETTINGS };
+    let mut exporter = Exporter::new(replicas, &[Transport::Tcp, Transport::Udp], 0, 0);
     let mut reads = [Read::default(), Read::default()];
     flows(0..100).into_iter().for_each(|f| exporter.push(f));
     run(&mut exporter, 10, &mut reads, |place| place == 1);
@@ -189,8 +193,8 @@
 }
 
 #[test]
-fn over_udp_templates_are_told_again_and_messages_keep_the_rate() {
-    let settings = Settings { refresh: 1000, rate: 10, ..SETTINGS };
+fn over_udp_templates_are_repeated_and_the_message_rate_is_kept() {
+    let settings = Settings { template_interval: 1000, message_rate: 10, ..SETTINGS };
     let mut exporter = Exporter::new(settings, &[Transport::Udp], 0, 0);
     let mut reads = [Read::default()];
     run(&mut exporter, 0, &mut reads, |_| true);
@@ -221,31 +225,31 @@
     let mut reads = [Read::default()];
     flows(0..200).into_iter().for_each(|f| exporter.push(f));
     run(&mut exporter, 10, &mut reads, |_| true);
-    assert_eq!(reads[0].requests, 0, "templates go ahead");
+    assert_eq!(reads[0].requests, 0, "templates are sent ahead");
     run(&mut exporter, 120, &mut reads, |_| true);
     assert_eq!((reads[0].out, reads[0].requests, reads[0].missing), (20_000, 200, 0));
 }
 
 #[test]
-fn where_nobody_listens_on_udp_no_flow_is_spent_on_it() {
+fn no_flow_is_sent_over_udp_where_no_collector_listens() {
     let mut exporter = Exporter::new(SETTINGS, &[Transport::Udp], 0, 0);
     let mut reads = [Read::default()];
     flows(0..50).into_iter().for_each(|f| exporter.push(f));
     for now in (0..60_000).step_by(50) {
         run(&mut exporter, now, &mut reads, |_| true);
-        // The network says so after the first datagram, long before the flows may follow.
-        exporter.broke(now + 1, 0);
+        // The network reports it after the first datagram, long before flows may follow.
+        exporter.disconnected(now + 1, 0);
     }
-    assert_eq!((reads[0].requests, exporter.waiting().0), (0, 50));
-    let tries = reads[0].names.len() / elements::OWN.len();
-    assert!((6..20).contains(&tries), "{tries} tries: not for ever at the first pace");
+    assert_eq!((reads[0].requests, exporter.backlog().spooled), (0, 50));
+    let attempts = reads[0].names.len() / elements::OWN.len();
+    assert!((6..20).contains(&attempts), "{attempts} attempts: the backoff grows");
     run(&mut exporter, 75_000, &mut reads, |_| true);
     run(&mut exporter, 75_200, &mut reads, |_| true);
     assert_eq!(reads[0].requests, 50);
 }
 
 #[test]
-fn numbers_go_on_from_the_first_message_that_was_not_written() {
+fn sequence_numbers_continue_from_the_first_unwritten_message() {
     let start = u32::MAX - 40;
     let mut exporter = Exporter::new(SETTINGS, &[Transport::Tcp], start, 0);
     // One reader across the connections: it would see a gap, also over the wrap at 2^32.
@@ -253,47 +257,47 @@
     flows(0..100).into_iter().for_each(|f| exporter.push(f));
     run(&mut exporter, 10, &mut reads, |_| true);
     flows(100..200).into_iter().for_each(|f| exporter.push(f));
-    exporter.work(20, 100, &name);
-    assert!(exporter.waiting().1 > 0, "handed over, and not written");
-    while exporter.effect().is_some() {}
-    exporter.broke(30, 0);
+    exporter.poll(20, 100, &name);
+    assert!(exporter.backlog().in_flight > 0, "in flight, and not written");
+    while exporter.next_effect().is_some() {}
+    exporter.disconnected(30, 0);
     run(&mut exporter, 1000, &mut reads, |_| true);
     assert_eq!((reads[0].requests, reads[0].missing), (200, 0));
 }
 
 #[test]
-fn collectors_change_in_service_and_nothing_is_lost_or_doubled() {
-    for copies in [false, true] {
-        let settings = Settings { copies, ..SETTINGS };
+fn collectors_are_replaced_in_service_without_loss_or_duplicates() {
+    for replicate in [false, true] {
+        let settings = Settings { replicate, ..SETTINGS };
         let both = [Transport::Tcp, Transport::Tcp];
         let mut exporter = Exporter::new(settings, &both, 0, 0);
         let mut reads = [Read::default(), Read::default()];
         flows(0..40).into_iter().for_each(|f| exporter.push(f));
-        // Neither is there; then the first leaves the list, the second stays and moves up, a new one comes.
+        // Neither is up; then the first is removed, the second stays and moves up, a new one is added.
         run(&mut exporter, 10, &mut reads, |_| false);
-        exporter.work(5000, 0, &name);
-        while exporter.effect().is_some() {}
+        exporter.poll(5000, 0, &name);
+        while exporter.next_effect().is_some() {}
         exporter.connected(5000, 1);
-        exporter.work(5001, 100, &name);
-        while exporter.effect().is_some() {}
-        assert_eq!(exporter.waiting().1, 40, "on its way to the second");
-        exporter.replace(settings, &[(Transport::Tcp, Some(1)), (Transport::Tcp, None)], 5002);
-        assert_eq!(exporter.waiting().1, 40, "its connection goes on");
+        exporter.poll(5001, 100, &name);
+        while exporter.next_effect().is_some() {}
+        assert_eq!(exporter.backlog().in_flight, 40, "in flight to the second");
+        exporter.replace_collectors(settings, &[(Transport::Tcp, Some(1)), (Transport::Tcp, None)], 5002);
+        assert_eq!(exporter.backlog().in_flight, 40, "its connection stays");
         flows(40..60).into_iter().for_each(|f| exporter.push(f));
-        // That connection breaks without a byte written: all goes again.
-        exporter.broke(5003, 0);
+        // That connection is lost without a byte written: all flows are sent again.
+        exporter.disconnected(5003, 0);
         run(&mut exporter, 60_000, &mut reads, |_| true);
         let got = [reads[0].requests, reads[1].requests];
-        // Where each gets all, a newcomer gets what comes from then on.
-        let want = if copies { [60, 20] } else { [60, 0] };
-        assert_eq!((got, exporter.is_settled()), (want, true), "copies: {copies}");
+        // A new replica gets the flows from then on.
+        let want = if replicate { [60, 20] } else { [60, 0] };
+        assert_eq!((got, exporter.is_settled()), (want, true), "replicate: {replicate}");
     }
 }
 
 #[test]
 fn the_smallest_message_holds_all_templates() {
     for (version, transport) in [(Version::Ipfix, Transport::Tcp), (Version::NetflowV9, Transport::Udp)] {
-        let settings = Settings { version, largest: 1024, ..SETTINGS };
+        let settings = Settings { version, max_message: 1024, ..SETTINGS };
         let mut exporter = Exporter::new(settings, &[transport], 0, 0);
         let mut reads = [Read::default()];
         flows(0..30).into_iter().for_each(|f| exporter.push(f));
--- a/crates/deckproxy-lab/src/measure/flows.rs
+++ b/crates/deckproxy-lab/src/measure/flows.rs
@@ -6,7 +6,7 @@
 use crate::traffic::Zipf;
 use deckproxy_flow::codec::Version;
 use deckproxy_flow::codec::elements::EXAMPLE_ENTERPRISE;
-use deckproxy_flow::export::{Effect, Exporter, Settings, Transport};
+use deckproxy_flow::export::{Backlog, Effect, Exporter, Settings, Transport};
 use deckproxy_flow::meter::{Key, Leg, Limits, Meter, Outcome, Top, Update};
 use deckproxy_standins::collector::Collector;
 use deckproxy_standins::free_address;
@@ -154,24 +154,24 @@
             version,
             domain: 1,
             enterprise: EXAMPLE_ENTERPRISE,
-            largest,
-            rate: 0,
-            refresh: 60_000,
-            spool: usize::MAX / 2,
-            queued: usize::MAX,
-            stall: 1000,
-            copies: false,
+            max_message: largest,
+            message_rate: 0,
+            template_interval: 60_000,
+            spool_size: usize::MAX / 2,
+            max_in_flight: usize::MAX,
+            stall_timeout: 1000,
+            replicate: false,
         };
         let mut exporter = Exporter::new(settings, &[Transport::Tcp], 0, 0);
-        meter.end().into_iter().for_each(|f| exporter.push(f));
-        exporter.work(1, 1, &|_| "page");
+        meter.end().into_iter().for_each(|flow| exporter.push(flow));
+        exporter.poll(1, 1, &|_| "page");
         exporter.connected(1, 0);
         let (start, mut bytes) = (Instant::now(), 0);
-        while exporter.work(2, 64, &|_| "page") || exporter.waiting() != (0, 0) {
-            while let Some(effect) = exporter.effect() {
-                if let Effect::Send(place, number, message) = effect {
+        while exporter.poll(2, 64, &|_| "page") || exporter.backlog() != Backlog::default() {
+            while let Some(effect) = exporter.next_effect() {
+                if let Effect::Send { collector, number, message } = effect {
                     bytes += message.len();
-                    exporter.written(2, place, number);
+                    exporter.message_sent(2, collector, number);
                 }
             }
         }
--- a/crates/deckproxy-lab/tests/flows.rs
+++ b/crates/deckproxy-lab/tests/flows.rs
@@ -80,22 +80,22 @@
         version,
         domain: 3,
         enterprise: EXAMPLE_ENTERPRISE,
-        largest: 1400,
-        rate: 0,
-        refresh: 60_000,
-        spool: 1 << 20,
-        queued: 1 << 20,
-        stall: 1000,
-        copies: false,
+        max_message: 1400,
+        message_rate: 0,
+        template_interval: 60_000,
+        spool_size: 1 << 20,
+        max_in_flight: 1 << 20,
+        stall_timeout: 1000,
+        replicate: false,
     };
     let mut exporter = Exporter::new(settings, &[Transport::Tcp], 0, 0);
     meter.end().into_iter().for_each(|f| exporter.push(f));
     let name = |n: u32| ["", "page", "video", "s-00c41f7a", "south"][n as usize];
-    exporter.work(0, 1, &name);
+    exporter.poll(0, 1, &name);
     exporter.connected(0, 0);
-    while exporter.work(1, 100, &name) {}
-    std::iter::from_fn(|| exporter.effect())
-        .filter_map(|e| if let Effect::Send(_, _, message) = e { Some(message) } else { None })
+    while exporter.poll(1, 100, &name) {}
+    std::iter::from_fn(|| exporter.next_effect())
+        .filter_map(|effect| if let Effect::Send { message, .. } = effect { Some(message) } else { None })
         .collect()
 }
 
--- a/crates/deckproxy-operator/src/flows.rs
+++ b/crates/deckproxy-operator/src/flows.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 /// Bytes that one connection to a collector holds before no further message is put there.
-const QUEUED: usize = 64 * 1024;
+const MAX_IN_FLIGHT: usize = 64 * 1024;
 
 fn bits(v4: u32, v6: u32) -> (u8, u8) {
     (v4.min(32) as u8, v6.min(128) as u8)
@@ -23,13 +23,13 @@
             },
             domain: self.domain.unwrap_or(defaults::DOMAIN),
             enterprise: self.enterprise.unwrap_or(defaults::ENTERPRISE),
-            largest: self.message_bytes.unwrap_or(defaults::MESSAGE_BYTES) as usize,
-            rate: self.rate.unwrap_or(defaults::RATE),
-            refresh: u64::from(self.refresh_ms.unwrap_or(defaults::REFRESH_MS)),
-            spool: self.spool_kb.unwrap_or(defaults::SPOOL_KB) as usize * 1024,
-            queued: QUEUED,
-            stall: u64::from(self.stall_ms.unwrap_or(defaults::STALL_MS)),
-            copies: self.delivery() == Delivery::ToEach,
+            max_message: self.message_bytes.unwrap_or(defaults::MESSAGE_BYTES) as usize,
+            message_rate: self.rate.unwrap_or(defaults::RATE),
+            template_interval: u64::from(self.refresh_ms.unwrap_or(defaults::REFRESH_MS)),
+            spool_size: self.spool_kb.unwrap_or(defaults::SPOOL_KB) as usize * 1024,
+            max_in_flight: MAX_IN_FLIGHT,
+            stall_timeout: u64::from(self.stall_ms.unwrap_or(defaults::STALL_MS)),
+            replicate: self.delivery() == Delivery::ToEach,
         }
     }
 
--- a/crates/deckproxy-operator/tests/files.rs
+++ b/crates/deckproxy-operator/tests/files.rs
@@ -134,7 +134,7 @@
 fn flows_have_their_defaults_and_their_example() {
     let flows = read(FLOWS.as_bytes()).unwrap().flows.unwrap();
     let (settings, limits) = (flows.settings(), flows.limits());
-    assert_eq!((settings.largest, settings.rate, settings.copies), (1400, 0, false));
+    assert_eq!((settings.max_message, settings.message_rate, settings.replicate), (1400, 0, false));
     assert_eq!((limits.active, limits.idle, limits.bits), (20_000, 15_000, (32, 64)));
     assert_eq!(flows.reached().len(), 1);
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/flows.example.textproto");
--- a/crates/deckproxy/src/program/flows/mod.rs
+++ b/crates/deckproxy/src/program/flows/mod.rs
@@ -7,7 +7,7 @@
 use crate::transport::clock;
 use accounting::Accounting;
 use deckproxy_flow::account::Micros;
-use deckproxy_flow::export::{self, Exporter, Place, Transport};
+use deckproxy_flow::export::{self, CollectorIndex, Exporter, Transport};
 use deckproxy_flow::meter::{Flow, Outcome};
 use deckproxy_flow::work::{Kind, Scheduler, TaskId};
 use deckproxy_operator::Operator;
@@ -115,10 +115,10 @@
     /// Has the exporter make messages. Returns whether it has more to do at once.
     fn send(&mut self, now: f64, out: &mut Effects) -> bool {
         let names = &self.accounting.names;
-        let more = self.exporter.work(now as u64, MESSAGES_PER_ROUND, &|number| names.name(number));
+        let more = self.exporter.poll(now as u64, MESSAGES_PER_ROUND, &|number| names.name(number));
         self.apply_exporter_effects(out);
         if !more {
-            let due = self.exporter.next_due(now as u64).map(|at| at * 1000);
+            let due = self.exporter.next_timer(now as u64).map(|at| at * 1000);
             let poll = micros(now) + EXPORTER_POLL_INTERVAL;
             let at = due.map_or(poll, |due| due.min(poll));
             out.push_back(Effect::WakeTask { task: self.send_task, at: Some(at) });
@@ -127,18 +127,18 @@
     }
 
     fn apply_exporter_effects(&mut self, out: &mut Effects) {
-        while let Some(effect) = self.exporter.effect() {
+        while let Some(effect) = self.exporter.next_effect() {
             match effect {
                 export::Effect::Connect(index) => {
                     if let Some((to, transport)) = self.collectors.get(index).copied() {
                         out.push_back(Effect::ConnectCollector { index, to, transport });
                     }
                 }
-                export::Effect::Send(index, number, message) => {
+                export::Effect::Send { collector: index, number, message } => {
                     out.push_back(Effect::SendToCollector { index, number, message });
                 }
                 export::Effect::Close(index) => out.push_back(Effect::CloseCollector(index)),
-                export::Effect::Log(text) => info!(self.log, "flows"; "what" => text),
+                export::Effect::Log(event) => info!(self.log, "flows"; "what" => event.to_string()),
             }
         }
     }
@@ -148,9 +148,9 @@
         let now = now as u64;
         match *event {
             Event::CollectorConnected(index) => self.exporter.connected(now, index),
-            Event::CollectorFailed(index) => self.exporter.broke(now, index),
-            Event::CollectorBytesSent(index) => self.exporter.moved(now, index),
-            Event::CollectorMessageSent { index, number } => self.exporter.written(now, index, number),
+            Event::CollectorFailed(index) => self.exporter.disconnected(now, index),
+            Event::CollectorBytesSent(index) => self.exporter.bytes_sent(now, index),
+            Event::CollectorMessageSent { index, number } => self.exporter.message_sent(now, index, number),
             _ => return false,
         }
         true
@@ -208,8 +208,9 @@
     fn warn_of_restart(&self, new: &deckproxy_operator::Flows) {
         let fixed = |flows: &deckproxy_operator::Flows| {
             let settings = flows.settings();
-            let export::Settings { version, domain, enterprise, largest, spool, copies, .. } = settings;
-            (version, domain, enterprise, largest, spool, copies)
+            let export::Settings { version, domain, enterprise, max_message, spool_size, replicate, .. } =
+                settings;
+            (version, domain, enterprise, max_message, spool_size, replicate)
         };
         if fixed(new) != fixed(&self.operator) || new.limits() != self.operator.limits() {
             warn!(
@@ -260,16 +261,16 @@
         self.warn_of_restart(new);
         let wanted = new.settings();
         let settings = export::Settings {
-            rate: wanted.rate,
-            refresh: wanted.refresh,
-            stall: wanted.stall,
+            message_rate: wanted.message_rate,
+            template_interval: wanted.template_interval,
+            stall_timeout: wanted.stall_timeout,
             ..self.operator.settings()
         };
         let collectors = new.reached();
         let previous_index = |one| self.collectors.iter().position(|other| other == one);
-        let previous: Vec<(Transport, Option<Place>)> =
+        let previous: Vec<(Transport, Option<CollectorIndex>)> =
             collectors.iter().map(|one| (one.1, previous_index(one))).collect();
-        self.exporter.replace(settings, &previous, cx.now as u64);
+        self.exporter.replace_collectors(settings, &previous, cx.now as u64);
         out.push_back(Effect::ReorderCollectors(previous.into_iter().map(|(_, index)| index).collect()));
         self.collectors = collectors;
         // What takes a restart stays as it was.
@@ -288,14 +289,15 @@
     /// The export's part of the summary; the networks with most bytes are counted anew from it on.
     fn summary(&mut self) -> String {
         let counters = self.exporter.counters;
-        let (waiting, pending) = self.exporter.waiting();
-        let lost = self.exporter.untold();
-        let states: Vec<&str> = self.exporter.states().map(|up| if up { "up" } else { "down" }).collect();
+        let backlog = self.exporter.backlog();
+        let lost = self.exporter.unreported_loss();
+        let states: Vec<&str> =
+            self.exporter.collectors_up().map(|up| if up { "up" } else { "down" }).collect();
         let top = self.accounting.take_top(TOP_LOGGED);
         let meter = &self.accounting.meter;
         format!(
             "collectors[{}],open[flows:{},kb:{},clients:{},attempts:{},runs:{}],folded:{},overflows:{},\
-             told[flows:{},messages:{},octets:{},requests:{}],waiting[flows:{waiting},sent:{pending}],\
+             told[flows:{},messages:{},octets:{},requests:{}],waiting[flows:{},sent:{}],\
              merged:{},lost[flows:{},untold:{}],breaks:{},top[{}]",
             states.join(" "),
             meter.len(),
@@ -309,6 +311,8 @@
             counters.messages,
             counters.octets,
             counters.requests,
+            backlog.spooled,
+            backlog.in_flight,
             self.exporter.merged(),
             counters.lost,
             lost.flows,
