--- a/crates/deckproxy/src/program/client_messages.rs
+++ b/crates/deckproxy/src/program/client_messages.rs
@@ -77,7 +77,7 @@
     fn handle_request(&mut self, now: f64, key: RequestKey, call: Call, full: bool) {
         let (id, request) = key;
         if self.is_request_open(key) {
-            // Two open requests of one id: no answer could be told from the other's.
+            // Two open requests of one id: their answers could not be distinguished.
             self.router.counters.invalid += 1;
             self.log_peer("a client's connection closes: two open requests of one id");
             return self.close_client(now, id);
--- a/crates/deckproxy/src/program/collectors.rs
+++ b/crates/deckproxy/src/program/collectors.rs
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Takes up the end of a connect, a close by the collector, and room to write.
+    /// Takes up the end of a connect, a close by the collector, and a socket that takes bytes again.
     pub(super) fn serve_collector(&mut self, now: f64, id: CollectorId) {
         let Some(collectors) = &mut self.collectors else { return };
         let Some(index) = collectors.position(id) else { return };
--- a/crates/deckproxy/src/program/files.rs
+++ b/crates/deckproxy/src/program/files.rs
@@ -127,7 +127,7 @@
     })
 }
 
-/// Reads an operator file up to one byte over the largest that is allowed: of a longer one no more is needed to tell.
+/// Reads an operator file up to one byte over the largest that is allowed: of a longer file no more is needed to report it.
 fn read_limited(path: &Path) -> io::Result<Vec<u8>> {
     let length = fs::metadata(path)?.len();
     let most = deckproxy_operator::LARGEST as u64 + 1;
--- a/crates/deckproxy/src/program/flows/accounting.rs
+++ b/crates/deckproxy/src/program/flows/accounting.rs
@@ -12,7 +12,7 @@
 use std::collections::HashMap;
 use std::net::IpAddr;
 
-/// Names of classes, members and sites that are told apart; further ones share one number.
+/// Names of classes, members and sites that get a number of their own; further ones share one.
 const MAX_NAMES: usize = 65_536;
 /// Clients' networks that are counted apart in the search for those with most bytes.
 const TOP_TRACKED: usize = 64;
--- a/crates/deckproxy/src/program/sites/mod.rs
+++ b/crates/deckproxy/src/program/sites/mod.rs
@@ -109,7 +109,7 @@
         self.site.site_of(link)
     }
 
-    /// The next piece of a body for a link that has room to write.
+    /// The next piece of a body for a link whose write buffer takes more.
     pub(super) fn body_piece(&mut self, link: LinkId) -> Option<Frame> {
         self.site.next_chunk(link)
     }
--- a/crates/deckproxy/src/program/subsystems.rs
+++ b/crates/deckproxy/src/program/subsystems.rs
@@ -104,7 +104,7 @@
         self.sites.as_ref().is_some_and(|s| s.has_request((client, id)))
     }
 
-    /// The next piece of a body for a link that has room to write.
+    /// The next piece of a body for a link whose write buffer takes more.
     pub fn body_piece(&mut self, link: LinkId) -> Option<Frame> {
         self.sites.as_mut().and_then(|s| s.body_piece(link))
     }
