--- a/crates/deckproxy-fleet/src/overload/rejected_requests.rs
+++ b/crates/deckproxy-fleet/src/overload/rejected_requests.rs
@@ -7,7 +7,8 @@
 use super::rejection_batch::{BATCH_SIZE, RejectedRequest, RejectionBatch};
 use crate::Millis;
 use crate::instance::Name;
-use std::collections::{BTreeMap, HashMap};
+use deckproxy_recovery::aging_map::AgingMap;
+use std::collections::BTreeMap;
 
 /// Least time between two batches, in milliseconds.
 const BATCH_INTERVAL: Millis = 125.0;
@@ -49,13 +50,11 @@
     batch: RejectionBatch,
 }
 
-/// All rejected requests that are known, in two generations: the older one is dropped when the younger is full or old.
+/// All rejected requests that are known, in bounded memory.
 #[derive(Debug)]
 pub struct RejectedRequests {
-    young: HashMap<u32, Rejection>,
-    old: HashMap<u32, Rejection>,
-    young_since: Millis,
-    capacity: usize,
+    rejections: AgingMap<u32, Rejection>,
+    /// Time for which batches of others are kept, in milliseconds.
     span: Millis,
     /// To be shared.
     pending: Vec<RejectedRequest>,
@@ -72,10 +71,7 @@
     /// Remembers `capacity` requests at least, and twice as many at most, for `span` milliseconds at least.
     pub fn new(capacity: usize, span: Millis) -> Self {
         RejectedRequests {
-            young: HashMap::new(),
-            old: HashMap::new(),
-            young_since: 0.0,
-            capacity: capacity.max(1),
+            rejections: AgingMap::new(capacity, span),
             span,
             pending: Vec::new(),
             last_batch_at: f64::MIN,
@@ -98,24 +94,20 @@
 
     fn insert(&mut self, now: Millis, request: u32, rejection: Rejection) {
         let known = self.get(request);
-        if self.young.len() >= self.capacity || now - self.young_since > self.span {
-            self.old = std::mem::take(&mut self.young);
-            self.young_since = now;
-        }
+        self.rejections.rotate(now);
         let kept = known.filter(|known| !rejection.replaces(known, now)).unwrap_or(rejection);
         let may_have_run = rejection.may_have_run || known.is_some_and(|known| known.may_have_run);
-        self.young.insert(request, Rejection { may_have_run, ..kept });
+        self.rejections.insert(request, Rejection { may_have_run, ..kept });
     }
 
     /// What is known of a request.
     pub fn get(&self, request: u32) -> Option<Rejection> {
-        self.young.get(&request).or(self.old.get(&request)).copied()
+        self.rejections.get(&request).copied()
     }
 
     /// The request was served: the next one is a first attempt.
     pub fn remove(&mut self, request: u32) {
-        self.young.remove(&request);
-        self.old.remove(&request);
+        self.rejections.remove(&request);
     }
 
     /// The next batch to share, where one is due.
@@ -166,12 +158,12 @@
 
     /// Number of requests that are remembered.
     pub fn len(&self) -> usize {
-        self.young.len() + self.old.len()
+        self.rejections.len()
     }
 
     /// Whether none is remembered.
     pub fn is_empty(&self) -> bool {
-        self.len() == 0
+        self.rejections.is_empty()
     }
 }
 
--- a/crates/deckproxy-fleet/src/overload/summary.rs
+++ b/crates/deckproxy-fleet/src/overload/summary.rs
@@ -17,48 +17,38 @@
 /// Number of [`Resource`]s.
 pub const RESOURCES: usize = 2;
 
-/// Request counts of one resource. The order of the fields is the wire format.
+/// Numbers of requests at one resource. The order of the fields is the wire format of [`Tally`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Tally {
+pub struct RequestNumbers<T> {
     /// First attempts that arrived, by bucket of their priorities.
-    pub arrivals: [u16; BUCKETS],
+    pub arrivals: [T; BUCKETS],
     /// Retries that arrived without a reserved time, as far as they were known for retries.
-    pub retries: u16,
+    pub retries: T,
     /// Retries admitted.
-    pub admitted_retries: u16,
+    pub admitted_retries: T,
     /// First attempts admitted.
-    pub admitted_firsts: u16,
+    pub admitted_firsts: T,
     /// All requests admitted.
-    pub admitted: u16,
+    pub admitted: T,
     /// Admitted requests that were served.
-    pub served: u16,
+    pub served: T,
     /// Admitted requests that the decision module rejected.
-    pub rejected: u16,
+    pub rejected: T,
     /// Admitted requests that failed, or whose clients left.
-    pub wasted: u16,
+    pub wasted: T,
     /// Served requests that took a large part of their clients' time.
-    pub slow: u16,
+    pub slow: T,
 }
 
-/// Number of counts of a [`Tally`] beside the arrivals.
-const COUNTS: usize = 8;
+/// Counts of requests.
+pub type Tally = RequestNumbers<u16>;
+/// Requests a second, of one instance or the sum of several.
+pub type Rates = RequestNumbers<f64>;
 
-impl Tally {
-    fn counts(&self) -> [u16; COUNTS] {
-        [
-            self.retries,
-            self.admitted_retries,
-            self.admitted_firsts,
-            self.admitted,
-            self.served,
-            self.rejected,
-            self.wasted,
-            self.slow,
-        ]
-    }
-
-    fn counts_mut(&mut self) -> [&mut u16; COUNTS] {
-        [
+impl<T> RequestNumbers<T> {
+    /// All numbers.
+    fn iter_mut(&mut self) -> impl Iterator<Item = &mut T> {
+        let others = [
             &mut self.retries,
             &mut self.admitted_retries,
             &mut self.admitted_firsts,
@@ -67,15 +57,15 @@
             &mut self.rejected,
             &mut self.wasted,
             &mut self.slow,
-        ]
+        ];
+        self.arrivals.iter_mut().chain(others)
     }
+}
 
-    fn add(&mut self, other: &Tally) {
-        for (sum, more) in self.arrivals.iter_mut().zip(other.arrivals) {
-            *sum = sum.saturating_add(more);
-        }
-        for (sum, more) in self.counts_mut().into_iter().zip(other.counts()) {
-            *sum = sum.saturating_add(more);
+impl Tally {
+    fn add(&mut self, mut other: Tally) {
+        for (sum, more) in self.iter_mut().zip(other.iter_mut()) {
+            *sum = sum.saturating_add(*more);
         }
     }
 
@@ -99,29 +89,6 @@
     pub resources: [Tally; RESOURCES],
 }
 
-/// Events a second at one resource, of one instance or the sum of several.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Rates {
-    /// See [`Tally::arrivals`].
-    pub arrivals: [f64; BUCKETS],
-    /// See [`Tally::retries`].
-    pub retries: f64,
-    /// See [`Tally::admitted_retries`].
-    pub admitted_retries: f64,
-    /// See [`Tally::admitted_firsts`].
-    pub admitted_firsts: f64,
-    /// See [`Tally::admitted`].
-    pub admitted: f64,
-    /// See [`Tally::served`].
-    pub served: f64,
-    /// See [`Tally::rejected`].
-    pub rejected: f64,
-    /// See [`Tally::wasted`].
-    pub wasted: f64,
-    /// See [`Tally::slow`].
-    pub slow: f64,
-}
-
 impl Rates {
     /// The rates of one instance at a resource.
     pub fn of(summary: &Summary, resource: usize) -> Self {
@@ -130,35 +97,19 @@
         rates
     }
 
-    fn rates_mut(&mut self) -> [&mut f64; COUNTS] {
-        [
-            &mut self.retries,
-            &mut self.admitted_retries,
-            &mut self.admitted_firsts,
-            &mut self.admitted,
-            &mut self.served,
-            &mut self.rejected,
-            &mut self.wasted,
-            &mut self.slow,
-        ]
-    }
-
     /// Adds the rates of one instance at a resource.
     pub fn add(&mut self, summary: &Summary, resource: usize) {
-        let Some(tally) = summary.resources.get(resource).filter(|_| summary.span > 0) else { return };
+        let tally = summary.resources.get(resource).filter(|_| summary.span > 0);
+        let Some(mut tally) = tally.copied() else { return };
         let per_second = 1000.0 / f64::from(summary.span);
-        for (sum, count) in self.arrivals.iter_mut().zip(tally.arrivals) {
-            *sum += f64::from(count) * per_second;
-        }
-        for (sum, count) in self.rates_mut().into_iter().zip(tally.counts()) {
-            *sum += f64::from(count) * per_second;
+        for (sum, count) in self.iter_mut().zip(tally.iter_mut()) {
+            *sum += f64::from(*count) * per_second;
         }
     }
 
     /// Multiplies all rates, to estimate those of all instances from those that have reported.
     pub fn scale(&mut self, factor: f64) {
-        self.arrivals.iter_mut().for_each(|rate| *rate *= factor);
-        self.rates_mut().into_iter().for_each(|rate| *rate *= factor);
+        self.iter_mut().for_each(|rate| *rate *= factor);
     }
 
     /// First attempts that arrive, a second.
@@ -237,7 +188,7 @@
         let mut summary = Summary { span, ..Summary::default() };
         for window in &self.past {
             for (sum, tally) in summary.resources.iter_mut().zip(window) {
-                sum.add(tally);
+                sum.add(*tally);
             }
         }
         summary
--- a/crates/deckproxy-recovery/src/lib.rs
+++ b/crates/deckproxy-recovery/src/lib.rs
@@ -2,6 +2,7 @@
 //!
 //! - [`admission`]: all parts together, before the decision module: which requests are admitted, and when the clients of the
 //!   others may retry.
+//! - [`aging_map`]: bounded memory for what was seen lately.
 //! - [`budget`]: retries for each first attempt, by class, whoever makes them.
 //! - [`retries`]: which requests are retries, known by client and object in bounded memory.
 //! - [`retry_storm`]: whether most of the work is in vain, and how much is admitted until it is not.
@@ -15,6 +16,7 @@
 #![forbid(unsafe_code)]
 
 pub mod admission;
+pub mod aging_map;
 pub mod budget;
 pub mod class_shedding;
 pub mod recovery_ramp;
--- a/crates/deckproxy-recovery/src/retries.rs
+++ b/crates/deckproxy-recovery/src/retries.rs
@@ -1,12 +1,11 @@
 //! Which requests are retries.
 //!
 //! A client that requests the same object soon after a rejection or failure retries. No field of the protocol says so; it is
-//! known by client and object, for a while, in bounded memory: two generations of keys, the older of which is dropped when
-//! the younger is full or old.
+//! known by client and object, for a while, in bounded memory.
 
 use crate::Millis;
+use crate::aging_map::AgingMap;
 use ahash::RandomState;
-use std::collections::HashMap;
 
 /// Identifies a request and its retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -30,13 +29,7 @@
 #[derive(Debug)]
 pub struct RetryTracker {
     hasher: RandomState,
-    young: HashMap<u64, Rejection>,
-    old: HashMap<u64, Rejection>,
-    young_since: Millis,
-    /// Most keys of a generation.
-    capacity: usize,
-    /// Longest time that a generation is the young one.
-    span: Millis,
+    rejections: AgingMap<u64, Rejection>,
 }
 
 impl RetryTracker {
@@ -44,57 +37,41 @@
     /// gives the same keys.
     pub fn new(capacity: usize, span: Millis, seed: u64) -> Self {
         let hasher = RandomState::with_seeds(seed, !seed, seed.rotate_left(17), seed.rotate_left(41));
-        RetryTracker {
-            hasher,
-            young: HashMap::new(),
-            old: HashMap::new(),
-            young_since: 0.0,
-            capacity: capacity.max(1),
-            span,
-        }
+        RetryTracker { hasher, rejections: AgingMap::new(capacity, span) }
     }
 
     fn hash(&self, request: RequestKey) -> u64 {
         self.hasher.hash_one(request)
     }
 
-    fn rotate(&mut self, now: Millis) {
-        if self.young.len() >= self.capacity || now - self.young_since > self.span {
-            self.old = std::mem::take(&mut self.young);
-            self.young_since = now;
-        }
-    }
-
     /// A request was rejected or failed, and may be retried at that time.
     pub fn record(&mut self, now: Millis, request: RequestKey, retry_at: Millis) {
-        self.rotate(now);
+        self.rejections.rotate(now);
         let hash = self.hash(request);
-        let earlier = self.old.remove(&hash).map_or(0, |rejection| rejection.count);
-        let rejection = self.young.entry(hash).or_insert(Rejection { retry_at, count: earlier });
-        *rejection = Rejection { retry_at, count: rejection.count + 1 };
+        let earlier = self.rejections.get(&hash).map_or(0, |rejection| rejection.count);
+        self.rejections.remove(&hash);
+        self.rejections.insert(hash, Rejection { retry_at, count: earlier + 1 });
     }
 
     /// The last rejection of a request; `None`: it is a first attempt.
     pub fn get(&mut self, now: Millis, request: RequestKey) -> Option<Rejection> {
-        self.rotate(now);
-        let hash = self.hash(request);
-        self.young.get(&hash).or(self.old.get(&hash)).copied()
+        self.rejections.rotate(now);
+        self.rejections.get(&self.hash(request)).copied()
     }
 
     /// A request was served: the next one is a first attempt.
     pub fn remove(&mut self, request: RequestKey) {
         let hash = self.hash(request);
-        self.young.remove(&hash);
-        self.old.remove(&hash);
+        self.rejections.remove(&hash);
     }
 
     /// Number of requests that are remembered.
     pub fn len(&self) -> usize {
-        self.young.len() + self.old.len()
+        self.rejections.len()
     }
 
     /// Whether none is remembered.
     pub fn is_empty(&self) -> bool {
-        self.len() == 0
+        self.rejections.is_empty()
     }
 }
