--- a/crates/deckproxy-control/src/control/attempt_limits.rs
+++ b/crates/deckproxy-control/src/control/attempt_limits.rs
@@ -14,6 +14,7 @@
             && self.is_reachable(&self.members[&plan.member].listed)
     }
 
+    /// The class of a pending request.
     pub(super) fn class_of(&self, pending: &PendingRequest) -> &Class {
         &self.settings.classes[pending.request.class]
     }
--- a/crates/deckproxy-control/src/control/collapsing.rs
+++ b/crates/deckproxy-control/src/control/collapsing.rs
@@ -3,7 +3,7 @@
 use super::Control;
 use super::request_state::{AttemptPlan, PendingRequest};
 use super::tuning::{HOP_ALLOWANCE, LARGE_SENDING_TIME, LATE_MULTIPLE, TIMER_PERIOD, WAITERS_MAX};
-use crate::interface::{MemberId, Request, RequestId};
+use crate::interface::{MemberId, Millis, Request, RequestId};
 use std::collections::VecDeque;
 
 /// What one fill is for: a part of an object.
@@ -53,7 +53,8 @@
         self.set_waiting_since(id, Some(self.now));
     }
 
-    pub(super) fn set_waiting_since(&mut self, id: RequestId, since: Option<f64>) {
+    /// Sets since when a request waits for a fill; `None`: it waits no longer.
+    pub(super) fn set_waiting_since(&mut self, id: RequestId, since: Option<Millis>) {
         if let Some(pending) = self.pending.get_mut(&id) {
             pending.waiting_since = since;
         }
--- a/crates/deckproxy-control/src/control/member_list.rs
+++ b/crates/deckproxy-control/src/control/member_list.rs
@@ -54,14 +54,17 @@
         self.members.retain(|_, state| state.listed.lifecycle != Lifecycle::Gone || is_new(&state.listed));
     }
 
+    /// Whether a member is a parent.
     pub(super) fn is_parent(&self, member: &Member) -> bool {
         self.settings.parent_kind == Some(member.kind)
     }
 
+    /// Whether a member is the origin.
     pub(super) fn is_origin(&self, member: &Member) -> bool {
         self.settings.origin_kind == Some(member.kind)
     }
 
+    /// Whether a member is a cache.
     pub(super) fn is_cache(&self, member: &Member) -> bool {
         !self.is_parent(member) && !self.is_origin(member)
     }
--- a/crates/deckproxy-control/tests/link_overload.rs
+++ b/crates/deckproxy-control/tests/link_overload.rs
@@ -46,23 +46,12 @@
     let mut rig = Rig::new();
     let mut rejections = 0;
     for object in 0..120 {
-        let (id, cache) = rig.ask_and_miss(LARGE, object);
+        let (id, _) = rig.ask_and_miss(LARGE, object);
         rejections += usize::from(rejected(&rig.acts, id));
         let probe = rig.ask(SMALL, 5000 + object, 0);
         let member = rig.sends()[0].1;
         let load = Some(LoadReport { link: Some(object as f64 / 2.0), ..LoadReport::default() });
-        let (ending, note, elapsed) = (AttemptEnding::Served, FillNote::None, 20.0);
-        rig.event(Event::AttemptEnded {
-            request: probe,
-            attempt: 0,
-            member,
-            ending,
-            elapsed,
-            finished: true,
-            note,
-            load,
-        });
-        let _ = cache;
+        rig.answer((probe, 0), member, (AttemptEnding::Served, FillNote::None), 20.0, load);
     }
     assert!(rejections > 0);
 }
--- a/crates/deckproxy-control/tests/properties.rs
+++ b/crates/deckproxy-control/tests/properties.rs
@@ -7,69 +7,69 @@
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug)]
-enum Op {
+enum Step {
     Wait(u16),
-    Ask { class: u8, object: u8, patience: u16 },
-    End { which: u16, how: u8 },
-    Brink { which: u16, left: u8, how: u8 },
-    Rush(u8),
-    Leave(u16),
-    Member { which: u8, what: u8 },
-    Purge { object: u8, whole: bool, age: u16 },
+    SendRequest { class: u8, object: u8, patience: u16 },
+    EndAttempt { index: u16, ending_choice: u8 },
+    EndNearDeadline { index: u16, left: u8, ending_choice: u8 },
+    Burst(u8),
+    ClientLeaves(u16),
+    ChangeMember { index: u8, change: u8 },
+    Purge { object: u8, whole_group: bool, age: u16 },
 }
 
-fn op() -> impl Strategy<Value = Op> {
+fn any_step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        3 => (1u16..400).prop_map(Op::Wait),
-        6 => (0u8..4, 0u8..6, 300u16..5000).prop_map(|(class, object, patience)| Op::Ask { class, object, patience }),
-        9 => (any::<u16>(), 0u8..12).prop_map(|(which, how)| Op::End { which, how }),
-        2 => (any::<u16>(), 0u8..30, 4u8..12).prop_map(|(which, left, how)| Op::Brink { which, left, how }),
-        1 => any::<u8>().prop_map(Op::Rush),
-        1 => any::<u16>().prop_map(Op::Leave),
-        2 => (0u8..6, 0u8..5).prop_map(|(which, what)| Op::Member { which, what }),
-        1 => (0u8..6, any::<bool>(), 0u16..3000).prop_map(|(object, whole, age)| Op::Purge { object, whole, age }),
+        3 => (1u16..400).prop_map(Step::Wait),
+        6 => (0u8..4, 0u8..6, 300u16..5000).prop_map(|(class, object, patience)| Step::SendRequest { class, object, patience }),
+        9 => (any::<u16>(), 0u8..12).prop_map(|(index, ending_choice)| Step::EndAttempt { index, ending_choice }),
+        2 => (any::<u16>(), 0u8..30, 4u8..12).prop_map(|(index, left, ending_choice)| Step::EndNearDeadline { index, left, ending_choice }),
+        1 => any::<u8>().prop_map(Step::Burst),
+        1 => any::<u16>().prop_map(Step::ClientLeaves),
+        2 => (0u8..6, 0u8..5).prop_map(|(index, change)| Step::ChangeMember { index, change }),
+        1 => (0u8..6, any::<bool>(), 0u16..3000).prop_map(|(object, whole_group, age)| Step::Purge { object, whole_group, age }),
     ]
 }
 
-struct Sent {
-    no: u32,
+struct ModelAttempt {
+    number: u32,
     member: MemberId,
     at: Millis,
-    until: Millis,
+    attempt_deadline: Millis,
 }
 
-struct Asked {
-    r: Request,
+struct ModelRequest {
+    request: Request,
     sends: u32,
-    out: Option<Sent>,
-    maybe: Option<Millis>,
+    in_flight: Option<ModelAttempt>,
+    possible_run: Option<Millis>,
 }
 
-/// What the rules say, kept from the outside.
-struct World {
+/// The rules, checked from the outside.
+struct RulesModel {
     rig: Rig,
-    live: BTreeMap<RequestId, Asked>,
+    pending: BTreeMap<RequestId, ModelRequest>,
     ended: u32,
-    asked: u32,
+    accepted: u32,
     members: BTreeMap<MemberId, Member>,
     purged: Vec<(Option<u64>, u32, Millis)>,
     timers: Vec<(Millis, u64)>,
     /// Sends that reached each cold member since we were told of its start: when, and their sending time.
-    cold: Vec<(MemberId, Millis, f64)>,
+    warming_sends: Vec<(MemberId, Millis, f64)>,
 }
 
-impl World {
-    fn new() -> World {
+impl RulesModel {
+    fn new() -> RulesModel {
         let members = everyone().into_iter().map(|m| (m.id, m)).collect();
-        World {
+        RulesModel {
             rig: Rig::new(),
-            live: BTreeMap::new(),
+            pending: BTreeMap::new(),
             ended: 0,
-            asked: 0,
+            accepted: 0,
             members,
             purged: vec![],
             timers: vec![],
-            cold: vec![],
+            warming_sends: vec![],
         }
     }
 
@@ -84,20 +84,24 @@
                     self.sent(request, member, deadline, Some(source), Some(max_age))
                 }
                 Action::Reject { request, .. } => {
-                    let asked = self.live.remove(&request).expect("refused one that is not live");
-                    let class = &settings().classes[asked.r.class];
-                    let harmless = class.idempotency != Idempotency::NotIdempotent || asked.maybe.is_none();
-                    assert!(harmless && asked.out.is_none(), "refused what may have run");
+                    let asked = self.pending.remove(&request).expect("rejected one that is not pending");
+                    let class = &settings().classes[asked.request.class];
+                    let harmless =
+                        class.idempotency != Idempotency::NotIdempotent || asked.possible_run.is_none();
+                    assert!(harmless && asked.in_flight.is_none(), "rejected what may have run");
                     self.ended += 1;
                 }
                 Action::Fail { request } => {
-                    self.live.remove(&request).expect("failed one that is not live");
+                    self.pending.remove(&request).expect("failed one that is not pending");
                     self.ended += 1;
                 }
                 Action::Cancel { request, attempt } => {
-                    let out =
-                        self.live.get(&request).and_then(|a| a.out.as_ref()).expect("nothing to cancel");
-                    assert_eq!(out.no, attempt);
+                    let in_flight = self
+                        .pending
+                        .get(&request)
+                        .and_then(|a| a.in_flight.as_ref())
+                        .expect("nothing to cancel");
+                    assert_eq!(in_flight.number, attempt);
                 }
                 Action::Timer { token, at } => {
                     assert!(at > self.rig.now);
@@ -112,18 +116,18 @@
         &mut self,
         id: RequestId,
         to: MemberId,
-        until: Millis,
+        attempt_deadline: Millis,
         source: Option<MemberId>,
         age: Option<f64>,
     ) {
         let now = self.rig.now;
-        let asked = self.live.get_mut(&id).expect("a send for a request that has ended");
-        let r = asked.r;
+        let asked = self.pending.get_mut(&id).expect("a send for a request that has ended");
+        let r = asked.request;
         let class = &settings().classes[r.class];
-        assert!(asked.out.is_none(), "two attempts at once");
+        assert!(asked.in_flight.is_none(), "two attempts at once");
         assert!(asked.sends < settings().max_attempts);
-        assert!(now < r.deadline && until > now && until <= r.deadline);
-        if let Some(first) = asked.maybe {
+        assert!(now < r.deadline && attempt_deadline > now && attempt_deadline <= r.deadline);
+        if let Some(first) = asked.possible_run {
             match class.idempotency {
                 Idempotency::Idempotent => {}
                 Idempotency::Keyed => assert!(now < first + class.dedup_window, "a repeat after the window"),
@@ -140,9 +144,9 @@
                 let share = (rule.initial_share
                     + (1.0 - rule.initial_share) * (now - started) / rule.duration)
                     .min(1.0);
-                self.cold.push((m, now, SIZES[r.class]));
+                self.warming_sends.push((m, now, SIZES[r.class]));
                 let window = self
-                    .cold
+                    .warming_sends
                     .iter()
                     .filter(|c| c.0 == m && c.1 > now - rule.overload_window && c.1 >= started);
                 let load: f64 = window.map(|c| c.2).sum();
@@ -158,26 +162,26 @@
             let age = age.expect("a look-up without a bound after a purge");
             assert!(age > 0.0 && age <= now - at + 0.0011, "a copy of {age} ms may be older than the purge");
         }
-        asked.out = Some(Sent { no: asked.sends, member: to, at: now, until });
+        asked.in_flight = Some(ModelAttempt { number: asked.sends, member: to, at: now, attempt_deadline });
         asked.sends += 1;
     }
 
     fn end(&mut self, id: RequestId, ending: AttemptEnding) {
         let now = self.rig.now;
-        let Some(asked) = self.live.get_mut(&id) else { return };
-        let Some(out) = asked.out.take() else { return };
+        let Some(asked) = self.pending.get_mut(&id) else { return };
+        let Some(in_flight) = asked.in_flight.take() else { return };
         let never =
             [AttemptEnding::Rejected, AttemptEnding::ConnectFailed, AttemptEnding::Miss].contains(&ending);
-        if !never && asked.maybe.is_none() {
-            asked.maybe = Some(out.at);
+        if !never && asked.possible_run.is_none() {
+            asked.possible_run = Some(in_flight.at);
         }
         let finished = ending == AttemptEnding::Served;
         if finished {
-            self.live.remove(&id);
+            self.pending.remove(&id);
             self.ended += 1;
         }
-        let (elapsed, note, load) = (now - out.at, FillNote::None, None);
-        let (attempt, member) = (out.no, out.member);
+        let (elapsed, note, load) = (now - in_flight.at, FillNote::None, None);
+        let (attempt, member) = (in_flight.number, in_flight.member);
         self.event(Event::AttemptEnded {
             request: id,
             attempt,
@@ -195,15 +199,18 @@
         let end = self.rig.now + span;
         loop {
             let timer = self.timers.iter().map(|t| t.0).fold(f64::MAX, f64::min);
-            let out = self.live.iter().filter_map(|(id, a)| a.out.as_ref().map(|o| (o.until, *id)));
-            let out = out.fold((f64::MAX, 0), |a, b| if b.0 < a.0 { b } else { a });
-            let next = timer.min(out.0);
+            let in_flight = self
+                .pending
+                .iter()
+                .filter_map(|(id, a)| a.in_flight.as_ref().map(|o| (o.attempt_deadline, *id)));
+            let in_flight = in_flight.fold((f64::MAX, 0), |a, b| if b.0 < a.0 { b } else { a });
+            let next = timer.min(in_flight.0);
             if next > end {
                 break;
             }
             self.rig.now = self.rig.now.max(next);
-            if out.0 <= timer {
-                self.end(out.1, AttemptEnding::Timeout);
+            if in_flight.0 <= timer {
+                self.end(in_flight.1, AttemptEnding::Timeout);
             } else {
                 let i = self.timers.iter().position(|t| t.0 == timer).unwrap();
                 let (_, token) = self.timers.remove(i);
@@ -216,15 +223,19 @@
     }
 
     fn overdue(&self) {
-        for asked in self.live.values() {
-            assert!(self.rig.now <= asked.r.deadline + 0.001, "no final answer in time: {:?}", asked.r);
+        for asked in self.pending.values() {
+            assert!(
+                self.rig.now <= asked.request.deadline + 0.001,
+                "no final answer in time: {:?}",
+                asked.request
+            );
         }
     }
 
-    fn step(&mut self, op: Op) {
-        match op {
-            Op::Wait(span) => self.wait(f64::from(span)),
-            Op::Ask { class, object, patience } => {
+    fn step(&mut self, step: Step) {
+        match step {
+            Step::Wait(span) => self.wait(f64::from(span)),
+            Step::SendRequest { class, object, patience } => {
                 let class = usize::from(class);
                 let id = self.rig.next;
                 self.rig.next += 1;
@@ -233,17 +244,18 @@
                 let object = u64::from(object) * 4 + class as u64;
                 let group = (object % 2) as u32;
                 let r = Request { id, object, part: 0, group, size: Some(SIZES[class]), class, deadline };
-                self.live.insert(id, Asked { r, sends: 0, out: None, maybe: None });
-                self.asked += 1;
+                self.pending
+                    .insert(id, ModelRequest { request: r, sends: 0, in_flight: None, possible_run: None });
+                self.accepted += 1;
                 self.event(Event::Request(r));
             }
-            Op::End { which, how } => {
-                let out: Vec<RequestId> =
-                    self.live.iter().filter(|(_, a)| a.out.is_some()).map(|(i, _)| *i).collect();
-                if out.is_empty() {
+            Step::EndAttempt { index, ending_choice } => {
+                let in_flight: Vec<RequestId> =
+                    self.pending.iter().filter(|(_, a)| a.in_flight.is_some()).map(|(i, _)| *i).collect();
+                if in_flight.is_empty() {
                     return;
                 }
-                let ending = match how {
+                let ending = match ending_choice {
                     0..=3 => AttemptEnding::Served,
                     4..=7 => AttemptEnding::Miss,
                     8 => AttemptEnding::Error,
@@ -251,39 +263,43 @@
                     10 => AttemptEnding::ConnectFailed,
                     _ => AttemptEnding::Reset,
                 };
-                self.end(out[usize::from(which) % out.len()], ending);
+                self.end(in_flight[usize::from(index) % in_flight.len()], ending);
             }
             // Many large requests at once, most of them misses.
-            Op::Rush(seed) => {
+            Step::Burst(seed) => {
                 for n in 0..24u8 {
-                    self.step(Op::Ask {
+                    self.step(Step::SendRequest {
                         class: 1,
                         object: seed.wrapping_mul(31).wrapping_add(n),
                         patience: 4000,
                     });
-                    self.step(Op::End { which: u16::from(n), how: 4 + n % 2 * 4 });
+                    self.step(Step::EndAttempt { index: u16::from(n), ending_choice: 4 + n % 2 * 4 });
                 }
             }
             // An attempt that ends just before its client gives up.
-            Op::Brink { which, left, how } => {
-                let out: Vec<Millis> =
-                    self.live.values().filter(|a| a.out.is_some()).map(|a| a.r.deadline).collect();
-                if !out.is_empty() {
-                    let at = out[usize::from(which) % out.len()] - f64::from(left) / 2.0;
+            Step::EndNearDeadline { index, left, ending_choice } => {
+                let in_flight: Vec<Millis> = self
+                    .pending
+                    .values()
+                    .filter(|a| a.in_flight.is_some())
+                    .map(|a| a.request.deadline)
+                    .collect();
+                if !in_flight.is_empty() {
+                    let at = in_flight[usize::from(index) % in_flight.len()] - f64::from(left) / 2.0;
                     self.wait((at - self.rig.now).max(0.0));
-                    self.step(Op::End { which, how });
+                    self.step(Step::EndAttempt { index, ending_choice });
                 }
             }
-            Op::Leave(which) => {
-                let ids: Vec<RequestId> = self.live.keys().copied().collect();
-                if let Some(id) = ids.get(usize::from(which) % ids.len().max(1)) {
-                    let asked = self.live.remove(id).unwrap();
+            Step::ClientLeaves(index) => {
+                let ids: Vec<RequestId> = self.pending.keys().copied().collect();
+                if let Some(id) = ids.get(usize::from(index) % ids.len().max(1)) {
+                    let asked = self.pending.remove(id).unwrap();
                     self.ended += 1;
                     self.event(Event::ClientGone(*id));
-                    if let Some(out) = asked.out {
-                        let (attempt, member) = (out.no, out.member);
+                    if let Some(in_flight) = asked.in_flight {
+                        let (attempt, member) = (in_flight.number, in_flight.member);
                         let (ending, elapsed, note) =
-                            (AttemptEnding::Cancelled, self.rig.now - out.at, FillNote::None);
+                            (AttemptEnding::Cancelled, self.rig.now - in_flight.at, FillNote::None);
                         let load = None;
                         self.event(Event::AttemptEnded {
                             request: *id,
@@ -298,9 +314,9 @@
                     }
                 }
             }
-            Op::Member { which, what } => {
-                let id = everyone()[usize::from(which)].id;
-                if what == 4 {
+            Step::ChangeMember { index, change } => {
+                let id = everyone()[usize::from(index)].id;
+                if change == 4 {
                     // It leaves the list and comes back to it as the same process.
                     let Some(same) = self.members.get(&id).copied() else { return };
                     let gone = Member { lifecycle: Lifecycle::Gone, ..same };
@@ -308,13 +324,13 @@
                     self.event(Event::MemberList(ListKind::Delta, vec![same]));
                     return;
                 }
-                let new = match what {
+                let new = match change {
                     0 => Member { lifecycle: Lifecycle::Draining, ..member(id) },
                     1 => Member { lifecycle: Lifecycle::Gone, ..member(id) },
                     2 => Member { started: Some(self.rig.now - 500.0), ..member(id) },
                     _ => member(id),
                 };
-                self.cold.retain(|c| c.0 != id);
+                self.warming_sends.retain(|c| c.0 != id);
                 if new.lifecycle == Lifecycle::Gone {
                     self.members.remove(&id);
                 } else {
@@ -322,10 +338,11 @@
                 }
                 self.event(Event::MemberList(ListKind::Delta, vec![new]));
             }
-            Op::Purge { object, whole, age } => {
+            Step::Purge { object, whole_group, age } => {
                 let age = f64::from(age);
                 let object = u64::from(object);
-                let (object, group) = if whole { (None, (object % 2) as u32) } else { (Some(object), 0) };
+                let (object, group) =
+                    if whole_group { (None, (object % 2) as u32) } else { (Some(object), 0) };
                 self.purged.push((object, group, self.rig.now - age));
                 self.event(Event::Purged { object, group, age });
             }
@@ -344,13 +361,13 @@
     })]
 
     #[test]
-    fn every_rule_holds_and_every_request_has_one_final_answer(ops in prop::collection::vec(op(), 1..160)) {
-        let mut world = World::new();
-        for op in ops {
-            world.step(op);
+    fn every_rule_holds_and_every_request_has_one_final_answer(steps in prop::collection::vec(any_step(), 1..160)) {
+        let mut model = RulesModel::new();
+        for step in steps {
+            model.step(step);
         }
-        world.wait(6000.0);
-        prop_assert!(world.live.is_empty(), "left without an answer: {}", world.live.len());
-        prop_assert_eq!(world.ended, world.asked);
+        model.wait(6000.0);
+        prop_assert!(model.pending.is_empty(), "left without an answer: {}", model.pending.len());
+        prop_assert_eq!(model.ended, model.accepted);
     }
 }
