--- a/crates/deckproxy/src/protocol/downstream/decode.rs
+++ b/crates/deckproxy/src/protocol/downstream/decode.rs
@@ -38,7 +38,7 @@
     }
 
     /// Bytes that are missing at least, where so many have come.
-    pub fn lacks(&self, have: usize) -> usize {
+    pub fn missing(&self, have: usize) -> usize {
         self.scanner.missing(have)
     }
 }
--- a/crates/deckproxy/src/protocol/link.rs
+++ b/crates/deckproxy/src/protocol/link.rs
@@ -60,7 +60,7 @@
     }
 
     /// Bytes that are missing at least.
-    pub fn lacks(&self, buffer: &[u8]) -> usize {
+    pub fn missing(&self, buffer: &[u8]) -> usize {
         let length = frame_length(buffer).unwrap_or(0);
         (LENGTH + length.min(limits::LINK_FRAME)).saturating_sub(buffer.len())
     }
--- a/crates/deckproxy/src/protocol/upstream/decode.rs
+++ b/crates/deckproxy/src/protocol/upstream/decode.rs
@@ -139,7 +139,7 @@
     }
 
     /// Bytes that are missing at least, where so many have come.
-    pub fn lacks(&self, have: usize) -> usize {
+    pub fn missing(&self, have: usize) -> usize {
         self.length.map_or(0, |length| (self.position + length + LINE_END.len()).saturating_sub(have))
     }
 }
--- a/crates/deckproxy/src/transport/client.rs
+++ b/crates/deckproxy/src/transport/client.rs
@@ -143,7 +143,7 @@
         } else {
             let is_partial = !self.stream.input.is_empty();
             self.partial_since = is_partial.then(|| self.partial_since.unwrap_or(self.active_at));
-            self.stream.missing = self.decoder.lacks(self.stream.input.len());
+            self.stream.missing = self.decoder.missing(self.stream.input.len());
             self.stream.trim(std::mem::take(&mut self.taken));
         }
         message
--- a/crates/deckproxy/src/transport/member.rs
+++ b/crates/deckproxy/src/transport/member.rs
@@ -197,7 +197,7 @@
     /// What comes can't be decoded: the connection is of no more use.
     pub fn take_reply(&mut self, now: f64) -> Result<Option<(Option<u64>, Reply)>, ReplyError> {
         let Some(reply) = self.decoder.next(&mut self.stream.input)? else {
-            self.stream.missing = self.decoder.lacks(self.stream.input.len());
+            self.stream.missing = self.decoder.missing(self.stream.input.len());
             self.stream.trim(std::mem::take(&mut self.taken));
             return Ok(None);
         };
--- a/crates/deckproxy/src/transport/site_link.rs
+++ b/crates/deckproxy/src/transport/site_link.rs
@@ -71,7 +71,7 @@
         if frame.is_some() {
             self.taken = true;
         } else {
-            self.stream.missing = self.decoder.lacks(&self.stream.input);
+            self.stream.missing = self.decoder.missing(&self.stream.input);
             self.stream.trim(std::mem::take(&mut self.taken));
         }
         Ok(frame)
--- a/crates/deckproxy/tests/codecs.rs
+++ b/crates/deckproxy/tests/codecs.rs
@@ -54,7 +54,7 @@
                 Ok(Some(reply)) => got.push(Ok(reply)),
                 Ok(None) => {
                     let most = limits::OBJECT + limits::MEMBER_STRINGS * (limits::MEMBER_TEXT + 32);
-                    assert!(buffer.len() <= most && decoder.lacks(buffer.len()) <= limits::OBJECT + 2);
+                    assert!(buffer.len() <= most && decoder.missing(buffer.len()) <= limits::OBJECT + 2);
                     break;
                 }
                 Err(e) => {
--- a/crates/deckproxy/tests/link_codec.rs
+++ b/crates/deckproxy/tests/link_codec.rs
@@ -67,7 +67,7 @@
             while let Some(frame) = Decoder.next(&mut buffer).unwrap() {
                 read.push(frame);
             }
-            let lacks = Decoder.lacks(&buffer);
+            let lacks = Decoder.missing(&buffer);
             prop_assert!(lacks > 0 && lacks <= limits::LINK_FRAME + 4, "{}", lacks);
             if rest.is_empty() {
                 break;
