--- a/crates/deckproxy-adapter/tests/process.rs
+++ b/crates/deckproxy-adapter/tests/process.rs
@@ -1,4 +1,4 @@
-//! The adapter as a process: exit codes, and what it says on standard error.
+//! The adapter as a process: exit codes and error messages.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn it_ends_well_at_the_end_of_the_input() {
+fn it_exits_with_success_at_the_end_of_input() {
     let mut empty = vec![0; 16];
     empty.extend(1u32.to_le_bytes());
     let (ok, out, err) = run(&empty);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_bad_frame_ends_it_with_a_plain_message() {
+fn a_malformed_frame_exits_with_an_error_message() {
     let (ok, out, err) = run(&[1, 2, 3]);
     assert!(!ok && out.is_empty());
     assert_eq!(err, "deckproxy-adapter: the input ends inside a frame's length\n");
--- a/crates/deckproxy-adapter/tests/wire.rs
+++ b/crates/deckproxy-adapter/tests/wire.rs
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_batch_for_two_instances_is_read_as_written() {
+fn a_batch_for_two_instances_is_decoded() {
     let bytes = hex("a8000000 00000000206ec040 03000000 0c000000
         02 0300 c4913a5d 00004040 640ad2557c3bf091 00002044 01 00000000 0000000020e6c040 00 00003041 +15
         06 0300 4d00000000000000 +45
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn every_other_event_is_read() {
+fn every_other_event_is_decoded() {
     let list = hex("01 0000000000000000 0000803f 0000 00 0000 074a1203
         02 0000000000d4b740 0000c03f 0200 01 0500 f211902c
         00 0000000000000000 00000000 0000 00 0000 01000000");
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn every_action_is_written() {
+fn every_action_is_encoded() {
     let cases = [
         (
             Action::Lookup { request: 0x5d3a_91c4, member: 0x0312_4a07, deadline: 8492.25 },
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn malformed_frames_are_named_and_never_panic() {
+fn malformed_frames_are_errors_and_never_panic() {
     let says = |e: WireError| e.to_string();
     for cut in [1, 3, 4, 19, 40] {
         let bytes = &frame(&["06 0300"], &[])[..cut];
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn instances_are_separate_and_a_destroyed_one_is_silent() {
+fn instances_are_separate_and_destroyed_ones_have_no_effect() {
     let mut host = Host::default();
     let mut both = start("0300");
     let reply = answer(&mut host, &both);
--- a/crates/deckproxy-control/tests/common/mod.rs
+++ b/crates/deckproxy-control/tests/common/mod.rs
@@ -115,19 +115,19 @@
         Rig::with(settings(), everyone())
     }
 
-    /// Hands over one event; what it brought is in `acts`.
+    /// Handles one event; its actions are in `acts`.
     pub fn event(&mut self, event: Event) -> &[Action] {
         self.acts.clear();
         self.control.handle(self.now, event, &mut self.acts);
         &self.acts
     }
 
-    /// Asks for an object's part; returns the request's id.
+    /// Requests a part of an object; returns the request's id.
     pub fn ask(&mut self, class: usize, object: u64, part: u32) -> RequestId {
         self.ask_of_size(class, object, part, Some(SIZES[class]))
     }
 
-    /// Asks for an object's part of that size, or of none told; returns the request's id.
+    /// Requests a part of an object with that size, or of unknown size; returns the request's id.
     pub fn ask_of_size(&mut self, class: usize, object: u64, part: u32, size: Option<f64>) -> RequestId {
         let id = self.next;
         self.next += 1;
@@ -136,12 +136,12 @@
         id
     }
 
-    /// Ends the attempt that a send began.
+    /// Ends an attempt after 10 ms, without a note or load report.
     pub fn end(&mut self, request: RequestId, attempt: u32, member: MemberId, ending: AttemptEnding) {
         self.answer((request, attempt), member, (ending, FillNote::None), 10.0, None);
     }
 
-    /// Ends an attempt with what its answer tells.
+    /// Ends an attempt with a note and a load report.
     pub fn answer(
         &mut self,
         (request, attempt): (RequestId, u32),
@@ -183,7 +183,7 @@
         self.answer((request, attempt), member, (AttemptEnding::Served, note), elapsed, None);
     }
 
-    /// Whether the last step's get asks its source only for what that holds; nothing without a get.
+    /// Whether the last step's get is answered from cache only; `None` without a get.
     pub fn cached_only(&self) -> Option<bool> {
         self.acts.iter().find_map(|a| match a {
             Action::Get { options, .. } => Some(options.cached_only),
@@ -191,7 +191,7 @@
         })
     }
 
-    /// Fires the router's timers in step until then; what all of them brought is in `acts`.
+    /// Runs the periodic timer every 20 ms until then; all actions are in `acts`.
     pub fn sweep_until(&mut self, end: Millis) {
         let mut all = vec![];
         while self.now < end {
@@ -201,7 +201,7 @@
         self.acts = all;
     }
 
-    /// Fires one timer at that time.
+    /// Runs the periodic timer once, at that time.
     pub fn sweep_at(&mut self, now: Millis) {
         self.now = now;
         self.event(Event::Timer(0));
@@ -212,7 +212,7 @@
         sends(&self.acts)
     }
 
-    /// Asks, and answers the look-up with a miss; returns the id, the cache and the source of the fill.
+    /// Requests an object and answers the look-up with a miss; returns the request's id and the cache.
     pub fn ask_and_miss(&mut self, class: usize, object: u64) -> (RequestId, MemberId) {
         let id = self.ask(class, object, 0);
         let cache = self.sends()[0].1;
