--- a/crates/deckproxy-lab/src/error.rs
+++ b/crates/deckproxy-lab/src/error.rs
@@ -1,6 +1,6 @@
 //! Why a command of decklab could not do its work.
 
-use deckproxy_operator::Fault;
+use deckproxy_operator::FileError;
 use std::fmt;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -21,7 +21,7 @@
         /// The file.
         path: PathBuf,
         /// All that is wrong, each with line and column, in the order of the text.
-        faults: Vec<Fault>,
+        faults: Vec<FileError>,
     },
     /// An option or argument has a value that the command cannot work with.
     Argument {
--- a/crates/deckproxy-model/src/file/mod.rs
+++ b/crates/deckproxy-model/src/file/mod.rs
@@ -8,10 +8,10 @@
     include!(concat!(env!("OUT_DIR"), "/deckproxy.model.rs"));
 }
 
-pub use deckproxy_operator::Fault as FileError;
+pub use deckproxy_operator::FileError;
 
 use crate::scenario::{InvalidField, Scenario};
-use deckproxy_operator::text;
+use deckproxy_operator::text_format;
 use prost::Message as _;
 use prost_reflect::{DescriptorPool, MessageDescriptor};
 
@@ -46,9 +46,9 @@
 ///
 /// Never: the schema that is decoded here was compiled into this build.
 pub fn read(bytes: &[u8]) -> Result<Experiment, Vec<FileError>> {
-    let file = text::read(&root_message(), bytes)?;
+    let file = text_format::read(&root_message(), bytes)?;
     let parsed = schema::Experiment::decode(&*file.encoded)
-        .map_err(|error| vec![file.fault("", &error.to_string())])?;
+        .map_err(|error| vec![file.error("", &error.to_string())])?;
     let mut errors = Vec::new();
     let base = conversion::scenario(&parsed, &mut errors);
     errors.extend(validation_errors(&base, parsed.faults.len()));
@@ -57,7 +57,7 @@
         return Ok(Experiment { question: parsed.question, variants });
     }
     let mut located: Vec<FileError> =
-        errors.iter().map(|error| file.fault(&error.path, &error.reason)).collect();
+        errors.iter().map(|error| file.error(&error.path, &error.reason)).collect();
     located.sort();
     Err(located)
 }
--- a/crates/deckproxy-operator/src/source.rs
+++ b/crates/deckproxy-operator/src/field_positions.rs
@@ -1,5 +1,5 @@
-//! Where in the text each field stands. The library that reads the text format stops at its first fault and keeps
-//! no places; this parser keeps them, so that all faults can be told at once, each with its line and column.
+//! The position of each field in a text. The library that reads the text format stops at its first fault and keeps no
+//! positions; this parser keeps them, so that all faults can be reported at once, each with its line and column.
 
 use std::ops::Range;
 use winnow::combinator::{alt, cut_err, delimited, opt, preceded, repeat, separated};
@@ -71,8 +71,8 @@
 fn field(input: &mut Input<'_>) -> ModalResult<Field> {
     let name = take_while(1.., |c: char| c.is_ascii_alphanumeric() || c == '_');
     let after = alt((preceded((blank, ':', blank), cut_err(value)), preceded(blank, message)));
-    let mut whole = (name, cut_err(after)).with_span();
-    let ((name, value), span) = whole.parse_next(input)?;
+    let mut with_span = (name, cut_err(after)).with_span();
+    let ((name, value), span) = with_span.parse_next(input)?;
     Ok(Field { name: name.to_string(), span, value })
 }
 
@@ -91,8 +91,8 @@
     fields.parse(LocatingSlice::new(text)).map_err(|e: ParseError<_, ContextError>| e.offset())
 }
 
-/// Messages within messages that are read; the schema has fewer.
-const DEEPEST: usize = 16;
+/// The most messages within messages that are read; the schemas have fewer.
+const MAX_DEPTH: usize = 16;
 
 /// Where a message stands that is too deep inside others to be read.
 fn too_deep(text: &str) -> Option<usize> {
@@ -110,7 +110,7 @@
             (_, None, '}' | '>') => depth = depth.saturating_sub(1),
             _ => {}
         }
-        if depth > DEEPEST {
+        if depth > MAX_DEPTH {
             return Some(at);
         }
     }
--- a/crates/deckproxy-operator/src/fleet.rs
+++ b/crates/deckproxy-operator/src/fleet.rs
@@ -1,5 +1,6 @@
 //! The fleet's part of the file: relations between its entries, and its form for `deckproxy-fleet`.
 
+use crate::finding::Finding;
 use crate::{Client, Fleet, Operator, Overload, defaults};
 use deckproxy_fleet::fleet::Settings;
 use deckproxy_fleet::health::Thresholds;
@@ -128,16 +129,16 @@
     }
 }
 
-/// Faults between the entries, as path and text.
-pub(crate) fn check(operator: &Operator) -> Vec<(String, String)> {
+/// Faults of entries beside each other.
+pub(crate) fn check(operator: &Operator) -> Vec<Finding> {
     let Some(fleet) = &operator.fleet else { return Vec::new() };
-    let mut out = Vec::new();
+    let mut findings = Vec::new();
     let address = |text: &str| text.parse::<SocketAddr>().ok();
     let told = fleet.address.as_deref().unwrap_or(&fleet.listen);
     let field = if fleet.address.is_some() { "address" } else { "listen" };
     if address(told).is_some_and(|at| at.ip().is_unspecified()) {
         let what = format!("{told} is no address at which others reach it: set fleet.address");
-        out.push((format!("fleet.{field}"), what));
+        findings.push(Finding::new(format!("fleet.{field}"), what));
     }
     let networks = fleet.networks();
     if networks.len() == fleet.prefixes.len() {
@@ -145,7 +146,7 @@
         for (i, seed) in fleet.seeds.iter().enumerate() {
             if address(seed).is_some_and(|at| !within(at)) {
                 let what = format!("{seed} is in none of fleet.prefixes: what it says would not be believed");
-                out.push((format!("fleet.seeds[{i}]"), what));
+                findings.push(Finding::new(format!("fleet.seeds[{i}]"), what));
             }
         }
     }
@@ -155,20 +156,20 @@
         if good < bad {
             let field = if overload.good_share.is_some() { "good_share" } else { "bad_share" };
             let what = format!("good_share ({good}) is below bad_share ({bad})");
-            out.push((format!("fleet.overload.{field}"), what));
+            findings.push(Finding::new(format!("fleet.overload.{field}"), what));
         }
         if operator.recovery.is_some() {
             let what =
                 "recovery does for an instance alone what this does for the fleet: leave one of them out";
-            out.push(("fleet.overload".to_string(), what.to_string()));
+            findings.push(Finding::new("fleet.overload".to_string(), what.to_string()));
         }
     }
     let mut seen = BTreeSet::new();
     for (i, way) in fleet.ways.iter().enumerate() {
         if !seen.insert(&way.instance) {
             let what = format!("{:?} has a way already", way.instance);
-            out.push((format!("fleet.ways[{i}].instance"), what));
+            findings.push(Finding::new(format!("fleet.ways[{i}].instance"), what));
         }
     }
-    out
+    findings
 }
--- a/crates/deckproxy-operator/src/flows.rs
+++ b/crates/deckproxy-operator/src/flows.rs
@@ -1,5 +1,6 @@
 //! The flows' part of the file: relations between its entries, and its form for `deckproxy-flow`.
 
+use crate::finding::Finding;
 use crate::{Delivery, Flows, Operator, Protocol, Transport, defaults};
 use deckproxy_flow::codec::Version;
 use deckproxy_flow::export::{self, Settings};
@@ -69,29 +70,29 @@
     }
 }
 
-/// Faults between the entries, as path and text.
-pub(crate) fn check(operator: &Operator) -> Vec<(String, String)> {
+/// Faults of entries beside each other.
+pub(crate) fn check(operator: &Operator) -> Vec<Finding> {
     let Some(flows) = &operator.flows else { return Vec::new() };
-    let mut out = Vec::new();
+    let mut findings = Vec::new();
     for (i, collector) in flows.collectors.iter().enumerate() {
         if flows.collectors[..i].iter().any(|c| c.address == collector.address) {
-            out.push((
+            findings.push(Finding::new(
                 format!("flows.collectors[{i}].address"),
                 format!("{:?} is named already", collector.address),
             ));
         }
         if flows.protocol() == Protocol::NetflowV9 && collector.transport() == Transport::Tcp {
             let what = "NetFlow v9 goes over UDP alone (RFC 3954, 3); IPFIX goes over TCP too".to_string();
-            out.push((format!("flows.collectors[{i}].transport"), what));
+            findings.push(Finding::new(format!("flows.collectors[{i}].transport"), what));
         }
     }
     let meter = flows.meter.unwrap_or_default();
     // Fields that are given are held against each other by their own rules; here, one against another's default.
     if meter.idle_ms.is_none() && meter.active_ms.is_some_and(|active| active < defaults::IDLE_MS) {
-        out.push((
+        findings.push(Finding::new(
             "flows.meter.active_ms".to_string(),
             format!("below idle_ms, which is {} where it is left out", defaults::IDLE_MS),
         ));
     }
-    out
+    findings
 }
--- a/crates/deckproxy-operator/src/lib.rs
+++ b/crates/deckproxy-operator/src/lib.rs
@@ -1,10 +1,12 @@
 //! The operator file: protobuf text format of `proto/operator.proto`, read and checked as a whole.
 //!
-//! All faults are told in one go, each with line, column and the field's path. The text is parsed by
+//! All faults are reported at once, each with line, column and the field's path. The text is parsed by
 //! `prost-reflect`, single fields are checked by `garde`, routes by `deckproxy-sites`.
 #![forbid(unsafe_code)]
 
 pub mod defaults;
+pub mod field_positions;
+mod finding;
 mod fleet;
 mod flows;
 mod recovery;
@@ -12,9 +14,8 @@
 mod sites;
 pub use fleet::Platform;
 pub use sites::check_together;
-pub mod source;
-pub mod text;
-pub use text::{Fault, LARGEST};
+pub mod text_format;
+pub use text_format::{FileError, LARGEST};
 
 #[allow(missing_docs, clippy::doc_markdown)]
 mod schema {
@@ -22,31 +23,44 @@
 }
 pub use schema::*;
 
+use finding::Finding;
 use garde::Validate;
 use prost::Message as _;
 use prost_reflect::{DescriptorPool, MessageDescriptor};
 
-/// Reads a file's bytes. The error holds every fault, in the order of the text.
-pub fn read(bytes: &[u8]) -> Result<Operator, Vec<Fault>> {
-    let file = text::read(&descriptor(), bytes)?;
-    let operator = Operator::decode(&*file.encoded).map_err(|e| vec![file.fault("", &e.to_string())])?;
-    let mut told = Vec::new();
-    if let Err(report) = operator.validate() {
-        told.extend(report.iter().map(|(path, e)| (path.to_string(), e.to_string())));
-    }
-    told.extend(sites::check(&operator));
-    told.extend(flows::check(&operator));
-    told.extend(recovery::check(&operator));
-    told.extend(fleet::check(&operator));
-    if told.is_empty() {
+/// Reads a file's bytes.
+///
+/// # Errors
+///
+/// Every fault of the file, in the order of the text.
+pub fn read(bytes: &[u8]) -> Result<Operator, Vec<FileError>> {
+    let file = text_format::read(&descriptor(), bytes)?;
+    let operator = Operator::decode(&*file.encoded).map_err(|e| vec![file.error("", &e.to_string())])?;
+    let findings = check(&operator);
+    if findings.is_empty() {
         return Ok(operator);
     }
-    let mut faults: Vec<Fault> = told.iter().map(|(path, what)| file.fault(path, what)).collect();
-    faults.sort();
-    faults.dedup();
-    Err(faults)
+    let mut errors: Vec<FileError> =
+        findings.iter().map(|finding| file.error(&finding.path, &finding.message)).collect();
+    errors.sort();
+    errors.dedup();
+    Err(errors)
+}
+
+/// All faults of a decoded file: of single fields, and of entries beside each other.
+fn check(operator: &Operator) -> Vec<Finding> {
+    let mut findings = Vec::new();
+    if let Err(report) = operator.validate() {
+        findings.extend(report.iter().map(|(path, e)| Finding::new(path.to_string(), e.to_string())));
+    }
+    findings.extend(sites::check(operator));
+    findings.extend(flows::check(operator));
+    findings.extend(recovery::check(operator));
+    findings.extend(fleet::check(operator));
+    findings
 }
 
+/// The outermost message of the schema that this build has compiled in.
 fn descriptor() -> MessageDescriptor {
     let bytes: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/operator.bin"));
     // The bytes are this build's own; a test reads the example with them.
--- a/crates/deckproxy-operator/src/recovery.rs
+++ b/crates/deckproxy-operator/src/recovery.rs
@@ -1,5 +1,6 @@
 //! The recovery's part of the file, in the form of `deckproxy-recovery`.
 
+use crate::finding::Finding;
 use crate::{Operator, Recovery, defaults};
 use deckproxy_recovery::admission::{Class, Settings};
 use deckproxy_recovery::{budget, class_shedding, retry_storm};
@@ -53,32 +54,35 @@
     }
 }
 
-/// Faults between the entries, as path and text.
-pub(crate) fn check(operator: &Operator) -> Vec<(String, String)> {
+/// Faults of entries beside each other.
+pub(crate) fn check(operator: &Operator) -> Vec<Finding> {
     let Some(recovery) = &operator.recovery else { return Vec::new() };
-    let mut out = Vec::new();
+    let mut findings = Vec::new();
     let bad = recovery.bad_share.unwrap_or(defaults::BAD_SHARE);
     let good = recovery.good_share.unwrap_or(defaults::GOOD_SHARE);
     if good < bad {
         let field = if recovery.good_share.is_some() { "good_share" } else { "bad_share" };
-        out.push((format!("recovery.{field}"), format!("good_share ({good}) is below bad_share ({bad})")));
+        findings.push(Finding::new(
+            format!("recovery.{field}"),
+            format!("good_share ({good}) is below bad_share ({bad})"),
+        ));
     }
     for (i, step) in recovery.give_up.iter().enumerate() {
         if step.leave >= step.enter {
             let what =
                 format!("leave ({}) must be under enter ({}), or it would flap", step.leave, step.enter);
-            out.push((format!("recovery.give_up[{i}].leave"), what));
+            findings.push(Finding::new(format!("recovery.give_up[{i}].leave"), what));
         }
         if recovery.give_up[..i].iter().any(|s| s.class == step.class) {
-            out.push((
+            findings.push(Finding::new(
                 format!("recovery.give_up[{i}].class"),
                 format!("{:?} is given up already", step.class),
             ));
         }
         if i > 0 && recovery.give_up[i - 1].enter > step.enter {
             let what = "below the step before it, which comes first".to_string();
-            out.push((format!("recovery.give_up[{i}].enter"), what));
+            findings.push(Finding::new(format!("recovery.give_up[{i}].enter"), what));
         }
     }
-    out
+    findings
 }
--- a/crates/deckproxy-operator/src/sites.rs
+++ b/crates/deckproxy-operator/src/sites.rs
@@ -1,5 +1,6 @@
 //! The sites' part of the file: relations between its entries, and its form for `deckproxy-sites`.
 
+use crate::finding::Finding;
 use crate::{Mode, Operator, Route, Sites, WhenCut, defaults};
 use deckproxy_sites::routes::{self, RouteRule, SiteRoutes};
 use deckproxy_sites::{LinkLimits, TrustLimits};
@@ -63,33 +64,46 @@
     }
 }
 
-/// Faults between the entries, as path and text.
-pub(crate) fn check(operator: &Operator) -> Vec<(String, String)> {
+/// Faults of entries beside each other.
+pub(crate) fn check(operator: &Operator) -> Vec<Finding> {
     let Some(sites) = &operator.sites else { return Vec::new() };
-    let mut out = Vec::new();
+    let mut findings = Vec::new();
     if sites.listen.is_none() && sites.peers.is_empty() {
-        out.push(("sites".to_string(), "neither listen nor peers: nothing would be linked".to_string()));
+        findings.push(Finding::new(
+            "sites".to_string(),
+            "neither listen nor peers: nothing would be linked".to_string(),
+        ));
     }
     for (i, peer) in sites.peers.iter().enumerate() {
         if peer.site == sites.name {
-            out.push((format!("sites.peers[{i}].site"), "this site itself".to_string()));
+            findings.push(Finding::new(format!("sites.peers[{i}].site"), "this site itself".to_string()));
         }
         if sites.peers[..i].iter().any(|p| p.site == peer.site) {
-            out.push((format!("sites.peers[{i}].site"), format!("{:?} is a peer already", peer.site)));
+            findings.push(Finding::new(
+                format!("sites.peers[{i}].site"),
+                format!("{:?} is a peer already", peer.site),
+            ));
         }
         for (k, address) in peer.addresses.iter().enumerate() {
             let own = sites.listen.as_ref() == Some(address);
             let before = sites.peers[..i].iter().flat_map(|p| &p.addresses).chain(&peer.addresses[..k]);
             if own || before.clone().any(|a| a == address) {
                 let what = if own { "this gateway's own listen" } else { "named already" };
-                out.push((format!("sites.peers[{i}].addresses[{k}]"), format!("{address:?} is {what}")));
+                findings.push(Finding::new(
+                    format!("sites.peers[{i}].addresses[{k}]"),
+                    format!("{address:?} is {what}"),
+                ));
             }
         }
     }
     let peers: Vec<&str> = sites.peers.iter().map(|p| &*p.site).collect();
     let faults = routes::validate(&sites.name, &peers, &sites.rules());
-    out.extend(faults.into_iter().map(|f| (format!("sites.routes[{}].{}", f.route, f.field), f.message)));
-    out
+    findings.extend(
+        faults.into_iter().map(|fault| {
+            Finding::new(format!("sites.routes[{}].{}", fault.route, fault.field), fault.message)
+        }),
+    );
+    findings
 }
 
 /// Checks that the routes of several sites' files lead each request home without coming by a site twice. Gives for
--- a/crates/deckproxy-operator/tests/files.rs
+++ b/crates/deckproxy-operator/tests/files.rs
@@ -1,9 +1,9 @@
 //! Operator files: all faults in one go, each in its place; the defaults; the example.
 
-use deckproxy_operator::{Fault, LARGEST, defaults, read};
+use deckproxy_operator::{FileError, LARGEST, defaults, read};
 
 fn faults(text: &str) -> Vec<String> {
-    read(text.as_bytes()).unwrap_err().iter().map(Fault::to_string).collect()
+    read(text.as_bytes()).unwrap_err().iter().map(FileError::to_string).collect()
 }
 
 const GOOD: &str = r#"sites {
@@ -119,9 +119,9 @@
     assert!(faults("sites { name: \"a\" }")[0].contains("nothing would be linked"));
     assert!(faults("sites }")[0].starts_with("1:"));
     let bytes = read(b"# caf\xe9\n").unwrap_err();
-    assert_eq!((bytes[0].line, bytes[0].column, &*bytes[0].what), (1, 6, "not UTF-8"));
+    assert_eq!((bytes[0].line, bytes[0].column, &*bytes[0].message), (1, 6, "not UTF-8"));
     let large = vec![b'#'; LARGEST + 1];
-    assert!(read(&large).unwrap_err()[0].what.contains("1000000 are the most"));
+    assert!(read(&large).unwrap_err()[0].message.contains("1000000 are the most"));
     // However deep it goes, it is an error and no overflow.
     let deep = "sites {".repeat(100_000);
     assert!(read(deep.as_bytes()).is_err());
--- a/crates/deckproxy-rig/src/plan/reader.rs
+++ b/crates/deckproxy-rig/src/plan/reader.rs
@@ -3,7 +3,7 @@
 use super::check::Finding;
 use super::{CacheFault, Fault, FaultKind, OverloadControl, Plan};
 use crate::relay::DatagramFaults;
-use deckproxy_operator::{Fault as FileFault, text};
+use deckproxy_operator::{FileError, text_format};
 use prost::Message as _;
 use prost_reflect::{DescriptorPool, MessageDescriptor};
 
@@ -17,15 +17,15 @@
 /// # Errors
 ///
 /// All faults of the file, each with line, column and field, in the order of the text.
-pub fn read(bytes: &[u8]) -> Result<Plan, Vec<FileFault>> {
-    let file = text::read(&descriptor(), bytes)?;
-    let message = schema::Plan::decode(&*file.encoded).map_err(|e| vec![file.fault("", &e.to_string())])?;
+pub fn read(bytes: &[u8]) -> Result<Plan, Vec<FileError>> {
+    let file = text_format::read(&descriptor(), bytes)?;
+    let message = schema::Plan::decode(&*file.encoded).map_err(|e| vec![file.error("", &e.to_string())])?;
     let (plan, findings) = plan(&message);
     if findings.is_empty() {
         return Ok(plan);
     }
-    let mut faults: Vec<FileFault> =
-        findings.iter().map(|finding| file.fault(&finding.path, &finding.message)).collect();
+    let mut faults: Vec<FileError> =
+        findings.iter().map(|finding| file.error(&finding.path, &finding.message)).collect();
     faults.sort();
     Err(faults)
 }
