--- a/crates/deckproxy-flow/src/account.rs
+++ b/crates/deckproxy-flow/src/account.rs
@@ -64,7 +64,7 @@
     pub fn asked(&mut self, meter: &mut Meter, now: Micros, id: u32, class: Name, back: u64) {
         let asked = Asked { class, site: 0, back, at: now };
         if self.open.iter().any(|(other, _)| *other == id) {
-            return self.told(meter, now, &asked, Outcome::Unusable, 0);
+            return self.told(meter, now, &asked, Outcome::Invalid, 0);
         }
         self.open.push((id, asked));
     }
@@ -122,7 +122,7 @@
     /// The client gave a request up before it had its answer.
     pub fn gone(&mut self, meter: &mut Meter, now: Micros, id: u32) {
         if let Some(asked) = self.take(id) {
-            self.told(meter, now, &asked, Outcome::Cut, 0);
+            self.told(meter, now, &asked, Outcome::Canceled, 0);
         }
     }
 
@@ -131,11 +131,11 @@
     pub fn end(&mut self, meter: &mut Meter, now: Micros, out: u64, back: u64) {
         let mut out = out;
         while let Some(bill) = self.bills.pop_front() {
-            self.settle(meter, now, bill, Outcome::Cut, std::mem::take(&mut out));
+            self.settle(meter, now, bill, Outcome::Canceled, std::mem::take(&mut out));
         }
         debug_assert!(out == 0, "all that goes out has its bill");
         while let Some((_, asked)) = self.open.pop() {
-            self.told(meter, now, &asked, Outcome::Cut, 0);
+            self.told(meter, now, &asked, Outcome::Canceled, 0);
         }
         self.heard(meter, now, back);
     }
--- a/crates/deckproxy-flow/src/export/records.rs
+++ b/crates/deckproxy-flow/src/export/records.rs
@@ -48,11 +48,11 @@
     match outcome {
         None => "",
         Some(Outcome::Served) => "served",
-        Some(Outcome::Refused) => "refused",
+        Some(Outcome::Rejected) => "refused",
         Some(Outcome::Failed) => "failed",
-        Some(Outcome::Cut) => "cut",
-        Some(Outcome::Unusable) => "unusable",
-        Some(Outcome::Missed) => "missed",
+        Some(Outcome::Canceled) => "cut",
+        Some(Outcome::Invalid) => "unusable",
+        Some(Outcome::CacheMiss) => "missed",
     }
 }
 
--- /dev/null
+++ b/crates/deckproxy-flow/src/meter/flow.rs
@@ -0,0 +1,171 @@
+//! What is counted: keys, updates, counts, and the flows that are handed to the exporter.
+
+use super::{Millis, Name};
+use ipnet::IpNet;
+
+/// How a request ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub enum Outcome {
+    /// Served.
+    Served,
+    /// Rejected by admission control.
+    Rejected,
+    /// Failed.
+    Failed,
+    /// Canceled by the client, or its connection was lost.
+    Canceled,
+    /// Rejected as not valid.
+    Invalid,
+    /// A cache answered that it has no copy.
+    CacheMiss,
+}
+
+/// The connection that bytes passed on. Bytes of one leg are never summed with another's.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub enum Leg {
+    /// A client and the gateway.
+    Client,
+    /// The gateway and a cache, parent or origin: one flow for each that got an attempt, so that retries show.
+    Member,
+    /// The gateway and one of another site.
+    Link,
+}
+
+/// All legs, in the order of their numbers.
+pub(super) const LEGS: [Leg; 3] = [Leg::Client, Leg::Member, Leg::Link];
+
+/// The key of a flow.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct Key {
+    /// The leg.
+    pub leg: Leg,
+    /// The client, as a prefix; `None`: all.
+    pub client: Option<IpNet>,
+    /// The class; 0: all.
+    pub class: Name,
+    /// The member that got the attempt; 0: none.
+    pub member: Name,
+    /// The site at the other end of the link; 0: no link.
+    pub site: Name,
+    /// How the requests ended; `None`: in any way.
+    pub outcome: Option<Outcome>,
+    /// How coarse the key is: 0 as configured, 1 with the wider prefix, 2 without a client, 3 the overflow entry.
+    pub folded: u8,
+}
+
+impl Key {
+    /// The key of everything on a leg.
+    pub const fn of(leg: Leg) -> Self {
+        Key { leg, client: None, class: 0, member: 0, site: 0, outcome: None, folded: 0 }
+    }
+
+    /// The overflow entry of a leg.
+    pub(super) const fn overflow(leg: Leg) -> Self {
+        Key { folded: 3, ..Key::of(leg) }
+    }
+}
+
+/// One update of a flow.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Update {
+    /// Bytes towards the client.
+    pub out: u64,
+    /// Bytes from the client.
+    pub back: u64,
+    /// Requests that ended.
+    pub requests: u64,
+    /// Latency of the request, µs; only with one request.
+    pub latency: Option<u64>,
+}
+
+/// Buckets of the latency histogram, each twice as wide as the one before.
+const BUCKETS: usize = 20;
+/// Upper end of the first bucket, µs.
+const FIRST_BUCKET_END: u64 = 64;
+
+/// The counts of a flow.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Counts {
+    /// Bytes towards the client.
+    pub out: u64,
+    /// Bytes from the client.
+    pub back: u64,
+    /// Requests that ended.
+    pub requests: u64,
+    /// Time of the first update.
+    pub first: Millis,
+    /// Time of the last update.
+    pub last: Millis,
+    /// Histogram of the latencies.
+    latencies: [u32; BUCKETS],
+}
+
+impl Counts {
+    /// Counts without updates.
+    pub(super) fn new(now: Millis) -> Self {
+        Counts { out: 0, back: 0, requests: 0, first: now, last: now, latencies: [0; BUCKETS] }
+    }
+
+    /// Adds an update.
+    pub(super) fn add(&mut self, now: Millis, update: &Update) {
+        self.out += update.out;
+        self.back += update.back;
+        self.requests += update.requests;
+        // Where the clock was set back, the flow must not begin after its end.
+        self.first = self.first.min(now);
+        self.last = self.last.max(now);
+        if let Some(latency) = update.latency {
+            let bucket = (u64::BITS - (latency / FIRST_BUCKET_END).leading_zeros()) as usize;
+            let bucket = &mut self.latencies[bucket.min(BUCKETS - 1)];
+            *bucket = bucket.saturating_add(1);
+        }
+    }
+
+    /// Adds the counts of another flow.
+    pub fn merge(&mut self, other: &Counts) {
+        self.out += other.out;
+        self.back += other.back;
+        self.requests += other.requests;
+        self.first = self.first.min(other.first);
+        self.last = self.last.max(other.last);
+        for (own, other) in self.latencies.iter_mut().zip(other.latencies) {
+            *own = own.saturating_add(other);
+        }
+    }
+
+    /// The 99th percentile of the latencies, µs: the upper end of its bucket, which is at most twice too high; 0
+    /// without latencies.
+    pub fn p99(&self) -> u64 {
+        let all: u64 = self.latencies.iter().map(|n| u64::from(*n)).sum();
+        let mut below = 0;
+        for (i, n) in self.latencies.iter().enumerate() {
+            below += u64::from(*n);
+            if all > 0 && below * 100 >= all * 99 {
+                return FIRST_BUCKET_END << i;
+            }
+        }
+        0
+    }
+}
+
+/// Why a flow is exported.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Reason {
+    /// It was idle for the idle timeout.
+    Idle,
+    /// It lasted for the active timeout, and may continue.
+    Active,
+    /// The process ends.
+    End,
+}
+
+/// A flow to be exported.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Flow {
+    /// Its key.
+    pub key: Key,
+    /// Its counts.
+    pub counts: Counts,
+    /// Why it is exported.
+    pub reason: Reason,
+}
--- /dev/null
+++ b/crates/deckproxy-flow/src/meter/mod.rs
@@ -0,0 +1,282 @@
+//! The flow table: who used the connections, counted exactly in bounded memory.
+//!
+//! When the table is full, the smallest of a few entries is folded into a coarser one with its counts: first with a
+//! wider prefix of the client, then by class alone. What fits nowhere is counted in an overflow entry for each leg, so
+//! that the sums are exact at any time.
+//!
+//! - [`flow`]: keys, updates, counts and flows.
+//! - [`heavy_hitters`]: the keys with the greatest sums.
+
+pub mod flow;
+pub mod heavy_hitters;
+
+pub use flow::{Counts, Flow, Key, Leg, Outcome, Reason, Update};
+pub use heavy_hitters::{HeavyHitter, HeavyHitters};
+
+use ahash::RandomState;
+use flow::LEGS;
+use hashbrown::HashTable;
+use ipnet::IpNet;
+use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
+
+/// Unix milliseconds.
+pub type Millis = u64;
+/// A name by its number in the caller's list; 0: none.
+pub type Name = u32;
+
+/// Smallest size of the table, entries.
+const LEAST_ENTRIES: usize = 16;
+/// Entries among which the one to fold is chosen.
+const FOLD_CANDIDATES: usize = 8;
+/// Folds that are attempted to free one entry.
+const MAX_FOLDS: usize = 16;
+
+/// Limits of the table.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Limits {
+    /// Largest number of entries; at least 16.
+    pub entries: usize,
+    /// Prefix lengths of a client's IPv4 and IPv6 address, bits.
+    pub bits: (u8, u8),
+    /// The same once an entry is folded.
+    pub folded_bits: (u8, u8),
+    /// Age at which a flow is exported though it continues, ms.
+    pub active: Millis,
+    /// Idle time after which a flow has ended, ms.
+    pub idle: Millis,
+}
+
+impl Default for Limits {
+    fn default() -> Self {
+        Limits { entries: 16_384, bits: (32, 64), folded_bits: (16, 40), active: 60_000, idle: 15_000 }
+    }
+}
+
+struct Entry {
+    key: Key,
+    counts: Counts,
+}
+
+/// The table.
+pub struct Meter {
+    limits: Limits,
+    /// Positions of the entries by the hashes of their keys, which are stored in the entries alone.
+    index: HashTable<u32>,
+    /// Keyed anew by each process: whoever chooses addresses can't choose hashes.
+    hasher: RandomState,
+    entries: Vec<Entry>,
+    /// Counts that fit nowhere, by leg.
+    overflow: [Option<Counts>; LEGS.len()],
+    /// Where the next search for an entry to fold begins.
+    fold_position: usize,
+    /// Where the next search for flows to export begins.
+    export_position: usize,
+    /// Entries folded since the start.
+    pub folds: u64,
+    /// Updates that went to an overflow entry since the start.
+    pub overflows: u64,
+}
+
+/// The network of an address with the given prefix lengths for IPv4 and IPv6.
+fn prefix(client: IpAddr, bits: (u8, u8)) -> IpNet {
+    let net = match client {
+        IpAddr::V4(v4) => {
+            let bits = bits.0.min(32);
+            let mask = u32::MAX.checked_shl(32 - u32::from(bits)).unwrap_or(0);
+            IpNet::new(Ipv4Addr::from(u32::from(v4) & mask).into(), bits)
+        }
+        IpAddr::V6(v6) => {
+            let bits = bits.1.min(128);
+            let mask = u128::MAX.checked_shl(128 - u32::from(bits)).unwrap_or(0);
+            IpNet::new(Ipv6Addr::from(u128::from(v6) & mask).into(), bits)
+        }
+    };
+    // The prefix length was limited to what the family has.
+    net.unwrap_or(IpNet::from(client))
+}
+
+impl Meter {
+    /// An empty table.
+    pub fn new(limits: Limits) -> Self {
+        let limits = Limits { entries: limits.entries.max(LEAST_ENTRIES), ..limits };
+        Meter {
+            limits,
+            index: HashTable::new(),
+            hasher: RandomState::new(),
+            entries: Vec::new(),
+            overflow: [None; LEGS.len()],
+            fold_position: 0,
+            export_position: 0,
+            folds: 0,
+            overflows: 0,
+        }
+    }
+
+    /// The network that stands for a client.
+    pub fn client(&self, address: IpAddr) -> IpNet {
+        prefix(address.to_canonical(), self.limits.bits)
+    }
+
+    /// Number of entries.
+    pub fn len(&self) -> usize {
+        self.entries.len()
+    }
+
+    /// Whether nothing is counted.
+    pub fn is_empty(&self) -> bool {
+        self.entries.is_empty() && self.overflow.iter().all(Option::is_none)
+    }
+
+    /// Memory of the table, bytes.
+    pub fn memory_bytes(&self) -> usize {
+        // A slot of the index holds a position and a control byte; it is filled to 7 of 8 at most.
+        self.entries.capacity() * size_of::<Entry>() + self.index.capacity() * 8 / 7 * (size_of::<u32>() + 1)
+    }
+
+    /// The position of a key's entry.
+    fn find(&self, key: &Key) -> Option<usize> {
+        let is_same = |position: &u32| self.entries[*position as usize].key == *key;
+        self.index.find(self.hasher.hash_one(key), is_same).map(|position| *position as usize)
+    }
+
+    /// Counts an update.
+    pub fn count(&mut self, now: Millis, key: Key, update: &Update) {
+        if let Some(position) = self.find(&key) {
+            return self.entries[position].counts.add(now, update);
+        }
+        if self.entries.len() < self.limits.entries || self.free_entry() {
+            let mut counts = Counts::new(now);
+            counts.add(now, update);
+            return self.insert(key, counts);
+        }
+        // The table is full: an existing coarser entry takes it, or the overflow entry.
+        let mut coarser = self.coarser(&key);
+        while let Some(key) = coarser {
+            if let Some(position) = self.find(&key) {
+                return self.entries[position].counts.add(now, update);
+            }
+            coarser = self.coarser(&key);
+        }
+        self.overflows += 1;
+        self.overflow[key.leg as usize].get_or_insert_with(|| Counts::new(now)).add(now, update);
+    }
+
+    fn insert(&mut self, key: Key, counts: Counts) {
+        let hash = self.hasher.hash_one(key);
+        let position = self.entries.len() as u32;
+        self.entries.push(Entry { key, counts });
+        let (entries, hasher) = (&self.entries, &self.hasher);
+        self.index.insert_unique(hash, position, |position| hasher.hash_one(entries[*position as usize].key));
+    }
+
+    fn remove(&mut self, position: usize) -> Entry {
+        let hash = |key: &Key| self.hasher.hash_one(key);
+        let last = self.entries.len() - 1;
+        let is_removed = |other: &u32| *other as usize == position;
+        if let Ok(slot) = self.index.find_entry(hash(&self.entries[position].key), is_removed) {
+            slot.remove();
+        }
+        // The last entry takes its position.
+        if last != position
+            && let Some(slot) =
+                self.index.find_mut(hash(&self.entries[last].key), |other| *other as usize == last)
+        {
+            *slot = position as u32;
+        }
+        self.entries.swap_remove(position)
+    }
+
+    /// The key into which a key is folded.
+    fn coarser(&self, key: &Key) -> Option<Key> {
+        match key.folded {
+            0 => {
+                let client = key.client.map(|net| prefix(net.addr(), self.limits.folded_bits));
+                Some(Key { client, folded: 1, ..*key })
+            }
+            1 => Some(Key { client: None, member: 0, site: 0, folded: 2, ..*key }),
+            _ => None,
+        }
+    }
+
+    /// Folds entries until one is free. Returns whether one is.
+    fn free_entry(&mut self) -> bool {
+        for _ in 0..MAX_FOLDS {
+            let Some(position) = self.next_to_fold() else { continue };
+            let Some(coarser) = self.coarser(&self.entries[position].key) else { continue };
+            self.folds += 1;
+            let entry = self.remove(position);
+            match self.find(&coarser) {
+                Some(other) => {
+                    self.entries[other].counts.merge(&entry.counts);
+                    return true;
+                }
+                None => self.insert(coarser, entry.counts),
+            }
+        }
+        false
+    }
+
+    /// The position of the smallest of the next few entries that can be folded.
+    fn next_to_fold(&mut self) -> Option<usize> {
+        let count = self.entries.len();
+        let candidates = (0..FOLD_CANDIDATES.min(count)).map(|i| (self.fold_position + i) % count);
+        let bytes = |position: &usize| {
+            let counts = &self.entries[*position].counts;
+            counts.out + counts.back
+        };
+        let smallest = candidates.filter(|position| self.entries[*position].key.folded < 2).min_by_key(bytes);
+        self.fold_position = (self.fold_position + FOLD_CANDIDATES) % count;
+        smallest
+    }
+
+    /// Looks at some entries in turn, and takes out the flows that are due for export. Returns whether it has reached
+    /// the end of the table.
+    pub fn take_due(&mut self, now: Millis, max_entries: usize, flows: &mut Vec<Flow>) -> bool {
+        if self.export_position == 0 {
+            self.take_due_overflow(now, flows);
+        }
+        for _ in 0..max_entries {
+            let Some(entry) = self.entries.get(self.export_position) else {
+                self.export_position = 0;
+                return true;
+            };
+            let Some(reason) = self.export_reason(now, &entry.counts) else {
+                self.export_position += 1;
+                continue;
+            };
+            // A flow that continues is removed too: its next update begins it anew, and nothing is counted twice.
+            let Entry { key, counts } = self.remove(self.export_position);
+            flows.push(Flow { key, counts, reason });
+        }
+        false
+    }
+
+    fn take_due_overflow(&mut self, now: Millis, flows: &mut Vec<Flow>) {
+        for (leg, overflow) in LEGS.into_iter().zip(&mut self.overflow) {
+            let is_due = |counts: &mut Counts| now.saturating_sub(counts.first) >= self.limits.active;
+            if let Some(counts) = overflow.take_if(is_due) {
+                flows.push(Flow { key: Key::overflow(leg), counts, reason: Reason::Active });
+            }
+        }
+    }
+
+    /// Why a flow is due for export, if it is.
+    fn export_reason(&self, now: Millis, counts: &Counts) -> Option<Reason> {
+        if now.saturating_sub(counts.last) >= self.limits.idle {
+            return Some(Reason::Idle);
+        }
+        // A flow that seems to begin in the future was counted before the clock was set back.
+        let is_old = now.saturating_sub(counts.first) >= self.limits.active;
+        let is_future = counts.first > now + self.limits.active;
+        (is_old || is_future).then_some(Reason::Active)
+    }
+
+    /// Takes out all flows, as the process ends.
+    pub fn take_all(&mut self) -> Vec<Flow> {
+        self.index.clear();
+        let entries = std::mem::take(&mut self.entries).into_iter().map(|entry| (entry.key, entry.counts));
+        let overflow = LEGS.into_iter().zip(std::mem::take(&mut self.overflow));
+        let overflow = overflow.filter_map(|(leg, counts)| counts.map(|counts| (Key::overflow(leg), counts)));
+        entries.chain(overflow).map(|(key, counts)| Flow { key, counts, reason: Reason::End }).collect()
+    }
+}
--- a/crates/deckproxy-flow/tests/account.rs
+++ b/crates/deckproxy-flow/tests/account.rs
@@ -86,7 +86,7 @@
         }
         account.end(&mut meter, now, gone, unread);
         prop_assert_eq!(account.sizes(), [0, 0]);
-        let flows = meter.end();
+        let flows = meter.take_all();
         prop_assert_eq!(sums(&flows, Leg::Client), [out + gone, back + unread, asked]);
     }
 }
@@ -104,8 +104,8 @@
     account.written(&mut meter, 5000, 900);
     // The second is out in part, the third was not answered.
     account.end(&mut meter, 6000, 250, 0);
-    let flows = meter.end();
-    assert_eq!((requests(&flows, Outcome::Served), requests(&flows, Outcome::Cut)), (1, 2));
+    let flows = meter.take_all();
+    assert_eq!((requests(&flows, Outcome::Served), requests(&flows, Outcome::Canceled)), (1, 2));
     let crossed: Vec<_> = flows.iter().filter(|f| f.key.site == 7).map(|f| f.counts.out).collect();
     assert_eq!(crossed, [250]);
     assert_eq!(sums(&flows, Leg::Client), [1150, 180, 3]);
@@ -124,13 +124,13 @@
     assert!(attempts.ended(&mut meter, 3000, 2, Outcome::Served, 4000));
     // One that never went out is no attempt; what comes late, and probes, are the member's.
     attempts.sent(3000, 3, asker, 6);
-    assert!(attempts.ended(&mut meter, 3100, 3, Outcome::Cut, 0));
+    assert!(attempts.ended(&mut meter, 3100, 3, Outcome::Canceled, 0));
     assert!(!attempts.ended(&mut meter, 3200, 1, Outcome::Served, 300));
     Attempts::other(&mut meter, 3200, 5, 300, 0);
     assert!(!attempts.wrote(99, 12));
     Attempts::other(&mut meter, 3300, 6, 0, 12);
     assert!(attempts.is_empty());
-    let flows = meter.end();
+    let flows = meter.take_all();
     assert_eq!(sums(&flows, Leg::Member), [4300, 80 + 81 + 12, 2]);
     assert_eq!(sums(&flows, Leg::Client), [0; 3]);
     let failed = flows.iter().find(|f| f.key.outcome == Some(Outcome::Failed)).unwrap();
--- a/crates/deckproxy-flow/tests/export.rs
+++ b/crates/deckproxy-flow/tests/export.rs
@@ -37,7 +37,7 @@
         let key = key(&meter, Ipv4Addr::from(0x0a00_0000 + n).into(), 1, 2, Outcome::Served);
         meter.count(1_764_576_000_000, key, &Update { out: 100, back: 7, requests: 1, latency: Some(900) });
     }
-    meter.end()
+    meter.take_all()
 }
 
 /// What a collector has read: sums of bytes out and requests, and of reported losses.
--- a/crates/deckproxy-flow/tests/meter.rs
+++ b/crates/deckproxy-flow/tests/meter.rs
@@ -1,6 +1,8 @@
 //! The meter: sums are exact whatever is folded, memory is bounded, and a sketch is as good as it says.
 
-use deckproxy_flow::meter::{Flow, Key, Leg, Limits, Meter, Outcome, Reason, Top, Update};
+use deckproxy_flow::meter::{
+    Flow, HeavyHitter, HeavyHitters, Key, Leg, Limits, Meter, Outcome, Reason, Update,
+};
 use proptest::prelude::*;
 use std::collections::HashMap;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
@@ -44,50 +46,50 @@
         let mut meter = Meter::new(Limits { entries, active: 500, idle: 100, ..Limits::default() });
         let mut plain: HashMap<u32, [u64; 3]> = HashMap::new();
         let mut legs: HashMap<Leg, [u64; 3]> = HashMap::new();
-        let (mut told, mut now) = (Vec::new(), 1000u64);
+        let (mut exported, mut now) = (Vec::new(), 1000u64);
         for (client, class, member, out, later) in steps {
             // Now and then the clock steps back.
             now = if later > 390 { now.saturating_sub(300) } else { now + later / 10 };
             let client = if client % 5 == 0 { IpAddr::from(Ipv6Addr::from(u128::from(client) << 90)) } else { v4(client) };
-            let outcome = if out % 2 == 0 { Outcome::Served } else { Outcome::Cut };
+            let outcome = if out % 2 == 0 { Outcome::Served } else { Outcome::Canceled };
             meter.count(now, key(&meter, client, class, member, outcome), &served(out));
             let leg = if member == 0 { Leg::Client } else { Leg::Member };
             for sum in [plain.entry(class).or_default(), legs.entry(leg).or_default()] {
                 *sum = [sum[0] + out, sum[1] + 3, sum[2] + 1];
             }
             prop_assert!(meter.len() <= entries);
-            meter.tell(now, 3, &mut told);
+            meter.take_due(now, 3, &mut exported);
         }
-        told.extend(meter.end());
+        exported.extend(meter.take_all());
         prop_assert!(meter.is_empty());
         let all = plain.values().fold([0; 3], |a, b| [a[0] + b[0], a[1] + b[1], a[2] + b[2]]);
-        prop_assert_eq!(sums(&told), all);
+        prop_assert_eq!(sums(&exported), all);
         // No folding mixes what clients got with what members sent.
         for (leg, sum) in legs {
-            prop_assert_eq!(sums(told.iter().filter(|f| f.key.leg == leg)), sum);
+            prop_assert_eq!(sums(exported.iter().filter(|f| f.key.leg == leg)), sum);
         }
         if meter.overflows == 0 {
             for (class, sum) in plain {
-                prop_assert_eq!(sums(told.iter().filter(|f| f.key.class == class)), sum);
+                prop_assert_eq!(sums(exported.iter().filter(|f| f.key.class == class)), sum);
             }
         }
     }
 
     #[test]
-    fn a_sum_of_the_sketch_is_off_by_what_it_says(adds in prop::collection::vec((0u32..60, 1u64..1000), 1..800), places in 1usize..40) {
-        let mut top = Top::new(places);
+    fn a_heavy_hitters_sum_is_within_its_error(adds in prop::collection::vec((0u32..60, 1u64..1000), 1..800), places in 1usize..40) {
+        let mut top = HeavyHitters::new(places);
         let mut plain: HashMap<u32, u64> = HashMap::new();
         for (key, amount) in adds {
             top.add(key, amount);
             *plain.entry(key).or_default() += amount;
         }
         let total: u64 = plain.values().sum();
-        for (key, sum, error) in top.top(places) {
+        for HeavyHitter { key, sum, error } in top.top(places) {
             prop_assert!(sum >= plain[&key] && sum - error <= plain[&key]);
             prop_assert!(error <= total / places as u64);
         }
-        // Who has more than a place's even part is there.
-        let found: Vec<u32> = top.top(places).into_iter().map(|(k, ..)| k).collect();
+        // A key with more than an even share of the total is found.
+        let found: Vec<u32> = top.top(places).into_iter().map(|hitter| hitter.key).collect();
         for (key, sum) in &plain {
             prop_assert!(*sum <= total / places as u64 || found.contains(key));
         }
@@ -95,7 +97,7 @@
 }
 
 #[test]
-fn a_scan_of_addresses_grows_nothing_and_loses_nothing() {
+fn a_scan_of_addresses_exceeds_no_limit_and_loses_no_counts() {
     let mut meter = Meter::new(Limits { entries: 1000, ..Limits::default() });
     // One that asks for much among 65,536 that ask once.
     let busy = key(&meter, v4(0x7f00_0001), 1, 0, Outcome::Served);
@@ -103,11 +105,11 @@
     for n in 0..65_536u32 {
         meter.count(10, key(&meter, v4(0x0a00_0000 + n * 256), 1, 0, Outcome::Served), &served(100));
         meter.count(10, busy, &served(1000));
-        most = most.max(meter.size());
+        most = most.max(meter.memory_bytes());
     }
     assert!(meter.len() <= 1000);
     assert!(most < 1000 * 1000, "{most} bytes for 1000 entries");
-    let flows = meter.end();
+    let flows = meter.take_all();
     assert_eq!(sums(&flows), [65_536 * 1100, 65_536 * 2 * 3, 65_536 * 2]);
     let kept = flows.iter().find(|f| f.key == busy).expect("who uses most is not folded");
     assert_eq!(kept.counts.requests, 65_536);
@@ -115,36 +117,36 @@
 }
 
 #[test]
-fn a_burst_of_short_requests_is_counted_to_the_last() {
+fn a_burst_of_short_requests_is_counted_completely() {
     let mut meter = Meter::new(Limits::default());
     for n in 0..100_000u64 {
         let key = key(&meter, v4((n % 5000) as u32), 2, (n % 7) as u32, Outcome::Served);
         meter.count(1_000_000 + n / 100, key, &Update { out: 40, back: 60, requests: 1, latency: Some(100) });
     }
-    let flows = meter.end();
+    let flows = meter.take_all();
     assert_eq!(sums(&flows), [4_000_000, 6_000_000, 100_000]);
 }
 
 #[test]
-fn flows_are_told_when_they_rest_when_they_last_and_at_the_end() {
+fn flows_are_exported_when_idle_when_old_and_at_the_end() {
     let mut meter = Meter::new(Limits { active: 1000, idle: 100, ..Limits::default() });
     let key = |n: u32| Key { ..meter_key(n) };
     let reasons =
         |flows: &[Flow]| flows.iter().map(|f| (f.key, f.reason, f.counts.requests)).collect::<Vec<_>>();
     meter.count(0, key(1), &served(10));
     meter.count(50, key(2), &served(10));
-    let mut told = Vec::new();
-    assert!(meter.tell(100, 10, &mut told), "it came round");
-    assert_eq!(reasons(&told), [(key(1), Reason::Idle, 1)]);
+    let mut exported = Vec::new();
+    assert!(meter.take_due(100, 10, &mut exported), "it reached the end of the table");
+    assert_eq!(reasons(&exported), [(key(1), Reason::Idle, 1)]);
     for now in (60..1060).step_by(50) {
         meter.count(now, key(2), &served(10));
     }
-    told.clear();
-    meter.tell(1055, 10, &mut told);
-    assert_eq!(reasons(&told), [(key(2), Reason::Active, 21)]);
+    exported.clear();
+    meter.take_due(1055, 10, &mut exported);
+    assert_eq!(reasons(&exported), [(key(2), Reason::Active, 21)]);
     meter.count(1056, key(2), &served(1 << 40));
     meter.count(1056, key(2), &served(1 << 40));
-    let end = meter.end();
+    let end = meter.take_all();
     assert_eq!(reasons(&end), [(key(2), Reason::End, 2)]);
     assert_eq!(end[0].counts.out, 2 << 40, "beyond 2^32");
 }
@@ -154,25 +156,25 @@
 }
 
 #[test]
-fn a_clock_that_steps_back_ends_no_flow_before_it_began() {
+fn a_clock_that_is_set_back_ends_no_flow_before_its_begin() {
     let mut meter = Meter::new(Limits { active: 1000, idle: 100, ..Limits::default() });
     meter.count(1_000_000, meter_key(1), &served(10));
     meter.count(5_000, meter_key(1), &served(10));
     meter.count(900_000, meter_key(2), &served(10));
-    let mut told = Vec::new();
-    meter.tell(5_000, 10, &mut told);
-    meter.tell(5_200, 10, &mut told);
-    assert_eq!(sums(&told)[2] + sums(&meter.end())[2], 3);
-    assert!(told.iter().all(|f| f.counts.first <= f.counts.last));
+    let mut exported = Vec::new();
+    meter.take_due(5_000, 10, &mut exported);
+    meter.take_due(5_200, 10, &mut exported);
+    assert_eq!(sums(&exported)[2] + sums(&meter.take_all())[2], 3);
+    assert!(exported.iter().all(|f| f.counts.first <= f.counts.last));
 }
 
 #[test]
-fn the_percentile_is_at_most_twice_too_much() {
+fn the_percentile_is_at_most_twice_too_high() {
     let mut meter = Meter::new(Limits::default());
     for n in 0..1000u64 {
         let latency = if n < 985 { 900 } else { 50_000 };
         meter.count(0, meter_key(1), &Update { latency: Some(latency), requests: 1, ..Update::default() });
     }
-    let p99 = meter.end()[0].counts.p99();
+    let p99 = meter.take_all()[0].counts.p99();
     assert!((50_000..=100_000).contains(&p99), "{p99}");
 }
--- a/crates/deckproxy-lab/src/measure/flows.rs
+++ b/crates/deckproxy-lab/src/measure/flows.rs
@@ -7,7 +7,7 @@
 use deckproxy_flow::codec::Version;
 use deckproxy_flow::codec::elements::EXAMPLE_ENTERPRISE;
 use deckproxy_flow::export::{Backlog, Effect, Exporter, Settings, Transport};
-use deckproxy_flow::meter::{Key, Leg, Limits, Meter, Outcome, Top, Update};
+use deckproxy_flow::meter::{HeavyHitters, Key, Leg, Limits, Meter, Outcome, Update};
 use deckproxy_standins::collector::Collector;
 use deckproxy_standins::free_address;
 use deckproxy_standins::record::Record;
@@ -100,7 +100,7 @@
             meter.count(1000, black_box(key), &update);
         }
         let (ns, memory, len) = (each(start), kb(before), meter.len());
-        let flows = meter.end();
+        let flows = meter.take_all();
         let sum: u64 = flows.iter().map(|f| f.counts.requests).sum();
         assert_eq!(sum, UPDATES as u64, "sums are exact");
         let folded: u64 = flows.iter().filter(|f| f.key.folded > 0).map(|f| f.counts.requests).sum();
@@ -115,15 +115,15 @@
     for places in [64, 4096] {
         let before = resident();
         let start = Instant::now();
-        let mut top = Top::new(places);
+        let mut top = HeavyHitters::new(places);
         draws.iter().for_each(|n| top.add(address(*n as usize), update.out));
         let (ns, memory) = (each(start), kb(before));
         let total = UPDATES as u64 * update.out;
-        let worst = top.top(10).iter().map(|(k, sum, _)| sum - plain[k][0]).max().unwrap_or(0);
+        let worst = top.top(10).iter().map(|hitter| hitter.sum - plain[&hitter.key][0]).max().unwrap_or(0);
         let mut exact: Vec<(u64, IpAddr)> = plain.iter().map(|(k, v)| (v[0], *k)).collect();
         exact.sort_unstable_by(|a, b| b.cmp(a));
         let found = top.top(10);
-        let hits = exact[..10].iter().filter(|(_, k)| found.iter().any(|(f, ..)| f == k)).count();
+        let hits = exact[..10].iter().filter(|(_, k)| found.iter().any(|hitter| hitter.key == *k)).count();
         rows.push(vec![
             format!("sketch of {places} places"),
             ns,
@@ -163,7 +163,7 @@
             replicate: false,
         };
         let mut exporter = Exporter::new(settings, &[Transport::Tcp], 0, 0);
-        meter.end().into_iter().for_each(|flow| exporter.push(flow));
+        meter.take_all().into_iter().for_each(|flow| exporter.push(flow));
         exporter.poll(1, 1, &|_| "page");
         exporter.connected(1, 0);
         let (start, mut bytes) = (Instant::now(), 0);
--- a/crates/deckproxy-lab/tests/flows.rs
+++ b/crates/deckproxy-lab/tests/flows.rs
@@ -89,7 +89,7 @@
         replicate: false,
     };
     let mut exporter = Exporter::new(settings, &[Transport::Tcp], 0, 0);
-    meter.end().into_iter().for_each(|f| exporter.push(f));
+    meter.take_all().into_iter().for_each(|f| exporter.push(f));
     let name = |n: u32| ["", "page", "video", "s-00c41f7a", "south"][n as usize];
     exporter.poll(0, 1, &name);
     exporter.connected(0, 0);
--- a/crates/deckproxy/src/program/attempts.rs
+++ b/crates/deckproxy/src/program/attempts.rs
@@ -25,7 +25,7 @@
         message: MemberMessage,
     ) {
         let Some(id) = self.upstream_for(now, member, endpoint, name) else {
-            self.attempt_ended(now, key, Outcome::Cut);
+            self.attempt_ended(now, key, Outcome::Canceled);
             return self.router.connection_failed(now, key, ConnectionFailure::NotSent);
         };
         let Some(upstream) = self.upstreams.get_mut(&id) else { return };
@@ -52,7 +52,7 @@
         let upstream = self.attempt_upstreams.get(&key).and_then(|id| self.upstreams.get_mut(id));
         if upstream.is_some_and(|upstream| upstream.connection.cancel_unsent(key)) {
             self.attempt_upstreams.remove(&key);
-            self.attempt_ended(now, key, Outcome::Cut);
+            self.attempt_ended(now, key, Outcome::Canceled);
             self.router.connection_failed(now, key, ConnectionFailure::NotSent);
         }
     }
@@ -84,7 +84,7 @@
             WrittenPart::Some => self.upstreams.contains_key(&id),
             WrittenPart::All => true,
         };
-        self.attempt_ended(now, key, Outcome::Cut);
+        self.attempt_ended(now, key, Outcome::Canceled);
         self.router.attempt_cancelled(now, key, may_run);
     }
 
@@ -214,7 +214,7 @@
             let (outcome, failure) = if written {
                 (Outcome::Failed, ConnectionFailure::Reset)
             } else {
-                (Outcome::Cut, ConnectionFailure::NotSent)
+                (Outcome::Canceled, ConnectionFailure::NotSent)
             };
             self.attempt_ended(now, key, outcome);
             self.router.connection_failed(now, key, failure);
--- a/crates/deckproxy/src/program/flows/accounting.rs
+++ b/crates/deckproxy/src/program/flows/accounting.rs
@@ -6,7 +6,7 @@
 use crate::transport::write_buffer::WrittenMessage;
 use ahash::RandomState;
 use deckproxy_flow::account::{self, Asker, Attempts, ClientAccount, Micros, Names};
-use deckproxy_flow::meter::{Limits, Meter, Name, Outcome, Top};
+use deckproxy_flow::meter::{HeavyHitter, HeavyHitters, Limits, Meter, Name, Outcome};
 use deckproxy_sites::responder::RunId;
 use ipnet::IpNet;
 use std::collections::HashMap;
@@ -32,16 +32,16 @@
     /// Requests that came over links, with the time when they came.
     pub(super) link_requests: HashMap<RunId, (Asker, Micros), RandomState>,
     /// Clients' networks with most bytes since the last summary.
-    top: Top<IpNet>,
+    top: HeavyHitters<IpNet>,
 }
 
 /// The outcome of an attempt that a member's answer means.
 fn reply_outcome(status: Status) -> Outcome {
     match status {
         Status::Ok | Status::NotModified => Outcome::Served,
-        Status::Miss => Outcome::Missed,
-        Status::Rejected => Outcome::Refused,
-        Status::Expired => Outcome::Cut,
+        Status::Miss => Outcome::CacheMiss,
+        Status::Rejected => Outcome::Rejected,
+        Status::Expired => Outcome::Canceled,
         Status::Error | Status::Health(_) => Outcome::Failed,
     }
 }
@@ -58,14 +58,17 @@
             clients: HashMap::default(),
             attempts: Attempts::default(),
             link_requests: HashMap::default(),
-            top: Top::new(TOP_TRACKED),
+            top: HeavyHitters::new(TOP_TRACKED),
         }
     }
 
     /// The networks with most bytes since the last call, at most so many, as `NETWORK:BYTES-ERROR`.
     pub(super) fn take_top(&mut self, count: usize) -> Vec<String> {
-        let top = std::mem::replace(&mut self.top, Top::new(TOP_TRACKED));
-        top.top(count).into_iter().map(|(network, sum, error)| format!("{network}:{sum}-{error}")).collect()
+        let top = std::mem::replace(&mut self.top, HeavyHitters::new(TOP_TRACKED));
+        top.top(count)
+            .into_iter()
+            .map(|HeavyHitter { key: network, sum, error }| format!("{network}:{sum}-{error}"))
+            .collect()
     }
 
     /// The number of a class; 0 for an unknown one.
--- a/crates/deckproxy/src/program/flows/mod.rs
+++ b/crates/deckproxy/src/program/flows/mod.rs
@@ -94,7 +94,7 @@
         loop {
             let now = micros(clock::now());
             let is_round_complete =
-                self.accounting.meter.tell(now / 1000, FLOWS_PER_ROUND, &mut self.due_flows);
+                self.accounting.meter.take_due(now / 1000, FLOWS_PER_ROUND, &mut self.due_flows);
             if !self.due_flows.is_empty() {
                 out.push_back(Effect::WakeTask { task: self.send_task, at: None });
             }
@@ -247,7 +247,7 @@
         }
         let deadline = cx.now + self.operator.flush();
         self.flush_deadline = Some(deadline);
-        for flow in self.accounting.meter.end() {
+        for flow in self.accounting.meter.take_all() {
             self.exporter.push(flow);
         }
         out.push_back(Effect::WakeTask { task: self.send_task, at: None });
@@ -301,7 +301,7 @@
              merged:{},lost[flows:{},untold:{}],breaks:{},top[{}]",
             states.join(" "),
             meter.len(),
-            meter.size() / 1024,
+            meter.memory_bytes() / 1024,
             self.accounting.clients.len(),
             self.accounting.attempts.len(),
             self.accounting.link_requests.len(),
--- a/crates/deckproxy/src/program/sites/forwarding.rs
+++ b/crates/deckproxy/src/program/sites/forwarding.rs
@@ -175,7 +175,7 @@
 
     /// Cancels a request that came over a link.
     pub(super) fn cancel_link_request(&mut self, cx: &Context<'_>, run: RunId, out: &mut Effects) {
-        out.push_back(Effect::Notify(Note::LinkRequestEnded { run, outcome: Outcome::Cut }));
+        out.push_back(Effect::Notify(Note::LinkRequestEnded { run, outcome: Outcome::Canceled }));
         match self.transit_requests.remove(&run) {
             Some(token) => {
                 self.owners.remove(&token);
--- a/crates/deckproxy/src/program/subsystem/event.rs
+++ b/crates/deckproxy/src/program/subsystem/event.rs
@@ -238,8 +238,8 @@
 pub fn outcome_of(answer: &Answer) -> Outcome {
     match answer {
         Answer::Served(_) | Answer::NotModified => Outcome::Served,
-        Answer::Rejected(_) => Outcome::Refused,
+        Answer::Rejected(_) => Outcome::Rejected,
         Answer::Failed => Outcome::Failed,
-        Answer::Invalid(_) => Outcome::Unusable,
+        Answer::Invalid(_) => Outcome::Invalid,
     }
 }
