--- a/crates/deckproxy-fleet/src/fleet/admission.rs
+++ b/crates/deckproxy-fleet/src/fleet/admission.rs
@@ -1,4 +1,4 @@
-//! Load shedding of an instance among the others: what it shares, and what the operators are told.
+//! Load shedding of an instance among the others: what it shares, and log lines for the operators.
 
 use super::Fleet;
 use crate::Millis;
--- a/crates/deckproxy-fleet/src/fleet/datagrams.rs
+++ b/crates/deckproxy-fleet/src/fleet/datagrams.rs
@@ -11,7 +11,7 @@
 /// Within this time after the start, in milliseconds, a higher incarnation of our name is an earlier process whose clock
 /// was ahead; later it is another process that has replaced us.
 const START_PHASE: Millis = 10_000.0;
-/// From one announcement to an instance that SWIM does not hold for alive to the next, in milliseconds.
+/// From one announcement to an instance that SWIM does not consider alive to the next, in milliseconds.
 const ANNOUNCE_INTERVAL: Millis = 250.0;
 
 impl Fleet {
@@ -75,7 +75,7 @@
         let own_time = self.clock.read(now).own;
         let is_alive = self.swim.alive().contains_key(&from.name);
         self.record_peer(&from);
-        // A sender that SWIM does not hold for alive may hold us for alive and no longer greet us, while we send it nothing;
+        // A sender that SWIM does not consider alive may consider us alive and no longer greet us, while we send it nothing;
         // so any datagram of it is answered by an announcement. SWIM answers its own messages itself.
         if !is_alive && !matches!(body, Body::Swim(_)) {
             self.announce_to(now, own_time, &from);
--- a/crates/deckproxy-fleet/src/fleet/gossip.rs
+++ b/crates/deckproxy-fleet/src/fleet/gossip.rs
@@ -55,7 +55,7 @@
         alive.sample(&mut self.rng, count).cloned().collect()
     }
 
-    /// Greets some of those that SWIM does not hold for alive: seeds, and instances that were lost.
+    /// Greets some of those that SWIM does not consider alive: seeds, and instances that were lost.
     pub(super) fn greet(&mut self) {
         let alive = self.swim.alive();
         let reached: BTreeSet<SocketAddr> = alive.values().map(|peer| self.address_of(peer)).collect();
--- a/crates/deckproxy-fleet/src/fleet/sending.rs
+++ b/crates/deckproxy-fleet/src/fleet/sending.rs
@@ -48,7 +48,7 @@
     bytes_per_second * SAVED_FOR / 1000.0
 }
 
-/// The tenth of the budget that only SWIM's messages may use: they are few, and whether others hold us for alive depends
+/// The tenth of the budget that only SWIM's messages may use: they are few, and whether others consider us alive depends
 /// on them.
 fn swim_reserve(bytes_per_second: f64) -> f64 {
     bytes_per_second * SAVED_FOR / 10_000.0
--- a/crates/deckproxy-fleet/src/liveness.rs
+++ b/crates/deckproxy-fleet/src/liveness.rs
@@ -7,7 +7,7 @@
 const INTERVAL_PER_INSTANCE: Millis = 10.0;
 /// Heartbeat intervals of silence after which an instance is suspect.
 const SUSPECT_INTERVALS: f64 = 3.0;
-/// Heartbeat intervals of silence after which an instance that SWIM holds for dead is lost.
+/// Heartbeat intervals of silence after which an instance that SWIM considers dead is lost.
 const LOST_INTERVALS: f64 = 5.0;
 /// So many times the time to be lost, an instance is lost even while SWIM holds it for alive.
 const LOST_DESPITE_SWIM: f64 = 2.0;
@@ -19,7 +19,7 @@
     pub heartbeat_interval: Millis,
     /// Silence, in milliseconds, after which an instance is suspect: it counts as unheard and keeps its members.
     pub suspect_after: Millis,
-    /// Silence, in milliseconds, after which an instance that SWIM holds for dead is lost: others observe its members. It
+    /// Silence, in milliseconds, after which an instance that SWIM considers dead is lost: others observe its members. It
     /// exceeds `suspect_after` by more than a heartbeat takes to reach all, so that an instance that is cut off has stopped
     /// before others take over.
     pub lost_after: Millis,
--- a/crates/deckproxy-fleet/src/overload/rejection_batch.rs
+++ b/crates/deckproxy-fleet/src/overload/rejection_batch.rs
@@ -1,4 +1,4 @@
-//! Batches in which an instance tells the others which requests it rejected.
+//! Batches in which an instance shares the requests that it rejected.
 
 use super::rejected_requests::Rejection;
 use crate::Millis;
--- a/crates/deckproxy-fleet/src/swim.rs
+++ b/crates/deckproxy-fleet/src/swim.rs
@@ -39,7 +39,7 @@
 pub enum MembershipChange {
     /// An instance is alive, or has another incarnation.
     Up(Instance),
-    /// An instance is held for dead.
+    /// An instance is considered dead.
     Down(Instance),
     /// We were declared dead, and continue as this.
     Renewed(Instance),
@@ -148,7 +148,7 @@
         self.foca.identity()
     }
 
-    /// The other instances that are held for alive.
+    /// The other instances that are considered alive.
     pub fn alive(&self) -> &BTreeMap<Name, Instance> {
         &self.alive
     }
@@ -168,7 +168,7 @@
         self.timers.peek().map(|Reverse(timer)| timer.at)
     }
 
-    /// Announces ourselves to an instance that was unknown, or held for dead, and has sent something.
+    /// Announces ourselves to an instance that was unknown, or considered dead, and has sent something.
     pub fn announce(&mut self, now: Millis, to: &Instance) {
         // An error means that we are not active; the next instance that is heard brings another occasion.
         let _ = self.foca.announce(to.clone(), &mut self.runtime);
--- a/crates/deckproxy-fleet/tests/overload.rs
+++ b/crates/deckproxy-fleet/tests/overload.rs
@@ -146,12 +146,15 @@
             .filter(|t| t.earlier_attempts == 0 && !t.is_popular && t.class == 0);
         served.len() as f64 / of.count() as f64
     };
-    let (told, moves, hasty) = (
+    let (compliant, moving, immediate) = (
         share(RetryPolicy::RetryAfter),
         share(RetryPolicy::NextInstanceFirst),
         share(RetryPolicy::Immediate),
     );
-    assert!(moves < told * 1.15 && hasty < told * 1.15, "told {told}, moves {moves}, hasty {hasty}");
+    assert!(
+        moving < compliant * 1.15 && immediate < compliant * 1.15,
+        "compliant {compliant}, moving {moving}, immediate {immediate}"
+    );
 }
 
 #[test]
