--- a/crates/deckproxy-lab/src/model/mod.rs
+++ b/crates/deckproxy-lab/src/model/mod.rs
@@ -8,7 +8,7 @@
 use crate::error::LabError;
 use crate::output::print_line;
 use clap::Args;
-use deckproxy_model::file::{self, Experiment, Variant};
+use deckproxy_model::experiment::{self, Experiment, Variant};
 use deckproxy_model::scenario::Scenario;
 use deckproxy_model::simulation::Simulation;
 use indicatif::{ProgressBar, ProgressStyle};
@@ -68,7 +68,7 @@
     let file = file.ok_or_else(|| LabError::argument("FILE", "an experiment's file is wanted"))?;
     let bytes = fs::read(file).map_err(LabError::file(file))?;
     let contents = |faults| LabError::Contents { path: file.to_path_buf(), faults };
-    let experiment = file::read(&bytes).map_err(contents)?;
+    let experiment = experiment::read(&bytes).map_err(contents)?;
     let variants = sweep::variants(&experiment.variants, options.sweep.as_deref())?;
     let planned = plan(options, &variants)?;
     let out = options.out.as_deref();
--- a/crates/deckproxy-lab/src/model/report.rs
+++ b/crates/deckproxy-lab/src/model/report.rs
@@ -4,7 +4,7 @@
 use super::summary::runs_of;
 use crate::error::LabError;
 use crate::flows::plot::COLOURS;
-use deckproxy_model::file::{Experiment, Variant};
+use deckproxy_model::experiment::{Experiment, Variant};
 use deckproxy_model::record::Point;
 use deckproxy_model::scenario::{Fault, FaultKind};
 use plotters::prelude::*;
--- a/crates/deckproxy-lab/src/model/summary.rs
+++ b/crates/deckproxy-lab/src/model/summary.rs
@@ -3,7 +3,7 @@
 use super::run::Run;
 use crate::output::print_line;
 use comfy_table::Table;
-use deckproxy_model::file::Variant;
+use deckproxy_model::experiment::Variant;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde_json::{Map, Value, json};
--- a/crates/deckproxy-lab/src/model/sweep.rs
+++ b/crates/deckproxy-lab/src/model/sweep.rs
@@ -1,7 +1,7 @@
 //! The variants of an experiment, and the option `--sweep` that multiplies them by the values of a field.
 
 use crate::error::LabError;
-use deckproxy_model::file::Variant;
+use deckproxy_model::experiment::Variant;
 use deckproxy_model::scenario::Scenario;
 
 /// The experiment's variants, each once for each value that is swept.
--- a/crates/deckproxy-model/src/balancer/baseline.rs
+++ b/crates/deckproxy-model/src/balancer/baseline.rs
@@ -153,7 +153,7 @@
         self.open.insert(id, OpenRequest { attempts: open.attempts + 1, member, ..open });
         *self.in_flight.entry(member).or_default() += 1;
         let source = if is_write { None } else { self.select_source(open.request.object) };
-        let order = MemberRequest {
+        let member_request = MemberRequest {
             object: open.request.object,
             size_kb: open.request.size_kb,
             class: open.request.class,
@@ -164,7 +164,7 @@
             write_id: open.write_id,
         };
         self.timeouts.push_back(Timeout { at: now + ATTEMPT_TIMEOUT, key });
-        self.effects.push_back(Effect::SendAttempt { key, request: id, member, order });
+        self.effects.push_back(Effect::SendAttempt { key, request: id, member, member_request });
     }
 
     /// A cache by the baseline's rule; `excluded` is taken only where there is no other.
--- a/crates/deckproxy-model/src/balancer/gateway.rs
+++ b/crates/deckproxy-model/src/balancer/gateway.rs
@@ -175,7 +175,12 @@
                 let request = request_named(&call.name);
                 let open = *self.open.get(&request).expect("attempts are sent for open requests alone");
                 let member = member_at(endpoint.address);
-                Some(Effect::SendAttempt { key, request, member, order: member_request(&open, &options) })
+                Some(Effect::SendAttempt {
+                    key,
+                    request,
+                    member,
+                    member_request: member_request(&open, &options),
+                })
             }
             routing::Effect::CancelAttempt { key, .. } => {
                 self.router.attempt_cancelled(unix_ms(now), key, true);
--- a/crates/deckproxy-model/src/balancer/mod.rs
+++ b/crates/deckproxy-model/src/balancer/mod.rs
@@ -8,7 +8,7 @@
 use crate::load::{Class, ClientRequest};
 use crate::members::{LoadReport, MemberId};
 use crate::scenario::{BalancerKind, Scenario};
-use crate::{Micros, unix_ms};
+use crate::{Micros, micros, unix_ms};
 use baseline::Baseline;
 use deckproxy::protocol::feed::Phase;
 use deckproxy::protocol::upstream::Status;
@@ -40,6 +40,13 @@
     pub write_id: u64,
 }
 
+impl MemberRequest {
+    /// Whether a copy that was issued at a time is recent enough.
+    pub fn accepts_copy(&self, issued: Micros, now: Micros) -> bool {
+        self.max_age_ms <= 0.0 || now.saturating_sub(issued) <= micros(self.max_age_ms)
+    }
+}
+
 /// An attempt of a client, as a balancer gets it.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientAttempt {
@@ -67,7 +74,7 @@
         /// Where to.
         member: MemberId,
         /// What it asks for.
-        order: MemberRequest,
+        member_request: MemberRequest,
     },
     /// Cancel an attempt.
     CancelAttempt {
--- a/crates/deckproxy-model/src/check/mod.rs
+++ b/crates/deckproxy-model/src/check/mod.rs
@@ -11,7 +11,6 @@
 use crate::Micros;
 use crate::members::MemberId;
 use ahash::AHashMap;
-use serde::Serialize;
 use trace::Trace;
 
 /// A request at one incarnation of a gateway.
@@ -26,8 +25,8 @@
 }
 
 /// Violations by invariant.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Breaches {
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Violations {
     /// Requests that were never answered.
     pub unanswered: u64,
     /// Answers to requests that had been answered already, or were never made.
@@ -39,7 +38,6 @@
     /// Attempts sent to a member more than 500 ms after its gateway was notified that the member had gone.
     pub after_drain: u64,
     /// Caches that were overloaded while they warmed up.
-    #[serde(rename = "pushed_over")]
     pub overloaded: u64,
     /// Copies older than a purge in answers to attempts sent more than 1 s after the gateway was notified of it.
     pub stale: u64,
@@ -49,7 +47,7 @@
     pub sums: u64,
 }
 
-impl Breaches {
+impl Violations {
     /// The sum over all invariants.
     pub fn total(&self) -> u64 {
         self.unanswered
@@ -74,8 +72,8 @@
     /// How often each write ran.
     write_runs: AHashMap<u64, u32>,
     trace: Trace,
-    breaches: Breaches,
-    first_breach: Option<String>,
+    violations: Violations,
+    first_violation: Option<String>,
     requested: u64,
     answered: u64,
     /// Requests that were lost with their gateway, which owes no answer to them.
@@ -84,13 +82,13 @@
 
 impl InvariantChecker {
     /// Violations so far.
-    pub fn breaches(&self) -> Breaches {
-        self.breaches
+    pub fn violations(&self) -> Violations {
+        self.violations
     }
 
     /// The first violation in words, with the events that led to it.
-    pub fn first_breach(&self) -> Option<&str> {
-        self.first_breach.as_deref()
+    pub fn first_violation(&self) -> Option<&str> {
+        self.first_violation.as_deref()
     }
 
     /// Adds an event to the trace that explains a later violation.
@@ -112,12 +110,12 @@
             Some(deadline) => {
                 self.answered += 1;
                 if now > deadline {
-                    self.breaches.late += 1;
+                    self.violations.late += 1;
                     self.explain(now, "an answer after its deadline", |event| event.concerns(request));
                 }
             }
             None => {
-                self.breaches.double_answers += 1;
+                self.violations.double_answers += 1;
                 let what = "an answer to a request that was answered already, or never made";
                 self.explain(now, what, |event| event.concerns(request));
             }
@@ -137,7 +135,7 @@
         let in_flight = self.in_flight.entry(request).or_default();
         *in_flight += 1;
         if *in_flight > 1 {
-            self.breaches.double_attempts += 1;
+            self.violations.double_attempts += 1;
             let what = "two attempts of one request are in flight";
             self.explain(now, what, |event| event.concerns(request));
         }
@@ -160,7 +158,7 @@
         let runs = self.write_runs.entry(write).or_default();
         *runs += 1;
         if *runs == 2 {
-            self.breaches.double_effects += 1;
+            self.violations.double_effects += 1;
             let same = |event: &TraceEvent| matches!(event, TraceEvent::WriteRan { write: w } if *w == write);
             self.explain(now, "a write ran twice", same);
         }
@@ -168,7 +166,7 @@
 
     /// An attempt was sent to a member whose end had been notified long before.
     pub fn sent_after_drain(&mut self, now: Micros, member: MemberId) {
-        self.breaches.after_drain += 1;
+        self.violations.after_drain += 1;
         let what = "an attempt at a member that the gateway was notified to be gone";
         self.explain(
             now,
@@ -179,7 +177,7 @@
 
     /// A cache was overloaded while it warmed up.
     pub fn cache_overloaded(&mut self, now: Micros, member: MemberId) {
-        self.breaches.overloaded += 1;
+        self.violations.overloaded += 1;
         self.explain(
             now,
             "a cache was overloaded while it warmed up",
@@ -189,7 +187,7 @@
 
     /// A copy that was older than a purge came back long after the gateway was notified of the purge.
     pub fn stale_copy(&mut self, now: Micros) {
-        self.breaches.stale += 1;
+        self.violations.stale += 1;
         let what = "a copy older than a purge that was notified long before";
         self.explain(now, what, |_| false);
     }
@@ -199,13 +197,13 @@
         let overdue = || self.unanswered.iter().filter(|(_, deadline)| **deadline < now);
         let count = overdue().count() as u64;
         if let Some(request) = overdue().map(|(key, _)| *key).min() {
-            self.breaches.unanswered += count;
+            self.violations.unanswered += count;
             self.explain(now, "a request was never answered", |event| event.concerns(request));
         }
         let unanswered = self.unanswered.len() as u64;
-        let accounted = self.answered + self.lost + unanswered + self.breaches.double_answers;
+        let accounted = self.answered + self.lost + unanswered + self.violations.double_answers;
         if accounted < self.requested {
-            self.breaches.sums += 1;
+            self.violations.sums += 1;
             let what = format!(
                 "{} requested, {} answered, {} lost, {unanswered} unanswered",
                 self.requested, self.answered, self.lost
@@ -216,8 +214,8 @@
 
     /// Describes a violation, if it is the first, with the traced events that `concerned` selects.
     fn explain(&mut self, now: Micros, what: &str, concerned: impl Fn(&TraceEvent) -> bool) {
-        if self.first_breach.is_none() {
-            self.first_breach = Some(self.trace.describe(now, what, concerned));
+        if self.first_violation.is_none() {
+            self.first_violation = Some(self.trace.describe(now, what, concerned));
         }
     }
 }
--- a/crates/deckproxy-model/src/lib.rs
+++ b/crates/deckproxy-model/src/lib.rs
@@ -4,7 +4,7 @@
 //! runs a `deckproxy::routing::router::Router` with the decision module inside, optionally behind the admission control of
 //! `deckproxy-recovery`. Simulated are the clients, caches, parents, origins, links, control feed and faults around them.
 //!
-//! - [`scenario`]: a run's parameters; [`file`]: experiment files; [`expression`]: load schedules inside those files.
+//! - [`scenario`]: a run's parameters; [`experiment`]: experiment files; [`expression`]: load schedules inside those files.
 //! - [`simulation`]: the event loop and everything that reacts to an event.
 //! - [`queue`]: pending events, in a timing wheel.
 //! - [`load`]: which requests clients send.
@@ -16,8 +16,9 @@
 
 pub mod balancer;
 pub mod check;
+pub mod experiment;
 pub mod expression;
-pub mod file;
+
 pub mod load;
 pub mod members;
 pub mod queue;
--- a/crates/deckproxy-model/src/record.rs
+++ b/crates/deckproxy-model/src/record.rs
@@ -1,7 +1,7 @@
 //! The results of a run.
 
 use crate::Micros;
-use crate::check::Breaches;
+use crate::check::Violations;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
@@ -55,36 +55,30 @@
 }
 
 /// The results of a complete run.
-#[derive(Clone, Debug, Serialize)]
+#[derive(Clone, Debug)]
 pub struct Record {
     /// Counts of each interval, in order of time.
     pub points: Vec<Point>,
     /// Violated invariants.
-    pub breaches: Breaches,
+    pub violations: Violations,
     /// The first violation in words, with the events that led to it.
-    #[serde(rename = "first")]
-    pub first_breach: Option<String>,
+    pub first_violation: Option<String>,
     /// Events that were handled.
     pub events: u64,
     /// Wall-clock seconds that the run took.
-    #[serde(rename = "took")]
     pub wall_seconds: f64,
     /// Attempts that reached each cache, in order of the caches.
-    #[serde(rename = "per_cache")]
     pub attempts_per_cache: Vec<u64>,
     /// Median of the time until served over the run, in milliseconds.
-    #[serde(rename = "p50")]
     pub p50_ms: f64,
     /// 99th percentile of the time until served over the run, in milliseconds.
-    #[serde(rename = "p99")]
     pub p99_ms: f64,
     /// Violations that the gateways' own checks counted.
-    #[serde(rename = "broken_inside")]
     pub gateway_violations: u64,
 }
 
 /// How a run got over a fault.
-#[derive(Clone, Copy, Debug, PartialEq, Serialize)]
+#[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Recovery {
     /// Share of the requests that were served in the 5 s before the fault.
     pub before: f64,
--- a/crates/deckproxy-model/src/simulation/fills.rs
+++ b/crates/deckproxy-model/src/simulation/fills.rs
@@ -17,13 +17,6 @@
 /// Least share of a link's bandwidth, so that a fill over a failed link ends.
 const MIN_LINK_SHARE: f64 = 1e-3;
 
-impl MemberRequest {
-    /// Whether a copy that was issued at a time is recent enough.
-    fn accepts(&self, issued: Micros, now: Micros) -> bool {
-        self.max_age_ms <= 0.0 || now.saturating_sub(issued) <= micros(self.max_age_ms)
-    }
-}
-
 impl Simulation {
     /// A cache or parent answers from its store, or fills what it misses.
     pub(super) fn serve_from_store(&mut self, slot: JobSlot) {
@@ -48,7 +41,7 @@
     }
 
     fn remove_purged_copy(&mut self, job: &Job) {
-        let object = job.order.object;
+        let object = job.request.object;
         let Some(purged_at) = self.purges.get(&object).copied() else { return };
         if self.now > purged_at + micros(PURGE_COMPLETES_MS) {
             self.member_mut(job.member).store.remove_issued_before(object, purged_at);
@@ -56,16 +49,16 @@
     }
 
     fn usable_copy(&mut self, job: &Job) -> Option<Micros> {
-        if job.order.class != Class::Read {
+        if job.request.class != Class::Read {
             return None;
         }
-        let issued = self.member_mut(job.member).store.get(job.order.object)?;
-        job.order.accepts(issued, self.now).then_some(issued)
+        let issued = self.member_mut(job.member).store.get(job.request.object)?;
+        job.request.accepts_copy(issued, self.now).then_some(issued)
     }
 
     fn fill_source(&self, job: &Job) -> Option<MemberId> {
         match self.member(job.member).kind {
-            MemberKind::Cache => job.order.source,
+            MemberKind::Cache => job.request.source,
             MemberKind::Parent => Some(self.origin_of(job.member)),
             MemberKind::Origin => None,
         }
@@ -75,7 +68,7 @@
     fn overloads_cache(&mut self, slot: JobSlot) -> bool {
         let job = self.jobs.at(slot);
         let cache = &mut self.members[job.member as usize];
-        if !cache.is_overloaded_by(self.now, job.order.size_kb, &self.scenario.members) {
+        if !cache.is_overloaded_by(self.now, job.request.size_kb, &self.scenario.members) {
             return false;
         }
         self.checker.cache_overloaded(self.now, job.member);
@@ -88,14 +81,14 @@
     /// A job waits for a fill of its object that is in flight, or leads a new one.
     fn join_or_start_fill(&mut self, slot: JobSlot, job: &Job, source: MemberId) {
         let fills = &mut self.member_mut(job.member).fills;
-        if job.order.join_fill
-            && let Some(waiters) = fills.get_mut(&job.order.object)
+        if job.request.join_fill
+            && let Some(waiters) = fills.get_mut(&job.request.object)
         {
             waiters.push(slot);
             return;
         }
-        if job.order.class == Class::Read {
-            fills.entry(job.order.object).or_default();
+        if job.request.class == Class::Read {
+            fills.entry(job.request.object).or_default();
         }
         match self.member(source).kind {
             MemberKind::Origin => self.recorder.current.origin_fills += 1,
@@ -103,8 +96,8 @@
         }
         let leader = JobHandle { slot, number: job.number };
         let owner = JobOwner::Fill { member: job.member, leader };
-        let order = MemberRequest { source: None, join_fill: true, ..job.order };
-        let fill = self.create_job(owner, source, order);
+        let request = MemberRequest { source: None, join_fill: true, ..job.request };
+        let fill = self.create_job(owner, source, request);
         self.schedule_after(self.fill_latency(job.member), Event::FillAtSource { job: fill });
     }
 
@@ -142,7 +135,7 @@
     /// The result of a fill reaches the job that leads it, and those that wait for it.
     pub(super) fn fill_done(&mut self, leader: JobHandle, issued: Option<Micros>) {
         let Some(job) = self.jobs.get(leader) else { return };
-        let MemberRequest { object, class, store, .. } = job.order;
+        let MemberRequest { object, class, store, .. } = job.request;
         let member = self.member_mut(job.member);
         if member.epoch != job.epoch {
             return;
@@ -165,7 +158,7 @@
         }
         match issued {
             None => self.finish(slot, Status::Error, None),
-            Some(issued) if job.order.accepts(issued, self.now) => {
+            Some(issued) if job.request.accepts_copy(issued, self.now) => {
                 self.finish(slot, Status::Ok, Some(issued));
             }
             // It joined a fill that began before the purge that limits the age it accepts.
--- a/crates/deckproxy-model/src/simulation/gateways.rs
+++ b/crates/deckproxy-model/src/simulation/gateways.rs
@@ -92,8 +92,8 @@
         let now = self.now;
         while let Some(effect) = self.gateway_mut(gateway).balancer.next_effect(now) {
             match effect {
-                Effect::SendAttempt { key, request, member, order } => {
-                    self.send_attempt(gateway, key, request, member, order);
+                Effect::SendAttempt { key, request, member, member_request } => {
+                    self.send_attempt(gateway, key, request, member, member_request);
                 }
                 Effect::CancelAttempt { key } => self.cancel_attempt(gateway, key),
                 Effect::HealthCheck { key, member } => self.check_health(gateway, key, member),
@@ -112,11 +112,11 @@
         key: AttemptKey,
         request: RequestId,
         member: MemberId,
-        order: MemberRequest,
+        member_request: MemberRequest,
     ) {
         let incarnation = self.gateway(gateway).incarnation;
         let request = RequestKey { gateway, incarnation, request: u64::from(request) };
-        let job = self.create_job(JobOwner::Attempt(Attempt { request, key }), member, order);
+        let job = self.create_job(JobOwner::Attempt(Attempt { request, key }), member, member_request);
         self.gateway_mut(gateway).attempts.insert(key, job);
         self.schedule_after(self.gateway_latency(), Event::AttemptAtMember { slot: job.slot });
     }
@@ -213,7 +213,7 @@
         else {
             return;
         };
-        let Some(purge) = self.gateway(gateway).purges.get(&job.order.object) else { return };
+        let Some(purge) = self.gateway(gateway).purges.get(&job.request.object) else { return };
         let is_older = issued_unix_ms < unix_ms(purge.purged_at);
         if is_older && job.sent_at > purge.notified_at + micros(PURGE_GRACE_MS) {
             self.checker.stale_copy(self.now);
--- a/crates/deckproxy-model/src/simulation/job.rs
+++ b/crates/deckproxy-model/src/simulation/job.rs
@@ -39,7 +39,7 @@
     pub(super) member: MemberId,
     /// Epoch of the member when the job was sent.
     pub(super) epoch: u32,
-    pub(super) order: MemberRequest,
+    pub(super) request: MemberRequest,
     /// Nobody waits for the result any more.
     pub(super) cancelled: bool,
     pub(super) sent_at: Micros,
--- a/crates/deckproxy-model/src/simulation/member_work.rs
+++ b/crates/deckproxy-model/src/simulation/member_work.rs
@@ -23,11 +23,11 @@
         &mut self,
         owner: JobOwner,
         member: MemberId,
-        order: MemberRequest,
+        request: MemberRequest,
     ) -> JobHandle {
         let epoch = self.member(member).epoch;
         let sent_at = self.now;
-        self.jobs.insert(Job { number: 0, owner, member, epoch, order, cancelled: false, sent_at })
+        self.jobs.insert(Job { number: 0, owner, member, epoch, request, cancelled: false, sent_at })
     }
 
     /// An attempt reaches its member.
@@ -131,8 +131,8 @@
 
     /// The origin answers everything; it runs a keyed write once, however often it arrives.
     fn serve_at_origin(&mut self, slot: JobSlot, job: &Job) {
-        let write = job.order.write_id;
-        let runs = match job.order.class {
+        let write = job.request.write_id;
+        let runs = match job.request.class {
             Class::Read => false,
             Class::KeyedWrite => self.keyed_writes.insert(write, self.now).is_none(),
             Class::UnkeyedWrite => true,
@@ -148,7 +148,7 @@
         let job = self.jobs.at(slot);
         self.jobs.remove(slot);
         let settings = &self.scenario.members;
-        let size_kb = if status == Status::Ok { job.order.size_kb } else { EMPTY_ANSWER_KB };
+        let size_kb = if status == Status::Ok { job.request.size_kb } else { EMPTY_ANSWER_KB };
         let member = &mut self.members[job.member as usize];
         let sent_at = member.send(self.now, size_kb, settings);
         match job.owner {
--- a/crates/deckproxy-model/src/simulation/recording.rs
+++ b/crates/deckproxy-model/src/simulation/recording.rs
@@ -47,8 +47,8 @@
     pub(super) fn into_record(self, wall_time: Duration) -> Record {
         let caches = self.members.iter().filter(|member| member.kind == MemberKind::Cache);
         Record {
-            breaches: self.checker.breaches(),
-            first_breach: self.checker.first_breach().map(str::to_string),
+            violations: self.checker.violations(),
+            first_violation: self.checker.first_violation().map(str::to_string),
             events: self.events_handled,
             wall_seconds: wall_time.as_secs_f64(),
             attempts_per_cache: caches.map(|cache| cache.attempts_received).collect(),
--- a/crates/deckproxy-model/tests/runs.rs
+++ b/crates/deckproxy-model/tests/runs.rs
@@ -21,7 +21,7 @@
 #[test]
 fn a_run_without_faults_serves_and_violates_no_invariant() {
     let record = run(&small(BalancerKind::Gateway));
-    assert_eq!(record.breaches.total(), 0, "{:?} {:#?}", record.breaches, record.first_breach);
+    assert_eq!(record.violations.total(), 0, "{:?} {:#?}", record.violations, record.first_violation);
     assert!(record.goodput(2000.0, 9000.0) > 0.99, "{}", record.goodput(2000.0, 9000.0));
     let (hits, origin) = (record.sum(|p| p.hits), record.sum(|p| p.origin_fills));
     assert!(hits > 3000 && origin > 1000, "{hits} hits, {origin} from the origin");
@@ -76,8 +76,9 @@
                 kind: FaultKind::GatewayRestarts,
             });
             let record = run(&scenario);
-            let context = format!("{kind:?} {balancer:?}: {:?} {:#?}", record.breaches, record.first_breach);
-            assert_eq!((record.breaches.total(), record.gateway_violations), (0, 0), "{context}");
+            let context =
+                format!("{kind:?} {balancer:?}: {:?} {:#?}", record.violations, record.first_violation);
+            assert_eq!((record.violations.total(), record.gateway_violations), (0, 0), "{context}");
             assert!(
                 record.goodput(9000.0, 11_500.0) > 0.97,
                 "{context} {}",
@@ -97,8 +98,8 @@
         kind: FaultKind::SiteLoss { site: 0 },
     });
     let record = run(&scenario);
-    assert!(record.breaches.overloaded > 0, "{:?}", record.breaches);
+    assert!(record.violations.overloaded > 0, "{:?}", record.violations);
     // The first violation is described with the events that led to it.
-    let first = record.first_breach.unwrap();
+    let first = record.first_violation.unwrap();
     assert!(first.starts_with("at ") && first.contains(" ms: ") && first.lines().count() > 1, "{first}");
 }
