--- a/crates/deckproxy/src/routing/attempts.rs
+++ b/crates/deckproxy/src/routing/attempts.rs
@@ -24,6 +24,12 @@
     pub(super) load: Option<LoadReport>,
 }
 
+impl From<AttemptEnding> for AttemptResult {
+    fn from(ending: AttemptEnding) -> Self {
+        AttemptResult { ending, answer: None, load: None }
+    }
+}
+
 /// Whether an attempt with that ending certainly did not run.
 fn never_ran(ending: AttemptEnding) -> bool {
     matches!(
--- a/crates/deckproxy/src/routing/cancellation.rs
+++ b/crates/deckproxy/src/routing/cancellation.rs
@@ -1,7 +1,6 @@
 //! Cancellation: of requests by their clients, and of attempts.
 
 use crate::routing::attempt_key::{AttemptKey, attempt_key};
-use crate::routing::attempts::AttemptResult;
 use crate::routing::effect::{ClientId, Effect};
 use crate::routing::router::Router;
 use deckproxy_control::interface::{AttemptEnding, Event, RequestId};
@@ -55,9 +54,3 @@
         }
     }
 }
-
-impl From<AttemptEnding> for AttemptResult {
-    fn from(ending: AttemptEnding) -> Self {
-        AttemptResult { ending, answer: None, load: None }
-    }
-}
