--- a/crates/deckproxy-flow/tests/codec.rs
+++ b/crates/deckproxy-flow/tests/codec.rs
@@ -137,6 +137,12 @@
     Template { id: 300, scope: 0, fields }
 }
 
+/// Values for the fields of `flow_template(None)`.
+fn flow_values() -> Vec<Value> {
+    let client = Value::Bytes(Bytes::from_static(&[127, 0, 0, 9]));
+    vec![client, Value::Number(1), Value::Number(1), Value::Number(1)]
+}
+
 /// The crate netflow_parser knows nothing of this one: it reads the same numbers.
 #[test]
 fn another_decoder_reads_the_same() {
@@ -179,19 +185,12 @@
 #[test]
 fn sequences_wrap_and_gaps_are_counted() {
     let template = flow_template(None);
-    let values = || {
-        vec![
-            Value::Bytes(Bytes::from_static(&[127, 0, 0, 9])),
-            Value::Number(1),
-            Value::Number(1),
-            Value::Number(1),
-        ]
-    };
+    let values = flow_values();
     let mut encoder = Encoder::new(Version::Ipfix, 1, 1400, u32::MAX, 0);
     let mut decoder = Decoder::new(Limits::default());
     let mut message = |records: usize| {
         encoder.template(&template);
-        (0..records).for_each(|_| assert!(encoder.record(&template, &values())));
+        (0..records).for_each(|_| assert!(encoder.record(&template, &values)));
         encoder.finish(0).unwrap()
     };
     assert_eq!(decoder.message(0, &message(2)).missing, 0);
@@ -203,12 +202,7 @@
 #[test]
 fn templates_are_withdrawn_forgotten_and_bounded() {
     let template = flow_template(None);
-    let values = vec![
-        Value::Bytes(Bytes::from_static(&[127, 0, 0, 9])),
-        Value::Number(1),
-        Value::Number(1),
-        Value::Number(1),
-    ];
+    let values = flow_values();
     let mut encoder = Encoder::new(Version::Ipfix, 1, 1400, 0, 0);
     let mut decoder = Decoder::new(Limits { templates: 2, life: 1000, ..Limits::default() });
     assert!(encoder.template(&template));
@@ -235,12 +229,7 @@
 #[test]
 fn the_largest_message_is_filled_and_never_exceeded() {
     let template = flow_template(None);
-    let values = vec![
-        Value::Bytes(Bytes::from_static(&[127, 0, 0, 9])),
-        Value::Number(1),
-        Value::Number(1),
-        Value::Number(1),
-    ];
+    let values = flow_values();
     let mut encoder = Encoder::new(Version::Ipfix, 1, 1_000_000, 0, 0);
     assert!(encoder.template(&template));
     let mut count = 0;
