--- a/crates/deckproxy-model/src/balancer/gateway.rs
+++ b/crates/deckproxy-model/src/balancer/gateway.rs
@@ -229,8 +229,8 @@
     }
 }
 
-/// Admission control with the classes of [`Class`]. All may be rejected, as a rejected attempt has not run; writes have the
-/// higher priority weight.
+/// Admission control with the classes of [`Class`]. All may be rejected, as a rejected attempt has not run;
+/// writes have the higher priority weight.
 fn admission_control(seed: u64) -> Admission {
     let class =
         |priority_weight| admission::Class { priority_weight, can_be_rejected: true, min_time_left: 100.0 };
--- a/crates/deckproxy-model/src/balancer/mod.rs
+++ b/crates/deckproxy-model/src/balancer/mod.rs
@@ -1,5 +1,6 @@
-//! What distributes clients' requests over members: the deployed gateway, or one of the plain baselines, which exist in
-//! the simulation alone. Both are state machines without I/O: the simulation calls them and carries out their effects.
+//! What distributes clients' requests over members: the deployed gateway, or one of the plain baselines,
+//! which exist in the simulation alone. Both are state machines without I/O: the simulation calls them and
+//! carries out their effects.
 
 mod baseline;
 mod gateway;
@@ -150,7 +151,8 @@
 }
 
 impl Balancer {
-    /// Starts a balancer that knows an endpoint list. `position` is its index among the gateways of its location.
+    /// Starts a balancer that knows an endpoint list. `position` is its index among the gateways of its
+    /// location.
     pub fn new(
         now: Micros,
         scenario: &Scenario,
--- a/crates/deckproxy-model/src/check/mod.rs
+++ b/crates/deckproxy-model/src/check/mod.rs
@@ -1,5 +1,5 @@
-//! The invariants of every run, checked from events alone and independently of the gateways' own counters. The first
-//! violation is described together with the events that led to it.
+//! The invariants of every run, checked from events alone and independently of the gateways' own counters.
+//! The first violation is described together with the events that led to it.
 
 mod trace;
 
@@ -39,7 +39,8 @@
     pub after_drain: u64,
     /// Caches that were overloaded while they warmed up.
     pub overloaded: u64,
-    /// Copies older than a purge in answers to attempts sent more than 1 s after the gateway was notified of it.
+    /// Copies older than a purge in answers to attempts sent more than 1 s after the gateway was notified of
+    /// it.
     pub stale: u64,
     /// Answers after the deadline and its tolerance.
     pub late: u64,
--- a/crates/deckproxy-model/src/experiment/conversion.rs
+++ b/crates/deckproxy-model/src/experiment/conversion.rs
@@ -1,4 +1,5 @@
-//! From the messages of an experiment file to scenarios. Fields that a file leaves out keep the scenario's defaults.
+//! From the messages of an experiment file to scenarios. Fields that a file leaves out keep the scenario's
+//! defaults.
 
 use super::schema;
 use crate::scenario::{
@@ -7,7 +8,8 @@
 
 const MS_PER_SECOND: f64 = 1000.0;
 
-/// The scenario of an experiment, before its variants differ; fields that cannot be converted are added to `errors`.
+/// The scenario of an experiment, before its variants differ; fields that cannot be converted are added to
+/// `errors`.
 pub(super) fn scenario(parsed: &schema::Experiment, errors: &mut Vec<InvalidField>) -> Scenario {
     let defaults = Scenario::default();
     let count = |given: Option<u32>, default: usize| given.map_or(default, |n| n as usize);
--- a/crates/deckproxy-model/src/expression/mod.rs
+++ b/crates/deckproxy-model/src/expression/mod.rs
@@ -1,6 +1,7 @@
 //! Expressions over time: `1 + 0.5 * sin(t / 10)`, `if(t > 20 and t < 30, 3, 1)`.
 //!
-//! Numbers, `t`, `+ - * /`, comparisons (1 or 0), `and`, `or`, and the functions `sin`, `exp`, `abs`, `min`, `max`, `if`.
+//! Numbers, `t`, `+ - * /`, comparisons (1 or 0), `and`, `or`, and the functions `sin`, `exp`, `abs`, `min`,
+//! `max`, `if`.
 
 mod parser;
 
--- a/crates/deckproxy-model/src/lib.rs
+++ b/crates/deckproxy-model/src/lib.rs
@@ -1,10 +1,12 @@
 //! A discrete-event simulation of sites, for sizes that real sockets cannot reach.
 //!
-//! Time is simulated, and the same scenario and seed always give the same run. The gateways are the deployed ones: each
-//! runs a `deckproxy::routing::router::Router` with the decision module inside, optionally behind the admission control of
-//! `deckproxy-recovery`. Simulated are the clients, caches, parents, origins, links, control feed and faults around them.
+//! Time is simulated, and the same scenario and seed always give the same run. The gateways are the deployed
+//! ones: each runs a `deckproxy::routing::Router` with the decision module inside, optionally behind the
+//! admission control of `deckproxy-recovery`. Simulated are the clients, caches, parents, origins, links,
+//! control feed and faults around them.
 //!
-//! - [`scenario`]: a run's parameters; [`experiment`]: experiment files; [`expression`]: load schedules inside those files.
+//! - [`scenario`]: a run's parameters; [`experiment`]: experiment files; [`expression`]: load schedules
+//!   inside those files.
 //! - [`simulation`]: the event loop and everything that reacts to an event.
 //! - [`queue`]: pending events, in a timing wheel.
 //! - [`load`]: which requests clients send.
--- a/crates/deckproxy-model/src/load/mod.rs
+++ b/crates/deckproxy-model/src/load/mod.rs
@@ -7,8 +7,8 @@
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
-/// Draws ranks from 0, the n-th with a probability in proportion to 1 / (n + 1)^exponent, in constant time however many
-/// there are (rejection-inversion; Hörmann and Derflinger, 1996).
+/// Draws ranks from 0, the n-th with a probability in proportion to 1 / (n + 1)^exponent, in constant time
+/// however many there are (rejection-inversion; Hörmann and Derflinger, 1996).
 #[derive(Clone, Copy, Debug)]
 pub struct Zipf {
     count: f64,
@@ -133,7 +133,8 @@
         }
     }
 
-    /// Draws a request at a time in seconds; with probability `hot_share` it is for the hot object of a flash crowd.
+    /// Draws a request at a time in seconds; with probability `hot_share` it is for the hot object of a
+    /// flash crowd.
     pub fn draw(&self, rng: &mut Pcg64Mcg, seconds: f64, hot_share: f64) -> ClientRequest {
         let shift = (seconds * self.rank_drift_per_second) as u64;
         let rank = self.popularity.draw(rng) as u64;
--- a/crates/deckproxy-model/src/members/mod.rs
+++ b/crates/deckproxy-model/src/members/mod.rs
@@ -158,8 +158,9 @@
         })
     }
 
-    /// Counts a request for KB; returns whether it overloads a cache that warms up. That is when more was requested within
-    /// the overload window than the overload multiple of what its egress link carried at the window's beginning.
+    /// Counts a request for KB; returns whether it overloads a cache that warms up. That is when more was
+    /// requested within the overload window than the overload multiple of what its egress link carried at
+    /// the window's beginning.
     pub fn is_overloaded_by(&mut self, now: Micros, size_kb: f64, settings: &MemberSettings) -> bool {
         let warming_up = self.kind == MemberKind::Cache && self.capacity_share(now, settings) < 1.0;
         if !warming_up {
--- a/crates/deckproxy-model/src/members/store.rs
+++ b/crates/deckproxy-model/src/members/store.rs
@@ -4,7 +4,8 @@
 use ahash::AHashMap;
 use std::collections::VecDeque;
 
-/// A bounded set of copies; replacement by CLOCK: a copy that was not used since the last pass of the hand goes first.
+/// A bounded set of copies; replacement by CLOCK: a copy that was not used since the last pass of the hand
+/// goes first.
 #[derive(Debug, Default)]
 pub struct ObjectStore {
     copies: AHashMap<u64, StoredCopy>,
--- a/crates/deckproxy-model/src/queue/wheel.rs
+++ b/crates/deckproxy-model/src/queue/wheel.rs
@@ -11,8 +11,9 @@
 /// Number of levels; they cover 2^48 µs, which are nine years.
 const LEVELS: usize = 8;
 
-/// A hierarchical timing wheel (Varghese and Lauck, 1987): an event is on the level of the highest digit in which its
-/// time differs from now, and moves down when that digit is reached. Adding and removing cost the same at any number of events.
+/// A hierarchical timing wheel (Varghese and Lauck, 1987): an event is on the level of the highest digit in
+/// which its time differs from now, and moves down when that digit is reached. Adding and removing cost the
+/// same at any number of events.
 #[derive(Debug)]
 pub struct TimingWheel<E> {
     levels: Vec<[VecDeque<(Micros, E)>; SLOTS]>,
--- a/crates/deckproxy-model/src/record.rs
+++ b/crates/deckproxy-model/src/record.rs
@@ -5,7 +5,8 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-/// Counts of one interval of the run. The serialized names are the columns of `points.csv` and of stored runs.
+/// Counts of one interval of the run. The serialized names are the columns of `points.csv` and of stored
+/// runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Point {
@@ -86,8 +87,8 @@
     pub trough: f64,
     /// Share in the last 3 s of the run.
     pub after: f64,
-    /// Seconds from the end of the fault until at least 0.95 of `before` was served over one second and from then on;
-    /// none where that did not happen within the run.
+    /// Seconds from the end of the fault until at least 0.95 of `before` was served over one second and from
+    /// then on; none where that did not happen within the run.
     pub seconds: Option<f64>,
     /// Highest ratio over one second of admitted client attempts to new requests.
     pub amplification: f64,
@@ -108,8 +109,8 @@
         self.points.iter().map(count).sum()
     }
 
-    /// The share of requests that were served in the intervals that began from `from_ms` to before `to_ms`; it may exceed
-    /// 1 where earlier requests were served late.
+    /// The share of requests that were served in the intervals that began from `from_ms` to before `to_ms`;
+    /// it may exceed 1 where earlier requests were served late.
     pub fn goodput(&self, from_ms: f64, to_ms: f64) -> f64 {
         let within = || self.points_between(from_ms, to_ms);
         let requests: u64 = within().map(|point| point.requests).sum();
--- a/crates/deckproxy-model/src/scenario/mod.rs
+++ b/crates/deckproxy-model/src/scenario/mod.rs
@@ -1,7 +1,8 @@
-//! The parameters of a run. Spans are milliseconds, rates are per second and sizes are KB unless a name says otherwise.
+//! The parameters of a run. Spans are milliseconds, rates are per second and sizes are KB unless a name says
+//! otherwise.
 //!
-//! The serialized names are those of stored runs, of `decklab model --defaults` and of `--sweep`; they stay as they are when
-//! a field is renamed.
+//! The serialized names are those of stored runs, of `decklab model --defaults` and of `--sweep`; they stay
+//! as they are when a field is renamed.
 
 mod validation;
 
@@ -47,7 +48,8 @@
     /// New requests (without retries) per second over all sites, over 0 and up to 10,000,000.
     #[serde(rename = "rate")]
     pub requests_per_second: f64,
-    /// Factor of the request rate over time: an [expression](crate::expression) in `t`, seconds since the run began.
+    /// Factor of the request rate over time: an [expression](crate::expression) in `t`, seconds since the
+    /// run began.
     pub schedule: Option<String>,
     /// Objects of each site, 1 to 10,000,000.
     pub objects: usize,
@@ -85,7 +87,8 @@
     Immediate,
 }
 
-/// How fast and how large members are. Arrays of three are for a cache, a parent and the origin, in this order.
+/// How fast and how large members are. Arrays of three are for a cache, a parent and the origin, in this
+/// order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberSettings {
     /// Requests that a member works on at the same time.
@@ -105,7 +108,8 @@
     /// Bandwidth of each location's link to its parents in KB per second.
     #[serde(rename = "inlet")]
     pub parent_link_kb_per_s: f64,
-    /// One-way latency in milliseconds from gateway to cache, from cache to parent, and from parent to origin.
+    /// One-way latency in milliseconds from gateway to cache, from cache to parent, and from parent to
+    /// origin.
     #[serde(rename = "way")]
     pub latency_ms: [f64; 3],
     /// Share of its egress bandwidth that a restarted cache begins with, 0 to 1.
--- a/crates/deckproxy-model/src/simulation/clients.rs
+++ b/crates/deckproxy-model/src/simulation/clients.rs
@@ -16,7 +16,8 @@
 const CLIENTS_PER_LOCATION: u64 = 2000;
 /// Less time than this until its timeout, and a client makes no further attempt.
 const MIN_TIME_LEFT: Micros = 20_000;
-/// Longest gap between arrivals that is drawn at once, in seconds, so that a changed rate soon has its effect.
+/// Longest gap between arrivals that is drawn at once, in seconds, so that a changed rate soon has its
+/// effect.
 const MAX_ARRIVAL_GAP_SECONDS: f64 = 1.0;
 /// Lowest factor of the request rate, so that a schedule of 0 is looked at again.
 const MIN_LOAD_FACTOR: f64 = 0.001;
@@ -118,7 +119,8 @@
         self.send_client_attempt(id);
     }
 
-    /// A client sends an attempt: the first one to its own gateway, a retry to any gateway of its location that is up.
+    /// A client sends an attempt: the first one to its own gateway, a retry to any gateway of its location
+    /// that is up.
     pub(super) fn send_client_attempt(&mut self, id: RequestId) {
         let Some(pending) = self.clients.pending.get(&id).copied() else { return };
         let gateways_up = self.gateways_up_at(pending.location);
@@ -168,7 +170,8 @@
         gateways_up[rng.random_range(0..gateways_up.len())]
     }
 
-    /// An answer reaches the client; it is void when a later attempt was made, as after the gateway was killed.
+    /// An answer reaches the client; it is void when a later attempt was made, as after the gateway was
+    /// killed.
     pub(super) fn answer_at_client(&mut self, id: RequestId, attempt: u32, answer: ClientAnswer) {
         let Some(pending) = self.clients.pending.get(&id) else { return };
         if !pending.in_flight || pending.attempts != attempt {
@@ -187,7 +190,8 @@
         }
     }
 
-    /// Clients lose their connections to an incarnation of a gateway. Unkeyed writes may have run and are not retried.
+    /// Clients lose their connections to an incarnation of a gateway. Unkeyed writes may have run and are
+    /// not retried.
     pub(super) fn disconnect_clients(&mut self, gateway: u32, incarnation: u32) {
         for id in self.clients.in_flight_at(gateway, incarnation) {
             match self.clients.pending[&id].request.class {
@@ -197,7 +201,8 @@
         }
     }
 
-    /// Schedules a client's retry, if it makes one before its timeout. `retry_after_ms`: as it was advised, or 0.
+    /// Schedules a client's retry, if it makes one before its timeout. `retry_after_ms`: as it was advised,
+    /// or 0.
     fn retry_or_abandon(&mut self, id: RequestId, retry_after_ms: f64) {
         let Some(pending) = self.clients.pending.get_mut(&id) else { return };
         pending.in_flight = false;
--- a/crates/deckproxy-model/src/simulation/control_feed.rs
+++ b/crates/deckproxy-model/src/simulation/control_feed.rs
@@ -62,7 +62,8 @@
         }
     }
 
-    /// The feed observes the state of a member and notifies its gateways. A member that no fault keeps down starts first.
+    /// The feed observes the state of a member and notifies its gateways. A member that no fault keeps down
+    /// starts first.
     pub(super) fn member_observed(&mut self, id: MemberId) {
         if !self.member(id).up && !self.faults.concerns(id) {
             let now = self.now;
--- a/crates/deckproxy-model/src/simulation/event.rs
+++ b/crates/deckproxy-model/src/simulation/event.rs
@@ -1,5 +1,5 @@
-//! What can be pending. Gateways are named by index; what is meant for one incarnation of a gateway, or one epoch of a
-//! member, is void for a later one.
+//! What can be pending. Gateways are named by index; what is meant for one incarnation of a gateway, or one
+//! epoch of a member, is void for a later one.
 
 use super::job::JobHandle;
 use crate::Micros;
@@ -31,7 +31,8 @@
     ServiceDone { member: MemberId, epoch: u32, job: JobHandle },
     /// A fill reaches its source.
     FillAtSource { job: JobHandle },
-    /// The copy for a job that leads a fill arrives, with the time when the origin issued it; none: the fill failed.
+    /// The copy for a job that leads a fill arrives, with the time when the origin issued it; none: the fill
+    /// failed.
     FillDone { job: JobHandle, issued: Option<Micros> },
     /// A member's reply reaches a gateway.
     ReplyAtGateway { gateway: u32, incarnation: u32, key: AttemptKey, reply: MemberReply },
--- a/crates/deckproxy-model/src/simulation/mod.rs
+++ b/crates/deckproxy-model/src/simulation/mod.rs
@@ -1,9 +1,9 @@
 //! A run: an event loop over simulated time, and what reacts to each event.
 //!
-//! [`Simulation`] owns all state. Each module below implements the reactions of one concern: `clients` (arrivals, answers,
-//! retries), `gateways` (effects, replies, restarts), `member_work` (queues and cores), `fills` (copies and their
-//! sources), `control_feed` (endpoint list and purges), `faults` and `recording`. `setup` builds the initial state,
-//! `event` and `job` define what is pending and in flight.
+//! [`Simulation`] owns all state. Each module below implements the reactions of one concern: `clients`
+//! (arrivals, answers, retries), `gateways` (effects, replies, restarts), `member_work` (queues and cores),
+//! `fills` (copies and their sources), `control_feed` (endpoint list and purges), `faults` and `recording`.
+//! `setup` builds the initial state, `event` and `job` define what is pending and in flight.
 
 mod clients;
 mod control_feed;
@@ -78,7 +78,8 @@
 }
 
 impl Simulation {
-    /// Runs to the end of the scenario. `progress` is called now and then with the share of simulated time that has passed.
+    /// Runs to the end of the scenario. `progress` is called now and then with the share of simulated time
+    /// that has passed.
     pub fn run(mut self, mut progress: impl FnMut(f64)) -> Record {
         let started = Instant::now();
         let end = micros(self.scenario.duration_seconds * 1000.0);
