--- a/crates/deckproxy-sites/src/requester/attempts.rs
+++ b/crates/deckproxy-sites/src/requester/attempts.rs
@@ -12,7 +12,7 @@
 const LEAST_TIME_LEFT: Millis = 5.0;
 /// Smallest time left that is sent, ms.
 const LEAST_TIME_SENT: Millis = 1.0;
-/// Part of the expected wait on a saturated link that a rejected client is told to stay away.
+/// Part of the expected wait on a saturated link that a rejected client gets as its retry-after.
 const SATURATION_BACKOFF: f64 = 0.5;
 
 impl Requester {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Takes a crossing's attempt out of all accounts. The serving side is not told.
+    /// Takes a crossing's attempt out of all accounts. The serving side is not notified.
     pub(super) fn take_attempt(
         &mut self,
         now: Millis,
--- a/crates/deckproxy-sites/src/site/effects.rs
+++ b/crates/deckproxy-sites/src/site/effects.rs
@@ -95,7 +95,7 @@
     PurgesMissing,
     /// Own copies may be served up to an age only.
     CopyAgeLimited {
-        /// The site that is not heard.
+        /// The site that is unreachable.
         site: String,
         /// The largest age, ms.
         max_age: Millis,
