--- a/crates/deckproxy-adapter/src/host.rs
+++ b/crates/deckproxy-adapter/src/host.rs
@@ -31,6 +31,9 @@
 impl Host {
     /// Hands a batch to its instances and returns the frame that answers it. An error ends the batch; a panic
     /// of the decision module is reported in the frame.
+    ///
+    /// # Errors
+    /// [`WireError`] if a record of the batch cannot be decoded or names an event that does not apply.
     pub fn answer(&mut self, batch: &Batch) -> Result<Vec<u8>, WireError> {
         let mut reply = Reply::default();
         let mut actions = Vec::new();
--- a/crates/deckproxy-adapter/src/wire/batch.rs
+++ b/crates/deckproxy-adapter/src/wire/batch.rs
@@ -25,6 +25,9 @@
 }
 
 /// Reads one batch; `None` at the end of the input.
+///
+/// # Errors
+/// [`WireError`] if the input fails or ends within a batch, or if the batch's header is invalid.
 pub fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, WireError> {
     let Some(length) = read_length(input)? else { return Ok(None) };
     let body = read_body(input, length)?;
@@ -81,6 +84,9 @@
     }
 
     /// Decodes the record at a position: its instance and event.
+    ///
+    /// # Errors
+    /// [`WireError`] if there is no record at this position or it cannot be decoded.
     pub fn event(&self, record: usize) -> Result<(u16, WireEvent), WireError> {
         let start = HEADER_BYTES + record * EVENT_BYTES;
         let bytes = self.body.get(start..start + EVENT_BYTES).filter(|_| record < self.count);
--- a/crates/deckproxy-control/src/control.rs
+++ b/crates/deckproxy-control/src/control.rs
@@ -106,7 +106,7 @@
     /// A router that has just started. The seed is for decisions by chance, of which there are none so far.
     pub fn new(settings: Settings, _seed: u64) -> Self {
         let class_sending_times = settings.classes.iter().map(ClassSendingTime::first_estimate).collect();
-        Control { class_sending_times, settings, ..Control::default() }
+        Control { settings, class_sending_times, ..Control::default() }
     }
 
     /// Takes one event at clock time `now` and appends the actions to be carried out.
--- a/crates/deckproxy-control/tests/properties.rs
+++ b/crates/deckproxy-control/tests/properties.rs
@@ -78,10 +78,10 @@
         for act in acts {
             match act {
                 Action::Lookup { request, member, deadline } => {
-                    self.sent(request, member, deadline, None, None)
+                    self.sent(request, member, deadline, None, None);
                 }
                 Action::Get { request, member, deadline, source, max_age, .. } => {
-                    self.sent(request, member, deadline, Some(source), Some(max_age))
+                    self.sent(request, member, deadline, Some(source), Some(max_age));
                 }
                 Action::Reject { request, .. } => {
                     let asked = self.pending.remove(&request).expect("rejected one that is not pending");
--- a/crates/deckproxy-fleet/tests/schedules.rs
+++ b/crates/deckproxy-fleet/tests/schedules.rs
@@ -1,5 +1,5 @@
 //! Hundreds of random schedules of kills, pauses, splits, one-way faults, restarts, loss and reordering, and what must hold
-//! in all of them. DECKPROXY_SCHEDULES sets how many are played, DECKPROXY_SCHEDULE plays that one alone.
+//! in all of them. `DECKPROXY_SCHEDULES` sets how many are played, `DECKPROXY_SCHEDULE` plays that one alone.
 
 use deckproxy_rig::simulated_fleet::{NetworkConditions, Peak, SimulatedFleet};
 use proptest::prelude::*;
--- a/crates/deckproxy-flow/src/codec/decode.rs
+++ b/crates/deckproxy-flow/src/codec/decode.rs
@@ -275,6 +275,9 @@
     }
 
     /// The next message that is here whole; an error: nothing more can be told from this stream.
+    ///
+    /// # Errors
+    /// [`Fault`] if the next message's version is not 10 or its length is less than that of a header.
     pub fn take(&mut self) -> Result<Option<Bytes>, Fault> {
         let Some(head) = self.buffer.get(..4) else { return Ok(None) };
         let (version, length) =
--- a/crates/deckproxy-flow/src/codec/encode.rs
+++ b/crates/deckproxy-flow/src/codec/encode.rs
@@ -120,7 +120,7 @@
         let v9 = self.version == Version::NetflowV9;
         bytes.put_u16(template.id);
         match (v9, template.scope) {
-            (false, 0) | (true, 0) => bytes.put_u16(template.fields.len() as u16),
+            (false | true, 0) => bytes.put_u16(template.fields.len() as u16),
             (false, scope) => {
                 bytes.put_u16(template.fields.len() as u16);
                 bytes.put_u16(scope);
--- a/crates/deckproxy-flow/tests/codec.rs
+++ b/crates/deckproxy-flow/tests/codec.rs
@@ -143,7 +143,7 @@
     vec![client, Value::Number(1), Value::Number(1), Value::Number(1)]
 }
 
-/// The crate netflow_parser knows nothing of this one: it reads the same numbers.
+/// The crate `netflow_parser` knows nothing of this one: it reads the same numbers.
 #[test]
 fn another_decoder_reads_the_same() {
     use netflow_parser::{NetflowPacket, NetflowParser};
--- a/crates/deckproxy-lab/src/measure/cpu.rs
+++ b/crates/deckproxy-lab/src/measure/cpu.rs
@@ -25,7 +25,7 @@
     for round in 0..=ROUNDS {
         let seed = seed.wrapping_add(round as u64);
         let records = [Record::default(), Record::default()];
-        let before = gateways.each_ref().map(|g| g.cpu_ns());
+        let before = gateways.each_ref().map(deckproxy_standins::Gateway::cpu_ns);
         let loads = [0, 1].map(|i| {
             LoadClients::start(Load::new(0, gateways[i].address, 40, RATE, seed, &draw), &records[i])
         });
--- a/crates/deckproxy-model/src/balancer/baseline.rs
+++ b/crates/deckproxy-model/src/balancer/baseline.rs
@@ -190,7 +190,7 @@
 
     /// The first cache in the object's hash order whose load is under the bound.
     fn bounded_hash(&self, object: u64, mut members: Vec<MemberId>) -> MemberId {
-        let mean = self.in_flight.values().sum::<u32>() as f64 / members.len() as f64;
+        let mean = f64::from(self.in_flight.values().sum::<u32>()) / members.len() as f64;
         let bound = (mean * LOAD_BOUND).ceil().max(1.0);
         members.sort_by_key(|member| Reverse(hash(object, u64::from(*member))));
         let below_bound = members.iter().copied().find(|member| f64::from(self.load(*member)) < bound);
--- a/crates/deckproxy-operator/src/field_positions.rs
+++ b/crates/deckproxy-operator/src/field_positions.rs
@@ -84,6 +84,9 @@
 }
 
 /// The fields of a whole text; the error is the place at which it is no text format.
+///
+/// # Errors
+/// The byte offset of the first place that is not valid text format or is nested too deeply.
 pub fn parse(text: &str) -> Result<Vec<Field>, usize> {
     if let Some(at) = too_deep(text) {
         return Err(at);
--- a/crates/deckproxy-operator/src/fleet.rs
+++ b/crates/deckproxy-operator/src/fleet.rs
@@ -20,6 +20,9 @@
 
     /// How an instance takes part, defaults filled in. `instance` and `zone`: the platform's names for it and its locality;
     /// `start`: a number that is higher at each start. The error tells what the platform's names lack.
+    ///
+    /// # Errors
+    /// A message if the instance's name or zone is missing or invalid, or if its address is not a socket address.
     pub fn settings(&self, instance: &str, zone: &str, start: u64) -> Result<Settings, String> {
         let named = |given: &Option<String>, platform: &str, field: &str| {
             let name = given.as_deref().unwrap_or(platform);
--- a/crates/deckproxy-operator/src/rules.rs
+++ b/crates/deckproxy-operator/src/rules.rs
@@ -5,6 +5,9 @@
 use std::net::SocketAddr;
 
 /// A site's name.
+///
+/// # Errors
+/// An error if the name is not 1 to 63 characters of `a-z`, `0-9` and `-`.
 pub fn site_name(name: &str, _: &()) -> Result {
     let plain = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-';
     match name.len() {
@@ -14,6 +17,9 @@
 }
 
 /// An address with its port.
+///
+/// # Errors
+/// An error if the text is not a socket address or its port is 0.
 pub fn address(text: &str, _: &()) -> Result {
     match text.parse::<SocketAddr>() {
         Ok(at) if at.port() > 0 => Ok(()),
@@ -22,11 +28,17 @@
 }
 
 /// The same where one is given.
+///
+/// # Errors
+/// An error if a text is given that [`address`] rejects.
 pub fn address_if_set(text: &Option<String>, context: &()) -> Result {
     text.as_ref().map_or(Ok(()), |text| address(text, context))
 }
 
 /// A network, as an address and its leading bits.
+///
+/// # Errors
+/// An error if the text is not a network prefix or has bits set past its length.
 pub fn prefix(text: &str, _: &()) -> Result {
     match text.parse::<ipnet::IpNet>() {
         Ok(net) if net.trunc() == net => Ok(()),
@@ -36,6 +48,9 @@
 }
 
 /// The name of an instance of a fleet.
+///
+/// # Errors
+/// An error if the name is empty, too long or has other characters than an instance name may have.
 pub fn instance_name(name: &str, _: &()) -> Result {
     let plain = name.bytes().all(deckproxy_fleet::instance::is_name_byte);
     match name.len() {
@@ -48,11 +63,17 @@
 }
 
 /// The same where one is given.
+///
+/// # Errors
+/// An error if a name is given that [`instance_name`] rejects.
 pub fn instance_name_if_set(name: &Option<String>, context: &()) -> Result {
     name.as_ref().map_or(Ok(()), |name| instance_name(name, context))
 }
 
 /// First digits of an object's number.
+///
+/// # Errors
+/// An error if the text is not 0 to 16 digits of `0-9` and `a-f`.
 pub fn hex_prefix(text: &str, _: &()) -> Result {
     let digits = text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
     match digits && text.len() <= 16 {
@@ -81,7 +102,7 @@
 
 /// Not below another field.
 pub fn not_below<T: Given>(name: &'static str, least: Option<u32>) -> impl FnOnce(&T, &()) -> Result {
-    move |value, _| match (value.given(), least) {
+    move |value, ()| match (value.given(), least) {
         (Some(value), Some(least)) if value < least => {
             Err(Error::new(format!("below {name}, which is {least}")))
         }
@@ -91,7 +112,7 @@
 
 /// Twice another field at least.
 pub fn twice(name: &'static str, other: Option<u32>) -> impl FnOnce(&Option<u32>, &()) -> Result {
-    move |value, _| match (value, other) {
+    move |value, ()| match (value, other) {
         (Some(value), Some(other)) if *value < other * 2 => {
             Err(Error::new(format!("{value} is below twice {name}, which is {other}")))
         }
@@ -102,7 +123,7 @@
 /// The lease ends before the grace does, and the link tells of a cut before that.
 pub fn lease_below_grace(link: &Option<Link>) -> impl FnOnce(&Option<Trust>, &()) -> Result {
     let heartbeat = link.and_then(|l| l.heartbeat_ms).unwrap_or(defaults::HEARTBEAT_MS);
-    move |trust, _| {
+    move |trust, ()| {
         let Some(trust) = trust else { return Ok(()) };
         let lease = trust.lease_ms.unwrap_or(defaults::LEASE_MS);
         let grace = trust.grace_ms.unwrap_or(defaults::GRACE_MS);
@@ -125,7 +146,7 @@
     default: u32,
 ) -> impl FnOnce(&Option<u32>, &()) -> Result {
     let most = other.unwrap_or(default);
-    move |value, _| match value {
+    move |value, ()| match value {
         Some(value) if *value > most => Err(Error::new(format!("{value} is over {name}, which is {most}"))),
         _ => Ok(()),
     }
--- a/crates/deckproxy-operator/src/text_format.rs
+++ b/crates/deckproxy-operator/src/text_format.rs
@@ -130,7 +130,7 @@
         let dotted = if known.is_list() { format!("{dotted}[{}]", *count - 1) } else { dotted };
         match (&field.value, known.kind()) {
             (Value::Message(inner), Kind::Message(below)) => {
-                check_fields(text, &below, inner, &dotted, errors)
+                check_fields(text, &below, inner, &dotted, errors);
             }
             (Value::Message(_), _) => report(dotted, "no message is wanted here".to_string()),
             _ => {
--- a/crates/deckproxy-rig/src/absence.rs
+++ b/crates/deckproxy-rig/src/absence.rs
@@ -35,11 +35,17 @@
     }
 
     /// Whether it could not answer at some time from `from` to `to`, ms of the record.
+    ///
+    /// # Panics
+    /// Panics if a thread panicked while it held the lock.
     pub fn overlap(&self, from: f64, to: f64) -> bool {
         self.0.lock().unwrap().iter().any(|span| span.overlaps(Span { from, to }))
     }
 
     /// All of them, in the order in which they began.
+    ///
+    /// # Panics
+    /// Panics if a thread panicked while it held the lock.
     pub fn spans(&self) -> Vec<Span> {
         self.0.lock().unwrap().clone()
     }
--- a/crates/deckproxy-rig/src/fleet_agreement.rs
+++ b/crates/deckproxy-rig/src/fleet_agreement.rs
@@ -84,7 +84,7 @@
 
 /// Times at which instances could hear each other again after a fault, ms of the record.
 fn recoveries(run: &RunRecord) -> Vec<f64> {
-    let absences = run.absences.iter().flat_map(|absences| absences.spans());
+    let absences = run.absences.iter().flat_map(super::absence::Absences::spans);
     let returns = absences.map(|span| span.to).filter(|to| *to < run.traffic_to && *to > run.traffic_from);
     let partitions = run.plan.faults.iter().filter(|fault| fault.kind.is_partition());
     returns.chain(partitions.map(|fault| span(run, fault).to)).collect()
--- a/crates/deckproxy-rig/src/load_generator/mod.rs
+++ b/crates/deckproxy-rig/src/load_generator/mod.rs
@@ -153,6 +153,9 @@
     }
 
     /// Ends the traffic, waits for the requests in flight, and gives all attempts in the order of time.
+    ///
+    /// # Panics
+    /// Panics if a thread panicked while it held the lock.
     pub fn finish(self) -> Vec<ClientAttempt> {
         self.running.store(false, Ordering::SeqCst);
         for thread in self.threads {
--- a/crates/deckproxy-rig/src/relay.rs
+++ b/crates/deckproxy-rig/src/relay.rs
@@ -87,16 +87,25 @@
     }
 
     /// Sets how all datagrams fare from now on.
+    ///
+    /// # Panics
+    /// Panics if a thread panicked while it held the lock.
     pub fn set_faults(&self, faults: DatagramFaults) {
         *self.shared.faults.lock().unwrap() = faults;
     }
 
     /// Cuts pairs, as (from, to).
+    ///
+    /// # Panics
+    /// Panics if a thread panicked while it held the lock.
     pub fn cut(&self, pairs: impl IntoIterator<Item = (usize, usize)>) {
         self.shared.cuts.lock().unwrap().extend(pairs);
     }
 
     /// Joins pairs again.
+    ///
+    /// # Panics
+    /// Panics if a thread panicked while it held the lock.
     pub fn join(&self, pairs: impl IntoIterator<Item = (usize, usize)>) {
         let mut cuts = self.shared.cuts.lock().unwrap();
         for pair in pairs {
--- a/crates/deckproxy-rig/src/rig.rs
+++ b/crates/deckproxy-rig/src/rig.rs
@@ -138,6 +138,9 @@
     }
 
     /// What all processes of an instance have logged.
+    ///
+    /// # Panics
+    /// Panics if there is no such instance, or if a thread panicked while it held a lock of the instance.
     pub fn log(&self, instance: usize) -> String {
         self.instances[instance].lock().unwrap().log()
     }
@@ -180,6 +183,9 @@
     }
 
     /// Requests that an instance has served so far; 0 for clients in an open loop.
+    ///
+    /// # Panics
+    /// Panics if a thread panicked while it held the lock.
     pub fn served_by(&self, instance: usize) -> u64 {
         let Some(Clients::ClosedLoop(population)) = &self.clients else { return 0 };
         let counts = population.counts.by_instance.lock().unwrap();
--- a/crates/deckproxy-settings/src/keys.rs
+++ b/crates/deckproxy-settings/src/keys.rs
@@ -110,6 +110,9 @@
 }
 
 /// Checks a key's value. A key that is not read and an empty value are always valid.
+///
+/// # Errors
+/// [`InvalidValue`] if the value does not have the key's format.
 pub fn check(key: &str, value: &str) -> Result<(), InvalidValue> {
     match format_of(key) {
         Some(format) if !value.is_empty() => format.check(value),
--- a/crates/deckproxy-settings/src/lib.rs
+++ b/crates/deckproxy-settings/src/lib.rs
@@ -62,11 +62,17 @@
 }
 
 /// Reads the settings from their text, one `key=value` a line.
+///
+/// # Errors
+/// [`SettingsError`] if a value is invalid or the classes are inconsistent.
 pub fn read(text: &str) -> Result<InstanceSettings, SettingsError> {
     read_pairs(text.lines().filter_map(|line| line.trim_end_matches('\r').split_once('=')))
 }
 
 /// Reads the settings from pairs of key and value.
+///
+/// # Errors
+/// [`SettingsError`] if a value is invalid or the classes are inconsistent.
 pub fn read_pairs<'a>(
     pairs: impl IntoIterator<Item = (&'a str, &'a str)>,
 ) -> Result<InstanceSettings, SettingsError> {
--- a/crates/deckproxy-sites/src/purges/mod.rs
+++ b/crates/deckproxy-sites/src/purges/mod.rs
@@ -244,6 +244,9 @@
 
     /// Whether copies of a site's objects may be served here; if not, why. One of its gateways is enough: each is
     /// notified of all purges of its site.
+    ///
+    /// # Errors
+    /// [`Distrust`] if none of the site's gateways is trusted; [`Distrust::LeaseExpired`] if the site has none.
     pub fn check_trust(&self, now: Millis, home: &str) -> Result<(), Distrust> {
         let gateways = self.peers.values().filter(|peer| peer.site == home);
         let worst = Err(Distrust::LeaseExpired);
--- a/crates/deckproxy-sites/src/requester/attempts.rs
+++ b/crates/deckproxy-sites/src/requester/attempts.rs
@@ -146,7 +146,7 @@
 
     /// Sends a crossing, unless it was sent or ended since it was queued.
     fn send_queued(&mut self, now: Millis, id: CrossingId) {
-        if self.crossings.get(&id).is_some_and(|crossing| crossing.is_queued()) {
+        if self.crossings.get(&id).is_some_and(super::crossing::Crossing::is_queued) {
             self.send_attempt(now, id);
         }
     }
--- a/crates/deckproxy-sites/src/site/mod.rs
+++ b/crates/deckproxy-sites/src/site/mod.rs
@@ -216,7 +216,7 @@
     mix_bits(epoch ^ mix_bits((peer as u64) << 32 | endpoint as u64))
 }
 
-/// Spreads a number's bits (the finalizer of SplitMix64).
+/// Spreads a number's bits (the finalizer of `SplitMix64`).
 fn mix_bits(number: u64) -> u64 {
     let number = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let number = (number ^ (number >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/deckproxy-sites/tests/routes.rs
+++ b/crates/deckproxy-sites/tests/routes.rs
@@ -1,4 +1,4 @@
-//! RouteTable: the index against a walk over all rules, and what is refused.
+//! `RouteTable`: the index against a walk over all rules, and what is refused.
 
 use deckproxy_sites::routes::{RouteRule, RouteTable, SiteRoutes, find_linear, validate, validate_together};
 use proptest::prelude::*;
--- a/crates/deckproxy-standins/src/client.rs
+++ b/crates/deckproxy-standins/src/client.rs
@@ -50,6 +50,9 @@
     }
 
     /// Sends bytes.
+    ///
+    /// # Panics
+    /// Panics if the connection cannot be written to.
     pub fn send(&mut self, bytes: &[u8]) {
         self.bytes_written += bytes.len() as u64;
         self.stream.write_all(bytes).unwrap();
@@ -113,11 +116,17 @@
     }
 
     /// Closes its sending side.
+    ///
+    /// # Panics
+    /// Panics if the connection is no longer open.
     pub fn half_close(&self) {
         self.stream.shutdown(Shutdown::Write).unwrap();
     }
 
     /// Another handle of its connection, for another thread.
+    ///
+    /// # Panics
+    /// Panics if the process has no descriptor left.
     pub fn stream_handle(&self) -> TcpStream {
         self.stream.try_clone().unwrap()
     }
--- a/crates/deckproxy-standins/src/collector.rs
+++ b/crates/deckproxy-standins/src/collector.rs
@@ -219,6 +219,9 @@
     }
 
     /// Stops it like a process that is killed: what it did not read is lost.
+    ///
+    /// # Panics
+    /// Panics if a thread panicked while it held the lock.
     pub fn stop(&mut self) {
         self.running.store(false, Ordering::SeqCst);
         for conn in std::mem::take(&mut *self.shared.connections.lock().unwrap()) {
@@ -258,6 +261,9 @@
     }
 
     /// What it has received so far.
+    ///
+    /// # Panics
+    /// Panics if a thread panicked while it held the lock.
     pub fn collection(&self) -> Collection {
         self.shared.collection.lock().unwrap().clone()
     }
--- a/crates/deckproxy-standins/src/gateway.rs
+++ b/crates/deckproxy-standins/src/gateway.rs
@@ -58,6 +58,9 @@
     }
 
     /// Starts it after a shell command that sets its limits.
+    ///
+    /// # Panics
+    /// Panics if the configuration cannot be written or the process cannot be started.
     pub fn spawn_limited(config: &str, address: SocketAddr, limit: &str) -> Self {
         let name = format!("deckproxy-test-{}-{}.json", std::process::id(), next_number());
         let path = std::env::temp_dir().join(name);
@@ -66,6 +69,9 @@
     }
 
     /// Starts it with the text of an operator file, which [`Gateway::reload_operator`] changes.
+    ///
+    /// # Panics
+    /// Panics if one of the files cannot be written or the process cannot be started.
     pub fn spawn_with_operator(config: &str, address: SocketAddr, limit: &str, operator: &str) -> Self {
         let name = format!("deckproxy-test-{}-{}", std::process::id(), next_number());
         let path = std::env::temp_dir().join(format!("{name}.json"));
@@ -84,6 +90,9 @@
     }
 
     /// Like [`Gateway::spawn_with`], with another program and its first arguments.
+    ///
+    /// # Panics
+    /// Panics if the process cannot be started.
     pub fn spawn_program(
         (program, first_arguments): (PathBuf, Vec<String>),
         path: &Path,
@@ -125,6 +134,9 @@
     }
 
     /// Its log so far.
+    ///
+    /// # Panics
+    /// Panics if a thread panicked while it held the lock.
     pub fn log(&self) -> String {
         self.log.lock().unwrap().clone()
     }
@@ -147,6 +159,9 @@
     }
 
     /// Replaces its configuration file, or removes it for `None`, and has it reload.
+    ///
+    /// # Panics
+    /// Panics if the file cannot be written or removed, or the signal cannot be sent.
     pub fn reload(&self, config: Option<&str>) {
         match config {
             Some(text) => std::fs::write(&self.path, text).unwrap(),
@@ -190,6 +205,9 @@
 
     /// Connects silent clients all at once until they use all of its descriptors, of which it has so many. As none of
     /// them is overdue with its first message at that moment, none can be evicted.
+    ///
+    /// # Panics
+    /// Panics if a client cannot connect, or if the descriptors are not used up in time.
     pub fn fill_descriptors(&self, descriptors: usize) -> Vec<TcpStream> {
         self.pause();
         let silent = (0..descriptors).map(|_| TcpStream::connect(self.address).unwrap()).collect();
@@ -207,12 +225,18 @@
     }
 
     /// CPU time of its event loop, ns.
+    ///
+    /// # Panics
+    /// Panics if the process has ended or the kernel's figures cannot be read.
     pub fn cpu_ns(&self) -> u64 {
         let text = self.proc_file("schedstat");
         text.split_whitespace().next().unwrap().parse().unwrap()
     }
 
     /// Its memory and descriptors.
+    ///
+    /// # Panics
+    /// Panics if the process has ended or the kernel's figures cannot be read.
     pub fn usage(&self) -> Usage {
         let descriptors = std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count();
         Usage { peak_memory_kb: self.memory_kb("VmHWM"), descriptors }
--- a/crates/deckproxy-standins/src/link_relay.rs
+++ b/crates/deckproxy-standins/src/link_relay.rs
@@ -80,6 +80,9 @@
     }
 
     /// Changes the state of the link; [`LinkState::Reset`] resets all connections.
+    ///
+    /// # Panics
+    /// Panics if a thread panicked while it held the lock.
     pub fn set_state(&self, state: LinkState) {
         *self.shared.state.lock().unwrap() = state;
         if state == LinkState::Reset {
@@ -106,6 +109,9 @@
     }
 
     /// Connections that are open.
+    ///
+    /// # Panics
+    /// Panics if a thread panicked while it held the lock.
     pub fn open_connections(&self) -> usize {
         self.shared.pairs.lock().unwrap().len()
     }
--- a/crates/deckproxy-standins/src/live_feed.rs
+++ b/crates/deckproxy-standins/src/live_feed.rs
@@ -111,6 +111,9 @@
     }
 
     /// Publishes an event; its number is filled in.
+    ///
+    /// # Panics
+    /// Panics if the event is not a JSON object, or if a thread panicked while it held the lock.
     pub fn publish(&self, mut event: Value) {
         let mut log = self.shared.log.lock().unwrap();
         event["n"] = (log.events.len() + 1).into();
@@ -120,6 +123,9 @@
     }
 
     /// All events so far, as a configuration's `known` has them.
+    ///
+    /// # Panics
+    /// Panics if a thread panicked while it held the lock.
     pub fn known(&self) -> Value {
         let log = self.shared.log.lock().unwrap();
         let all: Vec<&Value> = log.events.iter().map(|published| &published.event).collect();
--- a/crates/deckproxy-standins/src/load_client/message.rs
+++ b/crates/deckproxy-standins/src/load_client/message.rs
@@ -30,6 +30,9 @@
 }
 
 /// The bytes of a request with this id and name; `is_retry` marks it as a retry.
+///
+/// # Panics
+/// Panics if the message cannot be encoded, which does not happen when writing to memory.
 pub fn encode_request(id: u64, name: &str, request: &RequestSpec, is_retry: bool) -> Vec<u8> {
     let size_kb = object_size(request.object) as f64 / 1024.0;
     let mut fields = vec![
--- a/crates/deckproxy-standins/src/member.rs
+++ b/crates/deckproxy-standins/src/member.rs
@@ -151,6 +151,9 @@
     }
 
     /// Connections that are open now.
+    ///
+    /// # Panics
+    /// Panics if a thread panicked while it held the lock.
     pub fn open_connections(&self) -> usize {
         self.connections.lock().unwrap().len()
     }
@@ -164,6 +167,9 @@
 /// What it does.
 impl Member {
     /// Writes bytes to a connection.
+    ///
+    /// # Panics
+    /// Panics if the connection is not open or cannot be written to.
     pub fn send(&self, connection: u64, bytes: &[u8]) {
         let stream = self.connections.lock().unwrap().get(&connection).cloned();
         let stream = stream.expect("the connection is open");
@@ -198,6 +204,9 @@
     }
 
     /// Answers a request whose connection may have been closed.
+    ///
+    /// # Panics
+    /// Panics if a thread panicked while it held the lock.
     pub fn try_answer(&self, request: &MemberRequest, status: &str, body: &[u8]) {
         let stream = self.connections.lock().unwrap().get(&request.connection).cloned();
         if let Some(stream) = stream {
@@ -206,12 +215,18 @@
     }
 
     /// Resets a connection.
+    ///
+    /// # Panics
+    /// Panics if the connection is not open.
     pub fn reset(&self, connection: u64) {
         let stream = self.connections.lock().unwrap().remove(&connection).expect("the connection is open");
         SockRef::from(&*stream).set_linger(Some(Duration::ZERO)).unwrap();
     }
 
     /// Closes a connection.
+    ///
+    /// # Panics
+    /// Panics if the connection is not open.
     pub fn close(&self, connection: u64) {
         self.connections.lock().unwrap().remove(&connection).expect("the connection is open");
     }
--- a/crates/deckproxy-standins/src/record.rs
+++ b/crates/deckproxy-standins/src/record.rs
@@ -230,12 +230,18 @@
 
 impl Record {
     /// Adds a fact at the present time.
+    ///
+    /// # Panics
+    /// Panics if a thread panicked while it held the lock.
     pub fn note(&self, fact: Fact) {
         let at = self.now();
         self.facts.lock().unwrap().push(Seen { at, fact });
     }
 
     /// Adds to what clients of an address wrote and read.
+    ///
+    /// # Panics
+    /// Panics if a thread panicked while it held the lock.
     pub fn count_traffic(&self, client: IpAddr, more: Traffic) {
         let mut traffic = self.traffic.lock().unwrap();
         let sum = traffic.entry(client).or_default();
@@ -245,6 +251,9 @@
     }
 
     /// What the clients of each address wrote and read.
+    ///
+    /// # Panics
+    /// Panics if a thread panicked while it held the lock.
     pub fn traffic(&self) -> HashMap<IpAddr, Traffic> {
         self.traffic.lock().unwrap().clone()
     }
@@ -260,6 +269,9 @@
     }
 
     /// Takes all facts so far out of the record, in the order of time.
+    ///
+    /// # Panics
+    /// Panics if a thread panicked while it held the lock.
     pub fn take(&self) -> Vec<Seen> {
         let mut facts = std::mem::take(&mut *self.facts.lock().unwrap());
         facts.sort_by(|a, b| a.at.total_cmp(&b.at));
@@ -267,6 +279,9 @@
     }
 
     /// How many facts match.
+    ///
+    /// # Panics
+    /// Panics if a thread panicked while it held the lock.
     pub fn count(&self, matches: impl Fn(&Fact) -> bool) -> usize {
         self.facts.lock().unwrap().iter().filter(|seen| matches(&seen.fact)).count()
     }
--- a/crates/deckproxy-standins/src/site.rs
+++ b/crates/deckproxy-standins/src/site.rs
@@ -65,12 +65,18 @@
     }
 
     /// Names of all members that run, with their addresses.
+    ///
+    /// # Panics
+    /// Panics if a thread panicked while it held the lock.
     pub fn members(&self) -> Vec<(String, SocketAddr)> {
         let nodes = self.state.nodes.lock().unwrap();
         nodes.values().map(|node| (node.name.clone(), node.address)).collect()
     }
 
     /// Sets a member's fault; [`NodeFault::None`] ends it.
+    ///
+    /// # Panics
+    /// Panics if a thread panicked while it held the lock.
     pub fn set_fault(&self, name: &str, fault: NodeFault) {
         if let Some(node) = self.state.node(name) {
             *node.fault.lock().unwrap() = fault;
@@ -115,6 +121,9 @@
     }
 
     /// Ends a member, and has the feed report that it has gone.
+    ///
+    /// # Panics
+    /// Panics if a thread panicked while it held the lock.
     pub fn remove(&self, name: &str) {
         let node = self.state.nodes.lock().unwrap().remove(name);
         let Some(node) = node else { return };
@@ -123,6 +132,9 @@
     }
 
     /// Changes an object at its origin: all copies issued before are outdated.
+    ///
+    /// # Panics
+    /// Panics if a thread panicked while it held the lock.
     pub fn change_object(&self, object: u64) {
         self.state.purged.lock().unwrap().insert(object, Instant::now());
     }
--- a/crates/deckproxy/src/program/files.rs
+++ b/crates/deckproxy/src/program/files.rs
@@ -33,7 +33,7 @@
     },
     /// The configuration can't be used.
     Configuration(ConfigError),
-    /// GW_LISTEN is not a socket address.
+    /// `GW_LISTEN` is not a socket address.
     ListenNotAnAddress(String),
     /// The operator file can't be read.
     UnreadableOperatorFile {
@@ -96,7 +96,7 @@
     }
 }
 
-/// Reads the configuration, over which the environment's GW_LISTEN and GW_NAME are laid.
+/// Reads the configuration, over which the environment's `GW_LISTEN` and `GW_NAME` are laid.
 fn read_config(run: &Run) -> Result<Config, FileError> {
     let path: OsString = match &run.config {
         Some(path) => path.clone().into_os_string(),
--- a/crates/deckproxy/src/program/fleet/mod.rs
+++ b/crates/deckproxy/src/program/fleet/mod.rs
@@ -113,7 +113,7 @@
 
     /// Whether clients' addresses are wanted.
     pub(super) fn wants_addresses(&self) -> bool {
-        self.admission.as_ref().is_some_and(|admission| admission.wants_addresses())
+        self.admission.as_ref().is_some_and(admission::RequestAdmission::wants_addresses)
     }
 
     /// Remembers an attempt if it goes to a member on trial.
@@ -157,7 +157,7 @@
                 _ => drop(self.trial_attempts.remove(&key)),
             },
             Event::Housekeeping => {
-                self.core.set_open_requests(u32::try_from(cx.router.unanswered()).unwrap_or(u32::MAX))
+                self.core.set_open_requests(u32::try_from(cx.router.unanswered()).unwrap_or(u32::MAX));
             }
             Event::ShutdownBegan => self.core.leave(clock::steady()),
             _ => {}
--- a/crates/deckproxy/src/program/gateway.rs
+++ b/crates/deckproxy/src/program/gateway.rs
@@ -150,7 +150,9 @@
     handle: &LoopHandle<'static, Gateway>,
     operator: &Operator,
 ) -> io::Result<Option<Box<DatagramSocket>>> {
-    let Some(address) = operator.fleet.as_ref().and_then(|fleet| fleet.listens()) else { return Ok(None) };
+    let Some(address) = operator.fleet.as_ref().and_then(deckproxy_operator::Fleet::listens) else {
+        return Ok(None);
+    };
     let ready = |gateway: &mut Gateway| gateway.queue(ReadySource::FleetSocket);
     let socket = DatagramSocket::bind(handle, address, ready)
         .map_err(|e| io::Error::new(e.kind(), format!("the fleet's address {address}: {e}")))?;
--- a/crates/deckproxy/src/program/serve.rs
+++ b/crates/deckproxy/src/program/serve.rs
@@ -32,7 +32,7 @@
     let mut events: EventLoop<'static, Gateway> = EventLoop::try_new().map_err(ProgramError::EventLoop)?;
     let handle = events.handle();
     handle
-        .insert_source(signals, move |event, _, gateway: &mut Gateway| match event.signal() {
+        .insert_source(signals, move |event, (), gateway: &mut Gateway| match event.signal() {
             Signal::SIGHUP => gateway.reload(clock::now(), || Files::read(&run)),
             _ => gateway.terminate(clock::now()),
         })
--- a/crates/deckproxy/src/program/sites/forwarding.rs
+++ b/crates/deckproxy/src/program/sites/forwarding.rs
@@ -92,7 +92,7 @@
         };
         match self.site.destination(cx.now, &call.class, call.group, call.object.number, &path) {
             Destination::Local => {
-                out.push_back(Effect::Route { client: FIRST_LINK_CLIENT + run, call: Box::new(call) })
+                out.push_back(Effect::Route { client: FIRST_LINK_CLIENT + run, call: Box::new(call) });
             }
             Destination::Unroutable(reason) => {
                 let why = reason.as_str();
--- a/crates/deckproxy/src/program/sites/mod.rs
+++ b/crates/deckproxy/src/program/sites/mod.rs
@@ -144,7 +144,7 @@
         self.cancel_client_requests(cx.now, event, out);
         match *event {
             Event::Purged { object, group, age } => {
-                self.site.purge_notified(cx.now, PurgeNotice { object, group, age })
+                self.site.purge_notified(cx.now, PurgeNotice { object, group, age });
             }
             Event::LinkAccepted(link) => self.site.accepted(cx.now, link),
             Event::LinkConnected { peer, address_index, link } => {
--- a/crates/deckproxy/src/routing/intake.rs
+++ b/crates/deckproxy/src/routing/intake.rs
@@ -13,6 +13,9 @@
 
 impl Router {
     /// The class of a request, as its position in the settings; the error says what is wrong with it.
+    ///
+    /// # Errors
+    /// [`RequestError`] if the class is unknown or the request breaks one of its rules.
     pub fn validate(&self, call: &Call) -> Result<usize, RequestError> {
         let class = self.classes.get(&call.class).copied().ok_or(RequestError::UnknownClass)?;
         let settings = &self.conf.settings;
--- a/crates/deckproxy/src/transport/client.rs
+++ b/crates/deckproxy/src/transport/client.rs
@@ -130,6 +130,9 @@
     }
 
     /// The next complete message.
+    ///
+    /// # Errors
+    /// [`ProtocolError`] if the buffered bytes are not a valid message.
     pub fn take_message(&mut self) -> Result<Option<Message>, ProtocolError> {
         if self.closing {
             self.partial_since = None;
@@ -225,6 +228,9 @@
 
     /// Writes what the kernel takes, and calls `complete` with the length of each message that it took completely, in
     /// order.
+    ///
+    /// # Errors
+    /// The error of the socket if writing fails.
     pub fn flush(&mut self, now: f64, mut complete: impl FnMut(usize)) -> io::Result<()> {
         let before = self.stream.unwritten_bytes();
         let flushed = self.stream.flush(&mut self.written);
--- a/crates/deckproxy/src/transport/collector.rs
+++ b/crates/deckproxy/src/transport/collector.rs
@@ -89,6 +89,9 @@
 
 impl CollectorConnection {
     /// Opens a connection. `ready` is called when the kernel reports readiness of a TCP connection.
+    ///
+    /// # Errors
+    /// The error of the operating system if the socket cannot be created, connected or registered.
     pub fn open<D: 'static>(
         handle: &LoopHandle<'static, D>,
         usage: &Rc<BufferUsage>,
@@ -139,6 +142,9 @@
 
     /// Appends a message to the write buffer and writes, or sends the datagram; appends the messages that are written
     /// completely. Returns whether any bytes were written.
+    ///
+    /// # Errors
+    /// The error of the socket if writing or sending fails.
     pub fn send(
         &mut self,
         number: u64,
@@ -161,6 +167,9 @@
 
     /// Writes what the kernel takes; appends the messages that are written completely. Returns whether any bytes were
     /// written, be it without a further message complete.
+    ///
+    /// # Errors
+    /// The error of the socket if writing fails.
     pub fn flush(&mut self, written: &mut Vec<WrittenMessage>) -> io::Result<bool> {
         let CollectorConnection::Tcp(stream) = self else { return Ok(false) };
         let before = stream.unwritten_bytes();
--- a/crates/deckproxy/src/transport/datagram_socket.rs
+++ b/crates/deckproxy/src/transport/datagram_socket.rs
@@ -20,6 +20,9 @@
 
 impl DatagramSocket {
     /// Binds. `ready` is called when datagrams wait.
+    ///
+    /// # Errors
+    /// The error of the operating system if the socket cannot be bound or registered.
     pub fn bind<D: 'static>(
         handle: &LoopHandle<'static, D>,
         address: SocketAddr,
--- a/crates/deckproxy/src/transport/feed.rs
+++ b/crates/deckproxy/src/transport/feed.rs
@@ -59,6 +59,9 @@
     }
 
     /// Writes what the kernel takes.
+    ///
+    /// # Errors
+    /// The error of the socket if writing fails.
     pub fn flush(&mut self) -> io::Result<()> {
         self.stream.flush(&mut self.written)?;
         self.written.clear();
--- a/crates/deckproxy/src/transport/listener.rs
+++ b/crates/deckproxy/src/transport/listener.rs
@@ -29,6 +29,9 @@
 
 impl Listener {
     /// Binds and listens. `ready` is called when connections wait.
+    ///
+    /// # Errors
+    /// The error of the operating system if the socket cannot be bound or registered.
     pub fn bind<D: 'static>(
         handle: &LoopHandle<'static, D>,
         address: SocketAddr,
--- a/crates/deckproxy/src/transport/loop_timer.rs
+++ b/crates/deckproxy/src/transport/loop_timer.rs
@@ -14,15 +14,21 @@
 
 impl<D: 'static> LoopTimer<D> {
     /// Registers a timer that is not set.
+    ///
+    /// # Errors
+    /// The error of the event loop if the timer cannot be registered.
     pub fn register(handle: &LoopHandle<'static, D>) -> calloop::Result<Self> {
         let idle = Timer::from_deadline(clock::instant(f64::MAX));
         let source =
-            Dispatcher::new(idle, |_, _, _: &mut D| TimeoutAction::ToInstant(clock::instant(f64::MAX)));
+            Dispatcher::new(idle, |_, (), _: &mut D| TimeoutAction::ToInstant(clock::instant(f64::MAX)));
         let token = handle.register_dispatcher(source.clone())?;
         Ok(LoopTimer { source, token, deadline: f64::MAX })
     }
 
     /// Sets it to a Unix time in ms; one that has passed wakes the loop at once.
+    ///
+    /// # Errors
+    /// The error of the event loop if the timer cannot be updated.
     pub fn set(&mut self, handle: &LoopHandle<'static, D>, deadline: f64) -> calloop::Result<()> {
         if self.deadline == deadline && deadline > clock::now() {
             return Ok(());
--- a/crates/deckproxy/src/transport/member.rs
+++ b/crates/deckproxy/src/transport/member.rs
@@ -220,6 +220,9 @@
     }
 
     /// Writes what the kernel takes, and calls `complete` with each message that it took completely.
+    ///
+    /// # Errors
+    /// The error of the socket if writing fails.
     pub fn flush(&mut self, now: f64, mut complete: impl FnMut(WrittenMessage)) -> io::Result<()> {
         let flushed = self.stream.flush(&mut self.written);
         for written in self.written.drain(..) {
--- a/crates/deckproxy/src/transport/site_link.rs
+++ b/crates/deckproxy/src/transport/site_link.rs
@@ -101,6 +101,9 @@
     }
 
     /// Writes what the kernel takes.
+    ///
+    /// # Errors
+    /// The error of the socket if writing fails.
     pub fn flush(&mut self) -> io::Result<()> {
         self.stream.flush(&mut self.written)?;
         for WrittenMessage { key, .. } in self.written.drain(..) {
--- a/crates/deckproxy/src/transport/stream.rs
+++ b/crates/deckproxy/src/transport/stream.rs
@@ -69,6 +69,9 @@
 
 impl Stream {
     /// Takes over an accepted connection. `ready` is called when the kernel reports readiness.
+    ///
+    /// # Errors
+    /// The error of the operating system if the socket cannot be made non-blocking or registered.
     pub fn accepted<D: 'static>(
         handle: &LoopHandle<'static, D>,
         usage: &Rc<BufferUsage>,
@@ -239,6 +242,9 @@
     }
 
     /// Writes what the kernel takes; appends the messages that are written completely.
+    ///
+    /// # Errors
+    /// The error of the socket if writing fails.
     pub fn flush(&mut self, written: &mut Vec<WrittenMessage>) -> io::Result<()> {
         if self.connecting || !self.writable || self.output.is_empty() {
             return Ok(());
--- a/crates/deckproxy/src/transport/write_buffer.rs
+++ b/crates/deckproxy/src/transport/write_buffer.rs
@@ -89,6 +89,9 @@
 
     /// Writes until the kernel has taken all or takes no more; appends the messages that are written completely.
     /// Returns whether all is written.
+    ///
+    /// # Errors
+    /// The error of the socket if writing fails; [`ErrorKind::WriteZero`] if it accepts no bytes.
     pub fn flush(&mut self, socket: &mut impl Write, written: &mut Vec<WrittenMessage>) -> io::Result<bool> {
         while !self.queue.is_empty() {
             match socket.write_vectored(&self.slices()) {
--- a/crates/deckproxy/tests/attempt_endings.rs
+++ b/crates/deckproxy/tests/attempt_endings.rs
@@ -102,17 +102,17 @@
 #[test]
 fn each_ending_is_reported_by_what_it_proves() {
     check_ending("no connection, or not written whole", "connect_failed", true, |r, k| {
-        r.connection_failed(NOW, k, ConnectionFailure::NotSent)
+        r.connection_failed(NOW, k, ConnectionFailure::NotSent);
     });
     check_ending("broke after it was written whole", "reset", false, |r, k| {
-        r.connection_failed(NOW, k, ConnectionFailure::Reset)
+        r.connection_failed(NOW, k, ConnectionFailure::Reset);
     });
     check_ending("a miss", "miss", true, |r, k| r.reply(NOW, k, reply(Status::Miss)));
     check_ending("full", "full", true, |r, k| r.reply(NOW, k, reply(Status::Rejected)));
     check_ending("over already", "moot", true, |r, k| r.reply(NOW, k, reply(Status::Expired)));
     check_ending("an error", "error", false, |r, k| r.reply(NOW, k, reply(Status::Error)));
     check_ending("a copy that holds and nobody named", "error", false, |r, k| {
-        r.reply(NOW, k, reply(Status::NotModified))
+        r.reply(NOW, k, reply(Status::NotModified));
     });
     check_ending("a probe's word", "error", false, |r, k| r.reply(NOW, k, reply(Status::Health(true))));
     check_ending("silence until its time was over", "timeout", false, |r, k| {
--- a/crates/deckproxy/tests/overload.rs
+++ b/crates/deckproxy/tests/overload.rs
@@ -144,7 +144,7 @@
     });
     assert!(unfair.jain_index < 0.9, "{}", unfair.jain_index);
     let repeats = spoilt(&|p| {
-        p.attempts.iter_mut().filter(|t| t.request % 2 == 0).for_each(|t| t.earlier_attempts += 1)
+        p.attempts.iter_mut().filter(|t| t.request % 2 == 0).for_each(|t| t.earlier_attempts += 1);
     });
     assert!(repeats.budget_ratio > 1.2, "{}", repeats.budget_ratio);
     let stuck = spoilt(&|p| {
