--- a/crates/deckproxy/tests/client_disconnect.rs
+++ b/crates/deckproxy/tests/client_disconnect.rs
@@ -1,9 +1,8 @@
 //! Clients that disconnect or cancel: no attempt begins for them, whatever their requests wait for and however late the
 //! event loop is. The process is paused while a test places the events to be read in the kernel's buffers.
 
-mod common;
-use common::*;
 use deckproxy_standins::limit_checkers::CancellationChecker;
+use deckproxy_standins::*;
 use serde_json::json;
 use std::io::Read;
 use std::thread;
--- a/crates/deckproxy/tests/connection_close.rs
+++ b/crates/deckproxy/tests/connection_close.rs
@@ -1,11 +1,10 @@
 //! Closes by the gateway: each reads what has arrived first, and discards nothing that was written.
 
-mod common;
-use common::*;
 use deckproxy::protocol::{downstream, limits};
 use deckproxy::transport::client as transport;
 use deckproxy::transport::stream::Stream;
 use deckproxy_standins::wait::until_in;
+use deckproxy_standins::*;
 use std::io::Write;
 use std::rc::Rc;
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/crates/deckproxy/tests/control_feed.rs
+++ b/crates/deckproxy/tests/control_feed.rs
@@ -1,8 +1,7 @@
 //! The control feed: event numbers, heartbeats, reconnects, and a gateway without it.
 
-mod common;
-use common::*;
 use deckproxy_standins::limit_checkers::DescriptorExhaustionChecker;
+use deckproxy_standins::*;
 use serde_json::json;
 use std::io::{Read, Write};
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/crates/deckproxy/tests/flows.rs
+++ b/crates/deckproxy/tests/flows.rs
@@ -1,8 +1,7 @@
 //! Flow export of the real gateway: an independent decoder collects, clients and members count what passed.
 
-mod common;
-use common::collector::{Collection, Collector, FlowRecord};
-use common::*;
+use deckproxy_standins::collector::{Collection, Collector, FlowRecord};
+use deckproxy_standins::*;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
--- a/crates/deckproxy/tests/hostile_clients.rs
+++ b/crates/deckproxy/tests/hostile_clients.rs
@@ -1,7 +1,6 @@
 //! Malformed, silent, slow and flooding clients, and the limits that protect the gateway from them.
 
-mod common;
-use common::*;
+use deckproxy_standins::*;
 use rmpv::Value;
 use std::time::{Duration, Instant};
 
--- a/crates/deckproxy/tests/lifecycle.rs
+++ b/crates/deckproxy/tests/lifecycle.rs
@@ -1,7 +1,6 @@
 //! Start, graceful shutdown and kill.
 
-mod common;
-use common::*;
+use deckproxy_standins::*;
 use serde_json::json;
 use std::io::Write;
 use std::net::TcpStream;
--- a/crates/deckproxy/tests/member_connections.rs
+++ b/crates/deckproxy/tests/member_connections.rs
@@ -1,8 +1,7 @@
 //! What members and their connections do, and how attempts end by that. A fault would show as a request that is sent
 //! twice, not retried, or answered late.
 
-mod common;
-use common::*;
+use deckproxy_standins::*;
 use serde_json::json;
 use std::time::{Duration, Instant};
 
--- a/crates/deckproxy/tests/member_drain.rs
+++ b/crates/deckproxy/tests/member_drain.rs
@@ -1,8 +1,7 @@
 //! A drain is announced while an attempt waits for its connection, while a fill through the draining member is in flight,
 //! and while a waiter becomes the leader. Nothing new is sent to a draining member after the grace period.
 
-mod common;
-use common::*;
+use deckproxy_standins::*;
 use serde_json::json;
 use std::io::Read;
 use std::time::{Duration, Instant};
--- a/crates/deckproxy/tests/migrate.rs
+++ b/crates/deckproxy/tests/migrate.rs
@@ -1,7 +1,6 @@
 //! `deckproxy migrate` as an operator runs it: the real program on files of the old shape.
 
-mod common;
-use common::*;
+use deckproxy_standins::*;
 use serde_json::{Value, json};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
--- a/crates/deckproxy/tests/reload.rs
+++ b/crates/deckproxy/tests/reload.rs
@@ -1,7 +1,6 @@
 //! New configurations while serving.
 
-mod common;
-use common::*;
+use deckproxy_standins::*;
 use serde_json::json;
 use std::io::Read;
 
--- a/crates/deckproxy/tests/request_path.rs
+++ b/crates/deckproxy/tests/request_path.rs
@@ -1,7 +1,6 @@
 //! The ordinary path of a request, and what follows each ending, from a client's bytes to a member's and back.
 
-mod common;
-use common::*;
+use deckproxy_standins::*;
 use serde_json::json;
 
 #[test]
--- a/crates/deckproxy/tests/restart.rs
+++ b/crates/deckproxy/tests/restart.rs
@@ -1,8 +1,7 @@
 //! A whole fleet that restarts at once while service discovery is unavailable.
 
-mod common;
-use common::*;
 use deckproxy_standins::limit_checkers::StartupChecker;
+use deckproxy_standins::*;
 use std::io::Read;
 use std::net::{SocketAddr, TcpStream};
 use std::thread;
--- a/crates/deckproxy/tests/sites.rs
+++ b/crates/deckproxy/tests/sites.rs
@@ -1,10 +1,9 @@
 //! Gateways of two and three sites on sockets, with members answered by hand and links that are cut.
 
-mod common;
-use common::link_relay::{LinkRelay, LinkState};
-use common::*;
 use deckproxy::protocol::link;
 use deckproxy_sites::frame::{Frame, Hello, Payload};
+use deckproxy_standins::link_relay::{LinkRelay, LinkState};
+use deckproxy_standins::*;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
--- a/crates/deckproxy/tests/slow_start.rs
+++ b/crates/deckproxy/tests/slow_start.rs
@@ -1,9 +1,8 @@
 //! Members in slow start under a fleet of 24 processes of unequal traffic that learn of the member's start at different
 //! moments, some of them just restarted. The checker counts at the members, fills through a parent included.
 
-mod common;
-use common::*;
 use deckproxy_standins::limit_checkers::{SlowStartChecker, SlowStartLimits};
+use deckproxy_standins::*;
 use serde_json::{Value, json};
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicBool, Ordering};
