--- /dev/null
+++ b/crates/deckproxy-flow/src/account/link.rs
@@ -0,0 +1,27 @@
+//! Bytes and requests of links to other sites.
+
+use super::{Micros, RequestSource, millis};
+use crate::meter::{Key, Leg, Meter, Name, Outcome, Update};
+
+/// Counts bytes received from, and sent to, another site over a link.
+pub fn count_link_bytes(meter: &mut Meter, now: Micros, site: Name, received: u64, sent: u64) {
+    if received + sent > 0 {
+        let flow = Key { site, ..Key::of(Leg::Link) };
+        meter.count(millis(now), flow, &Update { out: received, back: sent, ..Update::default() });
+    }
+}
+
+/// Counts a request that was received over a link at `received_at` and has ended: its outcome and latency only, as its
+/// bytes are counted by [`count_link_bytes`].
+pub fn count_link_request(
+    meter: &mut Meter,
+    now: Micros,
+    source: RequestSource,
+    received_at: Micros,
+    outcome: Outcome,
+) {
+    let RequestSource { class, site, .. } = source;
+    let flow = Key { class, site, outcome: Some(outcome), ..Key::of(Leg::Link) };
+    let latency = Some(now.saturating_sub(received_at));
+    meter.count(millis(now), flow, &Update { requests: 1, latency, ..Update::default() });
+}
--- /dev/null
+++ b/crates/deckproxy-flow/src/account/names.rs
@@ -0,0 +1,46 @@
+//! Numbers for the names of classes, members and sites.
+
+use crate::meter::Name;
+use ahash::RandomState;
+use std::collections::HashMap;
+
+/// The name of all names that got no number of their own.
+pub const OTHERS: &str = "(others)";
+
+/// A bounded table of names and their numbers. Names beyond the bound share the last number, which is named [`OTHERS`].
+#[derive(Debug)]
+pub struct Names {
+    by_number: Vec<Box<str>>,
+    numbers: HashMap<Box<str>, Name, RandomState>,
+    capacity: usize,
+}
+
+impl Names {
+    /// A table of at most `capacity` names, at least 2. Number 0 is the empty name.
+    pub fn new(capacity: usize) -> Self {
+        Names {
+            by_number: vec!["".into()],
+            numbers: [("".into(), 0)].into_iter().collect(),
+            capacity: capacity.max(2),
+        }
+    }
+
+    /// The number of a name, assigned at its first use.
+    pub fn number(&mut self, name: &str) -> Name {
+        if let Some(number) = self.numbers.get(name) {
+            return *number;
+        }
+        let is_last = self.by_number.len() + 1 >= self.capacity;
+        let name = if is_last { OTHERS } else { name };
+        let next = self.by_number.len() as Name;
+        *self.numbers.entry(name.into()).or_insert_with(|| {
+            self.by_number.push(name.into());
+            next
+        })
+    }
+
+    /// The name of a number; empty for a number that was not assigned.
+    pub fn name(&self, number: Name) -> &str {
+        self.by_number.get(number as usize).map_or("", |name| name)
+    }
+}
--- a/crates/deckproxy-flow/tests/account.rs
+++ b/crates/deckproxy-flow/tests/account.rs
@@ -1,6 +1,6 @@
-//! Accounts of connections: whatever passes, and however it ends, each byte and each request is told once.
+//! Accounts of connections: each byte and each request is counted exactly once, however the connection ends.
 
-use deckproxy_flow::account::{Asker, Attempts, ClientAccount, Names, OTHERS};
+use deckproxy_flow::account::{Attempts, ClientAccount, Names, OTHERS, RequestSource};
 use deckproxy_flow::meter::{Flow, Leg, Limits, Meter, Outcome};
 use proptest::prelude::*;
 use std::collections::VecDeque;
@@ -20,63 +20,63 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Ask(u32, u64),
-    Word(u64),
+    Request(u32, u64),
+    OtherBytes(u64),
     Answer(u32, u64),
     Pong(u64),
-    GiveUp(u32),
-    /// The kernel takes so many bytes.
-    Take(u64),
+    Cancel(u32),
+    /// The kernel accepts this many bytes.
+    Write(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        (0u32..12, 1u64..500).prop_map(|(id, bytes)| Step::Ask(id, bytes)),
-        (1u64..50).prop_map(Step::Word),
+        (0u32..12, 1u64..500).prop_map(|(id, bytes)| Step::Request(id, bytes)),
+        (1u64..50).prop_map(Step::OtherBytes),
         (0u32..12, 1u64..5000).prop_map(|(id, bytes)| Step::Answer(id, bytes)),
         (1u64..20).prop_map(Step::Pong),
-        (0u32..12).prop_map(Step::GiveUp),
-        (0u64..6000).prop_map(Step::Take),
+        (0u32..12).prop_map(Step::Cancel),
+        (0u64..6000).prop_map(Step::Write),
     ]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, rng_seed: proptest::test_runner::RngSeed::Fixed(17), ..Default::default() })]
 
-    /// Beside a plain sum of what passed, with a socket that takes what it likes and breaks at the end.
+    /// Compares the flows with plain sums, over a socket with partial writes that fails at the end.
     #[test]
-    fn every_byte_and_request_of_a_client_is_told_once(steps in prop::collection::vec(step(), 1..120), unread in 0u64..40) {
+    fn every_byte_and_request_of_a_client_is_counted_once(steps in prop::collection::vec(step(), 1..120), unread in 0u64..40) {
         let mut meter = Meter::new(Limits::default());
         let mut account = ClientAccount::new(Some(meter.client(CLIENT)));
         let (mut out, mut back, mut asked, mut now) = (0, 0, 0, 1_000_000);
-        // Messages that wait: their lengths, and what is gone of the first.
+        // The lengths of the queued messages, and how much of the first is written.
         let (mut queue, mut gone) = (VecDeque::new(), 0u64);
         for step in steps {
             now += 100;
             match step {
-                Step::Ask(id, bytes) => {
-                    account.asked(&mut meter, now, id, 1, bytes);
+                Step::Request(id, bytes) => {
+                    account.request_received(&mut meter, now, id, 1, bytes);
                     (back, asked) = (back + bytes, asked + 1);
                 }
-                Step::Word(bytes) => {
-                    account.heard(&mut meter, now, bytes);
+                Step::OtherBytes(bytes) => {
+                    account.other_bytes_received(&mut meter, now, bytes);
                     back += bytes;
                 }
                 Step::Answer(id, bytes) => {
-                    account.answered(Some(id), Outcome::Served);
+                    account.answer_queued(Some(id), Outcome::Served);
                     queue.push_back(bytes);
                 }
                 Step::Pong(bytes) => {
-                    account.answered(None, Outcome::Served);
+                    account.answer_queued(None, Outcome::Served);
                     queue.push_back(bytes);
                 }
-                Step::GiveUp(id) => account.gone(&mut meter, now, id),
-                Step::Take(bytes) => {
+                Step::Cancel(id) => account.request_cancelled(&mut meter, now, id),
+                Step::Write(bytes) => {
                     gone += bytes;
                     while let Some(first) = queue.front().copied().filter(|first| *first <= gone) {
                         queue.pop_front();
                         (gone, out) = (gone - first, out + first);
-                        account.written(&mut meter, now, first);
+                        account.message_written(&mut meter, now, first);
                     }
                     if queue.is_empty() {
                         gone = 0;
@@ -84,26 +84,26 @@
                 }
             }
         }
-        account.end(&mut meter, now, gone, unread);
-        prop_assert_eq!(account.sizes(), [0, 0]);
+        account.connection_closed(&mut meter, now, gone, unread);
+        prop_assert_eq!([account.open_requests(), account.queued_messages()], [0, 0]);
         let flows = meter.take_all();
         prop_assert_eq!(sums(&flows, Leg::Client), [out + gone, back + unread, asked]);
     }
 }
 
 #[test]
-fn an_answer_that_is_cut_counts_as_far_as_it_came() {
+fn a_truncated_answer_counts_its_written_bytes() {
     let mut meter = Meter::new(Limits::default());
     let mut account = ClientAccount::new(Some(meter.client(CLIENT)));
     for id in 1..=3 {
-        account.asked(&mut meter, 1000, id, 1, 60);
+        account.request_received(&mut meter, 1000, id, 1, 60);
     }
-    account.crosses(2, 7);
-    account.answered(Some(1), Outcome::Served);
-    account.answered(Some(2), Outcome::Served);
-    account.written(&mut meter, 5000, 900);
-    // The second is out in part, the third was not answered.
-    account.end(&mut meter, 6000, 250, 0);
+    account.request_forwarded(2, 7);
+    account.answer_queued(Some(1), Outcome::Served);
+    account.answer_queued(Some(2), Outcome::Served);
+    account.message_written(&mut meter, 5000, 900);
+    // The second answer is written in part, the third request has no answer.
+    account.connection_closed(&mut meter, 6000, 250, 0);
     let flows = meter.take_all();
     assert_eq!((requests(&flows, Outcome::Served), requests(&flows, Outcome::Canceled)), (1, 2));
     let crossed: Vec<_> = flows.iter().filter(|f| f.key.site == 7).map(|f| f.counts.out).collect();
@@ -112,33 +112,33 @@
 }
 
 #[test]
-fn attempts_are_flows_of_their_own_and_repeats_show() {
+fn each_attempt_including_retries_is_counted_as_a_flow() {
     let mut meter = Meter::new(Limits::default());
     let mut attempts = Attempts::default();
-    let asker = Asker { client: Some(meter.client(CLIENT)), class: 1, site: 0 };
-    attempts.sent(0, 1, asker, 5);
-    assert!(attempts.wrote(1, 80));
+    let source = RequestSource { client: Some(meter.client(CLIENT)), class: 1, site: 0 };
+    attempts.started(0, 1, source, 5);
+    assert!(attempts.bytes_written(1, 80));
     assert!(attempts.ended(&mut meter, 900, 1, Outcome::Failed, 0));
-    attempts.sent(1000, 2, asker, 6);
-    assert!(attempts.wrote(2, 81));
+    attempts.started(1000, 2, source, 6);
+    assert!(attempts.bytes_written(2, 81));
     assert!(attempts.ended(&mut meter, 3000, 2, Outcome::Served, 4000));
-    // One that never went out is no attempt; what comes late, and probes, are the member's.
-    attempts.sent(3000, 3, asker, 6);
+    // An attempt without bytes is not counted; late answers and health checks are counted for the member.
+    attempts.started(3000, 3, source, 6);
     assert!(attempts.ended(&mut meter, 3100, 3, Outcome::Canceled, 0));
     assert!(!attempts.ended(&mut meter, 3200, 1, Outcome::Served, 300));
-    Attempts::other(&mut meter, 3200, 5, 300, 0);
-    assert!(!attempts.wrote(99, 12));
-    Attempts::other(&mut meter, 3300, 6, 0, 12);
+    Attempts::count_other_bytes(&mut meter, 3200, 5, 300, 0);
+    assert!(!attempts.bytes_written(99, 12));
+    Attempts::count_other_bytes(&mut meter, 3300, 6, 0, 12);
     assert!(attempts.is_empty());
     let flows = meter.take_all();
     assert_eq!(sums(&flows, Leg::Member), [4300, 80 + 81 + 12, 2]);
     assert_eq!(sums(&flows, Leg::Client), [0; 3]);
     let failed = flows.iter().find(|f| f.key.outcome == Some(Outcome::Failed)).unwrap();
-    assert_eq!((failed.key.member, failed.key.client, failed.counts.back), (5, asker.client, 80));
+    assert_eq!((failed.key.member, failed.key.client, failed.counts.back), (5, source.client, 80));
 }
 
 #[test]
-fn names_have_an_end() {
+fn names_beyond_the_capacity_share_one_number() {
     let mut names = Names::new(4);
     let numbers: Vec<_> = ["a", "b", "c", "d", "a"].iter().map(|n| names.number(n)).collect();
     assert_eq!(numbers, [1, 2, 3, 3, 1]);
--- a/crates/deckproxy/src/program/effects.rs
+++ b/crates/deckproxy/src/program/effects.rs
@@ -7,7 +7,7 @@
 use crate::routing::{AttemptKey, ClientId, Effect};
 use crate::transport::clock;
 use crate::transport::member::MemberMessage;
-use deckproxy_flow::work::{Micros, TaskId};
+use deckproxy_flow::scheduler::{Micros, TaskId};
 
 impl Gateway {
     /// Carries out all effects of the router and the subsystems, and those that follow from them.
--- a/crates/deckproxy/src/program/event_loop.rs
+++ b/crates/deckproxy/src/program/event_loop.rs
@@ -5,7 +5,7 @@
 use crate::program::subsystem::{Event, micros};
 use crate::program::timer_task::TimerTask;
 use crate::transport::clock;
-use deckproxy_flow::work::TaskId;
+use deckproxy_flow::scheduler::TaskId;
 
 /// Time that a turn leaves to background work where no connection waits for its own, microseconds.
 const BACKGROUND_BUDGET: u64 = 2000;
@@ -88,7 +88,7 @@
             let more = self.run_background_task(began, task, slice);
             let ended = micros(clock::now());
             let took = ended.saturating_sub(micros(began));
-            self.background.ran(ended, task, took, more);
+            self.background.slice_ended(ended, task, took, more);
             left = left.saturating_sub(took);
             if left == 0 {
                 return;
--- a/crates/deckproxy/src/program/flows/accounting.rs
+++ b/crates/deckproxy/src/program/flows/accounting.rs
@@ -5,7 +5,7 @@
 use crate::routing::{AttemptKey, ClientId};
 use crate::transport::write_buffer::WrittenMessage;
 use ahash::RandomState;
-use deckproxy_flow::account::{self, Asker, Attempts, ClientAccount, Micros, Names};
+use deckproxy_flow::account::{Attempts, ClientAccount, Micros, Names, RequestSource, link};
 use deckproxy_flow::meter::{HeavyHitter, HeavyHitters, Limits, Meter, Name, Outcome};
 use deckproxy_sites::responder::RunId;
 use ipnet::IpNet;
@@ -30,7 +30,7 @@
     /// Attempts in flight.
     pub(super) attempts: Attempts,
     /// Requests that came over links, with the time when they came.
-    pub(super) link_requests: HashMap<RunId, (Asker, Micros), RandomState>,
+    pub(super) link_requests: HashMap<RunId, (RequestSource, Micros), RandomState>,
     /// Clients' networks with most bytes since the last summary.
     top: HeavyHitters<IpNet>,
 }
@@ -94,14 +94,14 @@
     ) {
         let class = self.class(class);
         if let Some(account) = self.clients.get_mut(&id) {
-            account.asked(&mut self.meter, micros(now), request, class, bytes as u64);
+            account.request_received(&mut self.meter, micros(now), request, class, bytes as u64);
         }
     }
 
     /// A client sent bytes that are no request.
     pub(super) fn client_bytes_received(&mut self, now: f64, id: ClientId, bytes: usize) {
         if let Some(account) = self.clients.get_mut(&id) {
-            account.heard(&mut self.meter, micros(now), bytes as u64);
+            account.other_bytes_received(&mut self.meter, micros(now), bytes as u64);
         }
     }
 
@@ -109,21 +109,21 @@
     pub(super) fn request_forwarded(&mut self, (id, request): RequestKey, site: &str) {
         let site = self.names.number(site);
         if let Some(account) = self.clients.get_mut(&id) {
-            account.crosses(request, site);
+            account.request_forwarded(request, site);
         }
     }
 
     /// An answer was appended to a client's write buffer; `request` none: it answers a ping.
     pub(super) fn answer_queued(&mut self, id: ClientId, request: Option<u32>, outcome: Outcome) {
         if let Some(account) = self.clients.get_mut(&id) {
-            account.answered(request, outcome);
+            account.answer_queued(request, outcome);
         }
     }
 
     /// A message was written to a client completely.
     pub(super) fn client_bytes_sent(&mut self, now: f64, id: ClientId, bytes: usize) {
         let Some(account) = self.clients.get_mut(&id) else { return };
-        account.written(&mut self.meter, micros(now), bytes as u64);
+        account.message_written(&mut self.meter, micros(now), bytes as u64);
         if let Some(client) = account.client() {
             self.top.add(client, bytes as u64);
         }
@@ -132,14 +132,14 @@
     /// A client cancelled a request.
     pub(super) fn request_cancelled(&mut self, now: f64, (id, request): RequestKey) {
         if let Some(account) = self.clients.get_mut(&id) {
-            account.gone(&mut self.meter, micros(now), request);
+            account.request_cancelled(&mut self.meter, micros(now), request);
         }
     }
 
     /// A client's connection ended.
     pub(super) fn client_gone(&mut self, now: f64, id: ClientId, cut: usize, unread: usize) {
         if let Some(mut account) = self.clients.remove(&id) {
-            account.end(&mut self.meter, micros(now), cut as u64, unread as u64);
+            account.connection_closed(&mut self.meter, micros(now), cut as u64, unread as u64);
         }
     }
 
@@ -154,26 +154,26 @@
         class: &str,
         member: &str,
     ) {
-        let asker = match client {
+        let source = match client {
             0..FIRST_LINK_CLIENT => {
                 let client = self.clients.get(&client).and_then(ClientAccount::client);
-                Asker { client, class: self.class(class), site: 0 }
+                RequestSource { client, class: self.class(class), site: 0 }
             }
             FIRST_LINK_CLIENT.. => {
                 let request = self.link_requests.get(&(client - FIRST_LINK_CLIENT));
-                request.map_or_else(Asker::default, |(asker, _)| *asker)
+                request.map_or_else(RequestSource::default, |(source, _)| *source)
             }
         };
         let member = self.names.number(member);
-        self.attempts.sent(micros(now), key, asker, member);
+        self.attempts.started(micros(now), key, source, member);
     }
 
     /// The kernel took a message to a member, completely or in part.
     pub(super) fn member_bytes_sent(&mut self, now: f64, member: &str, written: WrittenMessage) {
         let bytes = written.bytes as u64;
-        if !self.attempts.wrote(written.key, bytes) {
+        if !self.attempts.bytes_written(written.key, bytes) {
             let member = self.names.number(member);
-            Attempts::other(&mut self.meter, micros(now), member, 0, bytes);
+            Attempts::count_other_bytes(&mut self.meter, micros(now), member, 0, bytes);
         }
     }
 
@@ -201,7 +201,7 @@
     pub(super) fn member_bytes_received(&mut self, now: f64, member: &str, bytes: usize) {
         if bytes > 0 {
             let member = self.names.number(member);
-            Attempts::other(&mut self.meter, micros(now), member, bytes as u64, 0);
+            Attempts::count_other_bytes(&mut self.meter, micros(now), member, bytes as u64, 0);
         }
     }
 
@@ -216,19 +216,19 @@
     pub(super) fn link_request_began(&mut self, now: f64, run: RunId, class: &str, site: Option<&str>) {
         let class = self.class(class);
         let site = self.names.number(site.unwrap_or(""));
-        self.link_requests.insert(run, (Asker { client: None, class, site }, micros(now)));
+        self.link_requests.insert(run, (RequestSource { client: None, class, site }, micros(now)));
     }
 
     /// A request that came over a link has its answer, or was cancelled.
     pub(super) fn link_request_ended(&mut self, now: f64, run: RunId, outcome: Outcome) {
-        if let Some((asker, since)) = self.link_requests.remove(&run) {
-            account::over_link(&mut self.meter, micros(now), asker, since, outcome);
+        if let Some((source, since)) = self.link_requests.remove(&run) {
+            link::count_link_request(&mut self.meter, micros(now), source, since, outcome);
         }
     }
 
     /// Bytes came, or went, on a link.
     pub(super) fn link_bytes(&mut self, now: f64, site: Option<&str>, received: usize, sent: usize) {
         let site = self.names.number(site.unwrap_or(""));
-        account::link(&mut self.meter, micros(now), site, received as u64, sent as u64);
+        link::count_link_bytes(&mut self.meter, micros(now), site, received as u64, sent as u64);
     }
 }
--- a/crates/deckproxy/src/program/flows/mod.rs
+++ b/crates/deckproxy/src/program/flows/mod.rs
@@ -9,7 +9,7 @@
 use deckproxy_flow::account::Micros;
 use deckproxy_flow::export::{self, CollectorIndex, Exporter, Transport};
 use deckproxy_flow::meter::{Flow, Outcome};
-use deckproxy_flow::work::{Kind, Scheduler, TaskId};
+use deckproxy_flow::scheduler::{Scheduler, TaskId, TaskSettings};
 use deckproxy_operator::Operator;
 use slog::{Logger, info, warn};
 use std::net::SocketAddr;
@@ -21,9 +21,9 @@
 /// Messages made before the time is looked at again.
 const MESSAGES_PER_ROUND: usize = 2;
 /// Scheduling of the task that collects flows: slice and longest delay in microseconds.
-const COLLECT_KIND: Kind = Kind { weight: 2, slice: 300, patience: 200_000 };
+const COLLECT_TASK: TaskSettings = TaskSettings { priority_weight: 2, time_slice: 300, max_delay: 200_000 };
 /// Scheduling of the task that sends to collectors: slice and longest delay in microseconds.
-const SEND_KIND: Kind = Kind { weight: 2, slice: 300, patience: 50_000 };
+const SEND_TASK: TaskSettings = TaskSettings { priority_weight: 2, time_slice: 300, max_delay: 50_000 };
 /// Time until the exporter is polled again where nothing is due before, microseconds.
 const EXPORTER_POLL_INTERVAL: Micros = 200_000;
 
@@ -60,8 +60,8 @@
         let flows = operator.flows.as_ref()?;
         let (limits, collectors) = (flows.limits(), flows.reached());
         let transports: Vec<Transport> = collectors.iter().map(|(_, transport)| *transport).collect();
-        let collect_task = tasks.add(COLLECT_KIND);
-        let send_task = tasks.add(SEND_KIND);
+        let collect_task = tasks.add(COLLECT_TASK);
+        let send_task = tasks.add(SEND_TASK);
         tasks.wake(micros(now), collect_task);
         tasks.wake(micros(now), send_task);
         Some(Box::new(Flows {
--- a/crates/deckproxy/src/program/gateway.rs
+++ b/crates/deckproxy/src/program/gateway.rs
@@ -23,7 +23,7 @@
 use crate::transport::site_link::SiteLinks;
 use calloop::LoopHandle;
 use deckproxy_control::interface::MemberId;
-use deckproxy_flow::work::{Kind, Scheduler, TaskId};
+use deckproxy_flow::scheduler::{Scheduler, TaskId, TaskSettings};
 use deckproxy_operator::Operator;
 use slog::{Logger, warn};
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -32,9 +32,10 @@
 use std::rc::Rc;
 
 /// Scheduling of housekeeping among the background tasks: slice and longest delay in microseconds.
-const HOUSEKEEPING_KIND: Kind = Kind { weight: 4, slice: 500, patience: 50_000 };
+const HOUSEKEEPING_TASK: TaskSettings =
+    TaskSettings { priority_weight: 4, time_slice: 500, max_delay: 50_000 };
 /// Scheduling of the periodic summary among the background tasks: slice and longest delay in microseconds.
-const SUMMARY_KIND: Kind = Kind { weight: 1, slice: 1000, patience: 500_000 };
+const SUMMARY_TASK: TaskSettings = TaskSettings { priority_weight: 1, time_slice: 1000, max_delay: 500_000 };
 /// Time between two looks at idle and stalled connections, ms.
 pub(super) const HOUSEKEEPING_INTERVAL: f64 = 250.0;
 /// Time between two summaries in the log, ms.
@@ -175,8 +176,8 @@
         let Files { config, operator } = files;
         let site_links = bind_site_links(&handle, config.sockets, &operator)?;
         let mut background = Scheduler::default();
-        let housekeeping_task = background.add(HOUSEKEEPING_KIND);
-        let summary_task = background.add(SUMMARY_KIND);
+        let housekeeping_task = background.add(HOUSEKEEPING_TASK);
+        let summary_task = background.add(SUMMARY_TASK);
         background.wake_at(housekeeping_task, micros(now + HOUSEKEEPING_INTERVAL));
         background.wake_at(summary_task, micros(now + SUMMARY_INTERVAL));
         let fleet_socket = bind_fleet_socket(&handle, &operator)?;
--- a/crates/deckproxy/src/program/subsystem/effect.rs
+++ b/crates/deckproxy/src/program/subsystem/effect.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use deckproxy_control::interface::MemberId;
 use deckproxy_flow::export::Transport;
-use deckproxy_flow::work::{Micros, TaskId};
+use deckproxy_flow::scheduler::{Micros, TaskId};
 use deckproxy_sites::frame::Frame;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
--- a/crates/deckproxy/src/program/subsystem/ids.rs
+++ b/crates/deckproxy/src/program/subsystem/ids.rs
@@ -1,7 +1,7 @@
 //! Identifiers and the unit of time that subsystems share with the event loop.
 
 use crate::routing::ClientId;
-use deckproxy_flow::work::Micros;
+use deckproxy_flow::scheduler::Micros;
 
 /// One connection of a link to another site's gateway.
 pub type LinkId = u64;
--- a/crates/deckproxy/src/program/subsystem/mod.rs
+++ b/crates/deckproxy/src/program/subsystem/mod.rs
@@ -19,7 +19,7 @@
 use crate::protocol::downstream::{Answer, Call};
 use crate::protocol::upstream::CopyInfo;
 use crate::routing::{ClientId, Router};
-use deckproxy_flow::work::{Micros, TaskId};
+use deckproxy_flow::scheduler::{Micros, TaskId};
 use deckproxy_operator::Operator;
 use deckproxy_sites::frame::Frame;
 
--- a/crates/deckproxy/src/program/subsystems.rs
+++ b/crates/deckproxy/src/program/subsystems.rs
@@ -8,7 +8,7 @@
 use crate::protocol::downstream::{Answer, Call};
 use crate::protocol::upstream::CopyInfo;
 use crate::routing::{ClientId, Router};
-use deckproxy_flow::work::{Micros, Scheduler, TaskId};
+use deckproxy_flow::scheduler::{Micros, Scheduler, TaskId};
 use deckproxy_operator::Operator;
 use deckproxy_sites::frame::Frame;
 use slog::{Logger, warn};
