--- a/crates/deckproxy-adapter/tests/wire.rs
+++ b/crates/deckproxy-adapter/tests/wire.rs
@@ -60,7 +60,7 @@
     let mut tail = CONF.as_bytes().to_vec();
     let at = tail.len() as u32;
     tail.extend(hex("01 0000000000000000 0000803f 0000 01 0000 65000000"));
-    let word = |n: u32| n.to_le_bytes().iter().map(|b| format!("{b:02x}")).collect::<String>();
+    let word = |n: u32| n.to_le_bytes().map(|b| format!("{b:02x}")).concat();
     let records = [
         format!("00 {instance} 0700000000000000 00000000 {}", word(CONF.len() as u32)),
         format!("01 {instance} 04 01000000 {} 01000000", word(at)),
@@ -280,7 +280,7 @@
     answer(&mut host, &start("0300"));
     let records: Vec<String> = (0..30_000u32)
         .map(|i| {
-            let id: String = (1000 + i).to_le_bytes().iter().map(|b| format!("{b:02x}")).collect();
+            let id = (1000 + i).to_le_bytes().map(|b| format!("{b:02x}")).concat();
             format!("02 0300 {id} 00000000 {id}00000000 00004842 00 00000000 000000000000f940 00")
         })
         .collect();
--- a/crates/deckproxy-control/src/control/retry_budget.rs
+++ b/crates/deckproxy-control/src/control/retry_budget.rs
@@ -21,7 +21,7 @@
     }
 
     /// Whether one more retry or hedged request is allowed.
-    pub(super) fn is_available(&self) -> bool {
+    pub(super) fn is_available(self) -> bool {
         self.tokens >= 1.0
     }
 
--- a/crates/deckproxy-control/tests/load_estimates.rs
+++ b/crates/deckproxy-control/tests/load_estimates.rs
@@ -63,7 +63,7 @@
             at.push(rig.sends()[0].1);
             rig.end(id, 0, at[at.len() - 1], AttemptEnding::Served);
         }
-        at.sort();
+        at.sort_unstable();
         at.dedup();
         at.len()
     };
--- a/crates/deckproxy-control/tests/outlier_ejection.rs
+++ b/crates/deckproxy-control/tests/outlier_ejection.rs
@@ -36,7 +36,9 @@
     let member = rig.home_of(5);
     let held: Vec<RequestId> = (0..8).map(|_| rig.ask(SMALL, 5, 0)).collect();
     rig.now += 20.0;
-    held.iter().for_each(|id| rig.end(*id, 0, member, AttemptEnding::Reset));
+    for id in &held {
+        rig.end(*id, 0, member, AttemptEnding::Reset);
+    }
     assert_eq!(rig.home_of(5), member, "it is still asked");
     // Failures one after another still leave it out.
     let mut asked = Vec::new();
--- a/crates/deckproxy-control/tests/properties.rs
+++ b/crates/deckproxy-control/tests/properties.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-#[derive(Clone, Debug)]
+#[derive(Clone, Copy, Debug)]
 enum Step {
     Wait(u16),
     SendRequest { class: u8, object: u8, patience: u16 },
@@ -156,8 +156,10 @@
             }
         }
         let purges = self.purged.iter().filter(|p| p.0 == Some(r.object) || p.0.is_none() && p.1 == r.group);
-        let newest =
-            purges.map(|p| p.2).filter(|at| now <= at + settings().purge_settle_time).fold(None, newer);
+        let newest = purges
+            .map(|p| p.2)
+            .filter(|at| now <= at + settings().purge_settle_time)
+            .fold(None, |latest, at| Some(newer(latest, at)));
         if let Some(at) = newest.filter(|_| !is_origin) {
             let age = age.expect("a look-up without a bound after a purge");
             assert!(age > 0.0 && age <= now - at + 0.0011, "a copy of {age} ms may be older than the purge");
@@ -232,6 +234,7 @@
         }
     }
 
+    #[allow(clippy::too_many_lines, reason = "one arm for each kind of step")]
     fn step(&mut self, step: Step) {
         match step {
             Step::Wait(span) => self.wait(f64::from(span)),
@@ -350,8 +353,8 @@
     }
 }
 
-fn newer(a: Option<f64>, b: f64) -> Option<f64> {
-    Some(a.map_or(b, |a| a.max(b)))
+fn newer(a: Option<f64>, b: f64) -> f64 {
+    a.map_or(b, |a| a.max(b))
 }
 
 proptest! {
--- a/crates/deckproxy-fleet/src/fleet/mod.rs
+++ b/crates/deckproxy-fleet/src/fleet/mod.rs
@@ -245,7 +245,7 @@
         let Some(pause) = self.clock.read(now).pause else { return };
         self.counters.pauses += 1;
         self.stale_since = Some(now);
-        self.view.update(now, View { is_stale: true, ..self.view.clone() });
+        self.view.update(now, &View { is_stale: true, ..self.view.clone() });
         self.health_checks.restart(now, self.settings.health_check_interval);
         self.log(format!("this process stood still for {pause:.0} ms: what it knew of the fleet is old"));
     }
--- a/crates/deckproxy-fleet/src/fleet/view_update.rs
+++ b/crates/deckproxy-fleet/src/fleet/view_update.rs
@@ -15,7 +15,7 @@
         // By the size of the fleet that was expected so far.
         let seen = self.observe_fleet(now, &self.timeouts());
         let rate = self.view.rate();
-        self.view.update(now, seen);
+        self.view.update(now, &seen);
         self.reassign |= rate != self.view.rate();
     }
 
--- a/crates/deckproxy-fleet/src/overload/coordination.rs
+++ b/crates/deckproxy-fleet/src/overload/coordination.rs
@@ -116,7 +116,9 @@
         }
         // Instances whose summaries are not there yet count like the others.
         let missing = presence.count() as f64 / f64::from(summaries);
-        rates.iter_mut().for_each(|rates| rates.scale(missing.min(MISSING_SUMMARIES)));
+        for rates in &mut rates {
+            rates.scale(missing.min(MISSING_SUMMARIES));
+        }
         rates
     }
 
--- a/crates/deckproxy-fleet/src/overload/shed_level.rs
+++ b/crates/deckproxy-fleet/src/overload/shed_level.rs
@@ -37,6 +37,7 @@
     }
 
     /// This level, with the line of `other` at each resource where that has the higher minimal priority.
+    #[must_use]
     pub fn stricter(mut self, other: &ShedLevel) -> ShedLevel {
         for (line, other) in self.lines.iter_mut().zip(other.lines) {
             let Some(other) = other else { continue };
@@ -59,6 +60,7 @@
 
 impl DatedShedLevel {
     /// Combines two decisions: the epoch of the later one, and the stricter line at each resource.
+    #[must_use]
     pub fn combine(self, other: DatedShedLevel) -> DatedShedLevel {
         let (later, earlier) =
             if self.level.epoch < other.level.epoch { (other, self) } else { (self, other) };
--- a/crates/deckproxy-fleet/src/view.rs
+++ b/crates/deckproxy-fleet/src/view.rs
@@ -26,8 +26,8 @@
 
 impl View {
     /// Takes what is seen now; `since` stays where nothing changed.
-    pub fn update(&mut self, now: Millis, seen: View) {
-        let seen = View { since: self.since, ..seen };
+    pub fn update(&mut self, now: Millis, seen: &View) {
+        let seen = View { since: self.since, ..*seen };
         if seen != *self {
             *self = View { since: now, ..seen };
         }
--- a/crates/deckproxy-fleet/tests/rendezvous.rs
+++ b/crates/deckproxy-fleet/tests/rendezvous.rs
@@ -23,7 +23,9 @@
         let two = observers(&format!("m{m}"), &zone, &all, 2);
         assert_eq!(two.len(), 2);
         assert!(two.iter().all(|i| *all[*i].zone == *zone));
-        two.into_iter().for_each(|i| *counts.entry(i).or_default() += 1);
+        for i in two {
+            *counts.entry(i).or_default() += 1;
+        }
     }
     assert!(counts.values().all(|n| (400..600).contains(n)), "{counts:?}");
     // A zone without enough instances gets observers of other zones.
--- a/crates/deckproxy-fleet/tests/schedules.rs
+++ b/crates/deckproxy-fleet/tests/schedules.rs
@@ -38,12 +38,11 @@
             2 | 3 if sim.cuts.is_empty() => {
                 let mut all: Vec<usize> = (0..n).collect();
                 all.shuffle(rng);
-                let parts = match rng.random_range(0..3) {
-                    0 => all.chunks(1 + n / 3).map(<[usize]>::to_vec).collect::<Vec<_>>(),
-                    _ => {
-                        let at = rng.random_range(1..n);
-                        vec![all[..at].to_vec(), all[at..].to_vec()]
-                    }
+                let parts = if rng.random_range(0..3) == 0 {
+                    all.chunks(1 + n / 3).map(<[usize]>::to_vec).collect::<Vec<_>>()
+                } else {
+                    let at = rng.random_range(1..n);
+                    vec![all[..at].to_vec(), all[at..].to_vec()]
                 };
                 if rng.random_bool(0.3) && parts.len() == 2 {
                     for from in &parts[0] {
@@ -74,7 +73,9 @@
             events.push(format!("{now:.0} heal {kind} {one}"));
         }
     }
-    heals.into_iter().for_each(|(_, kind, one)| heal(sim, kind, one));
+    for (_, kind, one) in heals {
+        heal(sim, kind, one);
+    }
     sim.network = NetworkConditions::default();
     events
 }
--- a/crates/deckproxy-flow/src/spool.rs
+++ b/crates/deckproxy-flow/src/spool.rs
@@ -96,15 +96,12 @@
         let older = std::mem::take(&mut self.queue);
         let mut positions: HashMap<Key, usize> = HashMap::new();
         for flow in older {
-            match positions.get(&flow.key) {
-                Some(position) => {
-                    self.queue[*position].counts.merge(&flow.counts);
-                    self.merged += 1;
-                }
-                None => {
-                    positions.insert(flow.key, self.queue.len());
-                    self.queue.push_back(flow);
-                }
+            if let Some(position) = positions.get(&flow.key) {
+                self.queue[*position].counts.merge(&flow.counts);
+                self.merged += 1;
+            } else {
+                positions.insert(flow.key, self.queue.len());
+                self.queue.push_back(flow);
             }
         }
         self.queue.extend(newer);
--- a/crates/deckproxy-flow/tests/export.rs
+++ b/crates/deckproxy-flow/tests/export.rs
@@ -109,7 +109,9 @@
 fn all_flows_are_exported_with_their_names_and_types() {
     let mut exporter = Exporter::new(SETTINGS, &[Transport::Tcp], 0, 0);
     let mut reads = [Read::default()];
-    flows(0..250).into_iter().for_each(|f| exporter.push(f));
+    for f in flows(0..250) {
+        exporter.push(f);
+    }
     run(&mut exporter, 10, &mut reads, |_| true);
     assert_eq!((reads[0].out, reads[0].requests, reads[0].missing), (25_000, 250, 0));
     assert_eq!(
@@ -126,7 +128,9 @@
     let mut reads = [Read::default()];
     // The same 100 clients again and again: merged by key, nothing is dropped.
     for minute in 0..60 {
-        flows(0..100).into_iter().for_each(|f| exporter.push(f));
+        for f in flows(0..100) {
+            exporter.push(f);
+        }
         run(&mut exporter, minute * 5000, &mut reads, |_| false);
     }
     assert!(exporter.backlog().spooled * size_of::<Flow>() <= SETTINGS.spool_size, "bounded");
@@ -139,7 +143,9 @@
     let mut exporter = Exporter::new(SETTINGS, &[Transport::Tcp], 0, 0);
     let mut reads = [Read::default()];
     // Every flow another client: there is nothing to merge.
-    flows(0..5000).into_iter().for_each(|f| exporter.push(f));
+    for f in flows(0..5000) {
+        exporter.push(f);
+    }
     assert!(exporter.unreported_loss().flows > 0);
     run(&mut exporter, 10, &mut reads, |_| true);
     assert!(reads[0].lost_flows > 0 && reads[0].requests > 100);
@@ -155,7 +161,9 @@
 fn flows_of_unwritten_messages_are_sent_again() {
     let mut exporter = Exporter::new(SETTINGS, &[Transport::Tcp], 0, 0);
     let mut reads = [Read::default()];
-    flows(0..300).into_iter().for_each(|f| exporter.push(f));
+    for f in flows(0..300) {
+        exporter.push(f);
+    }
     exporter.poll(10, 100, &name);
     assert_eq!(exporter.next_effect(), Some(Effect::Connect(0)));
     exporter.connected(10, 0);
@@ -177,16 +185,22 @@
 fn a_standby_collector_takes_over_and_replicas_get_all_flows() {
     let mut exporter = Exporter::new(SETTINGS, &[Transport::Tcp, Transport::Tcp], 0, 0);
     let mut reads = [Read::default(), Read::default()];
-    flows(0..100).into_iter().for_each(|f| exporter.push(f));
+    for f in flows(0..100) {
+        exporter.push(f);
+    }
     run(&mut exporter, 10, &mut reads, |_| true);
-    flows(0..100).into_iter().for_each(|f| exporter.push(f));
+    for f in flows(0..100) {
+        exporter.push(f);
+    }
     exporter.disconnected(20, 0);
     run(&mut exporter, 20, &mut reads, |place| place == 1);
     assert_eq!((reads[0].requests, reads[1].requests), (100, 100));
     let replicas = Settings { replicate: true, ..SETTINGS };
     let mut exporter = Exporter::new(replicas, &[Transport::Tcp, Transport::Udp], 0, 0);
     let mut reads = [Read::default(), Read::default()];
-    flows(0..100).into_iter().for_each(|f| exporter.push(f));
+    for f in flows(0..100) {
+        exporter.push(f);
+    }
     run(&mut exporter, 10, &mut reads, |place| place == 1);
     run(&mut exporter, 5000, &mut reads, |_| true);
     assert_eq!((reads[0].requests, reads[1].requests), (100, 100));
@@ -207,7 +221,9 @@
     assert_eq!(told(&reads), 2);
     // A collector that lost its templates reads again after a refresh.
     reads[0].decoder = None;
-    flows(0..350).into_iter().for_each(|f| exporter.push(f));
+    for f in flows(0..350) {
+        exporter.push(f);
+    }
     run(&mut exporter, 2300, &mut reads, |_| true);
     let sent = exporter.counters.messages;
     run(&mut exporter, 2301, &mut reads, |_| true);
@@ -223,7 +239,9 @@
     let settings = Settings { version: Version::NetflowV9, ..SETTINGS };
     let mut exporter = Exporter::new(settings, &[Transport::Udp], 0, 0);
     let mut reads = [Read::default()];
-    flows(0..200).into_iter().for_each(|f| exporter.push(f));
+    for f in flows(0..200) {
+        exporter.push(f);
+    }
     run(&mut exporter, 10, &mut reads, |_| true);
     assert_eq!(reads[0].requests, 0, "templates are sent ahead");
     run(&mut exporter, 120, &mut reads, |_| true);
@@ -234,7 +252,9 @@
 fn no_flow_is_sent_over_udp_where_no_collector_listens() {
     let mut exporter = Exporter::new(SETTINGS, &[Transport::Udp], 0, 0);
     let mut reads = [Read::default()];
-    flows(0..50).into_iter().for_each(|f| exporter.push(f));
+    for f in flows(0..50) {
+        exporter.push(f);
+    }
     for now in (0..60_000).step_by(50) {
         run(&mut exporter, now, &mut reads, |_| true);
         // The network reports it after the first datagram, long before flows may follow.
@@ -254,9 +274,13 @@
     let mut exporter = Exporter::new(SETTINGS, &[Transport::Tcp], start, 0);
     // One reader across the connections: it would see a gap, also over the wrap at 2^32.
     let mut reads = [Read::default()];
-    flows(0..100).into_iter().for_each(|f| exporter.push(f));
+    for f in flows(0..100) {
+        exporter.push(f);
+    }
     run(&mut exporter, 10, &mut reads, |_| true);
-    flows(100..200).into_iter().for_each(|f| exporter.push(f));
+    for f in flows(100..200) {
+        exporter.push(f);
+    }
     exporter.poll(20, 100, &name);
     assert!(exporter.backlog().in_flight > 0, "in flight, and not written");
     while exporter.next_effect().is_some() {}
@@ -272,7 +296,9 @@
         let both = [Transport::Tcp, Transport::Tcp];
         let mut exporter = Exporter::new(settings, &both, 0, 0);
         let mut reads = [Read::default(), Read::default()];
-        flows(0..40).into_iter().for_each(|f| exporter.push(f));
+        for f in flows(0..40) {
+            exporter.push(f);
+        }
         // Neither is up; then the first is removed, the second stays and moves up, a new one is added.
         run(&mut exporter, 10, &mut reads, |_| false);
         exporter.poll(5000, 0, &name);
@@ -283,7 +309,9 @@
         assert_eq!(exporter.backlog().in_flight, 40, "in flight to the second");
         exporter.replace_collectors(settings, &[(Transport::Tcp, Some(1)), (Transport::Tcp, None)], 5002);
         assert_eq!(exporter.backlog().in_flight, 40, "its connection stays");
-        flows(40..60).into_iter().for_each(|f| exporter.push(f));
+        for f in flows(40..60) {
+            exporter.push(f);
+        }
         // That connection is lost without a byte written: all flows are sent again.
         exporter.disconnected(5003, 0);
         run(&mut exporter, 60_000, &mut reads, |_| true);
@@ -300,7 +328,9 @@
         let settings = Settings { version, max_message: 1024, ..SETTINGS };
         let mut exporter = Exporter::new(settings, &[transport], 0, 0);
         let mut reads = [Read::default()];
-        flows(0..30).into_iter().for_each(|f| exporter.push(f));
+        for f in flows(0..30) {
+            exporter.push(f);
+        }
         run(&mut exporter, 10, &mut reads, |_| true);
         run(&mut exporter, 200, &mut reads, |_| true);
         assert_eq!(reads[0].requests, 30, "{version:?}");
--- a/crates/deckproxy-flow/tests/scheduler.rs
+++ b/crates/deckproxy-flow/tests/scheduler.rs
@@ -21,7 +21,7 @@
         let mut scheduler = Scheduler::default();
         let ids: Vec<TaskId> = tasks.iter().map(|(w, s, p)| scheduler.add(settings(*w, *s, *p))).collect();
         let mut now = 0;
-        ids.iter().for_each(|id| scheduler.wake(now, *id));
+        for id in &ids { scheduler.wake(now, *id); }
         for (left, elapsed) in turns {
             now += elapsed;
             let mut left = left;
@@ -47,7 +47,9 @@
 fn time_is_shared_by_weight() {
     let mut scheduler = Scheduler::default();
     let ids = [1, 2, 5].map(|weight| scheduler.add(settings(weight, 100, 1 << 40)));
-    ids.iter().for_each(|id| scheduler.wake(0, *id));
+    for id in &ids {
+        scheduler.wake(0, *id);
+    }
     let mut run_time: HashMap<TaskId, u64> = HashMap::new();
     for now in 0..8000 {
         let (id, slice) = scheduler.next(now, 1000).unwrap();
--- a/crates/deckproxy-lab/src/demo.rs
+++ b/crates/deckproxy-lab/src/demo.rs
@@ -45,7 +45,7 @@
 }
 
 /// A small fleet at work.
-fn fleet(options: &Options) -> Result<ExitCode, LabError> {
+fn fleet(options: &Options) -> ExitCode {
     let seconds = (options.seconds as f64).max(8.0);
     let mut plan = Plan {
         seconds,
@@ -82,7 +82,7 @@
     }
     print_line!("{table}");
     let good = v.holds() && run.process_faults.is_empty() && v.served > 0;
-    Ok(if good { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    if good { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
 /// The text of an operator file without faults.
@@ -96,7 +96,7 @@
 /// Runs it.
 pub fn run(options: &Options) -> Result<ExitCode, LabError> {
     if options.gateways > 1 {
-        return fleet(options);
+        return Ok(fleet(options));
     }
     let operator = options.operator.as_deref().map(operator_file).transpose()?;
     let record = Record::default();
@@ -109,7 +109,7 @@
     let draw = traffic::requests(0, 1, 2000, 0.0, 0.04);
     let rate = f64::from(options.rate);
     let load = Load::new(0, at, options.clients as usize, rate, options.seed, &draw);
-    let callers = LoadClients::start(load, &record);
+    let callers = LoadClients::start(&load, &record);
     let bar = ProgressBar::new(options.seconds * 10);
     if let Ok(style) = ProgressStyle::with_template("{bar:30} {msg}") {
         bar.set_style(style);
--- a/crates/deckproxy-lab/src/drills/flows.rs
+++ b/crates/deckproxy-lab/src/drills/flows.rs
@@ -43,10 +43,11 @@
 
 /// The operator file that exports to all of these collectors.
 fn operator_file(collectors: &[&Collector]) -> String {
-    let entries: String = collectors
+    let entries: Vec<String> = collectors
         .iter()
         .map(|collector| format!(" collectors {{ address: \"{}\" transport: TCP }}\n", collector.address))
         .collect();
+    let entries = entries.concat();
     format!(
         "flows {{\n{entries} delivery: TO_EACH\n stall_ms: 400\n spool_kb: 256\n flush_ms: 3000\n \
          meter {{ active_ms: 400 idle_ms: 150 }}\n}}\n"
@@ -250,7 +251,7 @@
         disconnect_share: DISCONNECT_SHARE,
         ..load(IMPATIENT_LOAD, !seed)
     };
-    [steady, impatient].map(|load| LoadClients::start(load, record))
+    [steady, impatient].map(|load| LoadClients::start(&load, record))
 }
 
 fn to_millionths(x: f64) -> f64 {
--- a/crates/deckproxy-lab/src/drills/recovery.rs
+++ b/crates/deckproxy-lab/src/drills/recovery.rs
@@ -92,7 +92,7 @@
     // So many objects that most are asked for once.
     let draw = traffic::requests(0, 1, 200_000, 0.0, 0.02);
     let load = Load { retry_policy: patience, ..Load::new(0, at, CLIENTS, RATE, options.seed, &draw) };
-    let callers = LoadClients::start(load, &record);
+    let callers = LoadClients::start(&load, &record);
     let start = Instant::now();
     let part = Duration::from_secs_f64(options.seconds as f64 / 4.0);
     thread::sleep(part);
--- a/crates/deckproxy-lab/src/drills/sites/mod.rs
+++ b/crates/deckproxy-lab/src/drills/sites/mod.rs
@@ -104,7 +104,9 @@
     let link_addresses = [free_address(), free_address()];
     // The link that a site opens goes through a relay to the other's gateway.
     let links = [LinkRelay::to(link_addresses[1]), LinkRelay::to(link_addresses[0])];
-    links.iter().for_each(|link| link.set_delay(LINK_DELAY));
+    for link in &links {
+        link.set_delay(LINK_DELAY);
+    }
     let mut gateways: Vec<SiteGateway> = (0..2)
         .map(|n| {
             let operator_file = operator_file(n, link_addresses[n], links[n].address);
@@ -144,7 +146,7 @@
 fn start_clients(site: u32, gateway: SocketAddr, seed: u64, record: &Record) -> LoadClients {
     let requests = traffic::requests(site, 2, OBJECTS, CROSS_SITE_SHARE, WRITE_SHARE);
     let seed = seed ^ u64::from(site) << 32;
-    LoadClients::start(Load::new(site, gateway, CLIENTS, RATE, seed, &requests), record)
+    LoadClients::start(&Load::new(site, gateway, CLIENTS, RATE, seed, &requests), record)
 }
 
 /// The promised shares of served requests that were not reached.
--- a/crates/deckproxy-lab/src/flows/collect.rs
+++ b/crates/deckproxy-lab/src/flows/collect.rs
@@ -64,7 +64,7 @@
 }
 
 impl Store {
-    fn take(&mut self, exporter: IpAddr, collected: Collected) {
+    fn take(&mut self, exporter: IpAddr, collected: &Collected) {
         let c = &mut self.counts;
         c.messages += 1;
         c.missing += u64::from(collected.missing);
@@ -189,7 +189,7 @@
         *at = now;
         let collected = decoder.message(now, &bytes::Bytes::copy_from_slice(&buffer[..n]));
         if let Ok(mut store) = store.lock() {
-            store.take(peer.ip(), collected);
+            store.take(peer.ip(), &collected);
         }
     }
 }
@@ -225,7 +225,7 @@
                         }
                     }
                     if let Ok(mut store) = store.lock() {
-                        store.take(peer.ip(), collected);
+                        store.take(peer.ip(), &collected);
                     }
                 }
                 // RFC 7011, 10.4: where messages begin can't be told any more.
--- a/crates/deckproxy-lab/src/flows/query/tests.rs
+++ b/crates/deckproxy-lab/src/flows/query/tests.rs
@@ -33,10 +33,14 @@
         "client = 10.1.2.0/24;",
         "box = \"\"",
     ];
-    good.iter().for_each(|text| assert!(matches(text), "{text}"));
+    for text in &good {
+        assert!(matches(text), "{text}");
+    }
     let bad =
         ["class != page", "client in 10.1.2.3", "out <= 1999kB", "class = once and class = page or back > 0"];
-    bad.iter().for_each(|text| assert!(!matches(text), "{text}"));
+    for text in &bad {
+        assert!(!matches(text), "{text}");
+    }
 }
 
 #[test]
--- a/crates/deckproxy-lab/src/flows/record.rs
+++ b/crates/deckproxy-lab/src/flows/record.rs
@@ -158,7 +158,7 @@
     let all = fs::read_dir(folder).map_err(LabError::file(folder))?;
     let ours = |path: &PathBuf| {
         let name = path.file_name().and_then(|n| n.to_str()).unwrap_or("");
-        name.starts_with("flows-") && name.ends_with(".jsonl")
+        name.starts_with("flows-") && path.extension().is_some_and(|extension| extension == "jsonl")
     };
     let mut files: Vec<PathBuf> = all.filter_map(|e| Some(e.ok()?.path())).filter(ours).collect();
     files.sort();
--- a/crates/deckproxy-lab/src/measure/cpu.rs
+++ b/crates/deckproxy-lab/src/measure/cpu.rs
@@ -27,7 +27,7 @@
         let records = [Record::default(), Record::default()];
         let before = gateways.each_ref().map(deckproxy_standins::Gateway::cpu_ns);
         let loads = [0, 1].map(|i| {
-            LoadClients::start(Load::new(0, gateways[i].address, 40, RATE, seed, &draw), &records[i])
+            LoadClients::start(&Load::new(0, gateways[i].address, 40, RATE, seed, &draw), &records[i])
         });
         thread::sleep(Duration::from_secs(seconds));
         loads.into_iter().for_each(LoadClients::finish);
--- a/crates/deckproxy-lab/src/measure/flows.rs
+++ b/crates/deckproxy-lab/src/measure/flows.rs
@@ -116,7 +116,9 @@
         let before = resident();
         let start = Instant::now();
         let mut top = HeavyHitters::new(places);
-        draws.iter().for_each(|n| top.add(address(*n as usize), update.out));
+        for n in &draws {
+            top.add(address(*n as usize), update.out);
+        }
         let (ns, memory) = (each(start), kb(before));
         let total = UPDATES as u64 * update.out;
         let worst = top.top(10).iter().map(|hitter| hitter.sum - plain[&hitter.key][0]).max().unwrap_or(0);
--- a/crates/deckproxy-lab/src/measure/sites/mod.rs
+++ b/crates/deckproxy-lab/src/measure/sites/mod.rs
@@ -94,7 +94,7 @@
     fn load(&self, options: &Options, rate: f64, requests: &RequestGenerator) -> LoadResult {
         let before = self.cpu_ms();
         let load = Load::new(0, self.addresses[0], CLIENTS, rate, options.seed, requests);
-        let clients = LoadClients::start(load, &self.record);
+        let clients = LoadClients::start(&load, &self.record);
         thread::sleep(Duration::from_secs(options.seconds));
         clients.finish();
         let after = self.cpu_ms();
--- a/crates/deckproxy-lab/src/measure/sites/recovery.rs
+++ b/crates/deckproxy-lab/src/measure/sites/recovery.rs
@@ -42,7 +42,7 @@
         let pair = SitePair::start(link_settings, LinkPath::Relayed);
         let requests = traffic::requests(1, 1, 300, 0.0, 0.0);
         let load = Load { retry_policy, ..Load::new(0, pair.addresses[0], CLIENTS, RATE, seed, &requests) };
-        let clients = LoadClients::start(load, &pair.record);
+        let clients = LoadClients::start(&load, &pair.record);
         thread::sleep(CALM);
         let cut = pair.record.now();
         pair.relay.set_state(LinkState::Reset);
--- a/crates/deckproxy-lab/src/rig.rs
+++ b/crates/deckproxy-lab/src/rig.rs
@@ -60,7 +60,9 @@
     let (run, figures) = play(&plan, |at, fault| print_line!("{at:7.2} s  {fault}"));
     let broken = broken_promises(&run, &figures);
     show(&run, &figures);
-    broken.iter().for_each(|promise| eprintln!("broken: {promise}"));
+    for promise in &broken {
+        eprintln!("broken: {promise}");
+    }
     if let Some(folder) = &options.out {
         write(folder, &run, &figures).map_err(LabError::file(folder))?;
     }
--- a/crates/deckproxy-model/src/check/mod.rs
+++ b/crates/deckproxy-model/src/check/mod.rs
@@ -107,19 +107,16 @@
     /// A gateway answered a request; `outcome` is for the trace.
     pub fn request_answered(&mut self, now: Micros, request: RequestKey, outcome: &'static str) {
         self.trace.push(now, TraceEvent::Answered { request, outcome });
-        match self.unanswered.remove(&request) {
-            Some(deadline) => {
-                self.answered += 1;
-                if now > deadline {
-                    self.violations.late += 1;
-                    self.explain(now, "an answer after its deadline", |event| event.concerns(request));
-                }
-            }
-            None => {
-                self.violations.double_answers += 1;
-                let what = "an answer to a request that was answered already, or never made";
-                self.explain(now, what, |event| event.concerns(request));
+        if let Some(deadline) = self.unanswered.remove(&request) {
+            self.answered += 1;
+            if now > deadline {
+                self.violations.late += 1;
+                self.explain(now, "an answer after its deadline", |event| event.concerns(request));
             }
+        } else {
+            self.violations.double_answers += 1;
+            let what = "an answer to a request that was answered already, or never made";
+            self.explain(now, what, |event| event.concerns(request));
         }
     }
 
--- a/crates/deckproxy-model/src/experiment/mod.rs
+++ b/crates/deckproxy-model/src/experiment/mod.rs
@@ -3,7 +3,7 @@
 mod conversion;
 
 /// Types that are generated from `proto/experiment.proto`; the fields are described there.
-#[allow(missing_docs, clippy::all)]
+#[allow(clippy::all, clippy::pedantic, missing_docs)]
 mod schema {
     include!(concat!(env!("OUT_DIR"), "/deckproxy.model.rs"));
 }
--- a/crates/deckproxy-model/src/simulation/faults.rs
+++ b/crates/deckproxy-model/src/simulation/faults.rs
@@ -82,10 +82,14 @@
             FaultKind::Crash { .. } | FaultKind::SiteLoss { .. } => self.schedule_cache_restarts(&caches),
             FaultKind::Hang { .. } => self.resume_hung_caches(&caches),
             FaultKind::Slow { .. } => {
-                caches.iter().for_each(|cache| self.member_mut(*cache).slowdown = 1.0);
+                for cache in &caches {
+                    self.member_mut(*cache).slowdown = 1.0;
+                }
             }
             FaultKind::Gray { .. } => {
-                caches.iter().for_each(|cache| self.member_mut(*cache).error_share = 0.0);
+                for cache in &caches {
+                    self.member_mut(*cache).error_share = 0.0;
+                }
             }
             FaultKind::SlowOrigin { .. } => self.slow_origins(1.0),
             FaultKind::GatewayRestarts => {}
--- a/crates/deckproxy-model/src/simulation/job.rs
+++ b/crates/deckproxy-model/src/simulation/job.rs
@@ -59,15 +59,12 @@
         self.last_number += 1;
         let number = self.last_number;
         let job = Job { number, ..job };
-        let slot = match self.free_slots.pop() {
-            Some(slot) => {
-                self.jobs[slot] = job;
-                slot
-            }
-            None => {
-                self.jobs.push(job);
-                self.jobs.len() - 1
-            }
+        let slot = if let Some(slot) = self.free_slots.pop() {
+            self.jobs[slot] = job;
+            slot
+        } else {
+            self.jobs.push(job);
+            self.jobs.len() - 1
         };
         JobHandle { slot, number }
     }
--- a/crates/deckproxy-operator/build.rs
+++ b/crates/deckproxy-operator/build.rs
@@ -2,6 +2,7 @@
 
 use std::path::PathBuf;
 
+#[allow(clippy::too_many_lines, reason = "most of it is the table of rules")]
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo:rerun-if-changed=proto/operator.proto");
     let files = protox::compile(["proto/operator.proto"], ["proto"])?;
--- a/crates/deckproxy-operator/src/field_positions.rs
+++ b/crates/deckproxy-operator/src/field_positions.rs
@@ -98,6 +98,7 @@
 const MAX_DEPTH: usize = 16;
 
 /// Where a message stands that is too deep inside others to be read.
+#[allow(clippy::match_same_arms, reason = "the arms are in order of precedence")]
 fn too_deep(text: &str) -> Option<usize> {
     let (mut depth, mut quote, mut comment, mut escaped) = (0usize, None, false, false);
     for (at, c) in text.char_indices() {
--- a/crates/deckproxy-operator/src/lib.rs
+++ b/crates/deckproxy-operator/src/lib.rs
@@ -17,7 +17,7 @@
 pub mod text_format;
 pub use text_format::{FileError, LARGEST};
 
-#[allow(missing_docs, clippy::doc_markdown)]
+#[allow(clippy::all, clippy::pedantic, missing_docs)]
 mod schema {
     include!(concat!(env!("OUT_DIR"), "/deckproxy.operator.rs"));
 }
--- a/crates/deckproxy-operator/src/rules.rs
+++ b/crates/deckproxy-operator/src/rules.rs
@@ -76,9 +76,10 @@
 /// An error if the text is not 0 to 16 digits of `0-9` and `a-f`.
 pub fn hex_prefix(text: &str, _: &()) -> Result {
     let digits = text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
-    match digits && text.len() <= 16 {
-        true => Ok(()),
-        false => Err(Error::new(format!("{text:?} is no prefix: 0 to 16 digits of 0-9 and a-f are wanted"))),
+    if digits && text.len() <= 16 {
+        Ok(())
+    } else {
+        Err(Error::new(format!("{text:?} is no prefix: 0 to 16 digits of 0-9 and a-f are wanted")))
     }
 }
 
--- a/crates/deckproxy-rig/src/client_population.rs
+++ b/crates/deckproxy-rig/src/client_population.rs
@@ -217,7 +217,7 @@
             while Instant::now() < due && running.load(Ordering::SeqCst) {
                 thread::sleep((due - Instant::now()).min(Duration::from_millis(20)));
             }
-            due = due.max(Instant::now() - MAX_BACKLOG);
+            due = Instant::now().checked_sub(MAX_BACKLOG).map_or(due, |earliest| due.max(earliest));
             let request = (settings.requests)(&mut self.rng);
             self.request(request);
         }
--- a/crates/deckproxy-rig/src/plan/reader.rs
+++ b/crates/deckproxy-rig/src/plan/reader.rs
@@ -7,7 +7,7 @@
 use prost::Message as _;
 use prost_reflect::{DescriptorPool, MessageDescriptor};
 
-#[allow(clippy::all, missing_docs)]
+#[allow(clippy::all, clippy::pedantic, missing_docs)]
 mod schema {
     include!(concat!(env!("OUT_DIR"), "/deckproxy.rig.rs"));
 }
--- a/crates/deckproxy-rig/src/simulated_fleet/mod.rs
+++ b/crates/deckproxy-rig/src/simulated_fleet/mod.rs
@@ -196,7 +196,7 @@
         let mut settings = settings(instance, self.zones, incarnation);
         settings.seeds.truncate(self.nodes.len());
         settings.expected_instances = self.expected_instances;
-        settings.overload = self.overload.clone();
+        settings.overload.clone_from(&self.overload);
         let mut fleet = Fleet::new(self.now, settings, seed);
         fleet.set_members(self.members.iter().cloned());
         let node = &mut self.nodes[instance];
--- a/crates/deckproxy-sites/src/purges/mod.rs
+++ b/crates/deckproxy-sites/src/purges/mod.rs
@@ -144,8 +144,8 @@
         let Some(entry) = self.entries.pop_front() else { return };
         self.known_origins.remove(&entry.origin);
         match entry.object {
-            Some(object) => remove_times(&mut self.object_purges, object, entry.times),
-            None => remove_times(&mut self.group_purges, entry.group, entry.times),
+            Some(object) => remove_times(&mut self.object_purges, &object, entry.times),
+            None => remove_times(&mut self.group_purges, &entry.group, entry.times),
         }
     }
 
@@ -282,12 +282,12 @@
 /// Removes one purge, and the complete entry with the last one.
 fn remove_times<K: std::hash::Hash + Eq>(
     purges: &mut HashMap<K, Vec<PurgeTimes>>,
-    key: K,
+    key: &K,
     times: PurgeTimes,
 ) {
-    let Some(all) = purges.get_mut(&key) else { return };
+    let Some(all) = purges.get_mut(key) else { return };
     all.retain(|other| *other != times);
     if all.is_empty() {
-        purges.remove(&key);
+        purges.remove(key);
     }
 }
--- a/crates/deckproxy-sites/src/requester/requests.rs
+++ b/crates/deckproxy-sites/src/requester/requests.rs
@@ -60,7 +60,7 @@
     }
 
     /// Gives one request its final response.
-    pub(super) fn reply(&mut self, waiter: Waiter, reply: Reply) {
+    pub(super) fn reply(&mut self, waiter: &Waiter, reply: Reply) {
         self.requests.remove(&waiter.token);
         self.deadlines.remove(&(TimeKey::at(waiter.request.deadline), waiter.token));
         self.effects.push_back(Effect::Reply(waiter.token, reply));
@@ -70,7 +70,7 @@
     pub(super) fn reply_to_all(&mut self, now: Millis, id: CrossingId, reply: &Reply) {
         let Some(crossing) = self.crossings.get_mut(&id) else { return };
         for waiter in std::mem::take(&mut crossing.waiters) {
-            self.reply(waiter, reply.clone());
+            self.reply(&waiter, reply.clone());
         }
         self.end_crossing(now, id);
     }
@@ -95,7 +95,7 @@
         let was_sent = crossing.attempt.is_some() || crossing.is_retry;
         let reply =
             if was_sent { Reply::Failed } else { Reply::Rejected { retry_after: self.limits.retry_after } };
-        self.reply(waiter, reply);
+        self.reply(&waiter, reply);
         if was_last {
             self.end_crossing(now, id);
         }
--- a/crates/deckproxy-sites/src/requester/responses.rs
+++ b/crates/deckproxy-sites/src/requester/responses.rs
@@ -165,7 +165,7 @@
         crossing.waiters = others;
         let has_others = !crossing.waiters.is_empty();
         for waiter in same {
-            self.reply(waiter, reply.clone());
+            self.reply(&waiter, reply.clone());
         }
         if has_others {
             self.retry(now, id);
--- a/crates/deckproxy-sites/src/requester/retries.rs
+++ b/crates/deckproxy-sites/src/requester/retries.rs
@@ -17,7 +17,7 @@
         let Some(leader) = crossing.waiters.pop_front() else { return self.end_crossing(now, id) };
         let has_waiters = !crossing.waiters.is_empty();
         crossing.is_retry = true;
-        self.reply(leader, reply.clone());
+        self.reply(&leader, reply.clone());
         if !has_waiters {
             return self.end_crossing(now, id);
         }
--- a/crates/deckproxy-sites/src/requester/timers.rs
+++ b/crates/deckproxy-sites/src/requester/timers.rs
@@ -8,6 +8,7 @@
 use crate::frame::{AttemptState, Heartbeat, Payload};
 use crate::purges::PurgeLog;
 use crate::{ConnectionId, Millis};
+use std::collections::BTreeMap;
 
 /// Interval at which the queue is looked at while an endpoint is up: its capacity grows along the recovery ramp, ms.
 const QUEUE_INTERVAL: Millis = 10.0;
@@ -41,8 +42,7 @@
         let endpoint = &mut self.endpoints[index];
         endpoint.estimate.tick(now);
         let is_forgotten = endpoint.down_since.is_some_and(|since| now - since > endpoint.resume_timeout);
-        let timed_out =
-            if is_forgotten { std::mem::take(&mut endpoint.unresolved) } else { Default::default() };
+        let timed_out = if is_forgotten { std::mem::take(&mut endpoint.unresolved) } else { BTreeMap::new() };
         endpoint.unavailable_until.take_if(|until| now >= *until);
         let heartbeat = Heartbeat {
             sequence: 0,
--- a/crates/deckproxy-sites/src/site/mod.rs
+++ b/crates/deckproxy-sites/src/site/mod.rs
@@ -37,6 +37,7 @@
 /// A gateway between sites.
 #[derive(Debug)]
 pub struct Site {
+    #[allow(clippy::struct_field_names, reason = "tells this site from those of its peers")]
     own_site: String,
     max_hops: u32,
     link: LinkLimits,
--- a/crates/deckproxy-sites/tests/frame.rs
+++ b/crates/deckproxy-sites/tests/frame.rs
@@ -7,7 +7,9 @@
 use prost::Message;
 
 fn hex(payload: Payload) -> String {
-    Frame::from(payload).encode_to_vec().iter().map(|byte| format!("{byte:02x}")).collect()
+    let digits: Vec<String> =
+        Frame::from(payload).encode_to_vec().iter().map(|byte| format!("{byte:02x}")).collect();
+    digits.concat()
 }
 
 #[test]
--- a/crates/deckproxy-sites/tests/schedules/main.rs
+++ b/crates/deckproxy-sites/tests/schedules/main.rs
@@ -7,7 +7,7 @@
 mod network;
 mod simulation;
 
-use deckproxy_sites::frame::Payload;
+use deckproxy_sites::frame::{AttemptNumbers, Heartbeat, Payload, Request};
 use deckproxy_sites::requester::OpenCounts;
 use deckproxy_sites::site::{Effect, Site};
 use simulation::{Simulation, site_config};
@@ -92,9 +92,9 @@
 #[test]
 fn nothing_is_accepted_before_the_hello() {
     let payloads = [
-        Payload::Ping(Default::default()),
-        Payload::Request(Default::default()),
-        Payload::Resume(Default::default()),
+        Payload::Ping(Heartbeat::default()),
+        Payload::Request(Request::default()),
+        Payload::Resume(AttemptNumbers::default()),
     ];
     for payload in payloads {
         let mut site = Site::new(site_config("b", "a"), 1, 0.0);
--- a/crates/deckproxy-sites/tests/schedules/simulation.rs
+++ b/crates/deckproxy-sites/tests/schedules/simulation.rs
@@ -13,7 +13,7 @@
 use deckproxy_sites::{LinkLimits, TrustLimits};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use std::collections::{BTreeMap, HashMap};
+use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// Time of one step, ms.
 const STEP: f64 = 5.0;
@@ -420,7 +420,7 @@
             deadline,
             is_answered: false,
             executions: 0,
-            live_runs: Default::default(),
+            live_runs: BTreeSet::new(),
         };
         self.tokens.insert((site, token), name.clone());
         self.requests.insert(name, tracked);
--- a/crates/deckproxy-standins/src/collector.rs
+++ b/crates/deckproxy-standins/src/collector.rs
@@ -80,15 +80,12 @@
     pub fn restart(&mut self) {
         let (running, shared) = (Arc::new(AtomicBool::new(true)), self.shared.clone());
         self.running = running.clone();
-        self.thread = Some(match self.udp {
-            true => {
-                let socket = bind_when_free(|| UdpSocket::bind(self.address));
-                thread::spawn(move || read_datagrams(&socket, &shared, &running))
-            }
-            false => {
-                let listener = bind_when_free(|| TcpListener::bind(self.address));
-                thread::spawn(move || accept_connections(&listener, &shared, &running))
-            }
+        self.thread = Some(if self.udp {
+            let socket = bind_when_free(|| UdpSocket::bind(self.address));
+            thread::spawn(move || read_datagrams(&socket, &shared, &running))
+        } else {
+            let listener = bind_when_free(|| TcpListener::bind(self.address));
+            thread::spawn(move || accept_connections(&listener, &shared, &running))
         });
     }
 
--- a/crates/deckproxy-standins/src/live_feed.rs
+++ b/crates/deckproxy-standins/src/live_feed.rs
@@ -190,12 +190,14 @@
     let due = log.events.iter().skip(*sent).take_while(|published| published.at.elapsed() >= delay);
     for Published { event, .. } in due {
         let changed = settings.transform.as_ref().map(|transform| transform(event));
-        text.push_str(&format!("{}\n", changed.as_ref().unwrap_or(event)));
+        text.push_str(&changed.as_ref().unwrap_or(event).to_string());
+        text.push('\n');
         *sent += 1;
     }
     if Instant::now() >= *heartbeat {
         *heartbeat += HEARTBEAT;
-        text.push_str(&format!("{sent}\n"));
+        text.push_str(&sent.to_string());
+        text.push('\n');
     }
     text
 }
--- a/crates/deckproxy-standins/src/load_client.rs
+++ b/crates/deckproxy-standins/src/load_client.rs
@@ -123,7 +123,7 @@
 
 impl LoadClients {
     /// Starts a load.
-    pub fn start(load: Load, record: &Record) -> Self {
+    pub fn start(load: &Load, record: &Record) -> Self {
         let running = Arc::new(AtomicBool::new(true));
         let threads = (0..load.clients).map(|client| {
             let (running, load, record) = (running.clone(), load.clone(), record.clone());
--- a/crates/deckproxy-standins/src/site.rs
+++ b/crates/deckproxy-standins/src/site.rs
@@ -104,20 +104,20 @@
         let listener = listener.expect("the wait ended with a listener");
         let entry =
             start_node(&self.state, listener, name.to_string(), crashed.kind, &crashed.zone, unix_ms());
-        self.publish_member(entry);
+        self.publish_member(&entry);
     }
 
     /// Starts a new cache in the first zone; the feed reports it.
     pub fn add_cache(&self) {
         let zone = zone_name(self.state.config.zones, 0);
-        self.publish_member(add_node(&self.state, NodeKind::Cache, &zone, unix_ms()));
+        self.publish_member(&add_node(&self.state, NodeKind::Cache, &zone, unix_ms()));
     }
 
     /// Has the feed report that a member drains.
     pub fn drain(&self, name: &str) {
         let Some(node) = self.state.node(name) else { return };
         self.state.record.note(Fact::DrainAnnounced { member: name.to_string() });
-        self.publish_member(node.entry("Terminating", 0));
+        self.publish_member(&node.entry("Terminating", 0));
     }
 
     /// Ends a member, and has the feed report that it has gone.
@@ -127,7 +127,7 @@
     pub fn remove(&self, name: &str) {
         let node = self.state.nodes.lock().unwrap().remove(name);
         let Some(node) = node else { return };
-        self.publish_member(node.entry("Gone", 0));
+        self.publish_member(&node.entry("Gone", 0));
         node.stop();
     }
 
@@ -155,7 +155,7 @@
         nodes.values().filter(|node| matches(node)).map(|node| node.name.clone()).collect()
     }
 
-    fn publish_member(&self, entry: Value) {
+    fn publish_member(&self, entry: &Value) {
         self.feed.publish(json!({"members": {"revision": 2, "complete": false, "members": [entry]}}));
     }
 }
--- a/crates/deckproxy/src/program/cli.rs
+++ b/crates/deckproxy/src/program/cli.rs
@@ -1,5 +1,10 @@
 //! The command line.
 
+#![allow(
+    clippy::doc_markdown,
+    reason = "these comments are the text of --help, which shows backticks as they are"
+)]
+
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use std::path::PathBuf;
 
--- a/crates/deckproxy/src/program/collectors.rs
+++ b/crates/deckproxy/src/program/collectors.rs
@@ -49,7 +49,7 @@
         let collector = self.collectors.as_mut().and_then(|collectors| collectors.get_mut(index));
         let Some(collector) = collector else { return };
         let sent = collector.send(number, message, &mut written);
-        self.collector_sent(now, index, sent, &written);
+        self.collector_sent(now, index, &sent, &written);
     }
 
     /// Closes a collector's connection, if there is one.
@@ -71,7 +71,7 @@
         &mut self,
         now: f64,
         index: usize,
-        progress: io::Result<bool>,
+        progress: &io::Result<bool>,
         written: &[WrittenMessage],
     ) {
         for message in written {
@@ -114,7 +114,7 @@
                 collector.flush(&mut written)
             }
         };
-        self.collector_sent(now, index, progress, &written);
+        self.collector_sent(now, index, &progress, &written);
         self.apply_subsystem_effects(now);
     }
 }
--- a/crates/deckproxy/src/program/flows/accounting.rs
+++ b/crates/deckproxy/src/program/flows/accounting.rs
@@ -154,15 +154,12 @@
         class: &str,
         member: &str,
     ) {
-        let source = match client {
-            0..FIRST_LINK_CLIENT => {
-                let client = self.clients.get(&client).and_then(ClientAccount::client);
-                RequestSource { client, class: self.class(class), site: 0 }
-            }
-            FIRST_LINK_CLIENT.. => {
-                let request = self.link_requests.get(&(client - FIRST_LINK_CLIENT));
-                request.map_or_else(RequestSource::default, |(source, _)| *source)
-            }
+        let source = if client < FIRST_LINK_CLIENT {
+            let client = self.clients.get(&client).and_then(ClientAccount::client);
+            RequestSource { client, class: self.class(class), site: 0 }
+        } else {
+            let request = self.link_requests.get(&(client - FIRST_LINK_CLIENT));
+            request.map_or_else(RequestSource::default, |(source, _)| *source)
         };
         let member = self.names.number(member);
         self.attempts.started(micros(now), key, source, member);
--- a/crates/deckproxy/src/program/flows/mod.rs
+++ b/crates/deckproxy/src/program/flows/mod.rs
@@ -42,7 +42,7 @@
     /// Time from one look at all flows to the next, microseconds.
     collect_interval: Micros,
     /// Buffer for flows that are due.
-    due_flows: Vec<Flow>,
+    due: Vec<Flow>,
     /// Until when a shutdown waits for the last flows to be exported, ms.
     flush_deadline: Option<f64>,
 }
@@ -74,7 +74,7 @@
             operator: flows.clone(),
             collect_task,
             send_task,
-            due_flows: Vec::new(),
+            due: Vec::new(),
             flush_deadline: None,
         }))
     }
@@ -94,11 +94,11 @@
         loop {
             let now = micros(clock::now());
             let is_round_complete =
-                self.accounting.meter.take_due(now / 1000, FLOWS_PER_ROUND, &mut self.due_flows);
-            if !self.due_flows.is_empty() {
+                self.accounting.meter.take_due(now / 1000, FLOWS_PER_ROUND, &mut self.due);
+            if !self.due.is_empty() {
                 out.push_back(Effect::WakeTask { task: self.send_task, at: None });
             }
-            for flow in self.due_flows.drain(..) {
+            for flow in self.due.drain(..) {
                 self.exporter.push(flow);
             }
             if is_round_complete {
--- a/crates/deckproxy/src/program/migrate.rs
+++ b/crates/deckproxy/src/program/migrate.rs
@@ -78,7 +78,7 @@
     let bytes = fs::read(path).map_err(|e| vec![format!("{shown}: cannot be read: {e}")])?;
     let text = String::from_utf8(bytes).map_err(|e| {
         let valid = e.utf8_error().valid_up_to();
-        let line = e.as_bytes()[..valid].iter().filter(|byte| **byte == b'\n').count() + 1;
+        let line = e.as_bytes()[..valid].split(|byte| *byte == b'\n').count();
         vec![format!("{shown}:{line}:1: file: not UTF-8 from byte {valid} on")]
     })?;
     config_file::read(&text, completeness)
--- a/crates/deckproxy/src/protocol/config_file.rs
+++ b/crates/deckproxy/src/protocol/config_file.rs
@@ -179,6 +179,10 @@
         }
     }
 
+    #[allow(
+        clippy::match_same_arms,
+        reason = "each field has its valid forms first and its fault after them"
+    )]
     fn check_field(&mut self, property: &ObjectProp) {
         let (field, node) = (property.name.as_str(), &property.value);
         match (field, node) {
--- a/crates/deckproxy/src/protocol/downstream/framing.rs
+++ b/crates/deckproxy/src/protocol/downstream/framing.rs
@@ -33,14 +33,13 @@
             Some(Extent::of(1))
         }
         Marker::U8 | Marker::I8 => Some(Extent::of(2)),
-        Marker::U16 | Marker::I16 => Some(Extent::of(3)),
+        Marker::U16 | Marker::I16 | Marker::FixExt1 => Some(Extent::of(3)),
         Marker::U32 | Marker::I32 | Marker::F32 => Some(Extent::of(5)),
         Marker::U64 | Marker::I64 | Marker::F64 => Some(Extent::of(9)),
         Marker::FixStr(n) => Some(Extent::of(1 + usize::from(n))),
         Marker::Str8 | Marker::Bin8 => data(1, 0),
         Marker::Str16 | Marker::Bin16 => data(2, 0),
         Marker::Str32 | Marker::Bin32 => data(4, 0),
-        Marker::FixExt1 => Some(Extent::of(3)),
         Marker::FixExt2 => Some(Extent::of(4)),
         Marker::FixExt4 => Some(Extent::of(6)),
         Marker::FixExt8 => Some(Extent::of(10)),
--- a/crates/deckproxy/src/transport/client.rs
+++ b/crates/deckproxy/src/transport/client.rs
@@ -141,13 +141,13 @@
             return Ok(None);
         }
         let message = self.decoder.next(&mut self.stream.input);
-        if message != Ok(None) {
-            (self.partial_since, self.taken) = (None, true);
-        } else {
+        if message == Ok(None) {
             let is_partial = !self.stream.input.is_empty();
             self.partial_since = is_partial.then(|| self.partial_since.unwrap_or(self.active_at));
             self.stream.missing = self.decoder.missing(self.stream.input.len());
             self.stream.trim(std::mem::take(&mut self.taken));
+        } else {
+            (self.partial_since, self.taken) = (None, true);
         }
         message
     }
--- a/crates/deckproxy/tests/client_disconnect.rs
+++ b/crates/deckproxy/tests/client_disconnect.rs
@@ -106,7 +106,9 @@
     gateway.pause();
     let ids: Vec<u64> =
         (0..4).map(|n| client.send_request("once", &[("lookup", OBJECT)], &vec![n; 30_000])).collect();
-    ids.iter().for_each(|id| client.cancel(*id));
+    for id in &ids {
+        client.cancel(*id);
+    }
     let kept = client.send_request("once", &[("lookup", OBJECT)], b"kept");
     thread::sleep(PAST_TOLERANCE);
     gateway.resume();
--- a/crates/deckproxy/tests/connection_close.rs
+++ b/crates/deckproxy/tests/connection_close.rs
@@ -166,7 +166,9 @@
     let id = client.request_object(OBJECT);
     let (cache, request) = site.next_request();
     gateway.pause();
-    ["TERM", "HUP", "TERM"].into_iter().for_each(|signal| gateway.signal(signal));
+    for signal in ["TERM", "HUP", "TERM"] {
+        gateway.signal(signal);
+    }
     gateway.resume();
     until("it is told", || gateway.log().contains("told to end"));
     gateway.signal("TERM");
--- a/crates/deckproxy/tests/control_feed.rs
+++ b/crates/deckproxy/tests/control_feed.rs
@@ -164,7 +164,9 @@
         scope.spawn(move || {
             while caches.load(Ordering::SeqCst) {
                 let asked = site.request_if_any();
-                asked.into_iter().for_each(|(cache, request)| cache.try_answer(&request, "200", b"there"));
+                if let Some((cache, request)) = asked {
+                    cache.try_answer(&request, "200", b"there");
+                }
             }
         });
         let mut discovery: Option<std::net::TcpListener> = None;
@@ -172,7 +174,9 @@
         for n in 0..60 {
             if n == 20 {
                 discovery = Some(std::net::TcpListener::bind(at).unwrap());
-                discovery.iter().for_each(|l| l.set_nonblocking(true).unwrap());
+                if let Some(l) = &discovery {
+                    l.set_nonblocking(true).unwrap();
+                }
                 checker.discovery_restored(unix_ms() as f64);
             }
             checker.record_newcomer(is_served_in_time(&gateway));
@@ -186,7 +190,9 @@
         let end = Instant::now() + PATIENCE;
         while subscription.is_none() && Instant::now() < end {
             subscription = discovery.as_ref().and_then(|l| l.accept().ok());
-            subscription.iter().for_each(|_| checker.discovery_watched(unix_ms() as f64));
+            if subscription.is_some() {
+                checker.discovery_watched(unix_ms() as f64);
+            }
             thread::sleep(Duration::from_millis(2));
         }
         filling.store(false, Ordering::SeqCst);
--- a/crates/deckproxy/tests/fleet.rs
+++ b/crates/deckproxy/tests/fleet.rs
@@ -118,7 +118,7 @@
     let deaf = spoilt(&|p| {
         let last = p.logs[0].rfind("\"lost\":\"").expect("it says who is lost") + "\"lost\":\"".len();
         p.logs[0].insert_str(last, "i2 ");
-        p.absences.iter_mut().for_each(|a| *a = Default::default());
+        p.absences.iter_mut().for_each(|a| *a = deckproxy_rig::absence::Absences::default());
         p.traffic_from = 0.0;
     });
     assert!(deaf.false_deaths > 0);
@@ -296,7 +296,9 @@
     plan.faults.push(deckproxy_rig::plan::Fault { at: 1.0, duration: 1.0, kind: cut.clone() });
     let mut rig = Rig::start(&plan, &draw());
     let all = [FaultKind::Split(vec![1, 3]), cut, FaultKind::Feed { instances: vec![1, 3], delay_ms: 0 }];
-    all.iter().for_each(|what| rig.begin_fault(what, 0.0));
+    for what in &all {
+        rig.begin_fault(what, 0.0);
+    }
     rig.wait_for_processes();
     rig.until("both parts know what they are", |rig| {
         [0, 2, 4].into_iter().all(|i| rig.view(i).is_some_and(|v| v.in_larger_part && v.heard.len() == 2))
@@ -309,7 +311,9 @@
     wait_for_health_checks(&rig, 4);
     // The larger part reaches all caches: what the isolated instances observe of the other zone ejects nothing there.
     assert!([0, 2, 4].into_iter().all(|i| rig.view(i).is_some_and(|v| v.ejected == 0)));
-    all.iter().for_each(|what| rig.end_fault(what));
+    for what in &all {
+        rig.end_fault(what);
+    }
     rig.wait_for_processes();
     rig.until("all are one again", Rig::has_converged);
     rig.until("nothing is held back", |rig| (0..5).all(|i| rig.view(i).is_some_and(|v| v.ejected == 0)));
--- a/crates/deckproxy/tests/flows.rs
+++ b/crates/deckproxy/tests/flows.rs
@@ -7,10 +7,11 @@
 use std::time::{Duration, Instant};
 
 fn operator_text(collectors: &[(SocketAddr, &str)], more: &str) -> String {
-    let collectors: String = collectors
+    let collectors: Vec<String> = collectors
         .iter()
         .map(|(at, how)| format!("collectors {{ address: \"{at}\" transport: {how} }}\n"))
         .collect();
+    let collectors = collectors.concat();
     format!("flows {{\n{collectors} meter {{ active_ms: 300 idle_ms: 100 }} stall_ms: 500 {more} }}\n")
 }
 
--- a/crates/deckproxy/tests/hostile_clients.rs
+++ b/crates/deckproxy/tests/hostile_clients.rs
@@ -8,7 +8,9 @@
 fn request_received_byte_by_byte_is_served() {
     let (site, _gateway, mut client) = TestSite::start_with_client();
     let (id, bytes) = client.encode_request("page", &[("lookup", OBJECT)], &[]);
-    bytes.iter().for_each(|b| client.send(&[*b]));
+    for b in &bytes {
+        client.send(&[*b]);
+    }
     let (cache, request) = site.next_request();
     cache.answer(&request, "200", b"whole");
     client.expect_served(id, b"whole");
--- a/crates/deckproxy/tests/member_connections.rs
+++ b/crates/deckproxy/tests/member_connections.rs
@@ -122,7 +122,9 @@
     let mut client = gateway.client();
     let all = send_writes(&site, &mut client, 30);
     let mut carried = std::collections::BTreeMap::new();
-    all.iter().for_each(|(_, a)| *carried.entry(a.connection).or_insert(0) += 1);
+    for (_, a) in &all {
+        *carried.entry(a.connection).or_insert(0) += 1;
+    }
     assert!((8..=14).contains(&carried.len()), "{carried:?}");
     assert!(carried.values().all(|n| (2..=4).contains(n)), "{carried:?}");
     for (id, request) in &all {
--- a/crates/deckproxy/tests/overload.rs
+++ b/crates/deckproxy/tests/overload.rs
@@ -76,7 +76,10 @@
     let f = judge(&run, OverloadCriteria::default());
     assert!(f.verdict.holds(), "{:#?}", f.verdict.violations);
     assert_eq!(run.process_faults, Vec::<String>::new());
-    let told = format!("{:?}", OverloadFigures { verdict: Default::default(), ..f.clone() });
+    let told = format!(
+        "{:?}",
+        OverloadFigures { verdict: deckproxy_standins::rules::Verdict::default(), ..f.clone() }
+    );
     assert!(f.goodput_before > 0.95, "the machine is too slow: {told}");
     assert!(f.goodput_trough < 0.9, "it was no overload: {told}");
     assert!(f.amplification <= 1.3 || plan.ignore_retry_after, "{told}");
--- a/crates/deckproxy/tests/restart.rs
+++ b/crates/deckproxy/tests/restart.rs
@@ -55,7 +55,9 @@
     thread::scope(|scope| {
         let all: Vec<_> =
             next.iter().map(|one| scope.spawn(|| time_until_ready(start, one.address))).collect();
-        all.into_iter().for_each(|one| checker.record_start(one.join().unwrap()));
+        for one in all {
+            checker.record_start(one.join().unwrap());
+        }
     });
     assert!(checker.holds(), "{checker:?}");
     // Each serves, from the member list in its configuration.
--- a/crates/deckproxy/tests/routing.rs
+++ b/crates/deckproxy/tests/routing.rs
@@ -16,7 +16,7 @@
 /// Half of the slack in the settings and of the sockets' own, ms.
 const SLACK: f64 = (8.0 + 50.0) / 2.0;
 
-#[derive(Clone, Debug)]
+#[derive(Clone, Copy, Debug)]
 enum Step {
     Request { class: usize, object: u64, allow: u16 },
     Abort(usize),
@@ -298,7 +298,7 @@
             out: BTreeMap::new(),
         };
         model.settle();
-        steps.into_iter().for_each(|s| model.take(s));
+        for s in steps { model.take(s); }
         model.wait(3000.0);
         prop_assert!(model.requests.values().all(|s| s.over), "a request without its answer");
         prop_assert_eq!(model.router.unanswered(), 0);
--- a/crates/deckproxy/tests/sites.rs
+++ b/crates/deckproxy/tests/sites.rs
@@ -18,14 +18,15 @@
     peers: &[(&str, SocketAddr)],
     routes: &[(&str, &str, &str)],
 ) -> String {
-    let peers: String = peers
+    let peers: Vec<String> = peers
         .iter()
         .map(|(site, at)| format!("peers {{ site: \"{site}\" addresses: \"{at}\" }}\n"))
         .collect();
-    let routes: String = routes
+    let routes: Vec<String> = routes
         .iter()
         .map(|(prefix, home, more)| format!("routes {{ prefix: \"{prefix}\" home: \"{home}\" {more} }}\n"))
         .collect();
+    let (peers, routes) = (peers.concat(), routes.concat());
     format!(
         "sites {{ name: \"{name}\" listen: \"{listen}\"\n{peers}{routes}\
          link {{ heartbeat_ms: 50 silence_ms: 250 hold_ms: 200 }} trust {{ known_ms: 3600000 lease_ms: 400 }} }}\n"
--- a/crates/deckproxy/tests/slow_start.rs
+++ b/crates/deckproxy/tests/slow_start.rs
@@ -155,9 +155,10 @@
     let (zone, kind, size) = if cold_is_a_parent { ("hub", "parent", 9.0) } else { ("edge", "box", 3.0) };
     let known = [
         other.entry(zone, kind, size, 0),
-        match cold_is_a_parent {
-            true => third.entry("edge", "box", 1000.0, 0),
-            false => third.entry("hub", "parent", 1000.0, 0),
+        if cold_is_a_parent {
+            third.entry("edge", "box", 1000.0, 0)
+        } else {
+            third.entry("hub", "parent", 1000.0, 0)
         },
         origin.entry("hub", "origin", 1000.0, 0),
     ];
