--- a/crates/deckproxy-flow/src/codec/encode.rs
+++ b/crates/deckproxy-flow/src/codec/encode.rs
@@ -1,33 +1,40 @@
-//! Messages out.
+//! The encoder: builds the messages of an exporting process.
 
-use super::{Element, FIRST_TEMPLATE, Template, VARIABLE, Value};
+use super::{
+    ENTERPRISE_BIT, Element, FIRST_TEMPLATE_ID, Field, LONG_LENGTH, Template, VARIABLE_LENGTH, Value, Version,
+};
 use bytes::{BufMut, Bytes, BytesMut};
 
-/// Which protocol is spoken.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Version {
-    /// IPFIX, RFC 7011.
-    Ipfix,
-    /// NetFlow v9, RFC 3954: no enterprise elements, no fields of variable length.
-    NetflowV9,
-}
+/// The shortest and longest limit of a message's length, bytes.
+const MESSAGE_LENGTH_LIMITS: (usize, usize) = (128, 65_535);
+/// The longest value in a field of variable length, bytes.
+const MAX_VARIABLE_LENGTH: usize = 0xfffe;
+/// The alignment of sets, bytes.
+const SET_ALIGNMENT: usize = 4;
+/// The length of a set's header, bytes.
+const SET_HEADER_LENGTH: usize = 4;
+/// The shortest template, bytes: a withdrawal.
+const MIN_TEMPLATE_LENGTH: usize = 4;
+/// NetFlow v9's scope type "system" (RFC 3954, 6.1).
+const SYSTEM_SCOPE: u16 = 1;
 
-impl Version {
-    fn header(self) -> usize {
-        match self {
-            Version::Ipfix => 16,
-            Version::NetflowV9 => 20,
-        }
-    }
+/// A set that records are added to.
+#[derive(Clone, Copy, Debug)]
+struct OpenSet {
+    /// Its position in the message.
+    start: usize,
+    id: u16,
+    /// The length of the shortest record, bytes.
+    min_record_length: usize,
+}
 
-    fn template_set(self, scope: u16) -> u16 {
-        match (self, scope) {
-            (Version::Ipfix, 0) => 2,
-            (Version::Ipfix, _) => 3,
-            (Version::NetflowV9, 0) => 0,
-            (Version::NetflowV9, _) => 1,
-        }
-    }
+/// The numbers of records in a message.
+#[derive(Clone, Copy, Debug, Default)]
+struct RecordCounts {
+    /// All records, templates among them (counted by NetFlow v9).
+    all: u16,
+    /// Data records (counted by IPFIX).
+    data: u32,
 }
 
 /// Builds the messages of one observation domain.
@@ -35,31 +42,37 @@
 pub struct Encoder {
     version: Version,
     domain: u32,
-    /// Bytes of a message, at most.
-    largest: usize,
+    /// Bytes.
+    max_message_length: usize,
     /// IPFIX: data records so far; v9: messages so far. Both modulo 2^32.
     sequence: u32,
-    /// When v9's clock of uptime began, Unix ms.
-    started: u64,
+    /// The begin of v9's uptime, Unix milliseconds.
+    started_at: u64,
     message: BytesMut,
-    /// Where the open set starts, its id, and the bytes of its shortest record.
-    set: Option<(usize, u16, usize)>,
-    /// Records in the message: all (v9 counts them), and of data.
-    records: (u16, u32),
+    set: Option<OpenSet>,
+    records: RecordCounts,
 }
 
 impl Encoder {
-    /// Messages of a domain, of so many bytes at most (65,535 for IPFIX).
-    pub fn new(version: Version, domain: u32, largest: usize, sequence: u32, started: u64) -> Self {
+    /// An encoder of messages of at most `max_message_length` bytes (at most 65,535), with `sequence` as the first
+    /// sequence number. `started_at`: Unix milliseconds.
+    pub fn new(
+        version: Version,
+        domain: u32,
+        max_message_length: usize,
+        sequence: u32,
+        started_at: u64,
+    ) -> Self {
+        let (shortest, longest) = MESSAGE_LENGTH_LIMITS;
         Encoder {
             version,
             domain,
-            largest: largest.clamp(128, 65_535),
+            max_message_length: max_message_length.clamp(shortest, longest),
             sequence,
-            started,
+            started_at,
             message: BytesMut::new(),
             set: None,
-            records: (0, 0),
+            records: RecordCounts::default(),
         }
     }
 
@@ -68,98 +81,32 @@
         self.sequence
     }
 
-    /// What was finished from that number on was never sent: the numbers go on from there.
+    /// Continues from a sequence number whose message was finished but never sent.
     pub fn rewind(&mut self, sequence: u32) {
         debug_assert!(self.message.is_empty(), "no message is open");
         self.sequence = sequence;
     }
 
-    /// Whether nothing waits in an open message.
+    /// Whether no message is open.
     pub fn is_empty(&self) -> bool {
         self.message.is_empty()
     }
 
-    fn room(&self) -> usize {
-        // Three bytes may go for the padding of the open set.
-        self.largest.saturating_sub(self.message.len().max(self.version.header()) + 3)
-    }
-
-    fn begin(&mut self, id: u16, bytes: usize, least: usize) -> bool {
-        let opens = !matches!(self.set, Some((_, open, _)) if open == id);
-        if self.room() < bytes + if opens { 4 } else { 0 } {
-            return false;
-        }
-        if self.message.is_empty() {
-            self.message.put_bytes(0, self.version.header());
-        }
-        if opens {
-            self.end_set();
-            self.set = Some((self.message.len(), id, least));
-            self.message.put_u16(id);
-            self.message.put_u16(0);
-        }
-        true
-    }
-
-    fn end_set(&mut self) {
-        let Some((start, id, least)) = self.set.take() else { return };
-        // Padding to a multiple of four, where it can't be taken for a record (RFC 7011, 3.3.1).
-        let length = self.message.len() - start;
-        let padding = length.next_multiple_of(4) - length;
-        if padding < least {
-            self.message.put_bytes(0, padding);
-        }
-        let length = (self.message.len() - start) as u16;
-        self.message[start..start + 2].copy_from_slice(&id.to_be_bytes());
-        self.message[start + 2..start + 4].copy_from_slice(&length.to_be_bytes());
-    }
-
-    /// Adds a template; false: the message has no room for it.
+    /// Adds a template. Returns false, and adds nothing, if the message has no space for it.
     pub fn template(&mut self, template: &Template) -> bool {
-        let mut bytes = BytesMut::new();
-        let v9 = self.version == Version::NetflowV9;
-        bytes.put_u16(template.id);
-        match (v9, template.scope) {
-            (false | true, 0) => bytes.put_u16(template.fields.len() as u16),
-            (false, scope) => {
-                bytes.put_u16(template.fields.len() as u16);
-                bytes.put_u16(scope);
-            }
-            // v9 counts bytes of scope and of options (RFC 3954, 6.1).
-            (true, scope) => {
-                bytes.put_u16(scope * 4);
-                bytes.put_u16((template.fields.len() as u16 - scope) * 4);
-            }
-        }
-        for (i, field) in template.fields.iter().enumerate() {
-            match field.element {
-                Element { id, enterprise: Some(enterprise) } if !v9 => {
-                    bytes.put_u16(id | 0x8000);
-                    bytes.put_u16(field.length);
-                    bytes.put_u32(enterprise);
-                }
-                // v9's scopes are numbers of their own: 1 is the system.
-                Element { .. } if v9 && i < usize::from(template.scope) => {
-                    bytes.put_u16(1);
-                    bytes.put_u16(field.length);
-                }
-                Element { id, .. } => {
-                    bytes.put_u16(id);
-                    bytes.put_u16(field.length);
-                }
-            }
-        }
-        if !self.begin(self.version.template_set(template.scope), bytes.len(), 4) {
+        let bytes = self.encode_template(template);
+        if !self.reserve(self.template_set(template.scope), bytes.len(), MIN_TEMPLATE_LENGTH) {
             return false;
         }
         self.message.put(bytes);
-        self.records.0 += 1;
+        self.records.all += 1;
         true
     }
 
-    /// Withdraws a template (RFC 7011, 8.1; IPFIX over TCP only). False: no room.
+    /// Withdraws a template (RFC 7011, 8.1; IPFIX over TCP only). Returns false, and adds nothing, if the message has
+    /// no space for it.
     pub fn withdraw(&mut self, id: u16, scope: u16) -> bool {
-        if !self.begin(self.version.template_set(scope), 4, 4) {
+        if !self.reserve(self.template_set(scope), MIN_TEMPLATE_LENGTH, MIN_TEMPLATE_LENGTH) {
             return false;
         }
         self.message.put_u16(id);
@@ -167,66 +114,157 @@
         true
     }
 
-    /// Adds a record of a template, one value for each field; false: the message has no room for it.
+    /// Adds a data record with one value for each field. Returns false, and adds nothing, if the message has no space
+    /// for it.
     pub fn record(&mut self, template: &Template, values: &[Value]) -> bool {
-        debug_assert!(template.id >= FIRST_TEMPLATE && template.fields.len() == values.len());
+        debug_assert!(template.id >= FIRST_TEMPLATE_ID && template.fields.len() == values.len());
         let mut bytes = BytesMut::new();
         for (field, value) in template.fields.iter().zip(values) {
-            if field.length != VARIABLE {
-                bytes.put(&value.wire(usize::from(field.length))[..]);
-                continue;
-            }
-            let long = match value {
-                Value::Number(_) => value.wire(8),
-                Value::Bytes(b) => b[..b.len().min(0xfffe)].to_vec(),
-            };
-            if long.len() < 255 {
-                bytes.put_u8(long.len() as u8);
-            } else {
-                bytes.put_u8(255);
-                bytes.put_u16(long.len() as u16);
-            }
-            bytes.put(&long[..]);
+            encode_value(field, value, &mut bytes);
         }
-        if !self.begin(template.id, bytes.len(), template.least()) {
+        if !self.reserve(template.id, bytes.len(), template.min_record_length()) {
             return false;
         }
         self.message.put(bytes);
-        self.records.0 += 1;
-        self.records.1 += 1;
+        self.records.all += 1;
+        self.records.data += 1;
         true
     }
 
-    /// Ends the message and hands it over; none: it holds nothing. `now`: Unix ms.
+    /// Finishes the open message; none if there is none. `now`: Unix milliseconds.
     pub fn finish(&mut self, now: u64) -> Option<Bytes> {
         if self.message.is_empty() {
             return None;
         }
         self.end_set();
         let mut message = std::mem::take(&mut self.message);
-        let (all, data) = std::mem::take(&mut self.records);
+        let records = std::mem::take(&mut self.records);
+        self.write_header(now, records, &mut message);
+        let counted = match self.version {
+            Version::Ipfix => records.data,
+            Version::NetflowV9 => 1,
+        };
+        self.sequence = self.sequence.wrapping_add(counted);
+        Some(message.freeze())
+    }
+
+    fn template_set(&self, scope: u16) -> u16 {
+        if scope == 0 { self.version.template_set() } else { self.version.options_template_set() }
+    }
+
+    fn free_space(&self) -> usize {
+        let used = self.message.len().max(self.version.header_length());
+        let padding = SET_ALIGNMENT - 1;
+        self.max_message_length.saturating_sub(used + padding)
+    }
+
+    /// Prepares the message for `length` more bytes in a set with this id. Returns false if there is no space.
+    fn reserve(&mut self, id: u16, length: usize, min_record_length: usize) -> bool {
+        let is_new_set = self.set.is_none_or(|set| set.id != id);
+        let needed = length + if is_new_set { SET_HEADER_LENGTH } else { 0 };
+        if self.free_space() < needed {
+            return false;
+        }
+        if self.message.is_empty() {
+            self.message.put_bytes(0, self.version.header_length());
+        }
+        if is_new_set {
+            self.end_set();
+            self.set = Some(OpenSet { start: self.message.len(), id, min_record_length });
+            self.message.put_bytes(0, SET_HEADER_LENGTH);
+        }
+        true
+    }
+
+    /// Pads the open set and writes its header.
+    fn end_set(&mut self) {
+        let Some(OpenSet { start, id, min_record_length }) = self.set.take() else { return };
+        let length = self.message.len() - start;
+        let padding = length.next_multiple_of(SET_ALIGNMENT) - length;
+        // Padding must be shorter than any record, or it would be read as one (RFC 7011, 3.3.1).
+        if padding < min_record_length {
+            self.message.put_bytes(0, padding);
+        }
+        let length = (self.message.len() - start) as u16;
+        let mut header = &mut self.message[start..start + SET_HEADER_LENGTH];
+        header.put_u16(id);
+        header.put_u16(length);
+    }
+
+    fn write_header(&self, now: u64, records: RecordCounts, message: &mut BytesMut) {
         let seconds = (now / 1000) as u32;
-        let mut head = &mut message[..];
+        let length = message.len() as u16;
+        let mut header = &mut message[..];
+        header.put_u16(self.version.number());
         match self.version {
-            Version::Ipfix => {
-                let length = head.len() as u16;
-                head.put_u16(10);
-                head.put_u16(length);
-                head.put_u32(seconds);
-                head.put_u32(self.sequence);
-                head.put_u32(self.domain);
-                self.sequence = self.sequence.wrapping_add(data);
-            }
+            Version::Ipfix => header.put_u16(length),
             Version::NetflowV9 => {
-                head.put_u16(9);
-                head.put_u16(all);
-                head.put_u32(now.saturating_sub(self.started) as u32);
-                head.put_u32(seconds);
-                head.put_u32(self.sequence);
-                head.put_u32(self.domain);
-                self.sequence = self.sequence.wrapping_add(1);
+                header.put_u16(records.all);
+                header.put_u32(now.saturating_sub(self.started_at) as u32);
             }
         }
-        Some(message.freeze())
+        header.put_u32(seconds);
+        header.put_u32(self.sequence);
+        header.put_u32(self.domain);
+    }
+
+    fn encode_template(&self, template: &Template) -> BytesMut {
+        let mut bytes = BytesMut::new();
+        let fields = template.fields.len() as u16;
+        bytes.put_u16(template.id);
+        match (self.version, template.scope) {
+            (_, 0) => bytes.put_u16(fields),
+            (Version::Ipfix, scope) => {
+                bytes.put_u16(fields);
+                bytes.put_u16(scope);
+            }
+            // v9 counts the bytes of the scope and of the options instead of fields (RFC 3954, 6.1).
+            (Version::NetflowV9, scope) => {
+                bytes.put_u16(scope * 4);
+                bytes.put_u16((fields - scope) * 4);
+            }
+        }
+        for (index, field) in template.fields.iter().enumerate() {
+            self.encode_field(field, index < usize::from(template.scope), &mut bytes);
+        }
+        bytes
+    }
+
+    fn encode_field(&self, field: &Field, is_scope: bool, bytes: &mut BytesMut) {
+        let Element { id, enterprise } = field.element;
+        match (self.version, enterprise) {
+            (Version::Ipfix, Some(enterprise)) => {
+                bytes.put_u16(id | ENTERPRISE_BIT);
+                bytes.put_u16(field.length);
+                bytes.put_u32(enterprise);
+            }
+            (Version::NetflowV9, _) if is_scope => {
+                bytes.put_u16(SYSTEM_SCOPE);
+                bytes.put_u16(field.length);
+            }
+            (Version::Ipfix | Version::NetflowV9, _) => {
+                bytes.put_u16(id);
+                bytes.put_u16(field.length);
+            }
+        }
+    }
+}
+
+/// Appends a value, preceded by its length in a field of variable length.
+fn encode_value(field: &Field, value: &Value, bytes: &mut BytesMut) {
+    if field.length != VARIABLE_LENGTH {
+        bytes.put(&value.encode(usize::from(field.length))[..]);
+        return;
+    }
+    let encoded = match value {
+        Value::Number(_) => value.encode(8),
+        Value::Bytes(value) => value[..value.len().min(MAX_VARIABLE_LENGTH)].to_vec(),
+    };
+    if encoded.len() < usize::from(LONG_LENGTH) {
+        bytes.put_u8(encoded.len() as u8);
+    } else {
+        bytes.put_u8(LONG_LENGTH);
+        bytes.put_u16(encoded.len() as u16);
     }
+    bytes.put(&encoded[..]);
 }
--- a/crates/deckproxy-flow/src/codec/mod.rs
+++ b/crates/deckproxy-flow/src/codec/mod.rs
@@ -1,64 +1,75 @@
-//! IPFIX (RFC 7011) and NetFlow v9 (RFC 3954): templates, records, messages, both ways.
+//! IPFIX (RFC 7011) and NetFlow v9 (RFC 3954): encoding and decoding of templates, records and messages.
 //!
-//! A field's value is kept in the one form in which it goes over the wire: an unsigned number of up to eight bytes, or
-//! bytes. What a number means is its element's.
+//! A value has the form in which it is transferred: an unsigned number of up to eight bytes, or bytes. Its element
+//! defines what it means.
+//!
+//! - [`elements`]: the information elements in use.
+//! - `version`: the protocols and their constants.
+//! - `encode`, `decode`: messages to and from bytes.
 
 mod decode;
 pub mod elements;
 mod encode;
+mod version;
 
-pub use decode::{Collected, Decoder, Fault, Limits, Splitter};
-pub use encode::{Encoder, Version};
+pub use decode::{DecodeError, DecodedMessage, DecodedRecord, Decoder, Limits, MessageSplitter};
+pub use encode::Encoder;
+pub use version::Version;
+use version::{IPFIX_HEADER_LENGTH, NETFLOW_V9_HEADER_LENGTH};
 
 use bytes::Bytes;
 
-/// Length that says that a field's length stands before each value (RFC 7011, 7).
-pub const VARIABLE: u16 = 0xffff;
-/// Least id of a template, and of a set of data.
-pub const FIRST_TEMPLATE: u16 = 256;
+/// The field length of values that are preceded by their own lengths (RFC 7011, 7).
+pub const VARIABLE_LENGTH: u16 = 0xffff;
+/// The lowest id of a template, and of the data sets of that template (RFC 7011, 3.4.1).
+pub const FIRST_TEMPLATE_ID: u16 = 256;
+/// Marks a field whose enterprise number follows (RFC 7011, 3.2).
+const ENTERPRISE_BIT: u16 = 0x8000;
+/// The first byte of a value's length that announces a length of two more bytes (RFC 7011, 7).
+const LONG_LENGTH: u8 = 255;
 
-/// An information element, of IANA's registry or of an enterprise (RFC 7011, 3.2).
+/// An information element of IANA's registry or of an enterprise (RFC 7011, 3.2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Element {
-    /// Its number, below 2^15.
+    /// The number, below 2^15.
     pub id: u16,
-    /// The enterprise that numbered it; none: IANA.
+    /// The enterprise that assigned the number; none: IANA.
     pub enterprise: Option<u32>,
 }
 
 /// A field of a template.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Field {
-    /// What it holds.
+    /// The element of its values.
     pub element: Element,
-    /// Its bytes, or `VARIABLE`.
+    /// The length of its values in bytes, or [`VARIABLE_LENGTH`].
     pub length: u16,
 }
 
-/// The form of a record.
+/// The layout of records.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Template {
-    /// Its id, from `FIRST_TEMPLATE` on.
+    /// The id, at least [`FIRST_TEMPLATE_ID`].
     pub id: u16,
-    /// The first so many fields are the scope of an options record; 0: the records are flows.
+    /// The number of leading fields that are the scope of an options record; 0: the records are flows.
     pub scope: u16,
     /// The fields.
     pub fields: Vec<Field>,
 }
 
 impl Template {
-    /// Bytes of its shortest record.
-    pub fn least(&self) -> usize {
-        self.fields.iter().map(|f| if f.length == VARIABLE { 1 } else { usize::from(f.length) }).sum()
+    /// The length of the shortest record, bytes.
+    pub fn min_record_length(&self) -> usize {
+        self.fields.iter().map(|f| if f.length == VARIABLE_LENGTH { 1 } else { usize::from(f.length) }).sum()
     }
 }
 
 /// The value of a field.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Value {
-    /// A number, sent in as many bytes as the field has (reduced size, RFC 7011, 6.2).
+    /// A number, encoded in as many bytes as the field has (reduced size, RFC 7011, 6.2).
     Number(u64),
-    /// Anything else: a text, an address.
+    /// Any other value, such as a text or an address.
     Bytes(Bytes),
 }
 
@@ -68,7 +79,7 @@
         Value::Bytes(Bytes::copy_from_slice(text.as_bytes()))
     }
 
-    /// The number of a value that is one; bytes of at most eight count as one too.
+    /// The value as a number; none for more than eight bytes. Fewer bytes are a number in network byte order.
     pub fn number(&self) -> Option<u64> {
         match self {
             Value::Number(n) => Some(*n),
@@ -77,8 +88,8 @@
         }
     }
 
-    /// The bytes that go over the wire in a field of that many.
-    fn wire(&self, length: usize) -> Vec<u8> {
+    /// The value encoded in `length` bytes: a number without its high bytes, or bytes cut or padded with zeros.
+    fn encode(&self, length: usize) -> Vec<u8> {
         match self {
             Value::Number(n) => {
                 let all = n.to_be_bytes();
@@ -87,7 +98,7 @@
                 out
             }
             Value::Bytes(bytes) => {
-                // Texts of a fixed length end with zeros (RFC 7011, 6.1.6).
+                // Texts of a fixed length are padded with zeros (RFC 7011, 6.1.6).
                 let mut out = bytes[..bytes.len().min(length)].to_vec();
                 out.resize(length, 0);
                 out
--- a/crates/deckproxy-flow/src/export/messages.rs
+++ b/crates/deckproxy-flow/src/export/messages.rs
@@ -7,7 +7,7 @@
 use super::records::flow_record;
 use super::settings::Transport;
 use super::templates::element_record;
-use crate::codec::elements::OWN;
+use crate::codec::elements::PROJECT_ELEMENTS;
 use crate::codec::{Value, Version};
 use crate::meter::Flow;
 use crate::spool::Loss;
@@ -66,7 +66,7 @@
             is_complete &= collector.encoder.template(template);
         }
         if self.settings.version == Version::Ipfix {
-            for own in OWN {
+            for own in PROJECT_ELEMENTS {
                 let record = element_record(self.settings.enterprise, own);
                 is_complete &= collector.encoder.record(&self.templates.element, &record);
             }
--- a/crates/deckproxy-flow/src/export/records.rs
+++ b/crates/deckproxy-flow/src/export/records.rs
@@ -41,7 +41,7 @@
 
 /// A text, or the one that stands for none: there are decoders that discard a set because of one empty text.
 fn text(text: &str) -> Value {
-    Value::text(if text.is_empty() { elements::NONE } else { text })
+    Value::text(if text.is_empty() { elements::NO_VALUE } else { text })
 }
 
 fn outcome(outcome: Option<Outcome>) -> &'static str {
--- a/crates/deckproxy-flow/src/export/templates.rs
+++ b/crates/deckproxy-flow/src/export/templates.rs
@@ -1,8 +1,8 @@
 //! The templates that are sent: of flows by IPv4 and IPv6 clients, of losses, and of this project's own elements.
 
 use super::settings::Settings;
-use crate::codec::elements::{self, Own};
-use crate::codec::{Element, Field, Template, VARIABLE, Value, Version};
+use crate::codec::elements::{self, ProjectElement};
+use crate::codec::{Element, Field, Template, VARIABLE_LENGTH, Value, Version};
 
 /// Template ids (RFC 7011, 3.4.1: from 256 on).
 const FLOW_V4_ID: u16 = 256;
@@ -75,13 +75,13 @@
 /// A field for a text: of variable length in IPFIX, of the given one in NetFlow v9.
 fn text_field(version: Version, element: Element, length: u16) -> Field {
     match version {
-        Version::Ipfix => field(element, VARIABLE),
+        Version::Ipfix => field(element, VARIABLE_LENGTH),
         Version::NetflowV9 => field(element, length),
     }
 }
 
 /// One of this project's own elements as the protocol numbers it.
-fn own_element(settings: &Settings, own: Own) -> Element {
+fn own_element(settings: &Settings, own: ProjectElement) -> Element {
     match settings.version {
         Version::Ipfix => own.under(settings.enterprise),
         Version::NetflowV9 => Element { id: FIRST_OWN_V9 + own.id, enterprise: None },
@@ -122,11 +122,11 @@
 }
 
 /// The record that describes one of this project's own elements (RFC 5610).
-pub(super) fn element_record(enterprise: u32, own: Own) -> Vec<Value> {
+pub(super) fn element_record(enterprise: u32, own: ProjectElement) -> Vec<Value> {
     vec![
         Value::Number(u64::from(enterprise)),
         Value::Number(u64::from(own.id)),
-        Value::Number(u64::from(own.kind)),
+        Value::Number(u64::from(own.data_type)),
         Value::Number(u64::from(own.semantics)),
         Value::Number(u64::from(own.units)),
         Value::text(own.name),
--- a/crates/deckproxy-flow/tests/codec.rs
+++ b/crates/deckproxy-flow/tests/codec.rs
@@ -1,9 +1,10 @@
-//! The codec: what goes out comes in the same, by our decoder and by another project's, and any bytes may come.
+//! The codec: our decoder and that of another project read what the encoder writes, and any input is safe.
 
 use bytes::Bytes;
 use deckproxy_flow::codec::elements::{self, EXAMPLE_ENTERPRISE};
 use deckproxy_flow::codec::{
-    Decoder, Element, Encoder, Fault, Field, Limits, Splitter, Template, VARIABLE, Value, Version,
+    DecodeError, DecodedRecord, Decoder, Element, Encoder, Field, Limits, MessageSplitter, Template,
+    VARIABLE_LENGTH, Value, Version,
 };
 use proptest::prelude::*;
 
@@ -11,11 +12,11 @@
     ProptestConfig { cases, rng_seed: proptest::test_runner::RngSeed::Fixed(17), ..ProptestConfig::default() }
 }
 
-/// A template with values that fit it, `count` records of them.
+/// A template and records that fit it.
 fn records(v9: bool) -> impl Strategy<Value = (Template, Vec<Vec<Value>>)> {
     let enterprise = if v9 { Just(None).boxed() } else { prop::option::of(1u32..99_999).boxed() };
     let element = (1u16..400, enterprise).prop_map(|(id, enterprise)| Element { id, enterprise });
-    let length = if v9 { (1u16..20).boxed() } else { prop_oneof![1u16..20, Just(VARIABLE)].boxed() };
+    let length = if v9 { (1u16..20).boxed() } else { prop_oneof![1u16..20, Just(VARIABLE_LENGTH)].boxed() };
     let field = (element, length).prop_map(|(element, length)| Field { element, length });
     let fields = prop::collection::vec(field, 1..12);
     (256u16..60_000, 0u16..3, fields).prop_flat_map(|(id, scope, fields)| {
@@ -24,7 +25,7 @@
             .iter()
             .map(|f| {
                 let bytes = match f.length {
-                    VARIABLE => prop::collection::vec(any::<u8>(), 0..400),
+                    VARIABLE_LENGTH => prop::collection::vec(any::<u8>(), 0..400),
                     fixed => prop::collection::vec(any::<u8>(), usize::from(fixed)..=usize::from(fixed)),
                 };
                 bytes.prop_map(|b| Value::Bytes(b.into()))
@@ -35,17 +36,17 @@
     })
 }
 
-/// All messages that hold the template and the records.
+/// The messages with the template and the records.
 fn encode(encoder: &mut Encoder, template: &Template, records: &[Vec<Value>]) -> Vec<Bytes> {
     let mut out = Vec::new();
     if !encoder.template(template) {
         out.extend(encoder.finish(5_000_000));
-        assert!(encoder.template(template), "a message of its own has room");
+        assert!(encoder.template(template), "an empty message has space");
     }
     for record in records {
         if !encoder.record(template, record) {
             out.extend(encoder.finish(5_000_000));
-            assert!(encoder.record(template, record), "a message of its own has room");
+            assert!(encoder.record(template, record), "an empty message has space");
         }
     }
     out.extend(encoder.finish(5_000_000));
@@ -56,67 +57,67 @@
     #![proptest_config(config(300))]
 
     #[test]
-    fn ipfix_comes_in_as_it_went_out((template, records) in records(false), largest in 6000usize..70_000, sequence in any::<u32>()) {
-        let mut encoder = Encoder::new(Version::Ipfix, 7, largest, sequence, 0);
+    fn ipfix_round_trip((template, records) in records(false), max_length in 6000usize..70_000, sequence in any::<u32>()) {
+        let mut encoder = Encoder::new(Version::Ipfix, 7, max_length, sequence, 0);
         let mut decoder = Decoder::new(Limits::default());
         let mut read = Vec::new();
         for message in encode(&mut encoder, &template, &records) {
-            prop_assert!(message.len() <= largest);
-            let got = decoder.message(0, &message);
-            prop_assert_eq!((got.fault, got.domain, got.exported, got.missing), (None, 7, 5000, 0));
+            prop_assert!(message.len() <= max_length);
+            let got = decoder.decode(0, &message);
+            prop_assert_eq!((got.error, got.domain, got.exported, got.missing), (None, 7, 5000, 0));
             read.extend(got.records);
         }
         let scope = template.scope;
         let want: Vec<_> = records
             .iter()
-            .map(|r| (scope, template.fields.iter().map(|f| f.element).zip(r.iter().cloned()).collect::<Vec<_>>()))
+            .map(|r| DecodedRecord { scope, values: template.fields.iter().map(|f| f.element).zip(r.iter().cloned()).collect() })
             .collect();
         prop_assert_eq!(read, want);
         prop_assert_eq!(encoder.sequence(), sequence.wrapping_add(records.len() as u32));
     }
 
     #[test]
-    fn netflow_v9_comes_in_as_it_went_out((template, records) in records(true), largest in 2000usize..9000) {
-        let mut encoder = Encoder::new(Version::NetflowV9, 7, largest, 0, 4_000_000);
+    fn netflow_v9_round_trip((template, records) in records(true), max_length in 2000usize..9000) {
+        let mut encoder = Encoder::new(Version::NetflowV9, 7, max_length, 0, 4_000_000);
         let mut decoder = Decoder::new(Limits::default());
         let mut read = Vec::new();
         for message in encode(&mut encoder, &template, &records) {
-            let got = decoder.message(0, &message);
-            prop_assert_eq!((got.fault, got.missing, got.unknown), (None, 0, 0));
-            read.extend(got.records.into_iter().map(|(_, values)| values.into_iter().map(|(_, v)| v).collect::<Vec<_>>()));
+            let got = decoder.decode(0, &message);
+            prop_assert_eq!((got.error, got.missing, got.unknown_sets), (None, 0, 0));
+            read.extend(got.records.into_iter().map(|record| record.values.into_iter().map(|(_, v)| v).collect::<Vec<_>>()));
         }
         prop_assert_eq!(read, records);
     }
 
     #[test]
-    fn any_bytes_are_read_or_refused_within_the_limits(bytes in prop::collection::vec(any::<u8>(), 0..600), version in prop_oneof![Just(9u8), Just(10u8), any::<u8>()]) {
+    fn any_input_is_decoded_within_the_limits_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..600), version in prop_oneof![Just(9u8), Just(10u8), any::<u8>()]) {
         let mut bytes = bytes;
         if bytes.len() > 4 {
             let length = (bytes.len() as u16).to_be_bytes();
             (bytes[0], bytes[1], bytes[2], bytes[3]) = (0, version, length[0], length[1]);
         }
-        let limits = Limits { domains: 2, templates: 3, fields: 4, records: 5, life: 0 };
+        let limits = Limits { domains: 2, templates: 3, fields: 4, records: 5, template_lifetime: 0 };
         let mut decoder = Decoder::new(limits);
         for _ in 0..3 {
-            let got = decoder.message(0, &Bytes::from(bytes.clone()));
+            let got = decoder.decode(0, &Bytes::from(bytes.clone()));
             prop_assert!(got.records.len() <= 5);
         }
-        let mut splitter = Splitter::default();
+        let mut splitter = MessageSplitter::default();
         splitter.push(&bytes);
-        while let Ok(Some(message)) = splitter.take() {
+        while let Ok(Some(message)) = splitter.next_message() {
             prop_assert!(message.len() >= 16);
         }
     }
 
-    /// Good messages with single bytes changed.
+    /// Valid messages with one changed byte.
     #[test]
-    fn damaged_messages_are_read_or_refused((template, records) in records(false), at in any::<prop::sample::Index>(), to in any::<u8>()) {
+    fn corrupted_messages_are_decoded_or_rejected((template, records) in records(false), at in any::<prop::sample::Index>(), to in any::<u8>()) {
         let mut encoder = Encoder::new(Version::Ipfix, 7, 60_000, 0, 0);
         for message in encode(&mut encoder, &template, &records) {
             let mut bytes = message.to_vec();
             let at = at.index(bytes.len());
             bytes[at] = to;
-            Decoder::new(Limits::default()).message(0, &bytes.into());
+            Decoder::new(Limits::default()).decode(0, &bytes.into());
         }
     }
 }
@@ -131,7 +132,7 @@
     ];
     if let Some(enterprise) = enterprise {
         fields.push(field(elements::reverse(elements::OCTETS), 8));
-        fields.push(field(elements::MEMBER.under(enterprise), VARIABLE));
+        fields.push(field(elements::MEMBER.under(enterprise), VARIABLE_LENGTH));
         fields.push(field(elements::P99.under(enterprise), 4));
     }
     Template { id: 300, scope: 0, fields }
@@ -143,9 +144,9 @@
     vec![client, Value::Number(1), Value::Number(1), Value::Number(1)]
 }
 
-/// The crate `netflow_parser` knows nothing of this one: it reads the same numbers.
+/// The crate `netflow_parser` is independent of this one.
 #[test]
-fn another_decoder_reads_the_same() {
+fn an_independent_decoder_reads_the_same_values() {
     use netflow_parser::{NetflowPacket, NetflowParser};
     let template = flow_template(Some(EXAMPLE_ENTERPRISE));
     let value = |n: u64| {
@@ -161,7 +162,7 @@
     };
     let mut encoder = Encoder::new(Version::Ipfix, 1, 1400, 0, 0);
     assert!(encoder.template(&template));
-    // Counters beyond 2^32 go through whole.
+    // Counters beyond 2^32 are not truncated.
     assert!(encoder.record(&template, &value(123)) && encoder.record(&template, &value((1 << 32) + 5)));
     let message = encoder.finish(1_764_576_001_000).unwrap();
     let mut parser = NetflowParser::default();
@@ -183,7 +184,7 @@
 }
 
 #[test]
-fn sequences_wrap_and_gaps_are_counted() {
+fn sequence_numbers_wrap_and_gaps_are_counted() {
     let template = flow_template(None);
     let values = flow_values();
     let mut encoder = Encoder::new(Version::Ipfix, 1, 1400, u32::MAX, 0);
@@ -193,37 +194,37 @@
         (0..records).for_each(|_| assert!(encoder.record(&template, &values)));
         encoder.finish(0).unwrap()
     };
-    assert_eq!(decoder.message(0, &message(2)).missing, 0);
+    assert_eq!(decoder.decode(0, &message(2)).missing, 0);
     let lost = message(3);
-    assert_eq!(decoder.message(0, &message(1)).missing, 3, "over the wrap at 2^32");
-    assert_eq!(decoder.message(0, &lost).missing, 0, "a late one is no gap of four milliards");
+    assert_eq!(decoder.decode(0, &message(1)).missing, 3, "over the wrap at 2^32");
+    assert_eq!(decoder.decode(0, &lost).missing, 0, "a late message is no gap of 2^32");
 }
 
 #[test]
-fn templates_are_withdrawn_forgotten_and_bounded() {
+fn templates_are_withdrawn_expired_and_bounded() {
     let template = flow_template(None);
     let values = flow_values();
     let mut encoder = Encoder::new(Version::Ipfix, 1, 1400, 0, 0);
-    let mut decoder = Decoder::new(Limits { templates: 2, life: 1000, ..Limits::default() });
+    let mut decoder = Decoder::new(Limits { templates: 2, template_lifetime: 1000, ..Limits::default() });
     assert!(encoder.template(&template));
-    assert_eq!(decoder.message(0, &encoder.finish(0).unwrap()).templates, 1);
+    assert_eq!(decoder.decode(0, &encoder.finish(0).unwrap()).templates, 1);
     assert!(encoder.record(&template, &values));
     let data = encoder.finish(0).unwrap();
-    assert_eq!(decoder.message(900, &data).records.len(), 1);
-    let got = decoder.message(1001, &data);
-    assert_eq!((got.records.len(), got.unknown), (0, 1), "not told again for a second");
+    assert_eq!(decoder.decode(900, &data).records.len(), 1);
+    let got = decoder.decode(1001, &data);
+    assert_eq!((got.records.len(), got.unknown_sets), (0, 1), "the template was not repeated for a second");
     for id in 400..403 {
         encoder.template(&Template { id, ..template.clone() });
     }
-    assert_eq!(decoder.message(1001, &encoder.finish(0).unwrap()).fault, Some(Fault::Limit));
+    assert_eq!(decoder.decode(1001, &encoder.finish(0).unwrap()).error, Some(DecodeError::LimitExceeded));
     assert!(encoder.withdraw(400, 0));
-    assert_eq!(decoder.message(1002, &encoder.finish(0).unwrap()).templates, 1);
+    assert_eq!(decoder.decode(1002, &encoder.finish(0).unwrap()).templates, 1);
     assert!(encoder.template(&template));
-    assert_eq!(decoder.message(1003, &encoder.finish(0).unwrap()).fault, None, "there is a place again");
-    // Two domains know nothing of each other.
+    assert_eq!(decoder.decode(1003, &encoder.finish(0).unwrap()).error, None, "the withdrawal made space");
+    // Domains do not share templates.
     let mut other = Encoder::new(Version::Ipfix, 2, 1400, 0, 0);
     assert!(other.record(&template, &values));
-    assert_eq!(decoder.message(1003, &other.finish(0).unwrap()).unknown, 1);
+    assert_eq!(decoder.decode(1003, &other.finish(0).unwrap()).unknown_sets, 1);
 }
 
 #[test]
@@ -238,11 +239,11 @@
     }
     let message = encoder.finish(0).unwrap();
     assert!(message.len() <= 65_535 && message.len() > 65_535 - 40, "{}", message.len());
-    let mut splitter = Splitter::default();
+    let mut splitter = MessageSplitter::default();
     for piece in message.chunks(1000) {
-        assert_eq!(splitter.take(), Ok(None));
+        assert_eq!(splitter.next_message(), Ok(None));
         splitter.push(piece);
     }
-    let whole = splitter.take().unwrap().unwrap();
-    assert_eq!(Decoder::new(Limits::default()).message(0, &whole).records.len(), count);
+    let message = splitter.next_message().unwrap().unwrap();
+    assert_eq!(Decoder::new(Limits::default()).decode(0, &message).records.len(), count);
 }
--- a/crates/deckproxy-flow/tests/export.rs
+++ b/crates/deckproxy-flow/tests/export.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use deckproxy_flow::codec::elements::{self, EXAMPLE_ENTERPRISE};
-use deckproxy_flow::codec::{Decoder, Element, Limits, Value, Version};
+use deckproxy_flow::codec::{DecodedRecord, Decoder, Element, Limits, Value, Version};
 use deckproxy_flow::export::{Backlog, Effect, Exporter, Settings, Transport};
 use deckproxy_flow::meter::{Flow, Key, Leg, Limits as MeterLimits, Meter, Outcome, Update};
 use std::net::{IpAddr, Ipv4Addr};
@@ -24,7 +24,7 @@
     ["", "page", "s-00c41f7a"][n as usize]
 }
 
-/// The key of what a client did: of its own leg, or of a member's where one is named.
+/// The key of a client's flow: on the client leg, or on the member leg if a member is given.
 fn key(meter: &Meter, client: IpAddr, class: u32, member: u32, outcome: Outcome) -> Key {
     let leg = if member == 0 { Leg::Client } else { Leg::Member };
     Key { client: Some(meter.client(client)), class, member, outcome: Some(outcome), ..Key::of(leg) }
@@ -54,10 +54,10 @@
 
 impl Read {
     fn message(&mut self, bytes: &Bytes) {
-        let got = self.decoder.get_or_insert_with(|| Decoder::new(Limits::default())).message(0, bytes);
-        assert_eq!((got.fault, got.unknown), (None, 0));
+        let got = self.decoder.get_or_insert_with(|| Decoder::new(Limits::default())).decode(0, bytes);
+        assert_eq!((got.error, got.unknown_sets), (None, 0));
         self.missing += got.missing;
-        for (scope, values) in got.records {
+        for DecodedRecord { scope, values } in got.records {
             let number = |element: Element| {
                 values.iter().find(|(e, _)| *e == element).and_then(|(_, v)| v.number()).unwrap_or(0)
             };
@@ -116,7 +116,7 @@
     assert_eq!((reads[0].out, reads[0].requests, reads[0].missing), (25_000, 250, 0));
     assert_eq!(
         reads[0].names.len(),
-        elements::OWN.len(),
+        elements::PROJECT_ELEMENTS.len(),
         "each of our elements is described once a connection"
     );
     assert_eq!((exporter.backlog(), exporter.counters.requests), (Backlog::default(), 250));
@@ -213,12 +213,12 @@
     let mut reads = [Read::default()];
     run(&mut exporter, 0, &mut reads, |_| true);
     run(&mut exporter, 10, &mut reads, |_| true);
-    let told = |reads: &[Read]| reads[0].names.len() / elements::OWN.len();
-    assert_eq!(told(&reads), 1);
+    let repetitions = |reads: &[Read]| reads[0].names.len() / elements::PROJECT_ELEMENTS.len();
+    assert_eq!(repetitions(&reads), 1);
     run(&mut exporter, 900, &mut reads, |_| true);
-    assert_eq!(told(&reads), 1);
+    assert_eq!(repetitions(&reads), 1);
     run(&mut exporter, 1200, &mut reads, |_| true);
-    assert_eq!(told(&reads), 2);
+    assert_eq!(repetitions(&reads), 2);
     // A collector that lost its templates reads again after a refresh.
     reads[0].decoder = None;
     for f in flows(0..350) {
@@ -261,7 +261,7 @@
         exporter.disconnected(now + 1, 0);
     }
     assert_eq!((reads[0].requests, exporter.backlog().spooled), (0, 50));
-    let attempts = reads[0].names.len() / elements::OWN.len();
+    let attempts = reads[0].names.len() / elements::PROJECT_ELEMENTS.len();
     assert!((6..20).contains(&attempts), "{attempts} attempts: the backoff grows");
     run(&mut exporter, 75_000, &mut reads, |_| true);
     run(&mut exporter, 75_200, &mut reads, |_| true);
--- a/crates/deckproxy-flow/tests/meter.rs
+++ b/crates/deckproxy-flow/tests/meter.rs
@@ -1,4 +1,4 @@
-//! The meter: sums are exact whatever is folded, memory is bounded, and a sketch is as good as it says.
+//! The meter: sums are exact however flows are folded, memory is bounded, and the sketch keeps its error bound.
 
 use deckproxy_flow::meter::{
     Flow, HeavyHitter, HeavyHitters, Key, Leg, Limits, Meter, Outcome, Reason, Update,
@@ -15,7 +15,7 @@
     }
 }
 
-/// The key of what a client did: of its own leg, or of a member's where one is named.
+/// The key of a client's flow: on the client leg, or on the member leg if a member is given.
 fn key(meter: &Meter, client: IpAddr, class: u32, member: u32, outcome: Outcome) -> Key {
     let leg = if member == 0 { Leg::Client } else { Leg::Member };
     Key { client: Some(meter.client(client)), class, member, outcome: Some(outcome), ..Key::of(leg) }
@@ -37,7 +37,7 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Against a map without a bound: the sums by class and outcome are the same, however little room there is.
+    /// Against a map without a bound: the sums by class and outcome are the same, however small the table is.
     #[test]
     fn sums_are_exact_however_much_is_folded(
         steps in prop::collection::vec((any::<u32>(), 1u32..4, 0u32..5, 0u64..1 << 34, 0u64..400), 1..600),
@@ -76,22 +76,22 @@
     }
 
     #[test]
-    fn a_heavy_hitters_sum_is_within_its_error(adds in prop::collection::vec((0u32..60, 1u64..1000), 1..800), places in 1usize..40) {
-        let mut top = HeavyHitters::new(places);
+    fn the_sum_of_a_heavy_hitter_is_within_its_error(adds in prop::collection::vec((0u32..60, 1u64..1000), 1..800), slots in 1usize..40) {
+        let mut top = HeavyHitters::new(slots);
         let mut plain: HashMap<u32, u64> = HashMap::new();
         for (key, amount) in adds {
             top.add(key, amount);
             *plain.entry(key).or_default() += amount;
         }
         let total: u64 = plain.values().sum();
-        for HeavyHitter { key, sum, error } in top.top(places) {
+        for HeavyHitter { key, sum, error } in top.top(slots) {
             prop_assert!(sum >= plain[&key] && sum - error <= plain[&key]);
-            prop_assert!(error <= total / places as u64);
+            prop_assert!(error <= total / slots as u64);
         }
         // A key with more than an even share of the total is found.
-        let found: Vec<u32> = top.top(places).into_iter().map(|hitter| hitter.key).collect();
+        let found: Vec<u32> = top.top(slots).into_iter().map(|hitter| hitter.key).collect();
         for (key, sum) in &plain {
-            prop_assert!(*sum <= total / places as u64 || found.contains(key));
+            prop_assert!(*sum <= total / slots as u64 || found.contains(key));
         }
     }
 }
@@ -113,7 +113,10 @@
     assert_eq!(sums(&flows), [65_536 * 1100, 65_536 * 2 * 3, 65_536 * 2]);
     let kept = flows.iter().find(|f| f.key == busy).expect("who uses most is not folded");
     assert_eq!(kept.counts.requests, 65_536);
-    assert!(flows.iter().filter(|f| f.key.folded == 1).count() > 100, "the others by wider prefixes");
+    assert!(
+        flows.iter().filter(|f| f.key.folded == 1).count() > 100,
+        "the other flows are folded to wider prefixes"
+    );
 }
 
 #[test]
@@ -156,7 +159,7 @@
 }
 
 #[test]
-fn a_clock_that_is_set_back_ends_no_flow_before_its_begin() {
+fn no_flow_ends_before_its_start_when_the_clock_is_set_back() {
     let mut meter = Meter::new(Limits { active: 1000, idle: 100, ..Limits::default() });
     meter.count(1_000_000, meter_key(1), &served(10));
     meter.count(5_000, meter_key(1), &served(10));
--- a/crates/deckproxy-lab/src/flows/collect.rs
+++ b/crates/deckproxy-lab/src/flows/collect.rs
@@ -3,7 +3,7 @@
 use super::record::{Record, files};
 use crate::error::LabError;
 use crate::output::print_line;
-use deckproxy_flow::codec::{Collected, Decoder, Limits, Splitter};
+use deckproxy_flow::codec::{DecodedMessage, DecodedRecord, Decoder, Limits, MessageSplitter};
 use std::collections::{BTreeMap, HashMap};
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, BufWriter, ErrorKind, Read, Write};
@@ -36,7 +36,7 @@
 const EXPORTERS: usize = 1024;
 const SILENCE: Duration = Duration::from_secs(900);
 /// Milliseconds after which a template that was not told again over UDP is forgotten: three of the usual refreshes.
-const TEMPLATE_LIFE: u64 = 1_800_000;
+const TEMPLATE_LIFETIME: u64 = 1_800_000;
 const HOUR: u64 = 3_600_000;
 
 fn unix() -> u64 {
@@ -64,13 +64,13 @@
 }
 
 impl Store {
-    fn take(&mut self, exporter: IpAddr, collected: &Collected) {
+    fn take(&mut self, exporter: IpAddr, collected: &DecodedMessage) {
         let c = &mut self.counts;
         c.messages += 1;
         c.missing += u64::from(collected.missing);
-        c.unknown += collected.unknown as u64;
-        c.faults += u64::from(collected.fault.is_some());
-        for (scope, values) in &collected.records {
+        c.unknown += collected.unknown_sets as u64;
+        c.faults += u64::from(collected.error.is_some());
+        for DecodedRecord { scope, values } in &collected.records {
             let Some(record) = Record::read(exporter, collected.domain, *scope, values) else { continue };
             self.counts.records += 1;
             if let Err(e) = self.write(&record) {
@@ -174,7 +174,7 @@
 }
 
 fn datagrams(socket: &UdpSocket, store: &Mutex<Store>) {
-    let limits = Limits { life: TEMPLATE_LIFE, ..Limits::default() };
+    let limits = Limits { template_lifetime: TEMPLATE_LIFETIME, ..Limits::default() };
     // By the exporter's address and port (RFC 7011, 10.3); the one that was silent for longest makes room.
     let mut known: HashMap<SocketAddr, (Decoder, u64)> = HashMap::new();
     let mut buffer = vec![0; 65_536];
@@ -187,7 +187,7 @@
         }
         let (decoder, at) = known.entry(peer).or_insert_with(|| (Decoder::new(limits), now));
         *at = now;
-        let collected = decoder.message(now, &bytes::Bytes::copy_from_slice(&buffer[..n]));
+        let collected = decoder.decode(now, &bytes::Bytes::copy_from_slice(&buffer[..n]));
         if let Ok(mut store) = store.lock() {
             store.take(peer.ip(), &collected);
         }
@@ -198,7 +198,7 @@
 fn connection(mut stream: TcpStream, peer: SocketAddr, store: &Mutex<Store>) -> Result<(), String> {
     stream.set_nonblocking(false).map_err(|e| e.to_string())?;
     stream.set_read_timeout(Some(SILENCE)).map_err(|e| e.to_string())?;
-    let (mut decoder, mut splitter) = (Decoder::new(Limits::default()), Splitter::default());
+    let (mut decoder, mut splitter) = (Decoder::new(Limits::default()), MessageSplitter::default());
     let mut chunk = vec![0; 64 * 1024];
     let mut faults = BTreeMap::<String, u64>::new();
     loop {
@@ -213,15 +213,15 @@
         };
         splitter.push(&chunk[..n]);
         loop {
-            match splitter.take() {
+            match splitter.next_message() {
                 Ok(None) => break,
                 Ok(Some(message)) => {
-                    let collected = decoder.message(unix(), &message);
-                    if let Some(fault) = collected.fault {
-                        let count = faults.entry(format!("{fault:?}")).or_default();
+                    let collected = decoder.decode(unix(), &message);
+                    if let Some(error) = collected.error {
+                        let count = faults.entry(format!("{error}")).or_default();
                         *count += 1;
                         if *count == 1 {
-                            eprintln!("{peer}: a message that can't be read whole: {fault:?}");
+                            eprintln!("{peer}: a message that can't be read whole: {error}");
                         }
                     }
                     if let Ok(mut store) = store.lock() {
@@ -229,7 +229,7 @@
                     }
                 }
                 // RFC 7011, 10.4: where messages begin can't be told any more.
-                Err(fault) => return Err(format!("closed: no IPFIX message ({fault:?})")),
+                Err(error) => return Err(format!("closed: no IPFIX message ({error})")),
             }
         }
     }
--- a/crates/deckproxy-lab/src/flows/record.rs
+++ b/crates/deckproxy-lab/src/flows/record.rs
@@ -1,7 +1,7 @@
 //! A stored record: what one flow was, in words.
 
 use crate::error::LabError;
-use deckproxy_flow::codec::elements::{self, NONE, Own};
+use deckproxy_flow::codec::elements::{self, NO_VALUE, ProjectElement};
 use deckproxy_flow::codec::{Element, Value};
 use ipnet::IpNet;
 use serde::{Deserialize, Serialize};
@@ -54,7 +54,7 @@
 
 /// Whether an element is one of this project's: under any enterprise, as installations use their own number, or
 /// where NetFlow v9 has it.
-fn is(element: Element, own: Own) -> bool {
+fn is(element: Element, own: ProjectElement) -> bool {
     match element.enterprise {
         Some(elements::REVERSE) => false,
         Some(_) => element.id == own.id,
@@ -68,7 +68,7 @@
     let text = String::from_utf8_lossy(&bytes[..end]);
     // What comes from the network is shown in a terminal some time.
     let text: String = text.chars().filter(|c| !c.is_control()).take(128).collect();
-    if text == NONE { String::new() } else { text }
+    if text == NO_VALUE { String::new() } else { text }
 }
 
 impl Record {
