--- a/crates/deckproxy-flow/src/export/messages.rs
+++ b/crates/deckproxy-flow/src/export/messages.rs
@@ -58,7 +58,7 @@
         self.effects.push_back(Effect::Send { collector: index, number, message });
     }
 
-    /// Adds all templates, and in IPFIX the types of the own elements.
+    /// Adds all templates, and in IPFIX the types of the project's elements.
     fn add_templates(&mut self, now: Millis, index: CollectorIndex) {
         let collector = &mut self.collectors[index];
         let mut is_complete = true;
@@ -66,8 +66,8 @@
             is_complete &= collector.encoder.template(template);
         }
         if self.settings.version == Version::Ipfix {
-            for own in PROJECT_ELEMENTS {
-                let record = element_record(self.settings.enterprise, own);
+            for element in PROJECT_ELEMENTS {
+                let record = element_record(self.settings.enterprise, element);
                 is_complete &= collector.encoder.record(&self.templates.element, &record);
             }
         }
--- a/crates/deckproxy-flow/src/export/templates.rs
+++ b/crates/deckproxy-flow/src/export/templates.rs
@@ -122,13 +122,13 @@
 }
 
 /// The record that describes one of this project's own elements (RFC 5610).
-pub(super) fn element_record(enterprise: u32, own: ProjectElement) -> Vec<Value> {
+pub(super) fn element_record(enterprise: u32, element: ProjectElement) -> Vec<Value> {
     vec![
         Value::Number(u64::from(enterprise)),
-        Value::Number(u64::from(own.id)),
-        Value::Number(u64::from(own.data_type)),
-        Value::Number(u64::from(own.semantics)),
-        Value::Number(u64::from(own.units)),
-        Value::text(own.name),
+        Value::Number(u64::from(element.id)),
+        Value::Number(u64::from(element.data_type)),
+        Value::Number(u64::from(element.semantics)),
+        Value::Number(u64::from(element.units)),
+        Value::text(element.name),
     ]
 }
--- a/crates/deckproxy-flow/tests/account.rs
+++ b/crates/deckproxy-flow/tests/account.rs
@@ -8,7 +8,7 @@
 
 const CLIENT: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 0, 0, 9));
 
-/// Bytes out and back, and requests, of a leg.
+/// The bytes towards the client, the bytes of the other direction, and the requests of a leg.
 fn sums(flows: &[Flow], leg: Leg) -> [u64; 3] {
     let add = |s: [u64; 3], f: &Flow| [s[0] + f.counts.out, s[1] + f.counts.back, s[2] + f.counts.requests];
     flows.iter().filter(|f| f.key.leg == leg).fold([0; 3], add)
@@ -48,19 +48,19 @@
     fn every_byte_and_request_of_a_client_is_counted_once(steps in prop::collection::vec(step(), 1..120), unread in 0u64..40) {
         let mut meter = Meter::new(Limits::default());
         let mut account = ClientAccount::new(Some(meter.client(CLIENT)));
-        let (mut out, mut back, mut asked, mut now) = (0, 0, 0, 1_000_000);
+        let (mut sent, mut received, mut requests_received, mut now) = (0, 0, 0, 1_000_000);
         // The lengths of the queued messages, and how much of the first is written.
-        let (mut queue, mut gone) = (VecDeque::new(), 0u64);
+        let (mut queue, mut partly_written) = (VecDeque::new(), 0u64);
         for step in steps {
             now += 100;
             match step {
                 Step::Request(id, bytes) => {
                     account.request_received(&mut meter, now, id, 1, bytes);
-                    (back, asked) = (back + bytes, asked + 1);
+                    (received, requests_received) = (received + bytes, requests_received + 1);
                 }
                 Step::OtherBytes(bytes) => {
                     account.other_bytes_received(&mut meter, now, bytes);
-                    back += bytes;
+                    received += bytes;
                 }
                 Step::Answer(id, bytes) => {
                     account.answer_queued(Some(id), Outcome::Served);
@@ -72,22 +72,22 @@
                 }
                 Step::Cancel(id) => account.request_cancelled(&mut meter, now, id),
                 Step::Write(bytes) => {
-                    gone += bytes;
-                    while let Some(first) = queue.front().copied().filter(|first| *first <= gone) {
+                    partly_written += bytes;
+                    while let Some(first) = queue.front().copied().filter(|first| *first <= partly_written) {
                         queue.pop_front();
-                        (gone, out) = (gone - first, out + first);
+                        (partly_written, sent) = (partly_written - first, sent + first);
                         account.message_written(&mut meter, now, first);
                     }
                     if queue.is_empty() {
-                        gone = 0;
+                        partly_written = 0;
                     }
                 }
             }
         }
-        account.connection_closed(&mut meter, now, gone, unread);
+        account.connection_closed(&mut meter, now, partly_written, unread);
         prop_assert_eq!([account.open_requests(), account.queued_messages()], [0, 0]);
         let flows = meter.take_all();
-        prop_assert_eq!(sums(&flows, Leg::Client), [out + gone, back + unread, asked]);
+        prop_assert_eq!(sums(&flows, Leg::Client), [sent + partly_written, received + unread, requests_received]);
     }
 }
 
@@ -106,8 +106,8 @@
     account.connection_closed(&mut meter, 6000, 250, 0);
     let flows = meter.take_all();
     assert_eq!((requests(&flows, Outcome::Served), requests(&flows, Outcome::Canceled)), (1, 2));
-    let crossed: Vec<_> = flows.iter().filter(|f| f.key.site == 7).map(|f| f.counts.out).collect();
-    assert_eq!(crossed, [250]);
+    let forwarded: Vec<_> = flows.iter().filter(|f| f.key.site == 7).map(|f| f.counts.out).collect();
+    assert_eq!(forwarded, [250]);
     assert_eq!(sums(&flows, Leg::Client), [1150, 180, 3]);
 }
 
--- a/crates/deckproxy-flow/tests/meter.rs
+++ b/crates/deckproxy-flow/tests/meter.rs
@@ -111,8 +111,8 @@
     assert!(most < 1000 * 1000, "{most} bytes for 1000 entries");
     let flows = meter.take_all();
     assert_eq!(sums(&flows), [65_536 * 1100, 65_536 * 2 * 3, 65_536 * 2]);
-    let kept = flows.iter().find(|f| f.key == busy).expect("who uses most is not folded");
-    assert_eq!(kept.counts.requests, 65_536);
+    let busiest = flows.iter().find(|f| f.key == busy).expect("the largest flow is not folded");
+    assert_eq!(busiest.counts.requests, 65_536);
     assert!(
         flows.iter().filter(|f| f.key.folded == 1).count() > 100,
         "the other flows are folded to wider prefixes"
--- a/crates/deckproxy-flow/tests/scheduler.rs
+++ b/crates/deckproxy-flow/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler of background tasks: no task starves, the time is shared by weight, and the time left is kept.
+//! The scheduler of background tasks: no starvation, shares by weight, and no overrun but by overdue tasks.
 
 use deckproxy_flow::scheduler::{Scheduler, TaskId, TaskSettings};
 use proptest::prelude::*;
@@ -19,7 +19,7 @@
         turns in prop::collection::vec((0u64..400, 100u64..900), 50..400),
     ) {
         let mut scheduler = Scheduler::default();
-        let ids: Vec<TaskId> = tasks.iter().map(|(w, s, p)| scheduler.add(settings(*w, *s, *p))).collect();
+        let ids: Vec<TaskId> = tasks.iter().map(|(weight, slice, delay)| scheduler.add(settings(*weight, *slice, *delay))).collect();
         let mut now = 0;
         for id in &ids { scheduler.wake(now, *id); }
         for (left, elapsed) in turns {
