--- a/crates/deckproxy-operator/tests/files.rs
+++ b/crates/deckproxy-operator/tests/files.rs
@@ -65,13 +65,13 @@
 #[test]
 fn unknown_doubled_and_wrong_fields_are_all_told_at_once() {
     let text = "sites {\n  nmae: \"x\"\n  name: 5\n  listen: \"a\" listen: \"b\"\n  routes { mode: SOMETIMES }\n}\nlink {}\n";
-    let told = faults(text);
-    assert_eq!(told.len(), 5, "{told:#?}");
-    assert!(told[0].starts_with("2:3: sites.nmae: no such field"));
-    assert!(told[1].starts_with("3:3: sites.name: "));
-    assert!(told[2].starts_with("4:15: sites.listen: given twice"));
-    assert!(told[3].starts_with("5:12: sites.routes[0].mode: "));
-    assert!(told[4].starts_with("7:1: link: no such field"));
+    let errors = faults(text);
+    assert_eq!(errors.len(), 5, "{errors:#?}");
+    assert!(errors[0].starts_with("2:3: sites.nmae: no such field"));
+    assert!(errors[1].starts_with("3:3: sites.name: "));
+    assert!(errors[2].starts_with("4:15: sites.listen: given twice"));
+    assert!(errors[3].starts_with("5:12: sites.routes[0].mode: "));
+    assert!(errors[4].starts_with("7:1: link: no such field"));
 }
 
 #[test]
@@ -90,7 +90,7 @@
   link { heartbeat_ms: 100 silence_ms: 150 chunk_kb: 64 credit_kb: 32 repeats_share: 1.5 }
   trust { grace_ms: 500 lease_ms: 500 }
 }"#;
-    let told = faults(text);
+    let errors = faults(text);
     for want in [
         "2:3: sites.name: ",
         "4:25: sites.peers[0].addresses[0]: \"127.0.0.1:1\" is this gateway's own listen",
@@ -108,7 +108,7 @@
         "sites.link.repeats_share: ",
         "13:3: sites.trust: lease_ms (500) must be below grace_ms (500)",
     ] {
-        assert!(told.iter().any(|line| line.contains(want)), "{want} is not in {told:#?}");
+        assert!(errors.iter().any(|line| line.contains(want)), "{want} is not in {errors:#?}");
     }
 }
 
@@ -145,16 +145,22 @@
 fn faults_of_flows_are_told_at_their_places() {
     let text = "flows {\n  protocol: NETFLOW_V9\n  collectors { address: \"127.0.0.1:1\" transport: TCP }\n  \
                 collectors { address: \"127.0.0.1:1\" }\n  meter { active_ms: 5000 }\n}\n";
-    let told = faults(text);
-    assert_eq!(told.len(), 3, "{told:#?}");
-    assert!(told[0].starts_with("3:39: flows.collectors[0].transport: NetFlow v9"), "{told:#?}");
-    assert!(told[1].starts_with("4:16: flows.collectors[1].address: "), "{told:#?}");
-    assert!(told[2].starts_with("5:11: flows.meter.active_ms: below idle_ms"), "{told:#?}");
+    let errors = faults(text);
+    assert_eq!(errors.len(), 3, "{errors:#?}");
+    assert!(errors[0].starts_with("3:39: flows.collectors[0].transport: NetFlow v9"), "{errors:#?}");
+    assert!(errors[1].starts_with("4:16: flows.collectors[1].address: "), "{errors:#?}");
+    assert!(errors[2].starts_with("5:11: flows.meter.active_ms: below idle_ms"), "{errors:#?}");
     let text = "flows { meter { v4_bits: 8 folded_v4_bits: 9 idle_ms: 70000 } message_bytes: 100 }";
-    let told = faults(text);
-    assert_eq!(told.len(), 4, "{told:#?}");
-    assert!(told.iter().any(|t| t.contains("folded_v4_bits: 9 is over v4_bits, which is 8")), "{told:#?}");
-    assert!(told.iter().any(|t| t.contains("idle_ms: 70000 is over active_ms, which is 60000")), "{told:#?}");
+    let errors = faults(text);
+    assert_eq!(errors.len(), 4, "{errors:#?}");
+    assert!(
+        errors.iter().any(|t| t.contains("folded_v4_bits: 9 is over v4_bits, which is 8")),
+        "{errors:#?}"
+    );
+    assert!(
+        errors.iter().any(|t| t.contains("idle_ms: 70000 is over active_ms, which is 60000")),
+        "{errors:#?}"
+    );
 }
 
 #[test]
@@ -169,13 +175,13 @@
         (0.2, 500.0, 1)
     );
     assert_eq!(recovery.unknown(&["post".to_string()]), ["page"]);
-    let told = faults(
+    let errors = faults(
         "recovery {\n  bad_share: 0.95\n  give_up { class: \"a\" enter: 0.5 leave: 0.5 }\n  \
          give_up { class: \"a\" enter: 0.4 leave: 0.1 }\n}\n",
     );
-    assert_eq!(told.len(), 4, "{told:#?}");
-    assert!(told[0].starts_with("2:3: recovery.bad_share: good_share (0.9) is below"), "{told:#?}");
-    assert!(told[1].contains("leave (0.5) must be under enter (0.5)"), "{told:#?}");
+    assert_eq!(errors.len(), 4, "{errors:#?}");
+    assert!(errors[0].starts_with("2:3: recovery.bad_share: good_share (0.9) is below"), "{errors:#?}");
+    assert!(errors[1].contains("leave (0.5) must be under enter (0.5)"), "{errors:#?}");
 }
 
 #[test]
@@ -190,7 +196,7 @@
     );
     let why = fleet.settings("Northern Gateway", "edge-1", 7).unwrap_err();
     assert!(why.starts_with("fleet.instance must be set: the platform's \"Northern Gateway\""), "{why}");
-    let told = faults(
+    let errors = faults(
         "fleet {\n  name: \"Edge\"\n  listen: \"0.0.0.0:7400\"\n  seeds: [\"10.0.0.1:7400\", \"192.0.2.1:7400\"]\n  \
          prefixes: \"10.0.0.1/8\"\n  instance: \"a b\"\n  probes { observers: 9 interval_ms: 50 }\n  \
          ways { instance: \"x\" address: \"10.0.0.2:1\" }\n  ways { instance: \"x\" address: \"10.0.0.3:1\" }\n}\n",
@@ -205,9 +211,9 @@
         "7:25: fleet.probes.interval_ms: ",
         "9:10: fleet.ways[1].instance: \"x\" has a way already",
     ] {
-        assert!(told.iter().any(|line| line.contains(want)), "{want} is not in {told:#?}");
+        assert!(errors.iter().any(|line| line.contains(want)), "{want} is not in {errors:#?}");
     }
-    assert_eq!(told.len(), 8, "{told:#?}");
+    assert_eq!(errors.len(), 8, "{errors:#?}");
 }
 
 #[test]
@@ -227,11 +233,11 @@
         (set.fleet.as_str(), set.limits.retry_share, set.max_retry_after, set.min_retry_after),
         ("edge", 0.2, 500.0, 50.0)
     );
-    let told = faults(
+    let errors = faults(
         "fleet {\n  name: \"e\" listen: \"127.0.0.1:1\" prefixes: \"127.0.0.0/8\"\n  overload { good_share: 0.5 share_of_repeats: 2 least_per_s: 0 }\n}\nrecovery { }\n",
     );
-    assert_eq!(told.len(), 4, "{told:#?}");
-    assert!(told.iter().all(|t| t.starts_with("3:")), "{told:#?}");
-    assert!(told.iter().any(|t| t.contains("good_share (0.5) is below bad_share (0.85)")), "{told:#?}");
-    assert!(told.iter().any(|t| t.contains("leave one of them out")), "{told:#?}");
+    assert_eq!(errors.len(), 4, "{errors:#?}");
+    assert!(errors.iter().all(|t| t.starts_with("3:")), "{errors:#?}");
+    assert!(errors.iter().any(|t| t.contains("good_share (0.5) is below bad_share (0.85)")), "{errors:#?}");
+    assert!(errors.iter().any(|t| t.contains("leave one of them out")), "{errors:#?}");
 }
