--- a/crates/deckproxy-flow/src/codec/decode/sets.rs
+++ b/crates/deckproxy-flow/src/codec/decode/sets.rs
@@ -50,12 +50,11 @@
             // Reserved set ids (RFC 7011, 3.3.2) are skipped.
             return Ok(());
         }
-        match self.domain.templates.get(&id) {
-            Some(stored) => read_records(&stored.template, self.limits, &mut set, self.decoded),
-            None => {
-                self.decoded.unknown_sets += 1;
-                Ok(())
-            }
+        if let Some(stored) = self.domain.templates.get(&id) {
+            read_records(&stored.template, self.limits, &mut set, self.decoded)
+        } else {
+            self.decoded.unknown_sets += 1;
+            Ok(())
         }
     }
 
--- a/crates/deckproxy/tests/connection_close.rs
+++ b/crates/deckproxy/tests/connection_close.rs
@@ -71,7 +71,7 @@
         start.elapsed() > Duration::from_millis(9600)
     });
     gateway.pause();
-    assert!(start.elapsed() < Duration::from_millis(10_000), "none was closed yet");
+    assert!(start.elapsed() < Duration::from_secs(10), "none was closed yet");
     let pings: Vec<u64> = idle.iter_mut().map(Client::ping).collect();
     until_in(Duration::from_secs(12), "the time-out of all has passed", || {
         all_rest.elapsed() > Duration::from_millis(10_100)
--- a/crates/deckproxy/tests/flows.rs
+++ b/crates/deckproxy/tests/flows.rs
@@ -106,7 +106,7 @@
     let told = Instant::now();
     let log = shut_down(gateway);
     // 700 ms for late requests, 200 ms for flows.
-    assert!(told.elapsed() < Duration::from_millis(2000), "{:?}", told.elapsed());
+    assert!(told.elapsed() < Duration::from_secs(2), "{:?}", told.elapsed());
     assert!(!log.contains("waiting[flows:0"), "what was not told is named: {log}");
 }
 
--- a/crates/deckproxy/tests/hostile_clients.rs
+++ b/crates/deckproxy/tests/hostile_clients.rs
@@ -127,7 +127,7 @@
         std::thread::sleep(Duration::from_millis(25));
     }
     silent.iter_mut().chain([&mut half, &mut begun, &mut trickle]).for_each(Client::expect_closed);
-    assert!(start.elapsed() < Duration::from_millis(3000), "{:?}", start.elapsed());
+    assert!(start.elapsed() < Duration::from_secs(3), "{:?}", start.elapsed());
     site.serve_object(&mut good, OBJECT, b"still");
 }
 
@@ -173,7 +173,7 @@
     client.expect_error(id, "Unusable");
     let start = Instant::now();
     while client.try_send(&[0; 64 * 1024]).is_ok() {}
-    assert!(start.elapsed() < Duration::from_millis(2000), "{:?}", start.elapsed());
+    assert!(start.elapsed() < Duration::from_secs(2), "{:?}", start.elapsed());
     assert!(gateway.usage().peak_memory_kb < 32 * 1024, "{:?}", gateway.usage());
 }
 
--- a/crates/deckproxy/tests/lifecycle.rs
+++ b/crates/deckproxy/tests/lifecycle.rs
@@ -34,7 +34,7 @@
     cache.answer(&request, "200", b"1");
     old.expect_served(first, b"1");
     assert_eq!(gateway.wait_for_exit(), Some(0));
-    assert!(start.elapsed() < Duration::from_millis(3000), "{:?}", start.elapsed());
+    assert!(start.elapsed() < Duration::from_secs(3), "{:?}", start.elapsed());
     until("its end is logged", || gateway.log().contains("end"));
 }
 
@@ -196,7 +196,7 @@
     drop(writer);
     let start = Instant::now();
     assert_eq!(gateway.wait_for_exit(), Some(0));
-    assert!(start.elapsed() < Duration::from_millis(3000), "{:?}", start.elapsed());
+    assert!(start.elapsed() < Duration::from_secs(3), "{:?}", start.elapsed());
     assert!(gateway.log().contains("told to end"), "{}", gateway.log());
 }
 
--- a/crates/deckproxy/tests/member_connections.rs
+++ b/crates/deckproxy/tests/member_connections.rs
@@ -87,7 +87,7 @@
     // The gateway closes it half a second before the member would.
     let start = Instant::now();
     cache.expect_closed();
-    assert!(start.elapsed() < Duration::from_millis(1000), "{:?}", start.elapsed());
+    assert!(start.elapsed() < Duration::from_secs(1), "{:?}", start.elapsed());
     let (_, second) = use_connection(&site, &mut client);
     assert_ne!(first, second);
 }
