--- a/crates/deckproxy/tests/control_feed.rs
+++ b/crates/deckproxy/tests/control_feed.rs
@@ -142,8 +142,10 @@
         let mut client = gateway.client();
         client.expect_ready();
         idle.push(client);
-        gateway.usage().descriptors >= 32
+        // Not a count: the process may have inherited descriptors above its limit, and an eviction frees one at once.
+        gateway.log().contains("no descriptor is left for a client")
     });
+    assert!(gateway.usage().descriptors >= 31, "{:?}", gateway.usage());
     let mut checker = DescriptorExhaustionChecker::default();
     let (filling, caches) = (AtomicBool::new(true), AtomicBool::new(true));
     thread::scope(|scope| {
