--- a/crates/deckproxy/tests/attempt_endings.rs
+++ b/crates/deckproxy/tests/attempt_endings.rs
@@ -187,6 +187,7 @@
     let mut router = router();
     start_request(&mut router);
     router.request(NOW, 2, 7, call("page", 1));
+    assert_eq!(RequestError::NameInUse.to_string(), "ref is in use");
     let answer = Answer::Invalid(RequestError::NameInUse);
     assert_eq!(effects(&mut router), [Effect::Answer { client: 2, id: 7, answer, copy: None }]);
 }
