--- a/crates/deckproxy-flow/src/account/attempts.rs
+++ b/crates/deckproxy-flow/src/account/attempts.rs
@@ -52,7 +52,12 @@
         let member = attempt.member;
         let flow = Key { client, class, site, member, outcome: Some(outcome), ..Key::of(Leg::Member) };
         let latency = Some(now.saturating_sub(attempt.started_at));
-        let update = Update { out: answer_bytes, back: attempt.bytes_written, requests: 1, latency };
+        let update = Update {
+            bytes_to_client: answer_bytes,
+            bytes_from_client: attempt.bytes_written,
+            requests: 1,
+            latency,
+        };
         meter.count(millis(now), flow, &update);
         true
     }
@@ -62,7 +67,11 @@
     pub fn count_other_bytes(meter: &mut Meter, now: Micros, member: Name, received: u64, sent: u64) {
         if received + sent > 0 {
             let flow = Key { member, ..Key::of(Leg::Member) };
-            meter.count(millis(now), flow, &Update { out: received, back: sent, ..Update::default() });
+            meter.count(
+                millis(now),
+                flow,
+                &Update { bytes_to_client: received, bytes_from_client: sent, ..Update::default() },
+            );
         }
     }
 
--- a/crates/deckproxy-flow/src/account/client.rs
+++ b/crates/deckproxy-flow/src/account/client.rs
@@ -78,7 +78,7 @@
     /// Bytes were received that belong to no request.
     pub fn other_bytes_received(&mut self, meter: &mut Meter, now: Micros, bytes: u64) {
         if bytes > 0 {
-            let update = Update { back: bytes, ..Update::default() };
+            let update = Update { bytes_from_client: bytes, ..Update::default() };
             meter.count(millis(now), self.key(None, None), &update);
         }
     }
@@ -138,7 +138,8 @@
         answer_bytes: u64,
     ) {
         let latency = Some(now.saturating_sub(request.received_at));
-        let update = Update { out: answer_bytes, back: request.bytes, requests: 1, latency };
+        let update =
+            Update { bytes_to_client: answer_bytes, bytes_from_client: request.bytes, requests: 1, latency };
         meter.count(millis(now), self.key(Some(request), Some(outcome)), &update);
     }
 
@@ -153,7 +154,7 @@
         match &message.request {
             Some(request) => self.count_request(meter, now, request, outcome, bytes),
             None if bytes > 0 => {
-                let update = Update { out: bytes, ..Update::default() };
+                let update = Update { bytes_to_client: bytes, ..Update::default() };
                 meter.count(millis(now), self.key(None, None), &update);
             }
             None => {}
--- a/crates/deckproxy-flow/src/account/link.rs
+++ b/crates/deckproxy-flow/src/account/link.rs
@@ -7,7 +7,11 @@
 pub fn count_link_bytes(meter: &mut Meter, now: Micros, site: Name, received: u64, sent: u64) {
     if received + sent > 0 {
         let flow = Key { site, ..Key::of(Leg::Link) };
-        meter.count(millis(now), flow, &Update { out: received, back: sent, ..Update::default() });
+        meter.count(
+            millis(now),
+            flow,
+            &Update { bytes_to_client: received, bytes_from_client: sent, ..Update::default() },
+        );
     }
 }
 
--- a/crates/deckproxy-flow/src/codec/elements.rs
+++ b/crates/deckproxy-flow/src/codec/elements.rs
@@ -15,8 +15,8 @@
 pub const CLIENT_V4: Element = iana(8);
 /// The length of an IPv4 prefix, bits (sourceIPv4PrefixLength, 9).
 pub const CLIENT_V4_LENGTH: Element = iana(9);
-/// NetFlow v9's bytes of the other direction (23); IPFIX uses the reverse of [`OCTETS`].
-pub const OCTETS_BACK_V9: Element = iana(23);
+/// Bytes received from the client, in NetFlow v9 (`OUT_BYTES`, 23); IPFIX uses the reverse of [`OCTETS`].
+pub const REVERSE_OCTETS_V9: Element = iana(23);
 /// The client's IPv6 address or prefix (sourceIPv6Address, 27).
 pub const CLIENT_V6: Element = iana(27);
 /// The length of an IPv6 prefix, bits (sourceIPv6PrefixLength, 29).
--- a/crates/deckproxy-flow/src/export/effects.rs
+++ b/crates/deckproxy-flow/src/export/effects.rs
@@ -1,4 +1,4 @@
-//! What the exporter decides, and what it counts.
+//! Effects that the exporter asks its caller for, log events, and counters.
 
 use bytes::Bytes;
 use std::fmt;
@@ -6,7 +6,7 @@
 /// A collector, by its index in the list.
 pub type CollectorIndex = usize;
 
-/// What the caller has to do.
+/// An effect that the caller has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Open a connection (over UDP: a socket).
@@ -22,18 +22,18 @@
     },
     /// Close the connection.
     Close(CollectorIndex),
-    /// Write a line for the operators.
+    /// Write a log line for the operators.
     Log(LogEvent),
 }
 
-/// A line for the operators.
+/// An event for the operators' log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogEvent {
     /// A collector is connected.
     Up(CollectorIndex),
     /// The connection to a collector has ended.
     Lost(CollectorIndex),
-    /// A collector took nothing within the stall timeout.
+    /// A collector accepted no bytes within the stall timeout.
     Stalled(CollectorIndex),
 }
 
--- a/crates/deckproxy-flow/src/export/mod.rs
+++ b/crates/deckproxy-flow/src/export/mod.rs
@@ -1,14 +1,15 @@
 //! The exporting process, without sockets: templates, messages, and collectors that connect and disconnect.
 //!
-//! Collectors are replicas (each gets all flows, from a spool of its own) or stand by for one another (the first that is
-//! up gets them, from one spool). A message counts as sent once it was written completely to a connection: neither
-//! protocol acknowledges, and the sequence numbers show a collector what it lacks. Other messages are sent again.
+//! Collectors are either replicas, each of which receives all flows from a spool of its own, or standbys, of which the
+//! first that is up receives all flows from one common spool. Neither protocol acknowledges messages: a message counts
+//! as sent once it is written completely to a connection, and is sent again otherwise. A collector detects missing
+//! messages by gaps in the sequence numbers.
 //!
-//! - [`settings`]: how the export is set up.
-//! - [`effects`]: what the exporter decides and counts.
+//! - [`settings`]: the settings of the export.
+//! - [`effects`]: effects for the caller, log events and counters.
 //! - `collector`: one collector's connection, backoff and rate limit.
 //! - `messages`: building and sending messages.
-//! - `templates`, `records`: what the messages consist of.
+//! - `templates`, `records`: the templates and the flows' records in the messages.
 
 mod collector;
 pub mod effects;
@@ -35,7 +36,7 @@
 pub struct Exporter {
     settings: Settings,
     collectors: Vec<Collector>,
-    /// One for each collector where they are replicas, else one for all.
+    /// One for each collector if they are replicas, otherwise one for all.
     spools: Vec<Spool>,
     templates: Templates,
     last_message: u64,
@@ -45,7 +46,7 @@
 }
 
 impl Exporter {
-    /// An exporter to these collectors. `sequence`: where sequence numbers begin.
+    /// Creates an exporter to these collectors; `sequence` is the first sequence number.
     pub fn new(settings: Settings, collectors: &[Transport], sequence: u32, now: Millis) -> Self {
         let encoder = new_encoder(&settings, sequence, now);
         let collector = |transport: &Transport| Collector::new(*transport, encoder.clone(), now);
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Takes the next effect that the caller has to carry out.
+    /// Removes and returns the next effect that the caller has to carry out.
     pub fn next_effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
@@ -111,10 +112,12 @@
         if self.settings.replicate { index } else { 0 }
     }
 
-    /// Replaces the list of collectors. Each comes with its index in the old list, if it was there: its connection
-    /// stays, and where collectors are replicas so does its spool. A new one takes over the spool and the sequence
-    /// numbers of the one that was removed from its index. The spools of removed collectors that no one takes over are
-    /// dropped. The protocol version, domain, enterprise, message size and replication take a restart.
+    /// Replaces the list of collectors.
+    ///
+    /// Each is given with its index in the old list, if it was there: it keeps its connection and, among replicas, its
+    /// spool. A new collector takes over the spool and the sequence numbers of the collector that was removed from its
+    /// index. Spools of removed collectors that are not taken over are dropped. The protocol version, domain,
+    /// enterprise, message size and replication can't be changed without a restart.
     pub fn replace_collectors(
         &mut self,
         settings: Settings,
@@ -124,7 +127,7 @@
         debug_assert!(settings.has_same_fixed_part(&self.settings), "these take a restart");
         let is_kept = |index| collectors.iter().any(|(_, previous)| *previous == Some(index));
         for index in (0..self.collectors.len()).filter(|index| !is_kept(*index)) {
-            // The caller closes its connection; what was not written goes back into the spool.
+            // The caller closes the connection; flows of unwritten messages return to the spool.
             self.disconnected(now, index);
         }
         let mut old_collectors: Vec<Option<Collector>> =
@@ -152,7 +155,7 @@
         self.settings = settings;
     }
 
-    /// A requested connection is open.
+    /// A connection requested by [`Effect::Connect`] is established.
     pub fn connected(&mut self, now: Millis, index: CollectorIndex) {
         let Some(collector) = self.collectors.get_mut(index) else { return };
         collector.state = State::Up;
@@ -161,7 +164,7 @@
         self.effects.push_back(Effect::Log(LogEvent::Up(index)));
     }
 
-    /// A connection could not be opened, or has ended. Messages that were not written are sent again.
+    /// A connection could not be established, or was closed. The flows of its unwritten messages are sent again.
     pub fn disconnected(&mut self, now: Millis, index: CollectorIndex) {
         let spool_index = self.spool_of(index);
         let Some(collector) = self.collectors.get_mut(index) else { return };
@@ -175,7 +178,7 @@
         }
         collector.set_down(now);
         let unsent = std::mem::take(&mut collector.in_flight);
-        // Messages that were not written never counted: the sequence numbers continue from the first of them.
+        // Unwritten messages don't count as sent: sequence numbers continue from the first of them.
         if let Some(first) = unsent.front() {
             collector.encoder.rewind(first.sequence);
         }
@@ -196,33 +199,33 @@
             return;
         };
         if !message.flows.is_empty() {
-            // Templates alone do not show that the collector is reachable.
+            // Templates alone don't prove that the collector is reachable.
             collector.reset_backoff();
         }
         self.counters.messages += 1;
         for flow in &message.flows {
             self.counters.flows += 1;
-            self.counters.octets += flow.counts.out + flow.counts.back;
+            self.counters.octets += flow.counts.bytes_to_client + flow.counts.bytes_from_client;
             self.counters.requests += flow.counts.requests;
         }
     }
 
-    /// Some bytes were written, though no complete message.
+    /// Some bytes of a message were written: the connection makes progress.
     pub fn bytes_sent(&mut self, now: Millis, index: CollectorIndex) {
         if let Some(collector) = self.collectors.get_mut(index) {
             collector.progress_at = now;
         }
     }
 
-    /// Does what is due: connects to collectors, closes stalled connections, and sends up to `max_messages`. Returns
-    /// whether there is more to send now. `name` resolves the flows' names.
+    /// Connects to collectors, closes stalled connections, and sends up to `max_messages` messages. Returns whether
+    /// more messages can be sent now. `name` resolves the numbers of names in the flows.
     pub fn poll<'a>(&mut self, now: Millis, max_messages: usize, name: &impl Fn(u32) -> &'a str) -> bool {
         let mut messages_left = max_messages;
         let mut has_more = false;
         let mut has_served = false;
         for index in 0..self.collectors.len() {
             self.poll_connection(now, index);
-            // Collectors that stand by get nothing while one before them is up.
+            // A standby receives nothing while a collector before it in the list is up.
             if !self.collectors[index].is_up() || (has_served && !self.settings.replicate) {
                 continue;
             }
@@ -239,7 +242,7 @@
         has_more
     }
 
-    /// Connects to a collector, or closes its connection, where that is due.
+    /// Connects to a collector when its backoff has passed, or closes its connection when it has stalled.
     fn poll_connection(&mut self, now: Millis, index: CollectorIndex) {
         let collector = &mut self.collectors[index];
         collector.fill_tokens(now, self.settings.message_rate);
@@ -264,7 +267,7 @@
         }
     }
 
-    /// When [`Exporter::poll`] has to be called next, at the latest, where nothing happens before.
+    /// The latest time at which [`Exporter::poll`] must be called again if no other event occurs before.
     pub fn next_timer(&self, now: Millis) -> Option<Millis> {
         let timers = self.collectors.iter().filter_map(|collector| collector.next_timer(now, &self.settings));
         timers.min().map(|at| at.max(now))
--- a/crates/deckproxy-flow/src/export/records.rs
+++ b/crates/deckproxy-flow/src/export/records.rs
@@ -13,8 +13,8 @@
     vec![
         address,
         Value::Number(u64::from(prefix_length)),
-        Value::Number(counts.out),
-        Value::Number(counts.back),
+        Value::Number(counts.bytes_to_client),
+        Value::Number(counts.bytes_from_client),
         Value::Number(counts.requests),
         Value::Number(counts.first),
         Value::Number(counts.last),
--- a/crates/deckproxy-flow/src/export/templates.rs
+++ b/crates/deckproxy-flow/src/export/templates.rs
@@ -96,16 +96,16 @@
     address_bytes: u16,
 ) -> Template {
     let version = settings.version;
-    let octets_back = match version {
+    let reverse_octets = match version {
         Version::Ipfix => elements::reverse(elements::OCTETS),
-        Version::NetflowV9 => elements::OCTETS_BACK_V9,
+        Version::NetflowV9 => elements::REVERSE_OCTETS_V9,
     };
     let own = |element| own_element(settings, element);
     let fields = vec![
         field(client, address_bytes),
         field(prefix_length, 1),
         field(elements::OCTETS, 8),
-        field(octets_back, 8),
+        field(reverse_octets, 8),
         field(elements::FLOWS, 8),
         field(elements::START, 8),
         field(elements::END, 8),
--- a/crates/deckproxy-flow/src/meter/flow.rs
+++ b/crates/deckproxy-flow/src/meter/flow.rs
@@ -68,10 +68,10 @@
 /// One update of a flow.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Update {
-    /// Bytes towards the client.
-    pub out: u64,
-    /// Bytes from the client.
-    pub back: u64,
+    /// Bytes towards the client; on a link, bytes received from the other site.
+    pub bytes_to_client: u64,
+    /// Bytes from the client; on a link, bytes sent to the other site.
+    pub bytes_from_client: u64,
     /// Requests that ended.
     pub requests: u64,
     /// Latency of the request, µs; only with one request.
@@ -86,10 +86,10 @@
 /// The counts of a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Counts {
-    /// Bytes towards the client.
-    pub out: u64,
-    /// Bytes from the client.
-    pub back: u64,
+    /// Bytes towards the client; on a link, bytes received from the other site.
+    pub bytes_to_client: u64,
+    /// Bytes from the client; on a link, bytes sent to the other site.
+    pub bytes_from_client: u64,
     /// Requests that ended.
     pub requests: u64,
     /// Time of the first update.
@@ -103,13 +103,20 @@
 impl Counts {
     /// Counts without updates.
     pub(super) fn new(now: Millis) -> Self {
-        Counts { out: 0, back: 0, requests: 0, first: now, last: now, latencies: [0; BUCKETS] }
+        Counts {
+            bytes_to_client: 0,
+            bytes_from_client: 0,
+            requests: 0,
+            first: now,
+            last: now,
+            latencies: [0; BUCKETS],
+        }
     }
 
     /// Adds an update.
     pub(super) fn add(&mut self, now: Millis, update: &Update) {
-        self.out += update.out;
-        self.back += update.back;
+        self.bytes_to_client += update.bytes_to_client;
+        self.bytes_from_client += update.bytes_from_client;
         self.requests += update.requests;
         // Where the clock was set back, the flow must not begin after its end.
         self.first = self.first.min(now);
@@ -123,8 +130,8 @@
 
     /// Adds the counts of another flow.
     pub fn merge(&mut self, other: &Counts) {
-        self.out += other.out;
-        self.back += other.back;
+        self.bytes_to_client += other.bytes_to_client;
+        self.bytes_from_client += other.bytes_from_client;
         self.requests += other.requests;
         self.first = self.first.min(other.first);
         self.last = self.last.max(other.last);
--- a/crates/deckproxy-flow/src/meter/mod.rs
+++ b/crates/deckproxy-flow/src/meter/mod.rs
@@ -222,7 +222,7 @@
         let candidates = (0..FOLD_CANDIDATES.min(count)).map(|i| (self.fold_position + i) % count);
         let bytes = |position: &usize| {
             let counts = &self.entries[*position].counts;
-            counts.out + counts.back
+            counts.bytes_to_client + counts.bytes_from_client
         };
         let smallest = candidates.filter(|position| self.entries[*position].key.folded < 2).min_by_key(bytes);
         self.fold_position = (self.fold_position + FOLD_CANDIDATES) % count;
--- a/crates/deckproxy-flow/src/spool.rs
+++ b/crates/deckproxy-flow/src/spool.rs
@@ -26,7 +26,11 @@
     /// The loss of one flow.
     pub fn of(flow: &Flow) -> Self {
         let counts = &flow.counts;
-        Loss { flows: 1, octets: counts.out + counts.back, requests: counts.requests }
+        Loss {
+            flows: 1,
+            octets: counts.bytes_to_client + counts.bytes_from_client,
+            requests: counts.requests,
+        }
     }
 
     /// Adds another loss.
--- a/crates/deckproxy-flow/tests/account.rs
+++ b/crates/deckproxy-flow/tests/account.rs
@@ -10,7 +10,9 @@
 
 /// The bytes towards the client, the bytes of the other direction, and the requests of a leg.
 fn sums(flows: &[Flow], leg: Leg) -> [u64; 3] {
-    let add = |s: [u64; 3], f: &Flow| [s[0] + f.counts.out, s[1] + f.counts.back, s[2] + f.counts.requests];
+    let add = |s: [u64; 3], f: &Flow| {
+        [s[0] + f.counts.bytes_to_client, s[1] + f.counts.bytes_from_client, s[2] + f.counts.requests]
+    };
     flows.iter().filter(|f| f.key.leg == leg).fold([0; 3], add)
 }
 
@@ -106,7 +108,8 @@
     account.connection_closed(&mut meter, 6000, 250, 0);
     let flows = meter.take_all();
     assert_eq!((requests(&flows, Outcome::Served), requests(&flows, Outcome::Canceled)), (1, 2));
-    let forwarded: Vec<_> = flows.iter().filter(|f| f.key.site == 7).map(|f| f.counts.out).collect();
+    let forwarded: Vec<_> =
+        flows.iter().filter(|f| f.key.site == 7).map(|f| f.counts.bytes_to_client).collect();
     assert_eq!(forwarded, [250]);
     assert_eq!(sums(&flows, Leg::Client), [1150, 180, 3]);
 }
@@ -134,7 +137,10 @@
     assert_eq!(sums(&flows, Leg::Member), [4300, 80 + 81 + 12, 2]);
     assert_eq!(sums(&flows, Leg::Client), [0; 3]);
     let failed = flows.iter().find(|f| f.key.outcome == Some(Outcome::Failed)).unwrap();
-    assert_eq!((failed.key.member, failed.key.client, failed.counts.back), (5, source.client, 80));
+    assert_eq!(
+        (failed.key.member, failed.key.client, failed.counts.bytes_from_client),
+        (5, source.client, 80)
+    );
 }
 
 #[test]
--- a/crates/deckproxy-flow/tests/export.rs
+++ b/crates/deckproxy-flow/tests/export.rs
@@ -1,9 +1,9 @@
-//! The exporting process against a collector that reads its messages: each loss is reported.
+//! The exporting process against a collector that collectors its messages: each loss is reported.
 
 use bytes::Bytes;
 use deckproxy_flow::codec::elements::{self, EXAMPLE_ENTERPRISE};
 use deckproxy_flow::codec::{DecodedRecord, Decoder, Element, Limits, Value, Version};
-use deckproxy_flow::export::{Backlog, Effect, Exporter, Settings, Transport};
+use deckproxy_flow::export::{Backlog, CollectorIndex, Effect, Exporter, Settings, Transport};
 use deckproxy_flow::meter::{Flow, Key, Leg, Limits as MeterLimits, Meter, Outcome, Update};
 use std::net::{IpAddr, Ipv4Addr};
 
@@ -20,8 +20,14 @@
     replicate: false,
 };
 
-fn name(n: u32) -> &'static str {
-    ["", "page", "s-00c41f7a"][n as usize]
+/// Address of the client with number 0: 10.0.0.0.
+const FIRST_CLIENT: u32 = 0x0a00_0000;
+/// When all flows were metered, Unix milliseconds.
+const METERED_AT: u64 = 1_764_576_000_000;
+
+/// The name of a class or member by its number.
+fn name(number: u32) -> &'static str {
+    ["", "page", "s-00c41f7a"][number as usize]
 }
 
 /// The key of a client's flow: on the client leg, or on the member leg if a member is given.
@@ -30,40 +36,45 @@
     Key { client: Some(meter.client(client)), class, member, outcome: Some(outcome), ..Key::of(leg) }
 }
 
-/// Flows of clients with numbers from one on, each of one request and 100 bytes out, 7 back.
+/// One flow for each client number, of one request, 100 bytes to the client and 7 bytes from it.
 fn flows(clients: std::ops::Range<u32>) -> Vec<Flow> {
     let mut meter = Meter::new(MeterLimits { entries: 100_000, ..MeterLimits::default() });
-    for n in clients {
-        let key = key(&meter, Ipv4Addr::from(0x0a00_0000 + n).into(), 1, 2, Outcome::Served);
-        meter.count(1_764_576_000_000, key, &Update { out: 100, back: 7, requests: 1, latency: Some(900) });
+    let update = Update { bytes_to_client: 100, bytes_from_client: 7, requests: 1, latency: Some(900) };
+    for client in clients {
+        let address = Ipv4Addr::from(FIRST_CLIENT + client).into();
+        meter.count(METERED_AT, key(&meter, address, 1, 2, Outcome::Served), &update);
     }
     meter.take_all()
 }
 
-/// What a collector has read: sums of bytes out and requests, and of reported losses.
+/// A collector that decodes what it receives: sums over the flows, and over the reported losses.
 #[derive(Default)]
-struct Read {
+struct Collector {
     decoder: Option<Decoder>,
-    out: u64,
+    bytes_to_client: u64,
     requests: u64,
     lost_flows: u64,
     lost_requests: u64,
-    names: Vec<String>,
+    /// Names of the described elements, once for each description.
+    element_names: Vec<String>,
+    /// Records missing by the sequence numbers.
     missing: u32,
 }
 
-impl Read {
-    fn message(&mut self, bytes: &Bytes) {
-        let got = self.decoder.get_or_insert_with(|| Decoder::new(Limits::default())).decode(0, bytes);
-        assert_eq!((got.error, got.unknown_sets), (None, 0));
-        self.missing += got.missing;
-        for DecodedRecord { scope, values } in got.records {
-            let number = |element: Element| {
-                values.iter().find(|(e, _)| *e == element).and_then(|(_, v)| v.number()).unwrap_or(0)
+impl Collector {
+    fn receive(&mut self, bytes: &Bytes) {
+        let decoder = self.decoder.get_or_insert_with(|| Decoder::new(Limits::default()));
+        let decoded = decoder.decode(0, bytes);
+        assert_eq!((decoded.error, decoded.unknown_sets), (None, 0));
+        self.missing += decoded.missing;
+        for DecodedRecord { scope, values } in decoded.records {
+            let value = |wanted: Element| {
+                values.iter().find(|(element, _)| *element == wanted).map(|(_, value)| value)
             };
+            let number = |wanted: Element| value(wanted).and_then(Value::number).unwrap_or(0);
             match scope {
                 0 => {
-                    self.out += number(elements::OCTETS);
+                    self.bytes_to_client += number(elements::OCTETS);
                     self.requests += number(elements::FLOWS);
                 }
                 1 => {
@@ -71,9 +82,8 @@
                     self.lost_requests += number(elements::FLOWS);
                 }
                 _ => {
-                    let name = values.iter().find(|(e, _)| *e == elements::IE_NAME);
-                    if let Some((_, Value::Bytes(text))) = name {
-                        self.names.push(String::from_utf8(text.to_vec()).unwrap());
+                    if let Some(Value::Bytes(text)) = value(elements::IE_NAME) {
+                        self.element_names.push(String::from_utf8(text.to_vec()).unwrap());
                     }
                 }
             }
@@ -81,24 +91,29 @@
     }
 }
 
-/// Polls the exporter and carries out its effects; `takes` says for each collector whether it can be reached.
-fn run(exporter: &mut Exporter, now: u64, reads: &mut [Read], takes: impl Fn(usize) -> bool) {
+/// Polls the exporter and carries out its effects until it is idle.
+fn run(
+    exporter: &mut Exporter,
+    now: u64,
+    collectors: &mut [Collector],
+    is_reachable: impl Fn(CollectorIndex) -> bool,
+) {
     for _ in 0..2000 {
-        let more = exporter.poll(now, 4, &name);
-        let mut any = false;
+        let has_more = exporter.poll(now, 4, &name);
+        let mut had_effects = false;
         while let Some(effect) = exporter.next_effect() {
-            any = true;
+            had_effects = true;
             match effect {
-                Effect::Connect(place) if takes(place) => exporter.connected(now, place),
-                Effect::Connect(place) => exporter.disconnected(now, place),
-                Effect::Send { collector: place, number, message } if takes(place) => {
-                    reads[place].message(&message);
-                    exporter.message_sent(now, place, number);
+                Effect::Connect(index) if is_reachable(index) => exporter.connected(now, index),
+                Effect::Connect(index) => exporter.disconnected(now, index),
+                Effect::Send { collector: index, number, message } if is_reachable(index) => {
+                    collectors[index].receive(&message);
+                    exporter.message_sent(now, index, number);
                 }
                 Effect::Send { .. } | Effect::Close(_) | Effect::Log(_) => {}
             }
         }
-        if !more && !any {
+        if !has_more && !had_effects {
             return;
         }
     }
@@ -108,14 +123,17 @@
 #[test]
 fn all_flows_are_exported_with_their_names_and_types() {
     let mut exporter = Exporter::new(SETTINGS, &[Transport::Tcp], 0, 0);
-    let mut reads = [Read::default()];
-    for f in flows(0..250) {
-        exporter.push(f);
+    let mut collectors = [Collector::default()];
+    for flow in flows(0..250) {
+        exporter.push(flow);
     }
-    run(&mut exporter, 10, &mut reads, |_| true);
-    assert_eq!((reads[0].out, reads[0].requests, reads[0].missing), (25_000, 250, 0));
+    run(&mut exporter, 10, &mut collectors, |_| true);
+    assert_eq!(
+        (collectors[0].bytes_to_client, collectors[0].requests, collectors[0].missing),
+        (25_000, 250, 0)
+    );
     assert_eq!(
-        reads[0].names.len(),
+        collectors[0].element_names.len(),
         elements::PROJECT_ELEMENTS.len(),
         "each of our elements is described once a connection"
     );
@@ -125,32 +143,35 @@
 #[test]
 fn a_collector_that_was_down_for_minutes_gets_all_sums_later() {
     let mut exporter = Exporter::new(SETTINGS, &[Transport::Tcp], 0, 0);
-    let mut reads = [Read::default()];
-    // The same 100 clients again and again: merged by key, nothing is dropped.
+    let mut collectors = [Collector::default()];
+    // The flows of the same 100 clients are merged by key, and none is dropped.
     for minute in 0..60 {
-        for f in flows(0..100) {
-            exporter.push(f);
+        for flow in flows(0..100) {
+            exporter.push(flow);
         }
-        run(&mut exporter, minute * 5000, &mut reads, |_| false);
+        run(&mut exporter, minute * 5000, &mut collectors, |_| false);
     }
     assert!(exporter.backlog().spooled * size_of::<Flow>() <= SETTINGS.spool_size, "bounded");
-    run(&mut exporter, 400_000, &mut reads, |_| true);
-    assert_eq!((reads[0].requests, reads[0].out, reads[0].lost_flows), (6000, 600_000, 0));
+    run(&mut exporter, 400_000, &mut collectors, |_| true);
+    assert_eq!(
+        (collectors[0].requests, collectors[0].bytes_to_client, collectors[0].lost_flows),
+        (6000, 600_000, 0)
+    );
 }
 
 #[test]
 fn dropped_flows_are_counted_and_reported() {
     let mut exporter = Exporter::new(SETTINGS, &[Transport::Tcp], 0, 0);
-    let mut reads = [Read::default()];
-    // Every flow another client: there is nothing to merge.
-    for f in flows(0..5000) {
-        exporter.push(f);
+    let mut collectors = [Collector::default()];
+    // Each flow has a client of its own: there is nothing to merge.
+    for flow in flows(0..5000) {
+        exporter.push(flow);
     }
     assert!(exporter.unreported_loss().flows > 0);
-    run(&mut exporter, 10, &mut reads, |_| true);
-    assert!(reads[0].lost_flows > 0 && reads[0].requests > 100);
+    run(&mut exporter, 10, &mut collectors, |_| true);
+    assert!(collectors[0].lost_flows > 0 && collectors[0].requests > 100);
     assert_eq!(
-        reads[0].requests + reads[0].lost_requests,
+        collectors[0].requests + collectors[0].lost_requests,
         5000,
         "each request is exported or reported as lost"
     );
@@ -160,9 +181,9 @@
 #[test]
 fn flows_of_unwritten_messages_are_sent_again() {
     let mut exporter = Exporter::new(SETTINGS, &[Transport::Tcp], 0, 0);
-    let mut reads = [Read::default()];
-    for f in flows(0..300) {
-        exporter.push(f);
+    let mut collectors = [Collector::default()];
+    for flow in flows(0..300) {
+        exporter.push(flow);
     }
     exporter.poll(10, 100, &name);
     assert_eq!(exporter.next_effect(), Some(Effect::Connect(0)));
@@ -170,123 +191,127 @@
     exporter.poll(10, 100, &name);
     let in_flight = exporter.backlog().in_flight;
     assert!(in_flight > 0);
-    // Its window is closed: the connection is closed after the stall timeout, and not before.
-    run(&mut exporter, 3000, &mut reads, |_| false);
+    // The collector reads nothing: the connection is closed after the stall timeout, and not before.
+    run(&mut exporter, 3000, &mut collectors, |_| false);
     assert_eq!(exporter.backlog().in_flight, in_flight);
     exporter.poll(3011, 100, &name);
     let effects: Vec<Effect> = std::iter::from_fn(|| exporter.next_effect()).collect();
     assert!(effects.contains(&Effect::Close(0)), "{effects:?}");
     assert_eq!(exporter.backlog(), Backlog { spooled: 300, in_flight: 0 });
-    run(&mut exporter, 20_000, &mut reads, |_| true);
-    assert_eq!(reads[0].requests, 300);
+    run(&mut exporter, 20_000, &mut collectors, |_| true);
+    assert_eq!(collectors[0].requests, 300);
 }
 
 #[test]
 fn a_standby_collector_takes_over_and_replicas_get_all_flows() {
     let mut exporter = Exporter::new(SETTINGS, &[Transport::Tcp, Transport::Tcp], 0, 0);
-    let mut reads = [Read::default(), Read::default()];
-    for f in flows(0..100) {
-        exporter.push(f);
+    let mut collectors = [Collector::default(), Collector::default()];
+    for flow in flows(0..100) {
+        exporter.push(flow);
     }
-    run(&mut exporter, 10, &mut reads, |_| true);
-    for f in flows(0..100) {
-        exporter.push(f);
+    run(&mut exporter, 10, &mut collectors, |_| true);
+    for flow in flows(0..100) {
+        exporter.push(flow);
     }
     exporter.disconnected(20, 0);
-    run(&mut exporter, 20, &mut reads, |place| place == 1);
-    assert_eq!((reads[0].requests, reads[1].requests), (100, 100));
+    run(&mut exporter, 20, &mut collectors, |index| index == 1);
+    assert_eq!((collectors[0].requests, collectors[1].requests), (100, 100));
     let replicas = Settings { replicate: true, ..SETTINGS };
     let mut exporter = Exporter::new(replicas, &[Transport::Tcp, Transport::Udp], 0, 0);
-    let mut reads = [Read::default(), Read::default()];
-    for f in flows(0..100) {
-        exporter.push(f);
+    let mut collectors = [Collector::default(), Collector::default()];
+    for flow in flows(0..100) {
+        exporter.push(flow);
     }
-    run(&mut exporter, 10, &mut reads, |place| place == 1);
-    run(&mut exporter, 5000, &mut reads, |_| true);
-    assert_eq!((reads[0].requests, reads[1].requests), (100, 100));
+    run(&mut exporter, 10, &mut collectors, |index| index == 1);
+    run(&mut exporter, 5000, &mut collectors, |_| true);
+    assert_eq!((collectors[0].requests, collectors[1].requests), (100, 100));
 }
 
 #[test]
 fn over_udp_templates_are_repeated_and_the_message_rate_is_kept() {
     let settings = Settings { template_interval: 1000, message_rate: 10, ..SETTINGS };
     let mut exporter = Exporter::new(settings, &[Transport::Udp], 0, 0);
-    let mut reads = [Read::default()];
-    run(&mut exporter, 0, &mut reads, |_| true);
-    run(&mut exporter, 10, &mut reads, |_| true);
-    let repetitions = |reads: &[Read]| reads[0].names.len() / elements::PROJECT_ELEMENTS.len();
-    assert_eq!(repetitions(&reads), 1);
-    run(&mut exporter, 900, &mut reads, |_| true);
-    assert_eq!(repetitions(&reads), 1);
-    run(&mut exporter, 1200, &mut reads, |_| true);
-    assert_eq!(repetitions(&reads), 2);
-    // A collector that lost its templates reads again after a refresh.
-    reads[0].decoder = None;
-    for f in flows(0..350) {
-        exporter.push(f);
+    let mut collectors = [Collector::default()];
+    run(&mut exporter, 0, &mut collectors, |_| true);
+    run(&mut exporter, 10, &mut collectors, |_| true);
+    let repetitions =
+        |collectors: &[Collector]| collectors[0].element_names.len() / elements::PROJECT_ELEMENTS.len();
+    assert_eq!(repetitions(&collectors), 1);
+    run(&mut exporter, 900, &mut collectors, |_| true);
+    assert_eq!(repetitions(&collectors), 1);
+    run(&mut exporter, 1200, &mut collectors, |_| true);
+    assert_eq!(repetitions(&collectors), 2);
+    // A collector that lost its templates collectors again after a refresh.
+    collectors[0].decoder = None;
+    for flow in flows(0..350) {
+        exporter.push(flow);
     }
-    run(&mut exporter, 2300, &mut reads, |_| true);
+    run(&mut exporter, 2300, &mut collectors, |_| true);
     let sent = exporter.counters.messages;
-    run(&mut exporter, 2301, &mut reads, |_| true);
+    run(&mut exporter, 2301, &mut collectors, |_| true);
     assert_eq!(exporter.counters.messages, sent, "no more at once than the rate allows");
     for now in (2400..9000).step_by(100) {
-        run(&mut exporter, now, &mut reads, |_| true);
+        run(&mut exporter, now, &mut collectors, |_| true);
     }
-    assert_eq!(reads[0].requests, 350);
+    assert_eq!(collectors[0].requests, 350);
 }
 
 #[test]
 fn netflow_v9_carries_the_same_sums() {
     let settings = Settings { version: Version::NetflowV9, ..SETTINGS };
     let mut exporter = Exporter::new(settings, &[Transport::Udp], 0, 0);
-    let mut reads = [Read::default()];
-    for f in flows(0..200) {
-        exporter.push(f);
+    let mut collectors = [Collector::default()];
+    for flow in flows(0..200) {
+        exporter.push(flow);
     }
-    run(&mut exporter, 10, &mut reads, |_| true);
-    assert_eq!(reads[0].requests, 0, "templates are sent ahead");
-    run(&mut exporter, 120, &mut reads, |_| true);
-    assert_eq!((reads[0].out, reads[0].requests, reads[0].missing), (20_000, 200, 0));
+    run(&mut exporter, 10, &mut collectors, |_| true);
+    assert_eq!(collectors[0].requests, 0, "templates are sent ahead");
+    run(&mut exporter, 120, &mut collectors, |_| true);
+    assert_eq!(
+        (collectors[0].bytes_to_client, collectors[0].requests, collectors[0].missing),
+        (20_000, 200, 0)
+    );
 }
 
 #[test]
 fn no_flow_is_sent_over_udp_where_no_collector_listens() {
     let mut exporter = Exporter::new(SETTINGS, &[Transport::Udp], 0, 0);
-    let mut reads = [Read::default()];
-    for f in flows(0..50) {
-        exporter.push(f);
+    let mut collectors = [Collector::default()];
+    for flow in flows(0..50) {
+        exporter.push(flow);
     }
     for now in (0..60_000).step_by(50) {
-        run(&mut exporter, now, &mut reads, |_| true);
-        // The network reports it after the first datagram, long before flows may follow.
+        run(&mut exporter, now, &mut collectors, |_| true);
+        // The network reports the closed port after the first datagram, before flows may follow.
         exporter.disconnected(now + 1, 0);
     }
-    assert_eq!((reads[0].requests, exporter.backlog().spooled), (0, 50));
-    let attempts = reads[0].names.len() / elements::PROJECT_ELEMENTS.len();
+    assert_eq!((collectors[0].requests, exporter.backlog().spooled), (0, 50));
+    let attempts = collectors[0].element_names.len() / elements::PROJECT_ELEMENTS.len();
     assert!((6..20).contains(&attempts), "{attempts} attempts: the backoff grows");
-    run(&mut exporter, 75_000, &mut reads, |_| true);
-    run(&mut exporter, 75_200, &mut reads, |_| true);
-    assert_eq!(reads[0].requests, 50);
+    run(&mut exporter, 75_000, &mut collectors, |_| true);
+    run(&mut exporter, 75_200, &mut collectors, |_| true);
+    assert_eq!(collectors[0].requests, 50);
 }
 
 #[test]
 fn sequence_numbers_continue_from_the_first_unwritten_message() {
     let start = u32::MAX - 40;
     let mut exporter = Exporter::new(SETTINGS, &[Transport::Tcp], start, 0);
-    // One reader across the connections: it would see a gap, also over the wrap at 2^32.
-    let mut reads = [Read::default()];
-    for f in flows(0..100) {
-        exporter.push(f);
+    // One decoder across the connections: it would detect a gap, also over the wrap at 2^32.
+    let mut collectors = [Collector::default()];
+    for flow in flows(0..100) {
+        exporter.push(flow);
     }
-    run(&mut exporter, 10, &mut reads, |_| true);
-    for f in flows(100..200) {
-        exporter.push(f);
+    run(&mut exporter, 10, &mut collectors, |_| true);
+    for flow in flows(100..200) {
+        exporter.push(flow);
     }
     exporter.poll(20, 100, &name);
     assert!(exporter.backlog().in_flight > 0, "in flight, and not written");
     while exporter.next_effect().is_some() {}
     exporter.disconnected(30, 0);
-    run(&mut exporter, 1000, &mut reads, |_| true);
-    assert_eq!((reads[0].requests, reads[0].missing), (200, 0));
+    run(&mut exporter, 1000, &mut collectors, |_| true);
+    assert_eq!((collectors[0].requests, collectors[0].missing), (200, 0));
 }
 
 #[test]
@@ -295,12 +320,12 @@
         let settings = Settings { replicate, ..SETTINGS };
         let both = [Transport::Tcp, Transport::Tcp];
         let mut exporter = Exporter::new(settings, &both, 0, 0);
-        let mut reads = [Read::default(), Read::default()];
-        for f in flows(0..40) {
-            exporter.push(f);
+        let mut collectors = [Collector::default(), Collector::default()];
+        for flow in flows(0..40) {
+            exporter.push(flow);
         }
-        // Neither is up; then the first is removed, the second stays and moves up, a new one is added.
-        run(&mut exporter, 10, &mut reads, |_| false);
+        // Neither is up. Then the first is removed, the second is kept at index 0, and a new one is added.
+        run(&mut exporter, 10, &mut collectors, |_| false);
         exporter.poll(5000, 0, &name);
         while exporter.next_effect().is_some() {}
         exporter.connected(5000, 1);
@@ -309,16 +334,16 @@
         assert_eq!(exporter.backlog().in_flight, 40, "in flight to the second");
         exporter.replace_collectors(settings, &[(Transport::Tcp, Some(1)), (Transport::Tcp, None)], 5002);
         assert_eq!(exporter.backlog().in_flight, 40, "its connection stays");
-        for f in flows(40..60) {
-            exporter.push(f);
+        for flow in flows(40..60) {
+            exporter.push(flow);
         }
-        // That connection is lost without a byte written: all flows are sent again.
+        // That connection is lost before a byte is written: all flows are sent again.
         exporter.disconnected(5003, 0);
-        run(&mut exporter, 60_000, &mut reads, |_| true);
-        let got = [reads[0].requests, reads[1].requests];
-        // A new replica gets the flows from then on.
-        let want = if replicate { [60, 20] } else { [60, 0] };
-        assert_eq!((got, exporter.is_settled()), (want, true), "replicate: {replicate}");
+        run(&mut exporter, 60_000, &mut collectors, |_| true);
+        let requests = [collectors[0].requests, collectors[1].requests];
+        // A new replica receives the flows pushed since it was added.
+        let expected = if replicate { [60, 20] } else { [60, 0] };
+        assert_eq!((requests, exporter.is_settled()), (expected, true), "replicate: {replicate}");
     }
 }
 
@@ -327,12 +352,12 @@
     for (version, transport) in [(Version::Ipfix, Transport::Tcp), (Version::NetflowV9, Transport::Udp)] {
         let settings = Settings { version, max_message: 1024, ..SETTINGS };
         let mut exporter = Exporter::new(settings, &[transport], 0, 0);
-        let mut reads = [Read::default()];
-        for f in flows(0..30) {
-            exporter.push(f);
+        let mut collectors = [Collector::default()];
+        for flow in flows(0..30) {
+            exporter.push(flow);
         }
-        run(&mut exporter, 10, &mut reads, |_| true);
-        run(&mut exporter, 200, &mut reads, |_| true);
-        assert_eq!(reads[0].requests, 30, "{version:?}");
+        run(&mut exporter, 10, &mut collectors, |_| true);
+        run(&mut exporter, 200, &mut collectors, |_| true);
+        assert_eq!(collectors[0].requests, 30, "{version:?}");
     }
 }
--- a/crates/deckproxy-flow/tests/meter.rs
+++ b/crates/deckproxy-flow/tests/meter.rs
@@ -25,12 +25,14 @@
     Ipv4Addr::from(n).into()
 }
 
-fn served(out: u64) -> Update {
-    Update { out, back: 3, requests: 1, latency: Some(700) }
+fn served(bytes_to_client: u64) -> Update {
+    Update { bytes_to_client, bytes_from_client: 3, requests: 1, latency: Some(700) }
 }
 
 fn sums<'a>(flows: impl IntoIterator<Item = &'a Flow>) -> [u64; 3] {
-    let add = |s: [u64; 3], f: &Flow| [s[0] + f.counts.out, s[1] + f.counts.back, s[2] + f.counts.requests];
+    let add = |s: [u64; 3], f: &Flow| {
+        [s[0] + f.counts.bytes_to_client, s[1] + f.counts.bytes_from_client, s[2] + f.counts.requests]
+    };
     flows.into_iter().fold([0; 3], add)
 }
 
@@ -47,15 +49,15 @@
         let mut plain: HashMap<u32, [u64; 3]> = HashMap::new();
         let mut legs: HashMap<Leg, [u64; 3]> = HashMap::new();
         let (mut exported, mut now) = (Vec::new(), 1000u64);
-        for (client, class, member, out, later) in steps {
+        for (client, class, member, bytes_to_client, later) in steps {
             // Now and then the clock steps back.
             now = if later > 390 { now.saturating_sub(300) } else { now + later / 10 };
             let client = if client % 5 == 0 { IpAddr::from(Ipv6Addr::from(u128::from(client) << 90)) } else { v4(client) };
-            let outcome = if out % 2 == 0 { Outcome::Served } else { Outcome::Canceled };
-            meter.count(now, key(&meter, client, class, member, outcome), &served(out));
+            let outcome = if bytes_to_client % 2 == 0 { Outcome::Served } else { Outcome::Canceled };
+            meter.count(now, key(&meter, client, class, member, outcome), &served(bytes_to_client));
             let leg = if member == 0 { Leg::Client } else { Leg::Member };
             for sum in [plain.entry(class).or_default(), legs.entry(leg).or_default()] {
-                *sum = [sum[0] + out, sum[1] + 3, sum[2] + 1];
+                *sum = [sum[0] + bytes_to_client, sum[1] + 3, sum[2] + 1];
             }
             prop_assert!(meter.len() <= entries);
             meter.take_due(now, 3, &mut exported);
@@ -124,7 +126,11 @@
     let mut meter = Meter::new(Limits::default());
     for n in 0..100_000u64 {
         let key = key(&meter, v4((n % 5000) as u32), 2, (n % 7) as u32, Outcome::Served);
-        meter.count(1_000_000 + n / 100, key, &Update { out: 40, back: 60, requests: 1, latency: Some(100) });
+        meter.count(
+            1_000_000 + n / 100,
+            key,
+            &Update { bytes_to_client: 40, bytes_from_client: 60, requests: 1, latency: Some(100) },
+        );
     }
     let flows = meter.take_all();
     assert_eq!(sums(&flows), [4_000_000, 6_000_000, 100_000]);
@@ -151,7 +157,7 @@
     meter.count(1056, key(2), &served(1 << 40));
     let end = meter.take_all();
     assert_eq!(reasons(&end), [(key(2), Reason::End, 2)]);
-    assert_eq!(end[0].counts.out, 2 << 40, "beyond 2^32");
+    assert_eq!(end[0].counts.bytes_to_client, 2 << 40, "beyond 2^32");
 }
 
 fn meter_key(n: u32) -> Key {
--- a/crates/deckproxy-lab/src/flows/record.rs
+++ b/crates/deckproxy-lab/src/flows/record.rs
@@ -80,7 +80,7 @@
             let number = || value.number().unwrap_or(0);
             match *element {
                 elements::OCTETS => record.out = number(),
-                elements::OCTETS_BACK_V9 => record.back = number(),
+                elements::REVERSE_OCTETS_V9 => record.back = number(),
                 e if e == elements::reverse(elements::OCTETS) => record.back = number(),
                 elements::FLOWS => record.requests = number(),
                 elements::START => record.start = number(),
--- a/crates/deckproxy-lab/src/measure/flows.rs
+++ b/crates/deckproxy-lab/src/measure/flows.rs
@@ -74,13 +74,13 @@
         outcome: Some(Outcome::Served),
         ..Key::of(Leg::Client)
     };
-    let update = Update { out: 1000, back: 60, requests: 1, latency: Some(900) };
+    let update = Update { bytes_to_client: 1000, bytes_from_client: 60, requests: 1, latency: Some(900) };
     let before = resident();
     let start = Instant::now();
     let mut plain: HashMap<IpAddr, [u64; 3]> = HashMap::new();
     for n in &draws {
         let sum = plain.entry(address(*n as usize)).or_default();
-        *sum = [sum[0] + update.out, sum[1] + update.back, sum[2] + update.requests];
+        *sum = [sum[0] + update.bytes_to_client, sum[1] + update.bytes_from_client, sum[2] + update.requests];
     }
     let each = |start: Instant| format!("{:.0}", start.elapsed().as_nanos() as f64 / UPDATES as f64);
     let kb = |before: u64| format!("{}", resident().saturating_sub(before) / 1024);
@@ -117,10 +117,10 @@
         let start = Instant::now();
         let mut top = HeavyHitters::new(places);
         for n in &draws {
-            top.add(address(*n as usize), update.out);
+            top.add(address(*n as usize), update.bytes_to_client);
         }
         let (ns, memory) = (each(start), kb(before));
-        let total = UPDATES as u64 * update.out;
+        let total = UPDATES as u64 * update.bytes_to_client;
         let worst = top.top(10).iter().map(|hitter| hitter.sum - plain[&hitter.key][0]).max().unwrap_or(0);
         let mut exact: Vec<(u64, IpAddr)> = plain.iter().map(|(k, v)| (v[0], *k)).collect();
         exact.sort_unstable_by(|a, b| b.cmp(a));
@@ -150,7 +150,11 @@
         for n in 0..FLOWS {
             let client = Some(meter.client(address(n)));
             let key = Key { client, class: 1, outcome: Some(Outcome::Served), ..Key::of(Leg::Client) };
-            meter.count(1000, key, &Update { out: 1000, back: 60, requests: 1, latency: Some(900) });
+            meter.count(
+                1000,
+                key,
+                &Update { bytes_to_client: 1000, bytes_from_client: 60, requests: 1, latency: Some(900) },
+            );
         }
         let settings = Settings {
             version,
--- a/crates/deckproxy-lab/tests/flows.rs
+++ b/crates/deckproxy-lab/tests/flows.rs
@@ -70,10 +70,15 @@
             outcome: Some(Outcome::Served),
             ..Key::of(Leg::Client)
         };
-        let update = Update { out: 1000 * u64::from(n), back: 9, requests: 2, latency: Some(1500) };
+        let update = Update {
+            bytes_to_client: 1000 * u64::from(n),
+            bytes_from_client: 9,
+            requests: 2,
+            latency: Some(1500),
+        };
         meter.count(1_764_576_000_000 + u64::from(n) * 1000, key, &update);
     }
-    let more = Update { out: 5, back: 6, requests: 0, latency: None };
+    let more = Update { bytes_to_client: 5, bytes_from_client: 6, requests: 0, latency: None };
     meter.count(1_764_576_000_000, Key { member: 3, ..Key::of(Leg::Member) }, &more);
     meter.count(1_764_576_000_000, Key { site: 4, ..Key::of(Leg::Link) }, &more);
     let settings = Settings {
--- a/crates/deckproxy-recovery/src/recovery_ramp.rs
+++ b/crates/deckproxy-recovery/src/recovery_ramp.rs
@@ -1,4 +1,6 @@
 //! A recovery ramp: one trial request, then more by measured success, for a site, connection or member that returned.
+//!
+//! Nothing outside this crate's tests uses it yet.
 
 use crate::Millis;
 
