--- a/crates/deckproxy-lab/src/traffic.rs
+++ b/crates/deckproxy-lab/src/traffic.rs
@@ -8,7 +8,7 @@
 /// Power of the Zipf distribution of objects.
 const POPULARITY_POWER: f64 = 0.9;
 /// Time that a client gives a request, ms.
-const TIMEOUT_MS: u32 = 1400;
+pub const TIMEOUT_MS: u32 = 1400;
 
 /// Numbers from 0 with the probability of the n-th in proportion to 1 / (n + 1) to a power.
 ///
