--- a/crates/deckproxy-fleet/tests/instances.rs
+++ b/crates/deckproxy-fleet/tests/instances.rs
@@ -145,7 +145,7 @@
         };
         assert!((0.9..1.1).contains(&by(&majority)), "the majority does all: {}", by(&majority));
         assert!((0.3..0.45).contains(&by(&minority)), "the minority its share: {}", by(&minority));
-        sim.cuts.clear();
+        sim.blocked_pairs.clear();
         let healed = sim.until(8000.0, SimulatedFleet::hears_all);
         assert!(healed.is_some(), "{:?}", sim.logs);
         sim.run(3000.0);
@@ -159,7 +159,7 @@
     let mut sim = converged(5, 40);
     let from = sim.now;
     for one in [3, 4] {
-        sim.cuts.extend((0..3).map(|other| (one, other)));
+        sim.blocked_pairs.extend((0..3).map(|other| (one, other)));
     }
     sim.run(15_000.0);
     assert!(sim.peak_check_ratio(from, 2000.0) < 2.0, "{}", sim.peak_check_ratio(from, 2000.0));
@@ -168,7 +168,7 @@
         as f64
         / (12.0 * 2.0 * 8.0);
     assert!(few < 0.5, "{few}");
-    sim.cuts.clear();
+    sim.blocked_pairs.clear();
     assert!(sim.until(8000.0, SimulatedFleet::hears_all).is_some());
 }
 
@@ -194,9 +194,9 @@
 #[test]
 fn bytes_stay_within_the_budget() {
     let mut sim = converged(16, 60);
-    let before: u64 = sim.bytes.iter().sum();
+    let before: u64 = sim.sent_bytes.iter().sum();
     sim.run(20_000.0);
-    let each = (sim.bytes.iter().sum::<u64>() - before) as f64 / 16.0 / 20.0;
+    let each = (sim.sent_bytes.iter().sum::<u64>() - before) as f64 / 16.0 / 20.0;
     assert!(each < 16_384.0, "{each} bytes a second");
     assert!(each > 100.0, "they do send");
 }
--- a/crates/deckproxy-fleet/tests/overload.rs
+++ b/crates/deckproxy-fleet/tests/overload.rs
@@ -189,7 +189,7 @@
         assert!(c.admitted < 1.25 * capacity, "seed {seed}: {c:?} of {capacity}");
         assert!(c.served > 0.75 * capacity, "seed {seed}: {c:?} of {capacity}");
         match seed {
-            11 => all.fleet.cuts.clear(),
+            11 => all.fleet.blocked_pairs.clear(),
             12 => (0..3).for_each(|i| all.fleet.start(i)),
             13 => all.fleet.network = NetworkConditions::default(),
             _ => all.fleet.resume(2),
@@ -243,14 +243,14 @@
                 1 => all.fleet.pause(one),
                 2 => all.fleet.split(&[others[..2].to_vec(), [&others[2..], &[one]].concat()]),
                 3 => all.fleet.network = NetworkConditions { lost_share: 0.3, duplicated_share: 0.2, max_delay: 80.0 },
-                _ => all.fleet.cuts.extend(others.iter().map(|i| (one, *i))),
+                _ => all.fleet.blocked_pairs.extend(others.iter().map(|i| (one, *i))),
             }
             all.run(lasts);
             match kind {
                 0 => all.fleet.start(one),
                 1 => all.fleet.resume(one),
                 3 => all.fleet.network = NetworkConditions::default(),
-                _ => all.fleet.cuts.clear(),
+                _ => all.fleet.blocked_pairs.clear(),
             }
             all.run(1500.0);
         }
--- a/crates/deckproxy-fleet/tests/schedules.rs
+++ b/crates/deckproxy-fleet/tests/schedules.rs
@@ -35,7 +35,7 @@
                 events.push(format!("{:.0} stop {one}", sim.now));
                 heals.push((sim.now + lasts, 1, one));
             }
-            2 | 3 if sim.cuts.is_empty() => {
+            2 | 3 if sim.blocked_pairs.is_empty() => {
                 let mut all: Vec<usize> = (0..n).collect();
                 all.shuffle(rng);
                 let parts = if rng.random_range(0..3) == 0 {
@@ -46,7 +46,7 @@
                 };
                 if rng.random_bool(0.3) && parts.len() == 2 {
                     for from in &parts[0] {
-                        sim.cuts.extend(parts[1].iter().map(|to| (*from, *to)));
+                        sim.blocked_pairs.extend(parts[1].iter().map(|to| (*from, *to)));
                     }
                     events.push(format!("{:.0} one way {parts:?}", sim.now));
                 } else {
@@ -84,7 +84,7 @@
     match kind {
         0 => sim.start(one),
         1 => sim.resume(one),
-        2 => sim.cuts.clear(),
+        2 => sim.blocked_pairs.clear(),
         _ => sim.network = NetworkConditions::default(),
     }
 }
--- a/crates/deckproxy-lab/src/measure/fleet.rs
+++ b/crates/deckproxy-lab/src/measure/fleet.rs
@@ -85,9 +85,9 @@
             rows.push(vec![instances.to_string(), "did not meet".to_string()]);
             continue;
         };
-        let (from, before) = (sim.now, sim.bytes.iter().sum::<u64>());
+        let (from, before) = (sim.now, sim.sent_bytes.iter().sum::<u64>());
         sim.run(20_000.0);
-        let bytes = (sim.bytes.iter().sum::<u64>() - before) as f64 / instances as f64 / 20.0;
+        let bytes = (sim.sent_bytes.iter().sum::<u64>() - before) as f64 / instances as f64 / 20.0;
         let probes = sim.check_ratio(from, sim.now) * MEANT;
         rows.push(vec![
             instances.to_string(),
@@ -118,7 +118,7 @@
             let all: Vec<usize> = (0..16).collect();
             sim.split(&[all[..6].to_vec(), all[6..].to_vec()]);
             sim.run(6000.0);
-            sim.cuts.clear();
+            sim.blocked_pairs.clear();
             let healed = sim.now;
             if sim.until(60_000.0, SimulatedFleet::hears_all).is_some() {
                 took[1].push(sim.now - healed);
--- a/crates/deckproxy-rig/src/lib.rs
+++ b/crates/deckproxy-rig/src/lib.rs
@@ -16,6 +16,7 @@
 
 pub mod absence;
 pub mod client_population;
+mod event_queue;
 pub mod fault_injection;
 mod fleet_agreement;
 pub mod fleet_view;
--- a/crates/deckproxy-rig/src/load_generator/worker.rs
+++ b/crates/deckproxy-rig/src/load_generator/worker.rs
@@ -3,14 +3,14 @@
 use super::client::{Answer, Connection, InFlight, PendingRequest, SimulatedClient};
 use super::{AttemptAnswer, ClientAttempt, LoadSettings, RetryPolicy};
 use crate::client_population::Endpoint;
+use crate::event_queue::EventQueue;
 use deckproxy_standins::client::fresh_name;
 use deckproxy_standins::load_client::{RequestSpec, encode_request};
 use deckproxy_standins::record::{Fact, Outcome, Record};
 use mio::{Events, Interest, Poll, Token};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use std::cmp::Reverse;
-use std::collections::{BinaryHeap, HashMap};
+use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 use std::time::Duration;
@@ -58,10 +58,7 @@
     keys: HashMap<usize, (usize, usize)>,
     next_key: usize,
     last_request: u64,
-    /// Retries by the time at which they are due, µs of the record, and by number.
-    due: BinaryHeap<Reverse<(u64, u64)>>,
-    retries: HashMap<u64, PendingRequest>,
-    last_retry: u64,
+    retries: EventQueue<PendingRequest>,
     /// Attempts that have ended.
     pub(super) finished: Vec<ClientAttempt>,
     rng: Pcg64Mcg,
@@ -86,9 +83,7 @@
             keys: HashMap::new(),
             next_key: 0,
             last_request: (number as u64) << 48,
-            due: BinaryHeap::new(),
-            retries: HashMap::new(),
-            last_retry: 0,
+            retries: EventQueue::default(),
             finished: Vec::new(),
             rng: Pcg64Mcg::seed_from_u64(seed),
         }
@@ -106,7 +101,6 @@
             } else {
                 drained_by = drained_by.min(now + DRAIN_MS);
                 self.retries.clear();
-                self.due.clear();
                 if !self.has_in_flight() || now > drained_by {
                     return self.close(&mut events);
                 }
@@ -132,11 +126,8 @@
     }
 
     fn send_due_retries(&mut self, now: f64) {
-        while self.due.peek().is_some_and(|due| due.0.0 as f64 / 1000.0 <= now) {
-            let Some(Reverse((_, number))) = self.due.pop() else { break };
-            if let Some(request) = self.retries.remove(&number) {
-                self.attempt(now, request);
-            }
+        while let Some((_, request)) = self.retries.pop(now) {
+            self.attempt(now, request);
         }
     }
 
@@ -184,9 +175,7 @@
     /// Has a request attempted at a time, unless too little is left of its own then.
     fn schedule(&mut self, at: f64, request: PendingRequest) {
         if at + LEAST_TIME_MS < request.deadline() {
-            self.last_retry += 1;
-            self.due.push(Reverse(((at * 1000.0) as u64, self.last_retry)));
-            self.retries.insert(self.last_retry, request);
+            self.retries.push(at, request);
         }
     }
 
