--- a/crates/deckproxy-operator/src/fleet.rs
+++ b/crates/deckproxy-operator/src/fleet.rs
@@ -1,7 +1,8 @@
 //! The fleet's part of the file: relations between its entries, and its form for `deckproxy-fleet`.
 
 use crate::finding::Finding;
-use crate::{Client, Fleet, Operator, Overload, defaults};
+use crate::fleet_settings_error::FleetSettingsError;
+use crate::{Client, Fleet, Operator, Overload, defaults, rules};
 use deckproxy_fleet::fleet::Settings;
 use deckproxy_fleet::health::Thresholds;
 use deckproxy_fleet::instance::Instance;
@@ -12,43 +13,47 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
+/// Time in which a SWIM probe must be answered, as a share of the heartbeat interval.
+const PROBE_TIMEOUT_SHARE: f64 = 0.3;
+/// Time for which an instance is suspected before it counts as lost, in heartbeat intervals.
+const SUSPICION_MULTIPLE: f64 = 2.0;
+
 impl Fleet {
-    /// Where datagrams come in.
-    pub fn listens(&self) -> Option<SocketAddr> {
+    /// The address at which datagrams of other instances are received.
+    pub fn listen_address(&self) -> Option<SocketAddr> {
         self.listen.parse().ok()
     }
 
-    /// How an instance takes part, defaults filled in. `instance` and `zone`: the platform's names for it and its locality;
-    /// `start`: a number that is higher at each start. The error tells what the platform's names lack.
+    /// The settings of one instance in its fleet, defaults filled in. `instance` and `zone`: the platform's names for it
+    /// and its locality; `incarnation`: a number that is higher at each start.
     ///
     /// # Errors
-    /// A message if the instance's name or zone is missing or invalid, or if its address is not a socket address.
-    pub fn settings(&self, instance: &str, zone: &str, start: u64) -> Result<Settings, String> {
-        let named = |given: &Option<String>, platform: &str, field: &str| {
-            let name = given.as_deref().unwrap_or(platform);
-            let good = crate::rules::instance_name(name, &());
-            good.map(|()| name.into()).map_err(|e| format!("fleet.{field} must be set: the platform's {e}"))
-        };
+    /// The instance's name or zone is missing or invalid, or its address is not a socket address.
+    pub fn settings(
+        &self,
+        instance: &str,
+        zone: &str,
+        incarnation: u64,
+    ) -> Result<Settings, FleetSettingsError> {
+        let name = self.instance.as_deref().unwrap_or(instance);
+        let zone = self.zone.as_deref().unwrap_or(zone);
+        rules::check_instance_name(name).map_err(FleetSettingsError::Instance)?;
+        rules::check_instance_name(zone).map_err(FleetSettingsError::Zone)?;
         let own = Instance {
-            name: named(&self.instance, instance, "instance")?,
-            zone: named(&self.zone, zone, "zone")?,
-            address: self
-                .address
-                .as_ref()
-                .unwrap_or(&self.listen)
-                .parse()
-                .map_err(|_| "fleet.listen is no address".to_string())?,
-            incarnation: start,
+            name: name.into(),
+            zone: zone.into(),
+            address: self.advertised_address().parse().map_err(|_| FleetSettingsError::Address)?,
+            incarnation,
             renewals: 0,
             weight: self.weight.unwrap_or(defaults::WEIGHT) as u16,
         };
         let probes = self.probes.unwrap_or_default();
-        let beat = f64::from(self.beat_ms.unwrap_or(defaults::BEAT_MS));
+        let heartbeat_interval = f64::from(self.beat_ms.unwrap_or(defaults::BEAT_MS));
         Ok(Settings {
             fleet: self.name.clone(),
             own,
             prefixes: self.networks(),
-            seeds: self.seeds.iter().filter_map(|at| at.parse().ok()).collect(),
+            seeds: self.seeds.iter().filter_map(|address| address.parse().ok()).collect(),
             addresses: self
                 .ways
                 .iter()
@@ -56,11 +61,15 @@
                 .collect(),
             expected_instances: self.instances.unwrap_or(defaults::INSTANCES) as usize,
             bytes_per_second: f64::from(self.kb_per_s.unwrap_or(defaults::KB_PER_S)) * 1024.0,
-            heartbeat_interval: beat,
-            digest_interval: beat / 2.0,
+            heartbeat_interval,
+            digest_interval: heartbeat_interval / 2.0,
             pause_threshold: f64::from(self.pause_ms.unwrap_or(defaults::PAUSE_MS)),
             forget_after: f64::from(self.forget_ms.unwrap_or(defaults::FORGET_MS)),
-            swim: SwimTiming { probe_period: beat, probe_timeout: beat * 0.3, suspicion: beat * 2.0 },
+            swim: SwimTiming {
+                probe_period: heartbeat_interval,
+                probe_timeout: heartbeat_interval * PROBE_TIMEOUT_SHARE,
+                suspicion: heartbeat_interval * SUSPICION_MULTIPLE,
+            },
             observers: probes.observers.unwrap_or(defaults::OBSERVERS) as usize,
             health_check_interval: f64::from(probes.interval_ms.unwrap_or(defaults::INTERVAL_MS)),
             max_ejected_share: probes.most_held.unwrap_or(defaults::MOST_HELD),
@@ -73,8 +82,14 @@
         })
     }
 
+    /// The address at which others reach this instance.
+    fn advertised_address(&self) -> &str {
+        self.address.as_deref().unwrap_or(&self.listen)
+    }
+
+    /// The networks from which datagrams are accepted.
     fn networks(&self) -> Vec<IpNet> {
-        self.prefixes.iter().filter_map(|net| net.parse().ok()).collect()
+        self.prefixes.iter().filter_map(|network| network.parse().ok()).collect()
     }
 }
 
--- a/crates/deckproxy-operator/src/rules.rs
+++ b/crates/deckproxy-operator/src/rules.rs
@@ -47,19 +47,32 @@
     }
 }
 
+/// A name that no instance of a fleet may have.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{name:?} is no name: 1 to 63 of a-z, 0-9, \"-\", \".\" and \"_\" are wanted")]
+pub struct InvalidInstanceName {
+    /// The name.
+    pub name: String,
+}
+
+/// Checks the name of an instance of a fleet, or of its zone.
+///
+/// # Errors
+/// The name is empty, too long or has other characters than an instance name may have.
+pub fn check_instance_name(name: &str) -> std::result::Result<(), InvalidInstanceName> {
+    if deckproxy_fleet::instance::is_valid_name(name) {
+        Ok(())
+    } else {
+        Err(InvalidInstanceName { name: name.to_string() })
+    }
+}
+
 /// The name of an instance of a fleet.
 ///
 /// # Errors
-/// An error if the name is empty, too long or has other characters than an instance name may have.
+/// See [`check_instance_name`].
 pub fn instance_name(name: &str, _: &()) -> Result {
-    let plain = name.bytes().all(deckproxy_fleet::instance::is_name_byte);
-    match name.len() {
-        1..=deckproxy_fleet::instance::LONGEST_NAME if plain => Ok(()),
-        _ => {
-            let what = "is no name: 1 to 63 of a-z, 0-9, \"-\", \".\" and \"_\" are wanted";
-            Err(Error::new(format!("{name:?} {what}")))
-        }
-    }
+    check_instance_name(name).map_err(Error::new)
 }
 
 /// The same where one is given.
--- a/crates/deckproxy-operator/src/sites.rs
+++ b/crates/deckproxy-operator/src/sites.rs
@@ -2,7 +2,7 @@
 
 use crate::finding::Finding;
 use crate::{Mode, Operator, Route, Sites, WhenCut, defaults};
-use deckproxy_sites::routes::{self, RouteRule, SiteRoutes};
+use deckproxy_sites::routes::{self, ForwardingError, RouteRule, SiteRoutes};
 use deckproxy_sites::{LinkLimits, TrustLimits};
 
 /// A route in the form that is looked up; a prefix that is no number counts as empty, which its own rule tells.
@@ -97,18 +97,16 @@
         }
     }
     let peers: Vec<&str> = sites.peers.iter().map(|p| &*p.site).collect();
-    let faults = routes::validate(&sites.name, &peers, &sites.rules());
-    findings.extend(
-        faults.into_iter().map(|fault| {
-            Finding::new(format!("sites.routes[{}].{}", fault.route, fault.field), fault.message)
-        }),
-    );
+    let errors = routes::validate(&sites.name, &peers, &sites.rules());
+    findings.extend(errors.iter().map(|error| {
+        Finding::new(format!("sites.routes[{}].{}", error.route, error.field), error.to_string())
+    }));
     findings
 }
 
-/// Checks that the routes of several sites' files lead each request home without coming by a site twice. Gives for
-/// each fault the number of the file.
-pub fn check_together(files: &[Operator]) -> Vec<(usize, String)> {
+/// Checks that the routes of several sites' files lead each request home without passing a site twice. An error's
+/// `site` is the index of the file.
+pub fn check_together(files: &[Operator]) -> Vec<ForwardingError> {
     let site_routes =
         |sites: &Sites| SiteRoutes { site: sites.name.clone(), rules: sites.rules(), max_hops: sites.hops() };
     let all: Vec<SiteRoutes> =
--- a/crates/deckproxy-operator/tests/files.rs
+++ b/crates/deckproxy-operator/tests/files.rs
@@ -194,8 +194,9 @@
         (set.expected_instances, set.observers, set.health_check_interval, set.bytes_per_second),
         (2, 2, 1000.0, 16.0 * 1024.0)
     );
-    let why = fleet.settings("Northern Gateway", "edge-1", 7).unwrap_err();
-    assert!(why.starts_with("fleet.instance must be set: the platform's \"Northern Gateway\""), "{why}");
+    let error = fleet.settings("Northern Gateway", "edge-1", 7).unwrap_err();
+    let text = error.to_string();
+    assert!(text.starts_with("fleet.instance must be set: the platform's \"Northern Gateway\""), "{text}");
     let errors = faults(
         "fleet {\n  name: \"Edge\"\n  listen: \"0.0.0.0:7400\"\n  seeds: [\"10.0.0.1:7400\", \"192.0.2.1:7400\"]\n  \
          prefixes: \"10.0.0.1/8\"\n  instance: \"a b\"\n  probes { observers: 9 interval_ms: 50 }\n  \
--- a/crates/deckproxy-sites/src/routes/mod.rs
+++ b/crates/deckproxy-sites/src/routes/mod.rs
@@ -10,4 +10,6 @@
 
 pub use rule::{RouteRule, find_linear};
 pub use table::RouteTable;
-pub use validation::{RouteError, SiteRoutes, validate, validate_together};
+pub use validation::{
+    ForwardingError, ForwardingFault, RouteError, RouteFault, SiteRoutes, validate, validate_together,
+};
--- a/crates/deckproxy-sites/src/routes/validation.rs
+++ b/crates/deckproxy-sites/src/routes/validation.rs
@@ -3,16 +3,79 @@
 use super::rule::RouteRule;
 use super::table::RouteTable;
 use std::collections::{BTreeMap, HashMap};
+use thiserror::Error;
 
-/// An error in a route.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// An error in a route of one site; its text does not name the place.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("{fault}")]
 pub struct RouteError {
     /// Index of the route in the list.
     pub route: usize,
     /// The field of the operator file.
     pub field: &'static str,
     /// What is wrong.
-    pub message: String,
+    pub fault: RouteFault,
+}
+
+/// What is wrong with a route of one site.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum RouteFault {
+    /// An earlier route matches some of the same requests.
+    #[error("matches the same as sites.routes[{other}]")]
+    Overlap {
+        /// Index of the earlier route.
+        other: usize,
+    },
+    /// A route of the site's own objects names a next site.
+    #[error("this site's own objects need no way")]
+    ViaForOwnObjects,
+    /// The next site is this site.
+    #[error("the way comes back to this site")]
+    ViaOwnSite,
+    /// The next site is not one that this site has links to.
+    #[error("no peer is named {next_site:?}")]
+    UnknownPeer {
+        /// The next site.
+        next_site: String,
+    },
+    /// A route of the site's own objects allows copies.
+    #[error("COPIES is for another site's objects")]
+    CopiesOfOwnObjects,
+}
+
+/// A route on which a request does not reach its home; its text names the route.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("sites.routes[{route}]: {fault}")]
+pub struct ForwardingError {
+    /// Index of the site.
+    pub site: usize,
+    /// Index of the route in the site's list.
+    pub route: usize,
+    /// What is wrong.
+    pub fault: ForwardingFault,
+}
+
+/// Why a request does not reach its home. The paths name the sites in the order in which they are passed.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum ForwardingFault {
+    /// The request would pass a site twice.
+    #[error("object {object:016x} goes round: {}", path.join(" > "))]
+    Loop {
+        /// Number of the object.
+        object: u64,
+        /// The sites passed; the last one is there twice.
+        path: Vec<String>,
+    },
+    /// The request would pass more sites than the first site allows.
+    #[error("object {object:016x} takes over {max_hops} hops: {}", path.join(" > "))]
+    TooManyHops {
+        /// Number of the object.
+        object: u64,
+        /// The most hops that the first site allows.
+        max_hops: u32,
+        /// The sites passed.
+        path: Vec<String>,
+    },
 }
 
 /// The routes of one site, for [`validate_together`].
@@ -44,8 +107,8 @@
         // The earlier ranges are disjoint: only the one that starts last before this range's end can overlap it.
         match ranges.range(..=last).next_back() {
             Some((_, (end, other))) if *end >= first => {
-                let message = format!("matches the same as sites.routes[{other}]");
-                errors.push(RouteError { route, field: "prefix", message });
+                let fault = RouteFault::Overlap { other: *other };
+                errors.push(RouteError { route, field: "prefix", fault });
             }
             _ => {
                 ranges.insert(first, (last, route));
@@ -58,31 +121,31 @@
 /// Errors in where one rule leads.
 fn destination_errors(own_site: &str, peers: &[&str], route: usize, rule: &RouteRule) -> Vec<RouteError> {
     let mut errors = Vec::new();
-    let mut error = |field, message: String| errors.push(RouteError { route, field, message });
+    let mut error = |field, fault| errors.push(RouteError { route, field, fault });
     if rule.home == own_site && rule.via.is_some() {
-        error("via", "this site's own objects need no way".to_string());
+        error("via", RouteFault::ViaForOwnObjects);
     } else if rule.via.as_deref() == Some(own_site) {
-        error("via", "the way comes back to this site".to_string());
+        error("via", RouteFault::ViaOwnSite);
     } else if rule.home != own_site && !peers.contains(&rule.next_site()) {
         let field = if rule.via.is_some() { "via" } else { "home" };
-        error(field, format!("no peer is named {:?}", rule.next_site()));
+        error(field, RouteFault::UnknownPeer { next_site: rule.next_site().to_string() });
     }
     if rule.home == own_site && rule.copies_allowed {
-        error("mode", "COPIES is for another site's objects".to_string());
+        error("mode", RouteFault::CopiesOfOwnObjects);
     }
     errors
 }
 
-/// Follows requests through the routes of several sites. Returns, with the index of the site, each route on which a
-/// request would pass a site twice or take too many hops.
-pub fn validate_together(sites: &[SiteRoutes]) -> Vec<(usize, String)> {
+/// Follows requests through the routes of several sites. Returns each route on which a request would pass a site twice
+/// or take too many hops.
+pub fn validate_together(sites: &[SiteRoutes]) -> Vec<ForwardingError> {
     let tables: Vec<RouteTable> =
         sites.iter().map(|site| RouteTable::new(&site.site, site.rules.clone())).collect();
     let mut errors = Vec::new();
-    for (start, site) in sites.iter().enumerate() {
-        for (route, rule) in site.rules.iter().enumerate().filter(|(_, rule)| rule.home != site.site) {
-            if let Some(message) = first_misrouted(sites, &tables, start, rule) {
-                errors.push((start, format!("sites.routes[{route}]: {message}")));
+    for (site, routes) in sites.iter().enumerate() {
+        for (route, rule) in routes.rules.iter().enumerate().filter(|(_, rule)| rule.home != routes.site) {
+            if let Some(fault) = first_forwarding_fault(sites, &tables, site, rule) {
+                errors.push(ForwardingError { site, route, fault });
             }
         }
     }
@@ -90,13 +153,13 @@
 }
 
 /// Follows requests that one rule matches. Samples every combination of object and group at which any site's routes
-/// change within the rule, and returns the first error.
-fn first_misrouted(
+/// change within the rule, and returns the first fault.
+fn first_forwarding_fault(
     sites: &[SiteRoutes],
     tables: &[RouteTable],
     start: usize,
     rule: &RouteRule,
-) -> Option<String> {
+) -> Option<ForwardingFault> {
     let all_rules = || sites.iter().flat_map(|site| &site.rules);
     let mut objects: Vec<u64> =
         all_rules().map(|other| other.prefix).filter(|object| rule.contains_object(*object)).collect();
@@ -123,7 +186,7 @@
     class: &str,
     group: u32,
     object: u64,
-) -> Result<(), String> {
+) -> Result<(), ForwardingFault> {
     let max_hops = sites[start].max_hops;
     let mut visited = vec![start];
     let mut current = start;
@@ -133,14 +196,14 @@
             // The routes of that site were not given.
             return Ok(());
         };
-        let names = visited.iter().chain([&next]).map(|index| &*sites[*index].site);
-        let path = names.collect::<Vec<_>>().join(" > ");
-        if visited.contains(&next) {
-            return Err(format!("object {object:016x} goes round: {path}"));
-        }
+        let is_loop = visited.contains(&next);
         visited.push(next);
+        let path = || visited.iter().map(|index| sites[*index].site.clone()).collect();
+        if is_loop {
+            return Err(ForwardingFault::Loop { object, path: path() });
+        }
         if visited.len() > max_hops as usize + 1 {
-            return Err(format!("object {object:016x} takes over {max_hops} hops: {path}"));
+            return Err(ForwardingFault::TooManyHops { object, max_hops, path: path() });
         }
         current = next;
     }
--- a/crates/deckproxy-sites/tests/routes.rs
+++ b/crates/deckproxy-sites/tests/routes.rs
@@ -1,6 +1,8 @@
 //! `RouteTable`: the index against a walk over all rules, and what is refused.
 
-use deckproxy_sites::routes::{RouteRule, RouteTable, SiteRoutes, find_linear, validate, validate_together};
+use deckproxy_sites::routes::{
+    ForwardingError, RouteRule, RouteTable, SiteRoutes, find_linear, validate, validate_together,
+};
 use proptest::prelude::*;
 
 fn rule(class: Option<&str>, prefix: u64, digits: u32, groups: (u32, u32), home: &str) -> RouteRule {
@@ -61,7 +63,7 @@
                 && a.groups.0 <= b.groups.1 && b.groups.0 <= a.groups.1
         };
         let expected = rules.iter().enumerate().any(|(i, a)| rules[..i].iter().any(|b| overlap(a, b)));
-        let reported = validate("a", &["b", "c"], &rules).iter().any(|f| f.message.contains("matches the same"));
+        let reported = validate("a", &["b", "c"], &rules).iter().any(|f| f.to_string().contains("matches the same"));
         prop_assert_eq!(reported, expected);
     }
 }
@@ -111,12 +113,12 @@
     let ring = vec![site("a", vec![via("c", "b")]), site("b", vec![via("c", "a")]), site("c", vec![])];
     let errors = validate_together(&ring);
     assert_eq!(errors.len(), 2);
-    assert!(errors[0].1.contains("a > b > a"), "{errors:?}");
+    assert!(errors[0].to_string().contains("a > b > a"), "{errors:?}");
     let mut line = ring.clone();
     line[1].rules = vec![rule(None, 7 << 60, 1, (0, 255), "c")];
     assert_eq!(validate_together(&line), []);
     line[0].max_hops = 1;
-    assert!(validate_together(&line)[0].1.contains("over 1 hops"));
+    assert!(validate_together(&line)[0].to_string().contains("over 1 hops"));
     // Only a part of what the first site routes loops: a longer prefix at the second one causes that.
     let mut partial = ring;
     partial[1].rules = vec![
@@ -124,6 +126,7 @@
         RouteRule { via: Some("a".into()), ..rule(None, 0x7b << 56, 2, (9, 20), "c") },
     ];
     let errors = validate_together(&partial);
-    let is_found = |(site, message): &(usize, String)| *site == 0 && message.contains("7b00000000000000");
+    let is_found =
+        |error: &ForwardingError| error.site == 0 && error.to_string().contains("7b00000000000000");
     assert!(errors.iter().any(is_found), "{errors:?}");
 }
--- a/crates/deckproxy/src/program/check.rs
+++ b/crates/deckproxy/src/program/check.rs
@@ -1,10 +1,11 @@
 //! `deckproxy check`: whether operator files and configurations can be used.
 
 use crate::program::error::ProgramError;
-use crate::program::files::{self, FileError};
-use crate::program::migrate;
+use crate::program::file_fault::FileFault;
+use crate::program::{files, migrate};
 use crate::protocol::config_file::Completeness;
 use deckproxy_operator::Operator;
+use deckproxy_sites::routes::ForwardingError;
 use std::path::{Path, PathBuf};
 
 /// Checks each file by itself and, if all can be used, the operator files together. Writes each fault to standard
@@ -17,14 +18,13 @@
     let mut operators = Vec::new();
     for path in paths {
         if is_configuration(path) {
-            faults
-                .extend(migrate::read_configuration(path, Completeness::Complete).err().unwrap_or_default());
+            let configuration = migrate::read_configuration(path, Completeness::Complete);
+            faults.extend(configuration.err().unwrap_or_default());
             continue;
         }
         match files::read_operator(path) {
             Ok(operator) => operators.push((path, operator)),
-            Err(FileError::OperatorFile(found)) => faults.extend(found),
-            Err(error) => faults.push(error.to_string()),
+            Err(found) => faults.extend(found),
         }
     }
     if faults.is_empty() {
@@ -33,16 +33,18 @@
     for fault in &faults {
         eprintln!("{fault}");
     }
-    if faults.is_empty() { Ok(()) } else { Err(ProgramError::FaultsFound(faults.len())) }
+    if faults.is_empty() { Ok(()) } else { Err(ProgramError::FaultsFound { count: faults.len() }) }
 }
 
 fn is_configuration(path: &Path) -> bool {
     path.extension().is_some_and(|extension| extension.eq_ignore_ascii_case("json"))
 }
 
-/// Faults between the files of several sites, such as routes that go round in a circle.
-fn check_together(operators: &[(&PathBuf, Operator)]) -> Vec<String> {
+/// Faults between the files of several sites, such as routes that form a loop.
+fn check_together(operators: &[(&PathBuf, Operator)]) -> Vec<FileFault> {
     let files: Vec<Operator> = operators.iter().map(|(_, operator)| operator.clone()).collect();
-    let faults = deckproxy_operator::check_together(&files);
-    faults.into_iter().map(|(index, what)| format!("{}: {what}", operators[index].0.display())).collect()
+    let errors = deckproxy_operator::check_together(&files);
+    let fault =
+        |error: ForwardingError| FileFault::Forwarding { path: operators[error.site].0.clone(), error };
+    errors.into_iter().map(fault).collect()
 }
--- a/crates/deckproxy/src/program/files.rs
+++ b/crates/deckproxy/src/program/files.rs
@@ -1,6 +1,7 @@
 //! Reading the configuration and the operator file, at the start and again on SIGHUP.
 
 use crate::program::cli::Run;
+use crate::program::file_fault::{FileFault, lines};
 use crate::protocol::config::{self, Config, ConfigError};
 use crate::transport::stream::is_exhausted;
 use deckproxy_operator::Operator;
@@ -8,7 +9,8 @@
 use std::fs::File;
 use std::io::{self, Read};
 use std::path::{Path, PathBuf};
-use std::{env, fmt, fs};
+use std::{env, fs};
+use thiserror::Error;
 
 /// The files' contents, read and checked.
 #[derive(Debug)]
@@ -20,11 +22,13 @@
 }
 
 /// Why the files can't be used.
-#[derive(Debug)]
+#[derive(Debug, Error)]
 pub enum FileError {
     /// Neither the command line nor the environment names a configuration.
+    #[error("GW_CONFIG is not set")]
     NoConfiguration,
     /// The configuration can't be read.
+    #[error("cannot read the configuration {}: {error}", path.display())]
     UnreadableConfiguration {
         /// Its path.
         path: PathBuf,
@@ -32,56 +36,27 @@
         error: io::Error,
     },
     /// The configuration can't be used.
-    Configuration(ConfigError),
+    #[error(transparent)]
+    Configuration(#[from] ConfigError),
     /// `GW_LISTEN` is not a socket address.
+    #[error("GW_LISTEN: {0:?} is no address")]
     ListenNotAnAddress(String),
-    /// The operator file can't be read.
-    UnreadableOperatorFile {
-        /// Its path.
-        path: PathBuf,
-        /// What the system said.
-        error: io::Error,
-    },
-    /// The operator file can't be used: each fault as `FILE:LINE:COLUMN: FIELD: WHAT`.
-    OperatorFile(Vec<String>),
+    /// The operator file can't be read or used: each fault on a line.
+    #[error("{}", lines(.0))]
+    OperatorFile(Vec<FileFault>),
 }
 
 impl FileError {
     /// Whether the process had no descriptor left for a file, which says nothing about the file.
     pub fn is_exhausted(&self) -> bool {
         match self {
-            FileError::UnreadableConfiguration { error, .. }
-            | FileError::UnreadableOperatorFile { error, .. } => is_exhausted(error),
+            FileError::UnreadableConfiguration { error, .. } => is_exhausted(error),
+            FileError::OperatorFile(faults) => faults.iter().any(FileFault::is_exhausted),
             _ => false,
         }
     }
 }
 
-impl From<ConfigError> for FileError {
-    fn from(error: ConfigError) -> Self {
-        FileError::Configuration(error)
-    }
-}
-
-impl fmt::Display for FileError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            FileError::NoConfiguration => f.write_str("GW_CONFIG is not set"),
-            FileError::UnreadableConfiguration { path, error } => {
-                write!(f, "cannot read the configuration {}: {error}", path.display())
-            }
-            FileError::Configuration(error) => error.fmt(f),
-            FileError::ListenNotAnAddress(text) => write!(f, "GW_LISTEN: {text:?} is no address"),
-            FileError::UnreadableOperatorFile { path, error } => {
-                write!(f, "{}: cannot be read: {error}", path.display())
-            }
-            FileError::OperatorFile(faults) => f.write_str(&faults.join("\n")),
-        }
-    }
-}
-
-impl std::error::Error for FileError {}
-
 impl Files {
     /// Reads what the command line and the environment name.
     ///
@@ -90,7 +65,7 @@
     pub fn read(run: &Run) -> Result<Self, FileError> {
         let operator = match &run.operator {
             None => Operator::default(),
-            Some(path) => read_operator(path)?,
+            Some(path) => read_operator(path).map_err(FileError::OperatorFile)?,
         };
         Ok(Files { config: read_config(run)?, operator })
     }
@@ -118,12 +93,13 @@
 ///
 /// # Errors
 /// The file can't be read, or has faults: all of them are listed.
-pub fn read_operator(path: &Path) -> Result<Operator, FileError> {
-    let bytes = read_limited(path)
-        .map_err(|error| FileError::UnreadableOperatorFile { path: path.to_path_buf(), error })?;
+pub fn read_operator(path: &Path) -> Result<Operator, Vec<FileFault>> {
+    let path_of_fault = || path.to_path_buf();
+    let bytes =
+        read_limited(path).map_err(|error| vec![FileFault::Unreadable { path: path_of_fault(), error }])?;
     deckproxy_operator::read(&bytes).map_err(|faults| {
-        let shown = path.display();
-        FileError::OperatorFile(faults.iter().map(|fault| format!("{shown}:{fault}")).collect())
+        let located = faults.into_iter().map(|fault| FileFault::Operator { path: path_of_fault(), fault });
+        located.collect()
     })
 }
 
--- a/crates/deckproxy/src/program/fleet/mod.rs
+++ b/crates/deckproxy/src/program/fleet/mod.rs
@@ -13,7 +13,7 @@
 use deckproxy_control::interface::Lifecycle;
 use deckproxy_fleet::fleet::{self, ListedMember};
 use deckproxy_flow::meter::Outcome;
-use deckproxy_operator::{Client, Operator};
+use deckproxy_operator::{Client, FleetSettingsError, Operator};
 use slog::{Logger, info, warn};
 use std::collections::HashMap;
 
@@ -58,14 +58,14 @@
     /// Starts what the operator file asks for; none where it asks for nothing.
     ///
     /// # Errors
-    /// The text says which of the fleet's names is missing or unusable.
+    /// One of the fleet's names is missing or unusable.
     pub(super) fn start(
         log: &Logger,
         name: &str,
         router: &Router,
         seed: u64,
         operator: &Operator,
-    ) -> Result<Option<Box<Self>>, String> {
+    ) -> Result<Option<Box<Self>>, FleetSettingsError> {
         let Some(file) = &operator.fleet else { return Ok(None) };
         let conf = router.conf();
         let zone = conf.zones.get(conf.settings.zone as usize).map_or("", String::as_str);
@@ -201,7 +201,7 @@
         let own = self.core.settings().own.clone();
         let names = &self.platform_names;
         match new.settings(&names.instance, &names.zone, own.incarnation) {
-            Err(why) => warn!(self.log, "reload: the fleet's settings stay"; "why" => why),
+            Err(error) => warn!(self.log, "reload: the fleet's settings stay"; "why" => %error),
             Ok(mut settings) => {
                 if !self.health_checks {
                     settings.observers = 0;
--- a/crates/deckproxy/src/program/gateway.rs
+++ b/crates/deckproxy/src/program/gateway.rs
@@ -6,6 +6,7 @@
 
 use crate::program::connections::{ReadySource, UpstreamConnection, UpstreamId};
 use crate::program::files::Files;
+use crate::program::start_error::StartError;
 use crate::program::subsystem::{Context, Event, micros};
 use crate::program::subsystems::Subsystems;
 use crate::program::timer_task::TimerTask;
@@ -27,7 +28,6 @@
 use deckproxy_operator::Operator;
 use slog::{Logger, warn};
 use std::collections::{BTreeMap, HashMap, VecDeque};
-use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -128,7 +128,7 @@
     handle: &LoopHandle<'static, Gateway>,
     sockets: usize,
     operator: &Operator,
-) -> io::Result<Option<Box<SiteLinks>>> {
+) -> Result<Option<Box<SiteLinks>>, StartError> {
     let Some(sites) = &operator.sites else { return Ok(None) };
     let address = sites.listen.as_deref().and_then(|address| address.parse::<SocketAddr>().ok());
     let ready = |gateway: &mut Gateway| {
@@ -139,7 +139,7 @@
     let listener = match address {
         Some(address) => Some(
             Listener::bind(handle, address, ready)
-                .map_err(|e| io::Error::new(e.kind(), format!("links' address {address}: {e}")))?,
+                .map_err(|error| StartError::LinkListener { address, error })?,
         ),
         None => None,
     };
@@ -150,20 +150,20 @@
 fn bind_fleet_socket(
     handle: &LoopHandle<'static, Gateway>,
     operator: &Operator,
-) -> io::Result<Option<Box<DatagramSocket>>> {
-    let Some(address) = operator.fleet.as_ref().and_then(deckproxy_operator::Fleet::listens) else {
+) -> Result<Option<Box<DatagramSocket>>, StartError> {
+    let Some(address) = operator.fleet.as_ref().and_then(deckproxy_operator::Fleet::listen_address) else {
         return Ok(None);
     };
     let ready = |gateway: &mut Gateway| gateway.queue(ReadySource::FleetSocket);
     let socket = DatagramSocket::bind(handle, address, ready)
-        .map_err(|e| io::Error::new(e.kind(), format!("the fleet's address {address}: {e}")))?;
+        .map_err(|error| StartError::FleetSocket { address, error })?;
     Ok(Some(Box::new(socket)))
 }
 
 /// Binds the clients' address.
-fn bind_clients(handle: &LoopHandle<'static, Gateway>, address: SocketAddr) -> io::Result<Listener> {
+fn bind_clients(handle: &LoopHandle<'static, Gateway>, address: SocketAddr) -> Result<Listener, StartError> {
     Listener::bind(handle, address, |gateway: &mut Gateway| gateway.accept_pending = true)
-        .map_err(|e| io::Error::new(e.kind(), format!("{address}: {e}")))
+        .map_err(|error| StartError::ClientListener { address, error })
 }
 
 impl Gateway {
@@ -171,7 +171,7 @@
     ///
     /// # Errors
     /// An address can't be bound, or a subsystem can't be started as the operator file asks.
-    pub fn new(handle: LoopHandle<'static, Gateway>, log: Logger, files: Files) -> io::Result<Self> {
+    pub fn new(handle: LoopHandle<'static, Gateway>, log: Logger, files: Files) -> Result<Self, StartError> {
         let now = clock::now();
         let Files { config, operator } = files;
         let site_links = bind_site_links(&handle, config.sockets, &operator)?;
@@ -183,10 +183,9 @@
         let fleet_socket = bind_fleet_socket(&handle, &operator)?;
         let identity = (config.name.as_str(), config.seed);
         let router = Router::new(now, config.conf, config.seed, config.known);
-        let subsystems = Subsystems::start(&log, now, identity, &router, &operator, &mut background)
-            .map_err(io::Error::other)?;
+        let subsystems = Subsystems::start(&log, now, identity, &router, &operator, &mut background)?;
         let collectors = subsystems.collectors();
-        let loop_timer = LoopTimer::register(&handle).map_err(io::Error::other)?;
+        let loop_timer = LoopTimer::register(&handle).map_err(StartError::LoopTimer)?;
         let listener = bind_clients(&handle, config.listen)?;
         let mut gateway = Gateway {
             handle,
--- a/crates/deckproxy/src/program/migrate.rs
+++ b/crates/deckproxy/src/program/migrate.rs
@@ -1,34 +1,41 @@
 //! `deckproxy migrate`: writes the counterpart of a configuration file for the shape of another deployment.
 
 use crate::program::cli::Migrate;
+use crate::program::file_fault::{FileFault, lines};
 use crate::protocol::config::{self, ConfigError};
-use crate::protocol::config_file::{self, Completeness};
+use crate::protocol::config_file::{self, Completeness, Fault};
 use crate::protocol::config_migration::{self, Migrated};
 use serde_json::{Value, json};
-use std::fs::File;
+use std::fs::{self, File};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use std::{fmt, fs};
+use thiserror::Error;
 
 /// The exit code where something could not be carried over. 0 is clean, 1 failed, 2 a command line that can't be
 /// read.
 pub const WITH_LOSSES: u8 = 3;
 
 /// Why nothing was written.
-#[derive(Debug)]
+#[derive(Debug, Error)]
 pub enum MigrateError {
     /// An argument of `--set` has no `=`.
+    #[error("--set {0}: no PATH=VALUE")]
     SetWithoutValue(String),
-    /// Files or `--set` arguments have faults, one each.
-    Faults(Vec<String>),
+    /// Files or `--set` arguments have faults.
+    #[error("{}\nnothing was written", lines(.0))]
+    Faults(Vec<InputFault>),
     /// The counterpart is no configuration that a gateway starts with.
+    #[error("the counterpart would not start: {0}\nnothing was written")]
     UnusableResult(ConfigError),
     /// The output is the input.
+    #[error("{}: is the input, which is never written over", .0.display())]
     OutputIsInput(PathBuf),
     /// The output exists, and `--replace` was not given.
+    #[error("{}: is there already; --replace writes it anew", .0.display())]
     OutputExists(PathBuf),
     /// The output can't be written.
+    #[error("{}: cannot be written: {error}", path.display())]
     Output {
         /// Its path.
         path: PathBuf,
@@ -37,29 +44,22 @@
     },
 }
 
-impl fmt::Display for MigrateError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            MigrateError::SetWithoutValue(set) => write!(f, "--set {set}: no PATH=VALUE"),
-            MigrateError::Faults(faults) => write!(f, "{}\nnothing was written", faults.join("\n")),
-            MigrateError::UnusableResult(error) => {
-                write!(f, "the counterpart would not start: {error}\nnothing was written")
-            }
-            MigrateError::OutputIsInput(path) => {
-                write!(f, "{}: is the input, which is never written over", path.display())
-            }
-            MigrateError::OutputExists(path) => {
-                write!(f, "{}: is there already; --replace writes it anew", path.display())
-            }
-            MigrateError::Output { path, error } => {
-                write!(f, "{}: cannot be written: {error}", path.display())
-            }
-        }
-    }
+/// A fault of what the command line names.
+#[derive(Debug, Error)]
+pub enum InputFault {
+    /// Of a file.
+    #[error(transparent)]
+    File(#[from] FileFault),
+    /// Of a `--set PATH=VALUE`. Line and column are left out: they are of a text that the user has never seen.
+    #[error("--set {argument}: {}", fault.what)]
+    Set {
+        /// The argument.
+        argument: String,
+        /// The fault.
+        fault: Fault,
+    },
 }
 
-impl std::error::Error for MigrateError {}
-
 /// Whether the output had to be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Written {
@@ -72,17 +72,18 @@
 /// Reads a configuration file; a partial one may lack fields.
 ///
 /// # Errors
-/// Every fault as `FILE:LINE:COLUMN: FIELD: WHAT`, or that the file can't be read.
-pub fn read_configuration(path: &Path, completeness: Completeness) -> Result<Value, Vec<String>> {
-    let shown = path.display();
-    let bytes = fs::read(path).map_err(|e| vec![format!("{shown}: cannot be read: {e}")])?;
-    let text = String::from_utf8(bytes).map_err(|e| {
-        let valid = e.utf8_error().valid_up_to();
-        let line = e.as_bytes()[..valid].split(|byte| *byte == b'\n').count();
-        vec![format!("{shown}:{line}:1: file: not UTF-8 from byte {valid} on")]
-    })?;
-    config_file::read(&text, completeness)
-        .map_err(|faults| faults.iter().map(|fault| format!("{shown}:{fault}")).collect())
+/// The file can't be read, or has faults: all of them are listed.
+pub fn read_configuration(path: &Path, completeness: Completeness) -> Result<Value, Vec<FileFault>> {
+    let path_of_fault = || path.to_path_buf();
+    let bytes =
+        fs::read(path).map_err(|error| vec![FileFault::Unreadable { path: path_of_fault(), error }])?;
+    let text =
+        String::from_utf8(bytes).map_err(|error| vec![FileFault::not_utf8(path_of_fault(), &error)])?;
+    config_file::read(&text, completeness).map_err(|faults| {
+        let located =
+            faults.into_iter().map(|fault| FileFault::Configuration { path: path_of_fault(), fault });
+        located.collect()
+    })
 }
 
 /// Does what the command line says. Nothing is written unless all of it can be.
@@ -114,7 +115,8 @@
 fn read_input(arguments: &Migrate) -> Result<(Value, Vec<Value>), MigrateError> {
     let mut faults = Vec::new();
     let mut read = |path: &Path, completeness| {
-        read_configuration(path, completeness).map_err(|found| faults.extend(found)).unwrap_or_default()
+        let read = read_configuration(path, completeness);
+        read.map_err(|found| faults.extend(found.into_iter().map(InputFault::File))).unwrap_or_default()
     };
     let old = read(&arguments.old, Completeness::Complete);
     let mut shapes: Vec<Value> =
@@ -128,17 +130,14 @@
 }
 
 /// Reads a `--set PATH=VALUE` as a shape with that one field, and its faults.
-fn read_set(set: &str) -> Result<(Value, Vec<String>), MigrateError> {
-    let (path, value) = set.split_once('=').ok_or_else(|| MigrateError::SetWithoutValue(set.to_string()))?;
+fn read_set(argument: &str) -> Result<(Value, Vec<InputFault>), MigrateError> {
+    let (path, value) =
+        argument.split_once('=').ok_or_else(|| MigrateError::SetWithoutValue(argument.to_string()))?;
     let value = serde_json::from_str(value).unwrap_or_else(|_| Value::String(value.to_string()));
     let shape = path.rsplit('.').fold(value, |value, field| json!({ field: value }));
     let faults = config_file::read(&shape.to_string(), Completeness::Partial).err().unwrap_or_default();
-    let faults = faults.into_iter().map(|fault| {
-        // Line and column are of a text that the user has never seen.
-        format!("--set {set}: {}", fault.what)
-    });
-    let faults = faults.collect();
-    Ok((shape, faults))
+    let faults = faults.into_iter().map(|fault| InputFault::Set { argument: argument.to_string(), fault });
+    Ok((shape, faults.collect()))
 }
 
 /// Writes a file completely or not at all.
--- a/crates/deckproxy/src/program/serve.rs
+++ b/crates/deckproxy/src/program/serve.rs
@@ -38,7 +38,7 @@
         })
         .map_err(|e| ProgramError::EventLoop(e.error))?;
     let listen = files.config.listen;
-    let mut gateway = Gateway::new(handle, log.clone(), files).map_err(ProgramError::Start)?;
+    let mut gateway = Gateway::new(handle, log.clone(), files)?;
     info!(log, "serving"; "listen" => %listen);
     while !gateway.is_done() {
         let wait = if gateway.is_busy() { Duration::ZERO } else { LONGEST_WAIT };
--- a/crates/deckproxy/src/program/subsystems.rs
+++ b/crates/deckproxy/src/program/subsystems.rs
@@ -9,7 +9,7 @@
 use crate::protocol::upstream::CopyInfo;
 use crate::routing::{ClientId, Router};
 use deckproxy_flow::scheduler::{Micros, Scheduler, TaskId};
-use deckproxy_operator::Operator;
+use deckproxy_operator::{FleetSettingsError, Operator};
 use deckproxy_sites::frame::Frame;
 use slog::{Logger, warn};
 
@@ -45,7 +45,7 @@
     /// Starts what the operator file asks for.
     ///
     /// # Errors
-    /// The fleet can't be started: the text says which name is missing or unusable.
+    /// The fleet can't be started: a name of its settings is missing or unusable.
     pub fn start(
         log: &Logger,
         now: f64,
@@ -53,7 +53,7 @@
         router: &Router,
         operator: &Operator,
         background: &mut Scheduler,
-    ) -> Result<Self, String> {
+    ) -> Result<Self, FleetSettingsError> {
         let conf = router.conf();
         let recovery = Recovery::start(log, conf, seed, operator);
         let flows = Flows::start(log, now, seed, &conf.classes, operator, background);
