--- a/crates/deckproxy-lab/src/drills/fleet.rs
+++ b/crates/deckproxy-lab/src/drills/fleet.rs
@@ -52,22 +52,25 @@
         "each fault is to happen once at least".to_string()
     });
     promises.check(figures.check_ratio <= MOST_CHECK_RATIO, || {
-        format!("{:.2} times the intended probes; {MOST_CHECK_RATIO} are promised", figures.check_ratio)
+        format!(
+            "{:.2} times the intended health checks; {MOST_CHECK_RATIO} are promised",
+            figures.check_ratio
+        )
     });
     promises.check(figures.check_ratio_max < MOST_CHECK_RATIO_IN_SPAN, || {
         format!(
-            "{:.2} times the intended probes of a member in 2 s; under 2 is promised",
+            "{:.2} times the intended health checks of a member in 2 s; under 2 is promised",
             figures.check_ratio_max
         )
     });
     promises.check(figures.coverage_gap_ms <= MOST_COVERAGE_GAP_MS, || {
-        format!("a member was not probed for {:.0} ms; 4000 are promised", figures.coverage_gap_ms)
+        format!("a member was not checked for {:.0} ms; 4000 are promised", figures.coverage_gap_ms)
     });
     promises.check(figures.convergence_ms.is_some_and(|ms| ms <= MOST_CONVERGENCE_MS), || {
-        format!("boards were the same after {:?} ms; 3000 are promised", figures.convergence_ms)
+        format!("boards converged after {:?} ms; 3000 are promised", figures.convergence_ms)
     });
     promises.check(figures.false_deaths == 0, || {
-        format!("{} times an instance was taken for gone without cause", figures.false_deaths)
+        format!("{} times an instance was declared dead without cause", figures.false_deaths)
     });
     promises.into_broken()
 }
--- a/crates/deckproxy-lab/src/drills/flows.rs
+++ b/crates/deckproxy-lab/src/drills/flows.rs
@@ -191,26 +191,27 @@
     promises.check(code == Some(0), || format!("the gateway ended with {code:?}: {}", gateway.log()));
     let is_exact = (exported.read, exported.written, exported.requests)
         == (steady.read, steady.written, steady.requests);
-    promises.check(is_exact, || {
-        format!("the collector that stayed was told {exported:?}, clients saw {steady:?}")
-    });
+    promises
+        .check(is_exact, || format!("the reliable collectors received {exported:?}, clients saw {steady:?}"));
     let most = impatient.read + impatient.requests * MAX_KERNEL_BYTES;
     let is_plausible = (impatient.read..=most).contains(&exported_impatient.read)
         && exported_impatient.requests <= impatient.requests;
     promises.check(is_plausible, || {
-        format!("of clients that hang up it was told {exported_impatient:?}; they saw {impatient:?}")
+        format!(
+            "of clients that disconnect they received {exported_impatient:?}; the clients saw {impatient:?}"
+        )
     });
     promises.check(received.byte_error(&steady) < MAX_BYTE_ERROR, || {
-        format!("the collector that came and went was told {} of {} bytes", received.read, steady.read)
+        format!("the unreliable collector received {} of {} bytes", received.read, steady.read)
     });
     promises.check(received.requests + unreliable.lost_requests <= steady.requests, || {
-        format!("it was told more requests than there were: {received:?}, {steady:?}")
+        format!("it received more requests than there were: {received:?}, {steady:?}")
     });
     promises.check(memory_kb < MAX_MEMORY_KB, || {
         format!("{memory_kb} KB of memory; {MAX_MEMORY_KB} are promised")
     });
     promises.check(first.undecoded + second.undecoded + unreliable.undecoded == 0, || {
-        "a collector met sets without a template".to_string()
+        "a collector received sets without a template".to_string()
     });
     promises.check(first.missing + second.missing == 0, || {
         "records are missing where no connection broke".to_string()
--- a/crates/deckproxy-lab/src/drills/mod.rs
+++ b/crates/deckproxy-lab/src/drills/mod.rs
@@ -1,4 +1,4 @@
-//! `decklab drill`: the hard cases, and what independent checkers counted of them.
+//! `decklab drill`: the hard cases of a subsystem, and what independent checkers counted in them.
 
 mod fleet;
 mod flows;
@@ -7,8 +7,9 @@
 mod recovery;
 mod sites;
 
+use crate::COULD_NOT_RUN;
 use crate::error::LabError;
-use crate::output::print_line;
+use crate::output::{print_line, print_rows};
 use clap::{Args, ValueEnum};
 use deckproxy_standins::rules::Verdict;
 use serde_json::{Value, json};
@@ -43,20 +44,20 @@
     Sites,
     /// Flow export: collectors killed, stalled, exchanged; clients that hang up.
     Flows,
-    /// Instances of one fleet: killed, paused, restarted, split, one way too; who probes what, and who serves.
+    /// Instances of one fleet: killed, paused, restarted, split, also in one direction; who checks which caches, and who serves.
     Fleet,
-    /// Overload of a fleet: three times the traffic, a slow origin, instances killed, a split; as one, door by door, and with
-    /// nothing.
+    /// Overload of a fleet: three times the traffic, a slow origin, instances killed, a split; with load shedding by the
+    /// fleet, by each instance, and without.
     Overload,
-    /// Recovery from a storm of repeats: an origin that is slow for a while, with recovery on, off, and clients that come
-    /// again at once.
+    /// Recovery from a retry storm: an origin that is slow for a while, with recovery on, off, and off with clients that
+    /// retry at once.
     Recovery,
 }
 
-/// What is put wrong in a record.
+/// A violation that is put into a record, for the drill to find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Spoil {
-    /// An answer from a copy older than a purge told long before.
+    /// An answer from a copy older than a purge of long before.
     Stale,
     /// A second attempt beside the first.
     Attempt,
@@ -64,13 +65,13 @@
     Effect,
     /// An answer that never came.
     Answer,
-    /// A flow that a collector was not told.
+    /// A flow that was not exported to a collector.
     Record,
-    /// Probes of one member that nobody divided.
+    /// Health checks of one member by every instance.
     Probes,
-    /// A member that nobody probes for a while.
+    /// A member without health checks for a while.
     Coverage,
-    /// An instance whose board believes what the others do not.
+    /// An instance whose board differs from that of the others.
     Board,
 }
 
@@ -137,7 +138,11 @@
     }
 }
 
-/// Runs one.
+/// Plays a drill and prints its figures: exit code 1 where a promise broke, 2 where it could not run.
+///
+/// # Errors
+///
+/// The options do not fit the drill.
 pub fn run(options: &Options) -> Result<ExitCode, LabError> {
     check(options)?;
     let outcome = std::panic::catch_unwind(|| match options.name {
@@ -149,41 +154,50 @@
     });
     let Ok(report) = outcome else {
         eprintln!("the drill could not run");
-        return Ok(ExitCode::from(2));
+        return Ok(ExitCode::from(COULD_NOT_RUN));
     };
-    let v = &report.verdict;
-    let ok = v.holds() && report.broken.is_empty();
-    for breach in v.violations.iter().chain(&report.broken) {
-        eprintln!("broken: {breach}");
+    for violation in report.verdict.violations.iter().chain(&report.broken) {
+        eprintln!("broken: {violation}");
     }
+    let ok = report.verdict.holds() && report.broken.is_empty();
+    print_figures(all_figures(options, report, ok), options.json);
+    Ok(if ok { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+}
+
+/// The figures that all drills have, those of the drill itself, and whether its promises held. The keys are documented.
+fn all_figures(options: &Options, report: Report, ok: bool) -> Value {
+    let verdict = &report.verdict;
     let mut all = json!({
         "drill": options.name.text(), "seed": options.seed, "seconds": options.seconds,
-        "requests": v.requests, "crossed": v.cross_site, "served": v.served, "refused": v.rejected, "failed": v.failed,
-        "killed": v.killed, "unanswered": v.unanswered, "double_answers": v.double_answers,
-        "double_attempts": v.double_attempts, "double_effects": v.double_effects,
-        "stale_after_purge": v.stale_after_purge, "sends_after_drain": v.sends_after_drain,
-        "wrong_bodies": v.wrong_bodies, "late": v.late_answers, "cuts": v.link_cuts, "purges": v.purges,
-        "home_share": round(v.home_served_share), "crossed_share": round(v.cross_site_served_share),
-        "home_p50_ms": round(v.quantile(0, 0.5)), "home_p99_ms": round(v.quantile(0, 0.99)),
-        "crossed_p50_ms": round(v.quantile(1, 0.5)), "crossed_p99_ms": round(v.quantile(1, 0.99)),
+        "requests": verdict.requests, "crossed": verdict.cross_site, "served": verdict.served,
+        "refused": verdict.rejected, "failed": verdict.failed,
+        "killed": verdict.killed, "unanswered": verdict.unanswered, "double_answers": verdict.double_answers,
+        "double_attempts": verdict.double_attempts, "double_effects": verdict.double_effects,
+        "stale_after_purge": verdict.stale_after_purge, "sends_after_drain": verdict.sends_after_drain,
+        "wrong_bodies": verdict.wrong_bodies, "late": verdict.late_answers, "cuts": verdict.link_cuts,
+        "purges": verdict.purges,
+        "home_share": round(verdict.home_served_share), "crossed_share": round(verdict.cross_site_served_share),
+        "home_p50_ms": round(verdict.quantile(0, 0.5)), "home_p99_ms": round(verdict.quantile(0, 0.99)),
+        "crossed_p50_ms": round(verdict.quantile(1, 0.5)), "crossed_p99_ms": round(verdict.quantile(1, 0.99)),
     });
-    if let (Value::Object(all), Value::Object(more)) = (&mut all, report.figures) {
-        all.extend(more);
+    if let (Value::Object(all), Value::Object(own)) = (&mut all, report.figures) {
+        all.extend(own);
     }
     all["ok"] = ok.into();
-    if options.json {
-        print_line!("{all}");
-    } else if let Value::Object(all) = &all {
-        let mut table = comfy_table::Table::new();
-        table.set_header(["", ""]);
-        for (name, value) in all {
-            table.add_row([name.clone(), value.to_string()]);
+    all
+}
+
+/// Prints the figures as one JSON object on a line, or as a table.
+fn print_figures(figures: Value, as_json: bool) {
+    match figures {
+        Value::Object(figures) if !as_json => {
+            print_rows(figures.into_iter().map(|(name, value)| (name, value.to_string())));
         }
-        print_line!("{table}");
+        figures => print_line!("{figures}"),
     }
-    Ok(if ok { ExitCode::SUCCESS } else { ExitCode::from(1) })
 }
 
+/// To thousandths.
 fn round(x: f64) -> f64 {
     (x * 1000.0).round() / 1000.0
 }
--- a/crates/deckproxy-lab/src/drills/overload.rs
+++ b/crates/deckproxy-lab/src/drills/overload.rs
@@ -128,27 +128,27 @@
     let Comparison { fleet, per_instance, off } = comparison;
     let mut promises = Promises::with_broken(run.process_faults.clone());
     promises.check(fleet.goodput_before > CALM_GOODPUT, || {
-        format!("{:.3} served before anything was wrong: the machine is too slow", fleet.goodput_before)
+        format!("{:.3} served before the fault: the machine is too slow", fleet.goodput_before)
     });
     promises.check(fleet.goodput_trough < CALM_GOODPUT * fleet.goodput_before, || {
-        "the overload was none".to_string()
+        "the goodput did not fall: there was no overload".to_string()
     });
     promises.check(fleet.amplification <= MOST_AMPLIFICATION, || {
         format!(
-            "{:.2} times the work for a first try; {MOST_AMPLIFICATION} are promised",
+            "{:.2} attempts for each first attempt; {MOST_AMPLIFICATION} are promised",
             fleet.amplification
         )
     });
     let (united, split) = (fleet.budget_ratio, fleet.split_budget_ratio);
     promises.check(united <= MOST_BUDGET_RATIO && split <= MOST_SPLIT_BUDGET_RATIO, || {
         format!(
-            "{united:.2} times the budget of repeats, {split:.2} while split; {MOST_BUDGET_RATIO} and \
+            "{united:.2} times the retry budget, {split:.2} while split; {MOST_BUDGET_RATIO} and \
              {MOST_SPLIT_BUDGET_RATIO} are promised"
         )
     });
     promises.check(fleet.inversions <= MOST_INVERSIONS, || {
         format!(
-            "{:.4} refused while one of less worth was served; {MOST_INVERSIONS} are promised",
+            "{:.4} rejected while one of lower priority weight was served; {MOST_INVERSIONS} are promised",
             fleet.inversions
         )
     });
@@ -158,16 +158,16 @@
     let (served, returns) = (fleet.served_returns, fleet.returns);
     let served_share = served as f64 / returns.max(1) as f64;
     promises.check(returns > 0 && served_share >= LEAST_SERVED_RETURNS, || {
-        format!("{served} of {returns} times to come back came true; {LEAST_SERVED_RETURNS} are promised")
+        format!("{served} of {returns} retries after their Retry-After were served; {LEAST_SERVED_RETURNS} are promised")
     });
     let longest_fault = run.plan.faults.iter().map(|fault| fault.duration).fold(0.0, f64::max);
     let most = (longest_fault * RECOVERY_MULTIPLE).max(RECOVERY_SECONDS);
     promises.check(fleet.recovery_seconds.is_some_and(|seconds| seconds <= most), || {
-        format!("back after {:?} s; {most} are promised", fleet.recovery_seconds)
+        format!("recovered after {:?} s; {most} are promised", fleet.recovery_seconds)
     });
     promises.check(fleet.served_weight >= per_instance.served_weight.max(off.served_weight), || {
         format!(
-            "worth {:.0} served; {:.0} by the doors and {:.0} by the module alone",
+            "priority weight {:.0} served; {:.0} with load shedding by each instance and {:.0} without",
             fleet.served_weight, per_instance.served_weight, off.served_weight
         )
     });
--- a/crates/deckproxy-lab/src/rig.rs
+++ b/crates/deckproxy-lab/src/rig.rs
@@ -1,10 +1,9 @@
 //! `decklab rig`: a plan played on several processes of the gateway.
 
 use crate::error::LabError;
-use crate::output::print_line;
+use crate::output::{print_line, print_rows};
 use crate::traffic;
 use clap::Args;
-use comfy_table::Table;
 use deckproxy_rig::judge::{FleetFigures, judge};
 use deckproxy_rig::overload_judge::{self, OverloadCriteria};
 use deckproxy_rig::plan::generator::random_faults;
@@ -116,7 +115,10 @@
         broken.extend(figures.verdict.violations.iter().cloned());
     }
     if run.plan.fleet && figures.check_ratio_max >= MOST_CHECK_RATIO {
-        broken.push(format!("{:.2} times the intended probes of a member in 2 s", figures.check_ratio_max));
+        broken.push(format!(
+            "{:.2} times the intended health checks of a member in 2 s",
+            figures.check_ratio_max
+        ));
     }
     broken
 }
@@ -145,17 +147,11 @@
 
 /// Prints the figures of a run.
 fn show(run: &RunRecord, figures: &FleetFigures) {
-    let mut table = Table::new();
-    table.set_header(["", ""]);
-    for (name, value) in fleet_rows(figures) {
-        table.add_row([name.to_string(), value]);
-    }
+    let mut rows = Vec::from(fleet_rows(figures));
     if run.plan.open_loop {
-        for (name, value) in overload_rows(run) {
-            table.add_row([name.to_string(), value]);
-        }
+        rows.extend(overload_rows(run));
     }
-    print_line!("{table}");
+    print_rows(rows);
     if !run.plan.open_loop {
         show_instances(run);
     }
@@ -167,19 +163,19 @@
     [
         ("requests", verdict.requests.to_string()),
         (
-            "served / refused / failed",
+            "served / rejected / failed",
             format!("{} / {} / {}", verdict.served, verdict.rejected, verdict.failed),
         ),
         ("rules broken", if verdict.holds() { "none".to_string() } else { "see below".to_string() }),
-        ("probes beside those intended", format!("{:.2}", figures.check_ratio)),
-        ("the same, worst 2 s of a member", format!("{:.2}", figures.check_ratio_max)),
-        ("longest time without a probe, ms", format!("{:.0}", figures.coverage_gap_ms)),
-        ("taken for gone without cause", figures.false_deaths.to_string()),
+        ("health checks relative to those intended", format!("{:.2}", figures.check_ratio)),
+        ("the same, a member's worst 2 s", format!("{:.2}", figures.check_ratio_max)),
+        ("longest time without a health check of a member, ms", format!("{:.0}", figures.coverage_gap_ms)),
+        ("instances declared dead without cause", figures.false_deaths.to_string()),
         (
-            "until all had the same board, ms",
+            "convergence of all boards, ms",
             convergence_ms.map_or("never, after one of the faults".to_string(), |ms| format!("{ms:.0}")),
         ),
-        ("bytes a second of an instance", format!("{:.0}", figures.bytes_per_second)),
+        ("gossip of an instance, bytes a second", format!("{:.0}", figures.bytes_per_second)),
     ]
 }
 
@@ -187,27 +183,30 @@
 fn overload_rows(run: &RunRecord) -> [(&'static str, String); 8] {
     let figures = overload_judge::judge(run, OverloadCriteria::default());
     [
-        ("wishes / tries of them", format!("{} / {}", figures.requests, figures.attempts)),
+        ("requests / attempts", format!("{} / {}", figures.requests, figures.attempts)),
         (
-            "work for a first try beside the calm time's",
-            format!("{:.2}, at members {:.2}", figures.amplification, figures.member_amplification),
+            "retry amplification",
+            format!("{:.2}, at caches {:.2}", figures.amplification, figures.member_amplification),
         ),
         (
-            "repeats beside their budget",
+            "retries relative to their budget",
             format!("{:.2}, while split {:.2}", figures.budget_ratio, figures.split_budget_ratio),
         ),
-        ("refused while one of less worth was served", format!("{:.4}", figures.inversions)),
+        ("rejected while one of lower priority weight was served", format!("{:.4}", figures.inversions)),
         ("Jain's index over instances", format!("{:.3}", figures.jain_index)),
-        ("times to come back that came true", format!("{} of {}", figures.served_returns, figures.returns)),
         (
-            "served in time before, least, after",
+            "Retry-After times whose retry was served",
+            format!("{} of {}", figures.served_returns, figures.returns),
+        ),
+        (
+            "goodput before, least, after",
             format!(
                 "{:.2} {:.2} {:.2}",
                 figures.goodput_before, figures.goodput_trough, figures.goodput_after
             ),
         ),
         (
-            "seconds until that was back",
+            "seconds until the goodput recovered",
             figures.recovery_seconds.map_or("never".to_string(), |seconds| format!("{seconds:.2}")),
         ),
     ]
--- a/crates/deckproxy-lab/tests/drill.rs
+++ b/crates/deckproxy-lab/tests/drill.rs
@@ -1,14 +1,14 @@
-//! The drills hold, and object when a promise is broken.
+//! Drills pass, and fail when a promise is broken on purpose. Demo and rig run and print their results.
 
 use std::process::{Command, Output};
 use std::sync::Mutex;
 
-/// Drills keep times: one test at once.
-static ALONE: Mutex<()> = Mutex::new(());
+/// Drills measure times, so that only one test runs at a time.
+static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
-fn drill(name: &str, seconds: &str, words: &[&str]) -> Output {
+fn drill(name: &str, seconds: &str, options: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_decklab"));
-    command.args(["drill", name, "--seconds", seconds, "--json"]).args(words);
+    command.args(["drill", name, "--seconds", seconds, "--json"]).args(options);
     command.output().expect("decklab starts")
 }
 
@@ -20,14 +20,14 @@
 }
 
 #[test]
-fn the_drill_of_sites_holds_and_sees_what_is_put_wrong() {
+fn sites_drill_passes_and_detects_each_violation() {
     let spoils = [
         ("stale", "stale_after_purge"),
         ("attempt", "double_attempts"),
         ("effect", "double_effects"),
         ("answer", "unanswered"),
     ];
-    let _alone = ALONE.lock().unwrap();
+    let _guard = ONE_AT_A_TIME.lock().unwrap();
     let good = drill("sites", "8", &["--seed", "3"]);
     let report = last_line(&good);
     assert!(good.status.success(), "{report} {}", String::from_utf8_lossy(&good.stderr));
@@ -47,8 +47,8 @@
 }
 
 #[test]
-fn the_drill_of_flows_holds_and_sees_a_record_that_never_came() {
-    let _alone = ALONE.lock().unwrap();
+fn flows_drill_passes_and_detects_a_missing_record() {
+    let _guard = ONE_AT_A_TIME.lock().unwrap();
     let good = drill("flows", "6", &["--seed", "3"]);
     let report = last_line(&good);
     assert!(good.status.success(), "{report} {}", String::from_utf8_lossy(&good.stderr));
@@ -57,13 +57,13 @@
     let report = last_line(&bad);
     assert_eq!((bad.status.code(), &report["ok"]), (Some(1), &false.into()), "{report}");
     assert!(report["byte_error_kept"].as_f64() > Some(0.0), "{report}");
-    // A fault that this drill has no place for is not taken for a good run.
+    // A violation that this drill has no checker for is rejected.
     assert_eq!(drill("sites", "4", &["--spoil", "record"]).status.code(), Some(2));
 }
 
 #[test]
-fn the_drill_of_recovery_holds_and_sees_doubled_work() {
-    let _alone = ALONE.lock().unwrap();
+fn recovery_drill_passes_and_detects_doubled_attempts() {
+    let _guard = ONE_AT_A_TIME.lock().unwrap();
     let good = drill("recovery", "8", &["--seed", "3"]);
     let report = last_line(&good);
     assert!(good.status.success(), "{report} {}", String::from_utf8_lossy(&good.stderr));
@@ -75,8 +75,8 @@
 }
 
 #[test]
-fn the_demo_serves_and_ends() {
-    let _alone = ALONE.lock().unwrap();
+fn demo_serves_requests_and_exits() {
+    let _guard = ONE_AT_A_TIME.lock().unwrap();
     let output =
         Command::new(env!("CARGO_BIN_EXE_decklab")).args(["demo", "--seconds", "2"]).output().unwrap();
     let text = String::from_utf8_lossy(&output.stdout);
@@ -85,14 +85,14 @@
 }
 
 #[test]
-fn the_drill_of_a_fleet_sees_what_is_put_wrong() {
-    let _alone = ALONE.lock().unwrap();
-    // Under the time that each fault takes once it does not run.
+fn fleet_drill_detects_each_violation() {
+    let _guard = ONE_AT_A_TIME.lock().unwrap();
+    // It does not run where the time does not suffice for each fault once.
     assert_eq!(drill("fleet", "20", &[]).status.code(), Some(2));
     let spoils = [
-        ("probes", "times the intended probes of a member"),
-        ("coverage", "a member was not probed"),
-        ("board", "boards were the same after None"),
+        ("probes", "times the intended health checks of a member"),
+        ("coverage", "a member was not checked"),
+        ("board", "boards converged after None"),
     ];
     std::thread::scope(|scope| {
         let bad = spoils.map(|(spoil, wrong)| {
@@ -100,9 +100,9 @@
         });
         for (output, wrong) in bad {
             let output = output.join().unwrap();
-            let (report, told) = (last_line(&output), String::from_utf8_lossy(&output.stderr).into_owned());
+            let (report, stderr) = (last_line(&output), String::from_utf8_lossy(&output.stderr).into_owned());
             assert_eq!(output.status.code(), Some(1), "{wrong}: {report}");
-            assert!(told.contains(wrong) && report["ok"] == false, "{wrong}: {told} {report}");
+            assert!(stderr.contains(wrong) && report["ok"] == false, "{wrong}: {stderr} {report}");
             let faults = ["kills", "pauses", "splits", "restarts"];
             assert!(faults.iter().all(|f| report[f].as_u64() > Some(0)), "{report}");
         }
@@ -110,8 +110,8 @@
 }
 
 #[test]
-fn a_plan_is_played_and_leaves_its_page_and_a_bad_one_is_told_whole() {
-    let _alone = ALONE.lock().unwrap();
+fn rig_writes_the_page_of_a_run_and_reports_all_faults_of_a_bad_plan() {
+    let _guard = ONE_AT_A_TIME.lock().unwrap();
     let folder = std::env::temp_dir().join(format!("deckproxy-rig-test-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let plan = folder.join("plan.textproto");
@@ -124,15 +124,15 @@
         "instances: 2\nseconds: 5\nfaults { at: 1 lasts: 9 kill: 7 }\nfaults { at: 1 lasts: 1 split { instances: [0, 1] } }\n\
                    faults { at: 1 lasts: 1 cache { number: 99 hangs: true } }\n",
     );
-    let told = String::from_utf8_lossy(&bad.stderr).into_owned();
-    assert_eq!(bad.status.code(), Some(2), "{told}");
+    let stderr = String::from_utf8_lossy(&bad.stderr).into_owned();
+    assert_eq!(bad.status.code(), Some(2), "{stderr}");
     for want in [
         ":3:1: faults[0]: from 1 to 10 s is not within the run of 5 s",
         ":3:1: faults[0]: there is no instance 7; they are 0 to 1",
         ":4:1: faults[1]: some of the instances are wanted, and not all",
         ":5:33: faults[2].cache.number: there is no cache 99; they are 0 to 5",
     ] {
-        assert!(told.contains(want), "{want} is not in {told}");
+        assert!(stderr.contains(want), "{want} is not in {stderr}");
     }
     let good = run(
         "question: \"a kill\" seconds: 6 instances: 2 rate: 40 clients: 6\nfaults { at: 1 lasts: 2 kill: 1 }\n",
@@ -143,7 +143,7 @@
     let page = std::fs::read_to_string(folder.join("out/timeline.html")).unwrap();
     assert!(page.contains("<svg") && page.contains("a kill") && !page.contains("could not be drawn"));
     assert!(std::fs::read_to_string(folder.join("out/i1.log")).unwrap().contains("fleet view"));
-    // The plan that was written plays again.
+    // The plan that was written can be run again.
     let again = std::fs::read_to_string(folder.join("out/plan.textproto")).unwrap();
     assert!(again.contains("faults { at: 1.0 lasts: 2.0 kill: 1 }"), "{again}");
     std::fs::remove_dir_all(&folder).unwrap();
