--- a/crates/deckproxy-lab/src/drills/overload.rs
+++ b/crates/deckproxy-lab/src/drills/overload.rs
@@ -5,7 +5,8 @@
 use super::promises::Promises;
 use super::{Options, Report, Spoil, round};
 use deckproxy_rig::load_generator::AttemptAnswer;
-use deckproxy_rig::overload_judge::{OverloadCriteria, OverloadFigures, judge, requests};
+use deckproxy_rig::overload_judge::{OverloadCriteria, OverloadFigures, judge};
+use deckproxy_rig::overload_traffic::requests;
 use deckproxy_rig::plan::{Fault, FaultKind, OverloadControl, Plan};
 use deckproxy_rig::run::{RunRecord, run_plan};
 use deckproxy_standins::record::{Fact, Outcome, Seen};
--- a/crates/deckproxy-lab/src/rig.rs
+++ b/crates/deckproxy-lab/src/rig.rs
@@ -6,6 +6,7 @@
 use clap::Args;
 use deckproxy_rig::judge::{FleetFigures, judge};
 use deckproxy_rig::overload_judge::{self, OverloadCriteria};
+use deckproxy_rig::overload_traffic;
 use deckproxy_rig::plan::generator::random_faults;
 use deckproxy_rig::plan::shrink::{Shrunk, shrink};
 use deckproxy_rig::plan::{self, Plan};
@@ -102,7 +103,7 @@
 /// Plays a plan with the traffic that it is made for, and judges the run.
 fn play(plan: &Plan, report: impl FnMut(f64, &str)) -> (RunRecord, FleetFigures) {
     let requests =
-        if plan.open_loop { overload_judge::requests() } else { traffic::requests(0, 1, 600, 0.0, 0.06) };
+        if plan.open_loop { overload_traffic::requests() } else { traffic::requests(0, 1, 600, 0.0, 0.06) };
     let run = run_plan(plan, &requests, report);
     let figures = judge(&run);
     (run, figures)
--- a/crates/deckproxy-rig/src/lib.rs
+++ b/crates/deckproxy-rig/src/lib.rs
@@ -6,6 +6,7 @@
 //! - [`rig`]: members, instances and clients that run; [`fault_injection`] inflicts faults on them.
 //! - [`instance_process`], [`relay`]: the instances' processes, and the datagrams between them.
 //! - [`client_population`], [`load_generator`]: clients with one request at a time each, and an open loop of many.
+//! - [`overload_traffic`]: the requests of a run under overload.
 //! - [`run`]: a whole run, and the record that it leaves.
 //! - [`judge`], [`overload_judge`]: what was counted at members and clients; [`fleet_view`]: what instances logged.
 //! - [`timeline`]: a page of what happened.
@@ -26,6 +27,7 @@
 pub mod judge;
 pub mod load_generator;
 pub mod overload_judge;
+pub mod overload_traffic;
 pub mod plan;
 pub mod relay;
 pub mod rig;
