--- a/crates/deckproxy-model/src/balancer/baseline.rs
+++ b/crates/deckproxy-model/src/balancer/baseline.rs
@@ -6,7 +6,7 @@
 use crate::scenario::BalancerKind;
 use crate::{Micros, micros, random_stream};
 use ahash::AHashMap;
-use deckproxy::protocol::feed::Phase;
+use deckproxy::protocol::feed::Lifecycle;
 use deckproxy::protocol::upstream::Status;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
@@ -84,7 +84,7 @@
             }
             let members = if endpoint.is_cache { &mut self.caches } else { &mut self.parents };
             members.retain(|member| *member != endpoint.member);
-            if endpoint.phase == Phase::Ready {
+            if endpoint.lifecycle == Lifecycle::Ready {
                 members.push(endpoint.member);
                 members.sort_unstable();
             }
--- a/crates/deckproxy-model/src/balancer/gateway.rs
+++ b/crates/deckproxy-model/src/balancer/gateway.rs
@@ -57,7 +57,7 @@
         let mut gateway = Gateway {
             router: Router::new(
                 unix_ms(now),
-                configuration(scenario, position).conf,
+                configuration(scenario, position).settings,
                 seed,
                 KnownEvents { last: 1, events: vec![NumberedEvent { number: 1, event: known }] },
             ),
--- a/crates/deckproxy-model/src/balancer/gateway_config.rs
+++ b/crates/deckproxy-model/src/balancer/gateway_config.rs
@@ -74,7 +74,7 @@
         zone: if endpoint.is_cache { "edge" } else { "hub" }.into(),
         kind: kind.into(),
         cell: 0,
-        phase: endpoint.phase,
+        lifecycle: endpoint.lifecycle,
         size: MEMBER_WEIGHT,
         started: endpoint.started_unix_ms,
     }
--- a/crates/deckproxy-model/src/balancer/mod.rs
+++ b/crates/deckproxy-model/src/balancer/mod.rs
@@ -11,7 +11,7 @@
 use crate::scenario::{BalancerKind, Scenario};
 use crate::{Micros, micros, unix_ms};
 use baseline::Baseline;
-use deckproxy::protocol::feed::Phase;
+use deckproxy::protocol::feed::Lifecycle;
 use deckproxy::protocol::upstream::Status;
 use gateway::Gateway;
 
@@ -136,8 +136,8 @@
     pub is_cache: bool,
     /// Whether it is an origin.
     pub is_origin: bool,
-    /// Its phase.
-    pub phase: Phase,
+    /// Its state.
+    pub lifecycle: Lifecycle,
     /// When it started, Unix milliseconds; none: before the run.
     pub started_unix_ms: Option<f64>,
 }
--- a/crates/deckproxy-model/src/simulation/control_feed.rs
+++ b/crates/deckproxy-model/src/simulation/control_feed.rs
@@ -8,7 +8,7 @@
 use crate::check::TraceEvent;
 use crate::members::{Member, MemberId, MemberKind};
 use crate::{Micros, micros, random_stream, unix_ms};
-use deckproxy::protocol::feed::Phase;
+use deckproxy::protocol::feed::Lifecycle;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use std::ops::Range;
@@ -57,7 +57,7 @@
             name: member.name.clone(),
             is_cache: member.kind == MemberKind::Cache,
             is_origin: member.kind == MemberKind::Origin,
-            phase: if member.up { Phase::Ready } else { Phase::Gone },
+            lifecycle: if member.up { Lifecycle::Ready } else { Lifecycle::Gone },
             started_unix_ms: member.started.map(unix_ms),
         }
     }
@@ -101,7 +101,7 @@
         let now = self.now;
         let endpoint = self.endpoint(member);
         let gone_members = &mut self.gateway_mut(gateway).gone_members;
-        if endpoint.phase == Phase::Ready {
+        if endpoint.lifecycle == Lifecycle::Ready {
             gone_members.remove(&member);
         } else {
             gone_members.insert(member, now);
--- a/crates/deckproxy/src/program/attempts.rs
+++ b/crates/deckproxy/src/program/attempts.rs
@@ -5,11 +5,10 @@
 use crate::program::gateway::{Gateway, context};
 use crate::program::subsystem::Event;
 use crate::program::timer_task::TimerTask;
-use crate::protocol::upstream::Reply;
 use crate::routing::members::Endpoint;
 use crate::routing::{AttemptKey, ConnectionFailure};
 use crate::transport::clock;
-use crate::transport::member::{Lost, MemberMessage, WrittenPart};
+use crate::transport::member::{Lost, MemberMessage, ReceivedReply, WrittenPart};
 use crate::transport::stream::Progress;
 use calloop::Readiness;
 use deckproxy_control::interface::MemberId;
@@ -37,7 +36,7 @@
             }
             MemberMessage::HealthCheck => {
                 upstream.connection.send_health_check(key, name.into(), now);
-                self.router.conf().limits.unsent_timeout
+                self.router.instance_settings().limits.unsent_timeout
             }
         };
         self.flush_upstream(now, id);
@@ -64,7 +63,7 @@
 
     /// Cancels an attempt, wherever it is.
     pub(super) fn cancel_attempt(&mut self, now: f64, key: AttemptKey) {
-        let connect_timeout = self.router.conf().limits.connect_timeout;
+        let connect_timeout = self.router.instance_settings().limits.connect_timeout;
         let Some(id) = self.attempt_upstreams.remove(&key) else {
             // On no connection: it was cancelled before it was sent.
             return self.router.attempt_cancelled(now, key, false);
@@ -139,12 +138,12 @@
             self.notify_received(now, member, reply.as_ref().ok().and_then(Option::as_ref), bytes);
             match reply {
                 Ok(None) => return true,
-                Ok(Some((Some(key), reply))) => {
+                Ok(Some(ReceivedReply { key: Some(key), reply })) => {
                     self.attempt_upstreams.remove(&key);
                     self.router.reply(clock::now(), key, reply);
                 }
-                // To nothing that is in flight any more.
-                Ok(Some((None, _))) => {}
+                // It answers nothing that is still in flight.
+                Ok(Some(ReceivedReply { key: None, .. })) => {}
                 Err(error) => {
                     self.fail_upstream(now, id, &error.to_string());
                     return false;
@@ -154,20 +153,23 @@
         }
     }
 
-    /// Notifies the subsystems of bytes that came from a member: an answer with what it answers, or none.
+    /// Notifies the subsystems of bytes that came from a member: an answer, or bytes that complete none.
     fn notify_received(
         &mut self,
         now: f64,
         member: MemberId,
-        reply: Option<&(Option<AttemptKey>, Reply)>,
+        received: Option<&ReceivedReply>,
         bytes: usize,
     ) {
         if !self.subsystems.is_on() {
             return;
         }
         let member = self.router.member_name(member);
-        let event = match reply {
-            Some((key, reply)) => Event::MemberReplied { member, key: *key, status: reply.status, bytes },
+        let event = match received {
+            Some(received) => {
+                let status = received.reply.status;
+                Event::MemberReplied { member, key: received.key, status, bytes }
+            }
             None => Event::MemberBytesReceived { member, bytes },
         };
         self.subsystems.notify(&context(now, &self.router), &event);
--- a/crates/deckproxy/src/program/client_messages.rs
+++ b/crates/deckproxy/src/program/client_messages.rs
@@ -53,10 +53,10 @@
     fn handle_message(&mut self, now: f64, id: ClientId, message: Message, bytes: usize) {
         let full = self.is_memory_full();
         let event = match &message {
-            Message::Call(request, call) => {
+            Message::Call { id: request, call } => {
                 Event::RequestReceived { client: id, id: *request, class: &call.class, bytes }
             }
-            Message::Invalid(request, _) => {
+            Message::Invalid { id: request, .. } => {
                 Event::RequestReceived { client: id, id: *request, class: "", bytes }
             }
             Message::Ping(_) | Message::Cancel(_) | Message::Ignored => {
@@ -65,10 +65,10 @@
         };
         self.notify(now, &event);
         match message {
-            Message::Call(request, call) => self.handle_request(now, (id, request), *call, full),
+            Message::Call { id: request, call } => self.handle_request(now, (id, request), *call, full),
             Message::Ping(request) => self.handle_ping(now, id, request),
             Message::Cancel(requests) => self.handle_cancellation(now, id, requests),
-            Message::Invalid(request, error) => self.handle_invalid(now, id, request, error),
+            Message::Invalid { id: request, error } => self.handle_invalid(now, id, request, error),
             Message::Ignored => {}
         }
     }
--- a/crates/deckproxy/src/program/fleet/admission.rs
+++ b/crates/deckproxy/src/program/fleet/admission.rs
@@ -23,7 +23,7 @@
 
 /// What the platform's configuration says that admission control depends on.
 pub(super) fn platform(router: &Router) -> Platform {
-    let settings = &router.conf().settings;
+    let settings = &router.instance_settings().settings;
     let has_effect =
         |class: &interface::Class| class.write || class.idempotency != interface::Idempotency::Idempotent;
     Platform {
--- a/crates/deckproxy/src/program/fleet/mod.rs
+++ b/crates/deckproxy/src/program/fleet/mod.rs
@@ -48,7 +48,7 @@
     router.listed_members().map(|(member, name)| ListedMember {
         id: member.id,
         name: name.into(),
-        zone: router.conf().zones.get(member.zone as usize).map_or("", String::as_str).into(),
+        zone: router.instance_settings().zones.get(member.zone as usize).map_or("", String::as_str).into(),
         kind: member.kind,
         ready: member.lifecycle == Lifecycle::Ready,
     })
@@ -67,7 +67,7 @@
         operator: &Operator,
     ) -> Result<Option<Box<Self>>, FleetSettingsError> {
         let Some(file) = &operator.fleet else { return Ok(None) };
-        let conf = router.conf();
+        let conf = router.instance_settings();
         let zone = conf.zones.get(conf.settings.zone as usize).map_or("", String::as_str);
         // The number of an incarnation has to be higher than that of the last one. Where the clock went back meanwhile,
         // other instances refute it, and the number is raised.
--- a/crates/deckproxy/src/program/flows/accounting.rs
+++ b/crates/deckproxy/src/program/flows/accounting.rs
@@ -29,12 +29,18 @@
     pub(super) clients: HashMap<ClientId, ClientAccount, RandomState>,
     /// Attempts in flight.
     pub(super) attempts: Attempts,
-    /// Requests that came over links, with the time when they came.
-    pub(super) link_requests: HashMap<RunId, (RequestSource, Micros), RandomState>,
+    /// Open requests that were received over links.
+    pub(super) link_requests: HashMap<RunId, LinkRequest, RandomState>,
     /// Clients' networks with most bytes since the last summary.
     top: HeavyHitters<IpNet>,
 }
 
+/// An open request that was received over a link.
+pub(super) struct LinkRequest {
+    source: RequestSource,
+    received_at: Micros,
+}
+
 /// The outcome of an attempt that a member's answer means.
 fn reply_outcome(status: Status) -> Outcome {
     match status {
@@ -137,15 +143,15 @@
     }
 
     /// A client's connection ended.
-    pub(super) fn client_gone(&mut self, now: f64, id: ClientId, cut: usize, unread: usize) {
+    pub(super) fn client_gone(&mut self, now: f64, id: ClientId, written: usize, unread: usize) {
         if let Some(mut account) = self.clients.remove(&id) {
-            account.connection_closed(&mut self.meter, micros(now), cut as u64, unread as u64);
+            account.connection_closed(&mut self.meter, micros(now), written as u64, unread as u64);
         }
     }
 
     // ---- Members -------------------------------------------------------------------------------------------
 
-    /// An attempt begins for a client, or for a request that came over a link.
+    /// An attempt begins for a client, or for a request that was received over a link.
     pub(super) fn attempt_sent(
         &mut self,
         now: f64,
@@ -159,7 +165,7 @@
             RequestSource { client, class: self.class(class), site: 0 }
         } else {
             let request = self.link_requests.get(&(client - FIRST_LINK_CLIENT));
-            request.map_or_else(RequestSource::default, |(source, _)| *source)
+            request.map_or_else(RequestSource::default, |request| request.source)
         };
         let member = self.names.number(member);
         self.attempts.started(micros(now), key, source, member);
@@ -209,21 +215,22 @@
 
     // ---- Links ---------------------------------------------------------------------------------------------
 
-    /// A request came over a link.
+    /// A request was received over a link.
     pub(super) fn link_request_began(&mut self, now: f64, run: RunId, class: &str, site: Option<&str>) {
         let class = self.class(class);
         let site = self.names.number(site.unwrap_or(""));
-        self.link_requests.insert(run, (RequestSource { client: None, class, site }, micros(now)));
+        let source = RequestSource { client: None, class, site };
+        self.link_requests.insert(run, LinkRequest { source, received_at: micros(now) });
     }
 
-    /// A request that came over a link has its answer, or was cancelled.
+    /// A request that was received over a link was answered or cancelled.
     pub(super) fn link_request_ended(&mut self, now: f64, run: RunId, outcome: Outcome) {
-        if let Some((source, since)) = self.link_requests.remove(&run) {
-            link::count_link_request(&mut self.meter, micros(now), source, since, outcome);
+        if let Some(LinkRequest { source, received_at }) = self.link_requests.remove(&run) {
+            link::count_link_request(&mut self.meter, micros(now), source, received_at, outcome);
         }
     }
 
-    /// Bytes came, or went, on a link.
+    /// Bytes were received or sent on a link.
     pub(super) fn link_bytes(&mut self, now: f64, site: Option<&str>, received: usize, sent: usize) {
         let site = self.names.number(site.unwrap_or(""));
         link::count_link_bytes(&mut self.meter, micros(now), site, received as u64, sent as u64);
--- a/crates/deckproxy/src/program/gateway.rs
+++ b/crates/deckproxy/src/program/gateway.rs
@@ -182,7 +182,7 @@
         background.wake_at(summary_task, micros(now + SUMMARY_INTERVAL));
         let fleet_socket = bind_fleet_socket(&handle, &operator)?;
         let identity = (config.name.as_str(), config.seed);
-        let router = Router::new(now, config.conf, config.seed, config.known);
+        let router = Router::new(now, config.settings, config.seed, config.known);
         let subsystems = Subsystems::start(&log, now, identity, &router, &operator, &mut background)?;
         let collectors = subsystems.collectors();
         let loop_timer = LoopTimer::register(&handle).map_err(StartError::LoopTimer)?;
--- a/crates/deckproxy/src/program/housekeeping.rs
+++ b/crates/deckproxy/src/program/housekeeping.rs
@@ -28,7 +28,7 @@
     /// Closes upstream connections on which nothing is in flight and that are retired or about to be closed by the
     /// member for being idle.
     fn close_idle_upstreams(&mut self, now: f64) {
-        let idle_timeout = self.router.conf().limits.idle_timeout;
+        let idle_timeout = self.router.instance_settings().limits.idle_timeout;
         let is_idle = |upstream: &UpstreamConnection| {
             let idle = now - upstream.connection.idle_since();
             let expires = idle_timeout > 0.0 && idle > idle_timeout - limits::IDLE_MARGIN;
--- a/crates/deckproxy/src/program/recovery.rs
+++ b/crates/deckproxy/src/program/recovery.rs
@@ -30,18 +30,18 @@
     /// Starts what the operator file asks for; none where it asks for nothing.
     pub(super) fn start(
         log: &Logger,
-        conf: &InstanceSettings,
+        instance_settings: &InstanceSettings,
         seed: u64,
         operator: &Operator,
     ) -> Option<Box<Self>> {
         let recovery = operator.recovery.as_ref()?;
-        for name in recovery.unknown(&conf.classes) {
+        for name in recovery.unknown(&instance_settings.classes) {
             warn!(log, "recovery: a class is to be given up that the settings do not have"; "class" => name);
         }
-        let weights = conf.settings.classes.iter().map(|class| class.priority_weight);
-        let classes: Vec<(String, f64)> = conf.classes.iter().cloned().zip(weights).collect();
-        let sends_retry_after = conf.settings.retry_after;
-        let longest_retry_after = conf.settings.max_retry_after.max(1.0);
+        let weights = instance_settings.settings.classes.iter().map(|class| class.priority_weight);
+        let classes: Vec<(String, f64)> = instance_settings.classes.iter().cloned().zip(weights).collect();
+        let sends_retry_after = instance_settings.settings.retry_after;
+        let longest_retry_after = instance_settings.settings.max_retry_after.max(1.0);
         let mut settings = recovery.settings(&classes, longest_retry_after);
         // Clients that get no Retry-After can't be held to one.
         settings.enforces_retry_after = sends_retry_after;
--- a/crates/deckproxy/src/program/shutdown.rs
+++ b/crates/deckproxy/src/program/shutdown.rs
@@ -22,7 +22,8 @@
         if let Some(socket) = self.fleet_socket.take() {
             socket.close(&self.handle);
         }
-        let longest = self.router.conf().settings.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
+        let longest =
+            self.router.instance_settings().settings.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
         let last = longest.min(limits::DRAIN_DEADLINE) + limits::DRAIN_ACCEPT - limits::DRAIN_MARGIN;
         self.timers.schedule(now + last, TimerTask::FailOpenRequests);
     }
--- a/crates/deckproxy/src/program/site_links.rs
+++ b/crates/deckproxy/src/program/site_links.rs
@@ -63,7 +63,7 @@
         address_index: usize,
         to: Option<SocketAddr>,
     ) {
-        let connect_timeout = self.router.conf().limits.connect_timeout;
+        let connect_timeout = self.router.instance_settings().limits.connect_timeout;
         let id = self.next_connection_id();
         let Some(links) = &mut self.site_links else { return };
         let ready = move |gateway: &mut Gateway, readiness| gateway.link_ready(id, readiness);
--- a/crates/deckproxy/src/program/sites/forwarding.rs
+++ b/crates/deckproxy/src/program/sites/forwarding.rs
@@ -26,7 +26,7 @@
 /// What forwarding a request to another site takes; the error says why the request can't be used.
 fn forwarding(cx: &Context<'_>, call: &Call, path: Vec<String>) -> Result<CrossingRequest, RequestError> {
     let class = cx.router.validate(call)?;
-    let settings = &cx.router.conf().settings;
+    let settings = &cx.router.instance_settings().settings;
     let rules = &settings.classes[class];
     let safe = rules.idempotency == interface::Idempotency::Idempotent;
     Ok(CrossingRequest {
@@ -95,9 +95,9 @@
                 out.push_back(Effect::Route { client: FIRST_LINK_CLIENT + run, call: Box::new(call) });
             }
             Destination::Unroutable(reason) => {
-                let why = reason.as_str();
-                out.push_back(Effect::LogPeer(format!("a request over a link is turned away: {why}")));
-                self.answer_link(cx, run, Answer::Invalid(RequestError::NoSite(why)), None, out);
+                let text = reason.as_str();
+                out.push_back(Effect::LogPeer(format!("a request over a link is turned away: {text}")));
+                self.answer_link(cx, run, Answer::Invalid(RequestError::Unroutable(reason)), None, out);
             }
             Destination::Remote(site) => {
                 let path = path.into_iter().chain([self.site.own_site().to_string()]).collect();
@@ -144,8 +144,8 @@
         reply: Reply,
         out: &mut Effects,
     ) {
-        let longest_retry_after = cx.router.conf().settings.max_retry_after;
-        let sends_retry_after = cx.router.conf().settings.retry_after;
+        let longest_retry_after = cx.router.instance_settings().settings.max_retry_after;
+        let sends_retry_after = cx.router.instance_settings().settings.retry_after;
         let (answer, copy) = match reply {
             Reply::Served { body, issued_at: issued, tag } => {
                 (Answer::Served(body), Some(CopyInfo { issued, tag: tag.into() }))
--- a/crates/deckproxy/src/program/subsystems.rs
+++ b/crates/deckproxy/src/program/subsystems.rs
@@ -54,9 +54,9 @@
         operator: &Operator,
         background: &mut Scheduler,
     ) -> Result<Self, FleetSettingsError> {
-        let conf = router.conf();
-        let recovery = Recovery::start(log, conf, seed, operator);
-        let flows = Flows::start(log, now, seed, &conf.classes, operator, background);
+        let instance_settings = router.instance_settings();
+        let recovery = Recovery::start(log, instance_settings, seed, operator);
+        let flows = Flows::start(log, now, seed, &instance_settings.classes, operator, background);
         let sites = Sites::start(log, now, seed, operator);
         let fleet = Fleet::start(log, name, router, seed, operator)?;
         let on = recovery.is_some() || flows.is_some() || sites.is_some() || fleet.is_some();
--- a/crates/deckproxy/src/program/upstream_pool.rs
+++ b/crates/deckproxy/src/program/upstream_pool.rs
@@ -51,7 +51,7 @@
     /// Retires a member's outdated connections, closes the retired ones without an attempt in flight, and lists those
     /// that are idle.
     fn check_pool(&mut self, now: f64, member: MemberId, endpoint: Endpoint) -> PoolState {
-        let idle_timeout = self.router.conf().limits.idle_timeout;
+        let idle_timeout = self.router.instance_settings().limits.idle_timeout;
         let (mut idle, mut connecting) = (Vec::new(), 0);
         for id in self.upstream_pools.get(&member).cloned().unwrap_or_default() {
             let Some(upstream) = self.upstreams.get_mut(&id) else { continue };
@@ -93,7 +93,7 @@
 
     /// The member's connection with the fewest attempts in flight that can take one more of that name.
     fn shareable_upstream(&self, member: MemberId, name: &str) -> Option<UpstreamId> {
-        let streams = self.router.conf().limits.max_streams;
+        let streams = self.router.instance_settings().limits.max_streams;
         let is_shareable = |connection: &MemberConnection| {
             // An idle connection with half of an answer that nobody waits for is not to be shared.
             (connection.in_flight() > 0 || connection.stream.input.is_empty())
@@ -136,7 +136,7 @@
         };
         self.upstreams.insert(id, upstream);
         self.upstream_pools.entry(member).or_default().push(id);
-        let connect_timeout = self.router.conf().limits.connect_timeout;
+        let connect_timeout = self.router.instance_settings().limits.connect_timeout;
         self.timers.schedule(now + connect_timeout, TimerTask::UpstreamConnectTimeout(id));
         Some(id)
     }
--- a/crates/deckproxy/src/protocol/config.rs
+++ b/crates/deckproxy/src/protocol/config.rs
@@ -30,7 +30,7 @@
     /// Memory it may hold, MB.
     pub memory: f64,
     /// The settings.
-    pub conf: InstanceSettings,
+    pub settings: InstanceSettings,
     /// The feed's events that it knows from the start.
     pub known: KnownEvents,
 }
@@ -88,7 +88,7 @@
 /// It is not JSON, or a field is missing or not allowed; the error names the field.
 pub fn read(text: &[u8]) -> Result<Config, ConfigError> {
     let root: Value = serde_json::from_slice(text).map_err(ConfigError::NotJson)?;
-    let conf = settings(&root)?;
+    let settings = settings(&root)?;
     let known = known_events(&root["known"])?;
     Ok(Config {
         name: root["name"].as_str().unwrap_or_default().to_string(),
@@ -97,7 +97,7 @@
         seed: seed(&root["seed"]).ok_or_else(|| ConfigError::field("seed", "no number"))?,
         sockets: limit(&root, "sockets", DEFAULT_SOCKETS)? as usize,
         memory: limit(&root, "memory_mb", DEFAULT_MEMORY)?,
-        conf,
+        settings,
         known,
     })
 }
--- a/crates/deckproxy/src/protocol/downstream/decode.rs
+++ b/crates/deckproxy/src/protocol/downstream/decode.rs
@@ -69,7 +69,7 @@
 
 fn message(complete: &[u8]) -> Result<Message, ProtocolError> {
     match head(complete) {
-        Some((id, rest)) => Ok(request(id, rest).unwrap_or_else(|error| Message::Invalid(id, error))),
+        Some((id, rest)) => Ok(request(id, rest).unwrap_or_else(|error| Message::Invalid { id, error })),
         None => notification(complete).map_err(|error| ProtocolError { error, request_id: None }),
     }
 }
@@ -116,7 +116,7 @@
         return Err(RequestError::FieldMissing);
     }
     call.body = body(rest)?;
-    Ok(Message::Call(id, Box::new(call)))
+    Ok(Message::Call { id, call: Box::new(call) })
 }
 
 /// Reads one field into the request. The names are the protocol's; what is not known is skipped.
--- a/crates/deckproxy/src/protocol/downstream/error.rs
+++ b/crates/deckproxy/src/protocol/downstream/error.rs
@@ -1,5 +1,6 @@
 //! What can be wrong with a client's message.
 
+use deckproxy_sites::site::Unroutable;
 use std::fmt;
 
 /// What is wrong with a message or a request. Its text goes to the client as the reason, and to the log.
@@ -51,8 +52,8 @@
     IdOutOfSequence,
     /// Another site found the request invalid.
     InvalidAtOtherSite,
-    /// No site takes the request; why.
-    NoSite(&'static str),
+    /// The request can't be routed to any site.
+    Unroutable(Unroutable),
 }
 
 impl RequestError {
@@ -82,7 +83,7 @@
             RequestError::NameInUse => "ref is in use",
             RequestError::IdOutOfSequence => "message ids do not start at 1 and count up",
             RequestError::InvalidAtOtherSite => "the other site can't use it",
-            RequestError::NoSite(why) => why,
+            RequestError::Unroutable(reason) => reason.as_str(),
         }
     }
 }
--- a/crates/deckproxy/src/protocol/downstream/message.rs
+++ b/crates/deckproxy/src/protocol/downstream/message.rs
@@ -42,14 +42,24 @@
 /// A message from a client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
-    /// A request, under the client's id.
-    Call(u32, Box<Call>),
+    /// A request.
+    Call {
+        /// The client's id for it.
+        id: u32,
+        /// The request.
+        call: Box<Call>,
+    },
     /// The question whether the gateway is ready.
     Ping(u32),
     /// Requests that the client cancels.
     Cancel(Vec<u32>),
-    /// An invalid request, and what is wrong with it.
-    Invalid(u32, RequestError),
+    /// An invalid request.
+    Invalid {
+        /// The client's id for it.
+        id: u32,
+        /// What is wrong with it.
+        error: RequestError,
+    },
     /// A notification without meaning here.
     Ignored,
 }
--- a/crates/deckproxy/src/protocol/feed.rs
+++ b/crates/deckproxy/src/protocol/feed.rs
@@ -2,22 +2,12 @@
 
 use crate::protocol::limits;
 use bytes::{Bytes, BytesMut};
+pub use deckproxy_control::interface::Lifecycle;
 use serde_json::Value;
 use std::fmt;
 use std::net::SocketAddr;
 use std::num::ParseIntError;
 
-/// A member's state as the feed names it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
-    /// Takes requests.
-    Ready,
-    /// Drains.
-    Terminating,
-    /// Has left.
-    Gone,
-}
-
 /// One entry of the list of members.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberEntry {
@@ -32,7 +22,7 @@
     /// Its cell.
     pub cell: u32,
     /// Its state.
-    pub phase: Phase,
+    pub lifecycle: Lifecycle,
     /// Its size; 1 where none is given.
     pub size: f64,
     /// When its process started, Unix ms, if lately.
@@ -230,17 +220,18 @@
         zone: text("locality").into(),
         kind: text("flavor").into(),
         cell: value["cell"].as_u64().and_then(|cell| u32::try_from(cell).ok()).unwrap_or(0),
-        phase: phase(text("phase"))?,
+        lifecycle: lifecycle(text("phase"))?,
         size: value["size"].as_f64().filter(|size| size.is_finite() && *size > 0.0).unwrap_or(1.0),
         started: value["up_since_ms"].as_f64().filter(|at| *at > 0.0),
     })
 }
 
-fn phase(name: &str) -> Option<Phase> {
-    match name {
-        "Ready" => Some(Phase::Ready),
-        "Terminating" => Some(Phase::Terminating),
-        "Gone" => Some(Phase::Gone),
+/// The state that the feed names by `phase`.
+fn lifecycle(phase: &str) -> Option<Lifecycle> {
+    match phase {
+        "Ready" => Some(Lifecycle::Ready),
+        "Terminating" => Some(Lifecycle::Draining),
+        "Gone" => Some(Lifecycle::Gone),
         _ => None,
     }
 }
--- a/crates/deckproxy/src/routing/attempts.rs
+++ b/crates/deckproxy/src/routing/attempts.rs
@@ -56,7 +56,8 @@
         open.attempts += 1;
         open.in_flight.push(Attempt { number, member, sent_at: now, cancelled_as: None });
         let until = if until > 0.0 { until.min(open.deadline) } else { open.deadline };
-        let too_late = open.finished || until <= now || number >= self.conf.settings.max_attempts;
+        let too_late =
+            open.finished || until <= now || number >= self.instance_settings.settings.max_attempts;
         let key = attempt_key(request, number);
         if too_late {
             return self.end_attempt(now, key, AttemptEnding::NotSent.into());
@@ -66,7 +67,7 @@
         };
         let Some(open) = self.requests.get(request) else { return };
         let (client, call) = (open.client, Rc::clone(&open.call));
-        let unsent_timeout = self.conf.limits.unsent_timeout.min(self.retry_window(now, open));
+        let unsent_timeout = self.instance_settings.limits.unsent_timeout.min(self.retry_window(now, open));
         self.timers.schedule(until, Deadline::Attempt(key));
         let options = AttemptOptions { timeout: until - now, ..options };
         let effect = Effect::SendAttempt { key, member, endpoint, client, call, options, unsent_timeout };
@@ -76,7 +77,8 @@
     /// Time left in which members still drop a duplicate of a keyed request that may have run, ms: an attempt that waits
     /// longer to be written must not go out. Unbounded where nothing may have run or the class has no such window.
     fn retry_window(&self, now: f64, open: &OpenRequest) -> f64 {
-        let class = self.classes.get(&open.call.class).map(|class| &self.conf.settings.classes[*class]);
+        let class =
+            self.classes.get(&open.call.class).map(|class| &self.instance_settings.settings.classes[*class]);
         let window =
             class.filter(|class| class.idempotency == Idempotency::Keyed).map(|class| class.dedup_window);
         open.may_have_run_since.zip(window).map_or(f64::MAX, |(first, window)| first + window - now)
--- a/crates/deckproxy/src/routing/feed_events.rs
+++ b/crates/deckproxy/src/routing/feed_events.rs
@@ -40,7 +40,7 @@
     }
 
     fn take_members(&mut self, now: f64, kind: ListKind, entries: &[MemberEntry], unreadable: usize) {
-        let (zones, kinds) = (&self.conf.zones, &self.conf.member_kinds);
+        let (zones, kinds) = (&self.instance_settings.zones, &self.instance_settings.member_kinds);
         let members: Vec<Member> =
             entries.iter().filter_map(|entry| self.members.take(entry, zones, kinds)).collect();
         let dropped = unreadable + entries.len() - members.len();
--- a/crates/deckproxy/src/routing/health_checks.rs
+++ b/crates/deckproxy/src/routing/health_checks.rs
@@ -10,7 +10,7 @@
 impl Router {
     /// Sends a member a health check.
     pub fn health_check(&mut self, now: f64, member: MemberId) {
-        let allowed = self.conf.limits.health_checks;
+        let allowed = self.instance_settings.limits.health_checks;
         self.check_invariant(allowed, "probes are allowed");
         self.health_checks_sent += 1;
         let key = health_check_key(self.health_checks_sent);
--- a/crates/deckproxy/src/routing/intake.rs
+++ b/crates/deckproxy/src/routing/intake.rs
@@ -18,7 +18,7 @@
     /// [`RequestError`] if the class is unknown or the request breaks one of its rules.
     pub fn validate(&self, call: &Call) -> Result<usize, RequestError> {
         let class = self.classes.get(&call.class).copied().ok_or(RequestError::UnknownClass)?;
-        let settings = &self.conf.settings;
+        let settings = &self.instance_settings.settings;
         let rules = &settings.classes[class];
         if call.idempotency_key.is_some() != (rules.idempotency == Idempotency::Keyed) {
             return Err(RequestError::IdempotencyKey);
@@ -45,7 +45,7 @@
             // Attempts go by this name on the members' connections: two of one name can't be told apart.
             return self.answer_invalid(client, id, RequestError::NameInUse);
         }
-        if self.requests.len() >= self.conf.limits.max_requests {
+        if self.requests.len() >= self.instance_settings.limits.max_requests {
             self.counters.rejected += 1;
             return self.answer_unopened(client, id, Answer::Rejected(0.0));
         }
@@ -68,7 +68,7 @@
         let free = self.requests.is_free(id, client, client_id);
         self.check_invariant(free, "a request's id is free");
         self.counters.accepted += 1;
-        let deadline = now + call.timeout.min(self.conf.settings.classes[class].deadline);
+        let deadline = now + call.timeout.min(self.instance_settings.settings.classes[class].deadline);
         let request = Request {
             id,
             object: call.object.number,
@@ -89,7 +89,8 @@
             finished: false,
         };
         self.requests.insert(id, open);
-        let last = deadline + (self.conf.limits.answer_slack + limits::SOCKET_SLACK) * SLACK_SHARE;
+        let last =
+            deadline + (self.instance_settings.limits.answer_slack + limits::SOCKET_SLACK) * SLACK_SHARE;
         self.timers.schedule(last, Deadline::Request(id));
         self.notify_control(now, Event::Request(request));
     }
--- a/crates/deckproxy/src/routing/members.rs
+++ b/crates/deckproxy/src/routing/members.rs
@@ -1,6 +1,6 @@
 //! The list of members as the feed sends it, and the numbers by which the decision module knows them.
 
-use crate::protocol::feed::{MemberEntry, Phase};
+use crate::protocol::feed::MemberEntry;
 use deckproxy_control::interface::{Lifecycle, Member, MemberId};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -56,14 +56,6 @@
     names.iter().position(|other| *other == name).and_then(|i| u32::try_from(i).ok())
 }
 
-fn lifecycle(phase: Phase) -> Lifecycle {
-    match phase {
-        Phase::Ready => Lifecycle::Ready,
-        Phase::Terminating => Lifecycle::Draining,
-        Phase::Gone => Lifecycle::Gone,
-    }
-}
-
 impl Members {
     /// Takes one entry of the list; none if its zone or kind is not in the settings.
     pub fn take(&mut self, entry: &MemberEntry, zones: &[String], kinds: &[String]) -> Option<Member> {
@@ -71,12 +63,12 @@
         let id = self.id_of(&entry.id);
         let endpoint = entry.address.map(|address| Endpoint { address, started: entry.started });
         let member = self.by_id.get_mut(&id)?;
-        if entry.phase != Phase::Gone || endpoint.is_some() {
+        if entry.lifecycle != Lifecycle::Gone || endpoint.is_some() {
             member.endpoint = endpoint;
         }
         member.listed = Member {
             id,
-            lifecycle: lifecycle(entry.phase),
+            lifecycle: entry.lifecycle,
             started: entry.started,
             weight: entry.size,
             kind,
--- a/crates/deckproxy/src/routing/router.rs
+++ b/crates/deckproxy/src/routing/router.rs
@@ -20,7 +20,7 @@
 /// The router of one gateway.
 pub struct Router {
     pub(super) control: Control,
-    pub(super) conf: InstanceSettings,
+    pub(super) instance_settings: InstanceSettings,
     /// Positions of the classes in the settings, by name.
     pub(super) classes: HashMap<Box<str>, usize>,
     pub(super) members: Members,
@@ -42,11 +42,12 @@
 
 impl Router {
     /// A router that has just started and knows the feed's events so far.
-    pub fn new(now: f64, conf: InstanceSettings, seed: u64, known: KnownEvents) -> Self {
-        let classes = conf.classes.iter().enumerate().map(|(i, name)| (name.as_str().into(), i)).collect();
+    pub fn new(now: f64, instance_settings: InstanceSettings, seed: u64, known: KnownEvents) -> Self {
+        let classes =
+            instance_settings.classes.iter().enumerate().map(|(i, name)| (name.as_str().into(), i)).collect();
         let mut router = Router {
-            control: Control::new(conf.settings.clone(), seed),
-            conf,
+            control: Control::new(instance_settings.settings.clone(), seed),
+            instance_settings,
             classes,
             members: Members::default(),
             requests: RequestTable::default(),
@@ -98,8 +99,8 @@
     }
 
     /// The settings.
-    pub fn conf(&self) -> &InstanceSettings {
-        &self.conf
+    pub fn instance_settings(&self) -> &InstanceSettings {
+        &self.instance_settings
     }
 
     /// Requests that are owed an answer.
--- a/crates/deckproxy/src/transport/member.rs
+++ b/crates/deckproxy/src/transport/member.rs
@@ -45,6 +45,15 @@
     pub written: bool,
 }
 
+/// An answer that was received from a member.
+#[derive(Debug)]
+pub struct ReceivedReply {
+    /// Key of the attempt or health check that it answers; none if that is no longer in flight.
+    pub key: Option<u64>,
+    /// The answer.
+    pub reply: Reply,
+}
+
 /// What a connection's kind of message needs to know while it is in flight.
 struct InFlight {
     name: Box<str>,
@@ -195,7 +204,7 @@
     ///
     /// # Errors
     /// What comes can't be decoded: the connection is of no more use.
-    pub fn take_reply(&mut self, now: f64) -> Result<Option<(Option<u64>, Reply)>, ReplyError> {
+    pub fn take_reply(&mut self, now: f64) -> Result<Option<ReceivedReply>, ReplyError> {
         let Some(reply) = self.decoder.next(&mut self.stream.input)? else {
             self.stream.missing = self.decoder.missing(self.stream.input.len());
             self.stream.trim(std::mem::take(&mut self.taken));
@@ -216,7 +225,7 @@
         } else {
             self.cancelled.remove(&reply.id);
         }
-        Ok(Some((key, reply)))
+        Ok(Some(ReceivedReply { key, reply }))
     }
 
     /// Writes what the kernel takes, and calls `complete` with each message that it took completely.
--- a/crates/deckproxy/tests/attempt_endings.rs
+++ b/crates/deckproxy/tests/attempt_endings.rs
@@ -35,7 +35,7 @@
         }
     });
     let config = config::read(config.to_string().as_bytes()).unwrap();
-    Router::new(NOW, config.conf, config.seed, config.known)
+    Router::new(NOW, config.settings, config.seed, config.known)
 }
 
 fn call(class: &str, name: u64) -> Call {
@@ -224,7 +224,7 @@
     let text = json!({"listen": "127.0.0.1:1", "seed": 1, "settings": {"services": [{"name": "page",
         "effect": "retryable", "deadlineMs": 1000.0}], "limits": {"maxOpen": 0}}});
     let config = config::read(text.to_string().as_bytes()).unwrap();
-    let mut router = Router::new(NOW, config.conf, config.seed, config.known);
+    let mut router = Router::new(NOW, config.settings, config.seed, config.known);
     router.request(NOW, 1, 7, call("page", 1));
     let refused = Effect::Answer { client: 1, id: 7, answer: Answer::Rejected(0.0), copy: None };
     assert_eq!(effects(&mut router), [refused]);
--- a/crates/deckproxy/tests/codecs.rs
+++ b/crates/deckproxy/tests/codecs.rs
@@ -130,7 +130,7 @@
         let whole = messages(&bytes, &[]);
         prop_assert_eq!(whole.len(), bodies.len());
         for (message, (id, object, size, _)) in whole.iter().zip(&bodies) {
-            let Ok(Message::Call(got, call)) = message else { panic!("{message:?}") };
+            let Ok(Message::Call { id: got, call }) = message else { panic!("{message:?}") };
             prop_assert_eq!((*got, call.object.number, call.body.len()), (*id, *object, *size));
         }
         prop_assert_eq!(messages(&bytes, &cuts), whole);
--- a/crates/deckproxy/tests/routing.rs
+++ b/crates/deckproxy/tests/routing.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use deckproxy::protocol::config;
 use deckproxy::protocol::downstream::{Answer, Call, ObjectId};
-use deckproxy::protocol::feed::{FeedEvent, KnownEvents, MemberEntry, NumberedEvent, Phase};
+use deckproxy::protocol::feed::{FeedEvent, KnownEvents, Lifecycle, MemberEntry, NumberedEvent};
 use deckproxy::protocol::upstream::{Reply, Status};
 use deckproxy::routing::{AttemptKey, ConnectionFailure, Effect, Router};
 use proptest::prelude::*;
@@ -38,7 +38,7 @@
         2 => (any::<usize>(), any::<bool>()).prop_map(|(at, sent)| Step::ConnectionFailure(at, sent)),
         4 => (0u16..600).prop_map(Step::Wait),
         1 => (0u64..4).prop_map(Step::Purge),
-        1 => (0usize..5, 0u8..4).prop_map(|(at, phase)| Step::Member(at, phase)),
+        1 => (0usize..5, 0u8..4).prop_map(|(at, state)| Step::Member(at, state)),
     ]
 }
 
@@ -50,7 +50,7 @@
     ("s-5", "hub", "origin"),
 ];
 
-fn entry(at: usize, phase: Phase, started: Option<f64>) -> MemberEntry {
+fn entry(at: usize, lifecycle: Lifecycle, started: Option<f64>) -> MemberEntry {
     let (id, zone, kind) = MEMBERS[at];
     MemberEntry {
         id: id.into(),
@@ -58,7 +58,7 @@
         zone: zone.into(),
         kind: kind.into(),
         cell: 0,
-        phase,
+        lifecycle,
         size: 20.0,
         started,
     }
@@ -87,10 +87,10 @@
         }
     });
     let config = config::read(config.to_string().as_bytes()).unwrap();
-    let entries = (0..MEMBERS.len()).map(|at| entry(at, Phase::Ready, None)).collect();
+    let entries = (0..MEMBERS.len()).map(|at| entry(at, Lifecycle::Ready, None)).collect();
     Router::new(
         NOW,
-        config.conf,
+        config.settings,
         config.seed,
         KnownEvents {
             last: 1,
@@ -241,15 +241,15 @@
                     false
                 ));
             }
-            Step::Member(at, phase) => {
+            Step::Member(at, state) => {
                 self.event += 1;
-                let (phase, started) = match phase {
-                    0 => (Phase::Gone, None),
-                    1 => (Phase::Terminating, None),
-                    2 => (Phase::Ready, Some(self.now - 100.0)),
-                    _ => (Phase::Ready, None),
+                let (lifecycle, started) = match state {
+                    0 => (Lifecycle::Gone, None),
+                    1 => (Lifecycle::Draining, None),
+                    2 => (Lifecycle::Ready, Some(self.now - 100.0)),
+                    _ => (Lifecycle::Ready, None),
                 };
-                let entries = vec![entry(at, phase, started)];
+                let entries = vec![entry(at, lifecycle, started)];
                 let news = FeedEvent::Members { complete: false, entries, unreadable: 0 };
                 assert!(self.router.feed_event(self.now, numbered(self.event, news), false));
             }
@@ -315,15 +315,16 @@
     let mut router = router();
     let mut now = NOW;
     let mut most = BTreeMap::new();
-    let listed = |id: u64, phase: Phase, started: f64| MemberEntry {
+    let listed = |id: u64, lifecycle: Lifecycle, started: f64| MemberEntry {
         id: format!("s-{id:08x}").into(),
-        ..entry(0, phase, Some(started))
+        ..entry(0, lifecycle, Some(started))
     };
     let mut event = 1;
     for generation in 1..4000u64 {
         now += 250.0;
         event += 1;
-        let entries = vec![listed(generation, Phase::Ready, now), listed(generation - 1, Phase::Gone, now)];
+        let entries =
+            vec![listed(generation, Lifecycle::Ready, now), listed(generation - 1, Lifecycle::Gone, now)];
         assert!(router.feed_event(
             now,
             numbered(event, FeedEvent::Members { complete: false, entries, unreadable: 0 }),
@@ -446,7 +447,7 @@
     // The list has it drain; the end of its ejection does not bring it back.
     let drains = FeedEvent::Members {
         complete: false,
-        entries: vec![entry(0, Phase::Terminating, None)],
+        entries: vec![entry(0, Lifecycle::Draining, None)],
         unreadable: 0,
     };
     assert!(router.feed_event(NOW + 40.0, numbered(2, drains), false));
@@ -457,7 +458,7 @@
     router.set_ejected(NOW + 70.0, &[one, two]);
     let ready = FeedEvent::Members {
         complete: true,
-        entries: (0..MEMBERS.len()).map(|at| entry(at, Phase::Ready, None)).collect(),
+        entries: (0..MEMBERS.len()).map(|at| entry(at, Lifecycle::Ready, None)).collect(),
         unreadable: 0,
     };
     assert!(router.feed_event(NOW + 80.0, numbered(3, ready), false));
