--- a/crates/deckproxy-lab/src/flows/mod.rs
+++ b/crates/deckproxy-lab/src/flows/mod.rs
@@ -6,13 +6,18 @@
 pub mod plot;
 mod query;
 mod record;
+mod record_files;
+mod time;
 mod top;
 
+pub use query::FilterError;
+pub use time::TimeError;
+
 use crate::error::LabError;
 use clap::{Args, Subcommand};
 use std::process::ExitCode;
 
-/// Flows that gateways export: collect them, look who used the links.
+/// Flows that gateways export: collect them, see who used the links.
 #[derive(Debug, Args)]
 pub struct Options {
     #[command(subcommand)]
@@ -21,15 +26,15 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Take IPFIX (TCP and UDP) and NetFlow v9 (UDP) and store readable records, a JSON object a line.
+    /// Receive IPFIX (TCP and UDP) and NetFlow v9 (UDP) and store readable records, one JSON object per line.
     Collect(collect::Options),
-    /// Who used most: a table, and if wanted CSV and a picture over time.
+    /// Who used most: a table or CSV, and a picture over time.
     Top(top::Options),
     /// Print records as they are stored.
     Follow(follow::Options),
 }
 
-/// Runs one.
+/// Runs a command.
 pub fn run(options: &Options) -> Result<ExitCode, LabError> {
     match &options.command {
         Command::Collect(options) => collect::run(options),
--- a/crates/deckproxy-lab/src/flows/query/tests.rs
+++ b/crates/deckproxy-lab/src/flows/query/tests.rs
@@ -59,14 +59,14 @@
         ("", 1, "a field"),
     ];
     for (text, column, wanted) in cases {
-        let fault = parse(text).unwrap_err();
+        let fault = parse(text).unwrap_err().to_string();
         let first = fault.lines().next().unwrap();
         assert!(
             first.starts_with(&format!("column {column}: ")) && first.contains(wanted),
             "{text}: {fault}"
         );
     }
-    assert!(parse(&"(".repeat(100_000)).unwrap_err().contains("are the most"));
+    assert!(parse(&"(".repeat(100_000)).unwrap_err().to_string().contains("are the most"));
 }
 
 proptest! {
--- a/crates/deckproxy-lab/src/measure/mod.rs
+++ b/crates/deckproxy-lab/src/measure/mod.rs
@@ -70,7 +70,7 @@
     if metadata.is_file() && metadata.permissions().mode() & 0o111 != 0 {
         return Ok(());
     }
-    Err(LabError::output(path.display(), "is no program that can be started"))
+    Err(LabError::NotExecutable { path: path.to_path_buf() })
 }
 
 /// Prints a table.
--- a/crates/deckproxy-lab/src/model/mod.rs
+++ b/crates/deckproxy-lab/src/model/mod.rs
@@ -56,7 +56,7 @@
 pub fn run(options: &Options) -> Result<ExitCode, LabError> {
     if options.defaults {
         let defaults = serde_json::to_string_pretty(&Scenario::default());
-        print_line!("{}", defaults.map_err(|e| LabError::output("--defaults", e))?);
+        print_line!("{}", defaults.map_err(LabError::json("--defaults"))?);
         return Ok(ExitCode::SUCCESS);
     }
     Ok(if experiment(options)? { ExitCode::SUCCESS } else { ExitCode::from(1) })
--- a/crates/deckproxy-lab/src/model/report.rs
+++ b/crates/deckproxy-lab/src/model/report.rs
@@ -2,7 +2,7 @@
 
 use super::run::Run;
 use super::summary::runs_of;
-use crate::error::LabError;
+use crate::error::{DrawError, LabError};
 use crate::flows::plot::COLOURS;
 use deckproxy_model::experiment::{Experiment, Variant};
 use deckproxy_model::record::Point;
@@ -52,26 +52,32 @@
     variants: &[Variant],
     runs: &[Run],
 ) -> Result<(), LabError> {
-    write_points(&folder.join("points.csv"), runs)
-        .map_err(|fault| LabError::output(folder.display(), fault))?;
+    write_points(&folder.join("points.csv"), runs)?;
     let path = folder.join("report.html");
     fs::write(&path, page(experiment, variants, runs)?).map_err(LabError::file(&path))
 }
 
 /// Writes each step of each run as a row of CSV.
-fn write_points(path: &Path, runs: &[Run]) -> Result<(), Box<dyn std::error::Error>> {
-    let mut csv = csv::Writer::from_path(path)?;
+fn write_points(path: &Path, runs: &[Run]) -> Result<(), LabError> {
+    let csv_error = LabError::csv(path.display());
+    let mut csv = csv::Writer::from_path(path).map_err(&csv_error)?;
     if runs.iter().any(|run| !run.points.is_empty()) {
-        csv.write_record(["variant", "seed"].into_iter().chain(FIELDS))?;
+        csv.write_record(["variant", "seed"].into_iter().chain(FIELDS)).map_err(&csv_error)?;
     }
     for run in runs {
         for point in &run.points {
-            let values = serde_json::to_value(point)?;
-            let own = [run.variant.clone(), run.seed.to_string()];
-            csv.write_record(own.into_iter().chain(FIELDS.iter().map(|field| values[field].to_string())))?;
+            csv.write_record(row(run, point)?).map_err(&csv_error)?;
         }
     }
-    Ok(csv.flush()?)
+    csv.flush().map_err(LabError::file(path))
+}
+
+/// The cells of a point: its variant, its seed, its fields.
+fn row(run: &Run, point: &Point) -> Result<Vec<String>, LabError> {
+    let values = serde_json::to_value(point).map_err(LabError::json(&run.variant))?;
+    let mut row = vec![run.variant.clone(), run.seed.to_string()];
+    row.extend(FIELDS.iter().map(|field| values[field].to_string()));
+    Ok(row)
 }
 
 /// The page with its pictures.
@@ -123,7 +129,7 @@
 /// A picture as SVG, with the times at which something is wrong in grey.
 fn picture(title: &str, x_label: &str, lines: &[Line], faults: &[Fault]) -> Result<String, LabError> {
     let mut svg = String::new();
-    draw(&mut svg, title, x_label, lines, faults).map_err(|fault| LabError::output(title, fault))?;
+    draw(&mut svg, title, x_label, lines, faults).map_err(LabError::picture(title))?;
     Ok(svg)
 }
 
@@ -133,7 +139,7 @@
     x_label: &str,
     lines: &[Line],
     faults: &[Fault],
-) -> Result<(), Box<dyn std::error::Error>> {
+) -> Result<(), DrawError> {
     let points = || lines.iter().flat_map(|(_, points)| points);
     let right = points().map(|p| p.0).fold(0.0, f64::max).max(1e-9);
     let top = points().map(|p| p.1).filter(|y| y.is_finite()).fold(0.0, f64::max).max(1e-9) * 1.05;
@@ -161,8 +167,7 @@
         area.draw(&Rectangle::new([(880, y), (892, y + 12)], colour.filled()))?;
         area.draw(&Text::new(name.clone(), (898, y + 1), ("sans-serif", 13)))?;
     }
-    area.present()?;
-    Ok(())
+    area.present()
 }
 
 /// A fault's label in a picture.
--- a/crates/deckproxy-lab/src/model/run.rs
+++ b/crates/deckproxy-lab/src/model/run.rs
@@ -120,7 +120,7 @@
 
     /// Stores the result. A run that is interrupted leaves no half of a file.
     pub fn store(&self, folder: &Path) -> Result<(), LabError> {
-        let bytes = serde_json::to_vec(self).map_err(|e| LabError::output(&self.variant, e))?;
+        let bytes = serde_json::to_vec(self).map_err(LabError::json(&self.variant))?;
         let path = path(folder, &self.variant, self.seed);
         let part = path.with_extension("part");
         fs::write(&part, bytes).and_then(|()| fs::rename(&part, &path)).map_err(LabError::file(&path))
--- a/crates/deckproxy-lab/tests/command_line.rs
+++ b/crates/deckproxy-lab/tests/command_line.rs
@@ -182,7 +182,7 @@
     let missing = folder.path("missing");
     for command in ["top", "follow"] {
         assert_fault(&["flows", command, &missing], &format!("decklab flows: {missing}: No such file"));
-        let reason = "decklab flows: --where: column 7: wanted here: a number";
+        let reason = "decklab flows: --where: column 7: expected a number";
         assert_fault(&["flows", command, &folder.path(""), "--where", "out > much"], reason);
     }
     let collect = |listen: &str, out: &str, reason: &str| {
@@ -196,9 +196,9 @@
     let top = |option: &str, value: &str, reason: &str| {
         assert_fault(&["flows", "top", &here, option, value], reason);
     };
-    top("--from", "soon", "decklab flows: --from: \"soon\": wanted a time");
-    top("--to", "soon", "decklab flows: --to: \"soon\": wanted a time");
-    top("--from", "2999-01-01T00:00:00Z", "no record of this kind");
+    top("--from", "soon", "decklab flows: --from: \"soon\": expected a time");
+    top("--to", "soon", "decklab flows: --to: \"soon\": expected a time");
+    top("--from", "2999-01-01T00:00:00Z", "no matching record");
     top("--most", "0", "0 is not in 1..=1000");
     top("--svg", &folder.path("absent/top.svg"), "absent/top.svg: No such file");
     assert_fault(&["flows", "top", &here, "--from", "1m", "--to", "1h"], "--from: is not before --to");
@@ -234,8 +234,8 @@
     };
     beside(&missing, &format!("decklab measure: {missing}: No such file"));
     let text = folder.file("text", "no program");
-    beside(&text, &format!("decklab measure: {text}: is no program"));
-    beside(&folder.path(""), "is no program");
+    beside(&text, &format!("decklab measure: {text}: is not an executable program"));
+    beside(&folder.path(""), "is not an executable program");
 }
 
 /// The load generator shares the clients out among several threads: with one client most of them have none.
--- a/crates/deckproxy-lab/tests/flows.rs
+++ b/crates/deckproxy-lab/tests/flows.rs
@@ -217,13 +217,13 @@
     let told = String::from_utf8(output.stderr).unwrap();
     assert!(
         output.status.success()
-            && told.contains(".jsonl:2: no record")
-            && told.contains("2 lines are no records")
+            && told.contains(".jsonl:2: not a record")
+            && told.contains("2 lines are not records")
     );
     assert!(String::from_utf8(output.stdout).unwrap().contains("(none),7,100.0"));
     let output = run(&["flows", "top"], &folder, &["--where", "class = page or"]);
     let told = String::from_utf8(output.stderr).unwrap();
-    assert!(output.status.code() == Some(2) && told.contains("column 16: wanted here: a field"), "{told}");
+    assert!(output.status.code() == Some(2) && told.contains("column 16: expected a field"), "{told}");
     let output = run(&["flows", "top"], &folder.join("nowhere"), &[]);
     assert!(
         output.status.code() == Some(2) && String::from_utf8(output.stderr).unwrap().contains("nowhere: ")
