--- a/crates/deckproxy-flow/src/codec/decode/mod.rs
+++ b/crates/deckproxy-flow/src/codec/decode/mod.rs
@@ -155,7 +155,8 @@
         decoded.missing = domain.missing_before(decoded.sequence);
         let result = SetReader { version, now, limits: &limits, domain, decoded }.read_sets(&mut rest);
         let counted = match version {
-            Version::Ipfix => decoded.records.len() as u32,
+            // A message of at most 65,535 bytes has far fewer records than 2^32.
+            Version::Ipfix => u32::try_from(decoded.records.len()).unwrap_or(u32::MAX),
             Version::NetflowV9 => 1,
         };
         domain.next_sequence = Some(decoded.sequence.wrapping_add(counted));
--- a/crates/deckproxy-flow/src/codec/encode.rs
+++ b/crates/deckproxy-flow/src/codec/encode.rs
@@ -28,6 +28,16 @@
     min_record_length: usize,
 }
 
+impl OpenSet {
+    /// The padding of the set if its last record ends at that position in the message. It must be shorter than any
+    /// record, or it would be read as one (RFC 7011, 3.3.1).
+    fn padding(&self, end: usize) -> usize {
+        let length = end - self.start;
+        let padding = length.next_multiple_of(SET_ALIGNMENT) - length;
+        if padding < self.min_record_length { padding } else { 0 }
+    }
+}
+
 /// The numbers of records in a message.
 #[derive(Clone, Copy, Debug, Default)]
 struct RecordCounts {
@@ -152,10 +162,14 @@
         if scope == 0 { self.version.template_set() } else { self.version.options_template_set() }
     }
 
+    /// The length of the message so far, its header included.
+    fn used_space(&self) -> usize {
+        self.message.len().max(self.version.header_length())
+    }
+
     fn free_space(&self) -> usize {
-        let used = self.message.len().max(self.version.header_length());
         let padding = SET_ALIGNMENT - 1;
-        self.max_message_length.saturating_sub(used + padding)
+        self.max_message_length.saturating_sub(self.used_space() + padding)
     }
 
     /// Prepares the message for `length` more bytes in a set with this id. Returns false if there is no space.
@@ -165,12 +179,25 @@
         if self.free_space() < needed {
             return false;
         }
+        let (set, begin) = match self.set {
+            Some(set) if !is_new_set => (set, self.used_space()),
+            open => {
+                let used = self.used_space();
+                let start = used + open.map_or(0, |open| open.padding(used));
+                (OpenSet { start, id, min_record_length }, start)
+            }
+        };
+        // The free space allows for one set's padding; a new set may follow the padding of the one before it.
+        let end = begin + needed;
+        if end + set.padding(end) > self.max_message_length {
+            return false;
+        }
         if self.message.is_empty() {
             self.message.put_bytes(0, self.version.header_length());
         }
         if is_new_set {
             self.end_set();
-            self.set = Some(OpenSet { start: self.message.len(), id, min_record_length });
+            self.set = Some(set);
             self.message.put_bytes(0, SET_HEADER_LENGTH);
         }
         true
@@ -178,29 +205,26 @@
 
     /// Pads the open set and writes its header.
     fn end_set(&mut self) {
-        let Some(OpenSet { start, id, min_record_length }) = self.set.take() else { return };
-        let length = self.message.len() - start;
-        let padding = length.next_multiple_of(SET_ALIGNMENT) - length;
-        // Padding must be shorter than any record, or it would be read as one (RFC 7011, 3.3.1).
-        if padding < min_record_length {
-            self.message.put_bytes(0, padding);
-        }
-        let length = (self.message.len() - start) as u16;
-        let mut header = &mut self.message[start..start + SET_HEADER_LENGTH];
-        header.put_u16(id);
+        let Some(set) = self.set.take() else { return };
+        self.message.put_bytes(0, set.padding(self.message.len()));
+        let length = saturating_u16(self.message.len() - set.start);
+        let mut header = &mut self.message[set.start..set.start + SET_HEADER_LENGTH];
+        header.put_u16(set.id);
         header.put_u16(length);
     }
 
     fn write_header(&self, now: u64, records: RecordCounts, message: &mut BytesMut) {
+        // Both times are 32 bits wide on the wire: the seconds wrap in 2106, v9's uptime after 49 days.
         let seconds = (now / 1000) as u32;
-        let length = message.len() as u16;
+        let uptime = now.saturating_sub(self.started_at) as u32;
+        let length = saturating_u16(message.len());
         let mut header = &mut message[..];
         header.put_u16(self.version.number());
         match self.version {
             Version::Ipfix => header.put_u16(length),
             Version::NetflowV9 => {
                 header.put_u16(records.all);
-                header.put_u32(now.saturating_sub(self.started_at) as u32);
+                header.put_u32(uptime);
             }
         }
         header.put_u32(seconds);
@@ -210,7 +234,7 @@
 
     fn encode_template(&self, template: &Template) -> BytesMut {
         let mut bytes = BytesMut::new();
-        let fields = template.fields.len() as u16;
+        let fields = saturating_u16(template.fields.len());
         bytes.put_u16(template.id);
         match (self.version, template.scope) {
             (_, 0) => bytes.put_u16(fields),
@@ -260,11 +284,18 @@
         Value::Number(_) => value.encode(8),
         Value::Bytes(value) => value[..value.len().min(MAX_VARIABLE_LENGTH)].to_vec(),
     };
-    if encoded.len() < usize::from(LONG_LENGTH) {
-        bytes.put_u8(encoded.len() as u8);
-    } else {
-        bytes.put_u8(LONG_LENGTH);
-        bytes.put_u16(encoded.len() as u16);
+    match u8::try_from(encoded.len()) {
+        Ok(length) if length < LONG_LENGTH => bytes.put_u8(length),
+        _ => {
+            bytes.put_u8(LONG_LENGTH);
+            bytes.put_u16(saturating_u16(encoded.len()));
+        }
     }
     bytes.put(&encoded[..]);
 }
+
+/// A length or number as a field of 16 bits. What the encoder accepts is below the limit: a message has at most 65,535
+/// bytes, and what does not fit in one is not added.
+fn saturating_u16(length: usize) -> u16 {
+    u16::try_from(length).unwrap_or(u16::MAX)
+}
--- a/crates/deckproxy-flow/tests/codec.rs
+++ b/crates/deckproxy-flow/tests/codec.rs
@@ -247,3 +247,26 @@
     let message = splitter.next_message().unwrap().unwrap();
     assert_eq!(Decoder::new(Limits::default()).decode(0, &message).records.len(), count);
 }
+
+/// A set may be padded before and after a record that fills the message to its last byte.
+#[test]
+fn the_padding_of_two_sets_stays_within_the_limit() {
+    let field = Field { element: elements::CLIENT_V4, length: 4 };
+    let options = Template { id: 256, scope: 1, fields: vec![field] };
+    let name = Field { element: elements::CLIENT_V4, length: VARIABLE_LENGTH };
+    let text = Template { id: 257, scope: 0, fields: vec![field, name] };
+    let limits = [1400, 1401, 1402, 1403, 65_532, 65_533, 65_534, 65_535];
+    for limit in limits {
+        for length in limit - 60..limit {
+            let mut encoder = Encoder::new(Version::Ipfix, 1, limit, 0, 0);
+            assert!(encoder.template(&options));
+            let is_added = encoder.record(&text, &[Value::Number(1), Value::Bytes(vec![7; length].into())]);
+            let message = encoder.finish(0).unwrap();
+            assert!(message.len() <= limit, "{} bytes of {limit}", message.len());
+            let in_header = usize::from(u16::from_be_bytes([message[2], message[3]]));
+            assert_eq!(in_header, message.len());
+            assert_eq!(Decoder::new(Limits::default()).decode(0, &message).error, None);
+            assert!(is_added || length > limit - 50, "{length} bytes fit in {limit}");
+        }
+    }
+}
