--- a/crates/deckproxy-rig/src/lib.rs
+++ b/crates/deckproxy-rig/src/lib.rs
@@ -5,7 +5,8 @@
 //! - [`plan`]: what runs and which faults happen; read from a file, drawn from a seed, shrunk to what still fails.
 //! - [`rig`]: members, instances and clients that run; [`fault_injection`] inflicts faults on them.
 //! - [`instance_process`], [`relay`]: the instances' processes, and the datagrams between them.
-//! - [`client_population`], [`load_generator`]: clients with one request at a time each, and an open loop of many.
+//! - [`client_population`], [`load_generator`]: clients with one request at a time each, and an open loop of many;
+//!   [`endpoint`]: an instance as they know it.
 //! - [`overload_traffic`]: the requests of a run under overload.
 //! - [`run`]: a whole run, and the record that it leaves.
 //! - [`judge`], [`overload_judge`]: what was counted at members and clients; [`fleet_view`]: what instances logged.
@@ -17,6 +18,7 @@
 
 pub mod absence;
 pub mod client_population;
+pub mod endpoint;
 mod event_queue;
 pub mod fault_injection;
 mod fleet_agreement;
--- a/crates/deckproxy-rig/src/load_generator/client.rs
+++ b/crates/deckproxy-rig/src/load_generator/client.rs
@@ -78,6 +78,23 @@
     pub(super) fn deadline(&self) -> f64 {
         self.requested_at + f64::from(self.spec.timeout_ms)
     }
+
+    /// Its next attempt, which has no answer so far.
+    pub(super) fn attempt(&self, now: f64, name: String, timeout_ms: f64) -> ClientAttempt {
+        ClientAttempt {
+            name,
+            request: self.number,
+            earlier_attempts: self.attempts,
+            at: now,
+            requested_at: self.requested_at,
+            timeout_ms,
+            instance: self.instance,
+            class: self.spec.class,
+            object: self.spec.object,
+            after_retry_after: self.after_retry_after,
+            answer: None,
+        }
+    }
 }
 
 /// An attempt without an answer.
--- a/crates/deckproxy-rig/src/load_generator/mod.rs
+++ b/crates/deckproxy-rig/src/load_generator/mod.rs
@@ -5,7 +5,7 @@
 mod client;
 mod worker;
 
-use crate::client_population::Endpoint;
+use crate::endpoint::Endpoint;
 use client::SimulatedClient;
 use deckproxy_standins::load_client::RequestGenerator;
 use deckproxy_standins::record::{Outcome, Record};
--- a/crates/deckproxy-rig/src/rig.rs
+++ b/crates/deckproxy-rig/src/rig.rs
@@ -1,6 +1,7 @@
 //! Members, instances and clients that run, to be observed, and hurt step by step.
 
-use crate::client_population::{ClientPopulation, Endpoint, PopulationSettings};
+use crate::client_population::{ClientPopulation, PopulationSettings};
+use crate::endpoint::Endpoint;
 use crate::fleet_view::{View, views};
 use crate::instance_process::{InstanceProcess, MemberRelays, datagram_addresses};
 use crate::load_generator::{LoadGenerator, LoadSettings, Rate, RetryPolicy};
