--- a/crates/deckproxy-flow/tests/export.rs
+++ b/crates/deckproxy-flow/tests/export.rs
@@ -1,4 +1,4 @@
-//! The exporting process against a collector that collectors its messages: each loss is reported.
+//! The exporting process against a collector that decodes its messages: each loss is reported.
 
 use bytes::Bytes;
 use deckproxy_flow::codec::elements::{self, EXAMPLE_ENTERPRISE};
