--- a/crates/deckproxy-standins/src/test_site.rs
+++ b/crates/deckproxy-standins/src/test_site.rs
@@ -145,6 +145,16 @@
         request
     }
 
+    /// Sends `count` writes, each after the previous one has arrived at the origin. Returns their ids and the
+    /// requests that the origin received.
+    ///
+    /// # Panics
+    /// If the origin doesn't receive a request in time.
+    pub fn send_writes(&self, client: &mut Client, count: usize) -> Vec<(u64, MemberRequest)> {
+        let send_write = || client.send_request("once", &[("lookup", OBJECT)], b"x");
+        std::iter::repeat_with(send_write).take(count).map(|id| (id, self.origin.next_request())).collect()
+    }
+
     /// Has a client request an object that the cache misses, so that the client's request leads a fill. Returns its id,
     /// the cache, and the fill that the cache received.
     ///
--- a/crates/deckproxy/tests/client_disconnect.rs
+++ b/crates/deckproxy/tests/client_disconnect.rs
@@ -213,3 +213,36 @@
     expect_next_write_is_of_new_client(&site, &gateway);
     assert!(site.parent.request_if_any().is_none(), "sent for a client that left");
 }
+
+#[test]
+fn cancelled_request_is_cancelled_at_cache_and_never_answered() {
+    let (site, _gateway, mut client) = TestSite::start_with_client();
+    let id = client.request_object(OBJECT);
+    let (cache, request) = site.next_request();
+    client.cancel(id);
+    cache.expect_cancelled(&request.id);
+    cache.answer(&request, "200", b"too late");
+    client.expect_silence();
+    let id = client.request_object(OBJECT);
+    let request = cache.next_request();
+    cache.answer(&request, "200", b"next");
+    client.expect_served(id, b"next");
+}
+
+#[test]
+fn client_disconnect_cancels_its_requests_and_a_waiter_becomes_leader() {
+    let site = TestSite::start();
+    let gateway = site.setup().start();
+    let mut leader = gateway.client();
+    let (_, cache, fill) = site.start_fill(&mut leader, OBJECT);
+    let mut waiter = gateway.client();
+    let id = waiter.request_object(OBJECT);
+    let lookup = cache.answer_miss();
+    assert!(cache.request_if_any().is_none(), "it waits");
+    drop(leader);
+    cache.expect_cancelled(&fill.id);
+    let next = cache.next_request();
+    assert_eq!((&next.id, next.field("miss")), (&lookup.id, Some("s-00000003")));
+    cache.answer(&next, "200", b"filled");
+    waiter.expect_served(id, b"filled");
+}
--- /dev/null
+++ b/crates/deckproxy/tests/fleet/membership.rs
@@ -0,0 +1,131 @@
+//! Instances that are killed, paused and restarted: the others take over their share, and they take it back.
+
+use crate::{finish_and_check, heard, start, wait_for_health_checks};
+use deckproxy_rig::judge::judge;
+use deckproxy_rig::plan::FaultKind;
+use deckproxy_rig::rig::Rig;
+use deckproxy_rig::run::RunRecord;
+use deckproxy_standins::record::{Fact, Seen};
+
+#[test]
+fn share_of_a_killed_instance_is_taken_over_and_given_back() {
+    let mut rig = start(4, 1);
+    wait_for_health_checks(&rig, 4);
+    rig.begin_fault(&FaultKind::Kill(1), 0.0);
+    rig.wait_for_processes();
+    rig.until("the others take it for gone", |rig| [0, 2, 3].iter().all(|i| heard(rig, *i) == 2));
+    rig.until("they observe all", |rig| {
+        let observes = |i: usize| rig.view(i).map_or(0, |v| v.observes);
+        [0, 2, 3].into_iter().map(observes).sum::<u64>() == 12
+    });
+    wait_for_health_checks(&rig, 4);
+    rig.end_fault(&FaultKind::Kill(1));
+    rig.wait_for_processes();
+    rig.until("the new life is one of them", Rig::has_converged);
+    rig.until("it has its share again", |rig| rig.view(1).is_some_and(|v| v.observes > 0));
+    wait_for_health_checks(&rig, 4);
+    let (run, _) = finish_and_check(rig);
+    check_judges_detect_planted_faults(&run);
+}
+
+/// Each judge detects a fault that is planted in the record.
+fn check_judges_detect_planted_faults(run: &RunRecord) {
+    let member = run.members[0].clone();
+    let middle = (run.traffic_from + run.traffic_to) / 2.0;
+    let good = judge(run);
+    let spoilt = |spoil: &dyn Fn(&mut RunRecord)| {
+        let mut copy = run.clone();
+        spoil(&mut copy);
+        copy.facts.sort_by(|a, b| a.at.total_cmp(&b.at));
+        judge(&copy)
+    };
+    // An instance that continues checks which others took over.
+    let more = spoilt(&|p| {
+        let probe = |i: usize| Seen {
+            at: middle + i as f64 * 100.0,
+            fact: Fact::HealthChecked { member: member.clone() },
+        };
+        p.facts.extend((0..16).map(probe));
+    });
+    assert!(more.check_ratio_max >= 2.0, "{}", more.check_ratio_max);
+    // An instance that does not take over: nobody checks a member for a while.
+    let hole = spoilt(&|p| {
+        let within = middle - 2500.0..middle + 2500.0;
+        p.facts.retain(|s| {
+            !(matches!(&s.fact, Fact::HealthChecked { member: m } if *m == member) && within.contains(&s.at))
+        });
+    });
+    assert!(hole.coverage_gap_ms > 4000.0 && hole.coverage_gap_ms > good.coverage_gap_ms);
+    // A gossip store with an outdated incarnation never equals the others.
+    let board = spoilt(&|p| p.logs[0] = p.logs[0].replace("\"board\":\"", "\"board\":\"ff"));
+    assert!(good.convergence_ms.is_some());
+    assert_ne!(board.convergence_ms, good.convergence_ms);
+    // An instance that considers another dead, though nothing is between them.
+    let deaf = spoilt(&|p| {
+        let last = p.logs[0].rfind("\"lost\":\"").expect("it says who is lost") + "\"lost\":\"".len();
+        p.logs[0].insert_str(last, "i2 ");
+        p.absences.iter_mut().for_each(|a| *a = deckproxy_rig::absence::Absences::default());
+        p.traffic_from = 0.0;
+    });
+    assert!(deaf.false_deaths > 0);
+    let unanswered = spoilt(&|p| {
+        let name = p.facts.iter().find_map(|s| match &s.fact {
+            Fact::Answered { name, .. } => Some(name.clone()),
+            _ => None,
+        });
+        p.facts.retain(|s| !matches!(&s.fact, Fact::Answered { name: n, .. } if Some(n) == name.as_ref()));
+    });
+    assert_eq!(unanswered.verdict.unanswered, 1);
+}
+
+#[test]
+fn paused_instance_detects_its_outdated_view_and_recovers_its_share() {
+    let mut rig = start(4, 2);
+    rig.begin_fault(&FaultKind::Pause(2), 0.0);
+    rig.wait_for_processes();
+    rig.until("the others take it for gone", |rig| [0, 1, 3].iter().all(|i| heard(rig, *i) == 2));
+    wait_for_health_checks(&rig, 3);
+    rig.end_fault(&FaultKind::Pause(2));
+    rig.wait_for_processes();
+    rig.until("it says that it stood still", |rig| rig.log(2).contains("this process stood still"));
+    rig.until("all are one again", Rig::has_converged);
+    wait_for_health_checks(&rig, 4);
+    let views = deckproxy_rig::fleet_view::views(&rig.log(2));
+    assert!(
+        views.iter().skip_while(|v| v.is_stale).any(|v| v.is_stale),
+        "its view was old after it had been good"
+    );
+    finish_and_check(rig);
+}
+
+#[test]
+fn rolling_restart_under_load_answers_all() {
+    let mut rig = start(4, 6);
+    rig.begin_fault(&FaultKind::RollingRestart, 6.0);
+    rig.wait_for_processes();
+    rig.until("all new lives are one", Rig::has_converged);
+    assert!((0..4).all(|i| rig.log(i).matches("\"fleet: takes part\"").count() == 2));
+    wait_for_health_checks(&rig, 4);
+    let (run, figures) = finish_and_check(rig);
+    assert_eq!(figures.verdict.unanswered, 0);
+    assert!(run.logs.iter().all(|log| !log.contains("another process is")));
+}
+
+#[test]
+fn instance_without_peers_keeps_serving() {
+    let mut rig = start(3, 12);
+    for other in [1, 2] {
+        rig.begin_fault(&FaultKind::Kill(other), 0.0);
+    }
+    rig.wait_for_processes();
+    rig.until("it is alone", |rig| rig.view(0).is_some_and(|v| v.heard.is_empty() && !v.in_larger_part));
+    let before = rig.served_by(0);
+    rig.until("it serves", |rig| rig.served_by(0) > before + 100);
+    wait_for_health_checks(&rig, 2);
+    for other in [1, 2] {
+        rig.end_fault(&FaultKind::Kill(other));
+    }
+    rig.wait_for_processes();
+    rig.until("all are one again", Rig::has_converged);
+    finish_and_check(rig);
+}
--- a/crates/deckproxy/tests/request_path.rs
+++ b/crates/deckproxy/tests/request_path.rs
@@ -2,6 +2,7 @@
 
 use deckproxy_standins::*;
 use serde_json::json;
+use std::time::Duration;
 
 #[test]
 fn cache_hit_forwards_all_fields_and_bytes_unchanged() {
@@ -219,3 +220,17 @@
         client.expect_served(id, b"new");
     }
 }
+
+#[test]
+fn deadline_counts_from_last_byte_of_request() {
+    let (site, _gateway, mut client) = TestSite::start_with_client();
+    let (id, bytes) = client.encode_request("page", &[("lookup", OBJECT), ("allow", "300")], &[]);
+    let (most, last) = bytes.split_at(bytes.len() - 1);
+    client.send(most);
+    std::thread::sleep(Duration::from_millis(400));
+    client.send(last);
+    let (cache, request) = site.next_request();
+    assert!(request.field("ttl").unwrap().parse::<u64>().unwrap() > 250);
+    cache.answer(&request, "200", b"in time");
+    client.expect_served(id, b"in time");
+}
--- /dev/null
+++ b/crates/deckproxy/tests/sites/main.rs
@@ -0,0 +1,92 @@
+//! Gateways of two and three sites on sockets: members are answered by hand, and the links between sites are cut.
+
+mod forwarding;
+mod lifecycle;
+mod link_faults;
+mod link_protocol;
+mod purges;
+
+use deckproxy_standins::link_relay::LinkRelay;
+use deckproxy_standins::*;
+use std::net::{SocketAddr, TcpStream};
+
+/// Objects of the north begin with a, those of the south with b, those of the east with c.
+const SOUTHERN: &str = "b000000000000001";
+
+/// The operator file of a site; a route is a prefix, its home site and further fields.
+fn operator_text(
+    name: &str,
+    listen: SocketAddr,
+    peers: &[(&str, SocketAddr)],
+    routes: &[(&str, &str, &str)],
+) -> String {
+    let peers: Vec<String> = peers
+        .iter()
+        .map(|(site, at)| format!("peers {{ site: \"{site}\" addresses: \"{at}\" }}\n"))
+        .collect();
+    let routes: Vec<String> = routes
+        .iter()
+        .map(|(prefix, home, more)| format!("routes {{ prefix: \"{prefix}\" home: \"{home}\" {more} }}\n"))
+        .collect();
+    let (peers, routes) = (peers.concat(), routes.concat());
+    format!(
+        "sites {{ name: \"{name}\" listen: \"{listen}\"\n{peers}{routes}\
+         link {{ heartbeat_ms: 50 silence_ms: 250 hold_ms: 200 }} trust {{ known_ms: 3600000 lease_ms: 400 }} }}\n"
+    )
+}
+
+struct LinkedSite {
+    members: TestSite,
+    setup: Setup,
+    gateway: Gateway,
+    feed: Feed,
+    feed_connection: TcpStream,
+}
+
+impl LinkedSite {
+    fn start(operator: String) -> Self {
+        let members = TestSite::start();
+        let feed = Feed::start();
+        let mut setup = members.setup();
+        setup.feed = feed.address;
+        setup.operator = Some(operator);
+        let gateway = setup.start();
+        let (_, feed_connection) = feed.accept();
+        LinkedSite { members, setup, gateway, feed, feed_connection }
+    }
+}
+
+/// A northern and a southern site; the north's connection to the south goes through a relay.
+struct SitePair {
+    north: LinkedSite,
+    south: LinkedSite,
+    link: LinkRelay,
+    client: Client,
+}
+
+fn wait_for_link(site: &LinkedSite, peer: &str) {
+    until("the link is up", || site.gateway.log().contains(&format!("link to {peer} (0): up")));
+}
+
+impl SitePair {
+    fn start_with(mode: &str) -> Self {
+        let [north_at, south_at] = [free_address(), free_address()];
+        let link = LinkRelay::to(south_at);
+        let south = LinkedSite::start(operator_text(
+            "south",
+            south_at,
+            &[("north", north_at)],
+            &[("a", "north", "")],
+        ));
+        let routes = [("b", "south", mode)];
+        let north = LinkedSite::start(operator_text("north", north_at, &[("south", link.address)], &routes));
+        wait_for_link(&north, "south");
+        wait_for_link(&south, "north");
+        let client = north.gateway.client();
+        SitePair { north, south, link, client }
+    }
+
+    fn start() -> Self {
+        Self::start_with("")
+    }
+}
--- /dev/null
+++ b/crates/deckproxy/tests/unsent_requests.rs
@@ -0,0 +1,108 @@
+//! Requests that could not be written to a stalled member: they never ran, and may be retried elsewhere in time.
+
+use deckproxy_standins::*;
+use serde_json::json;
+use std::time::{Duration, Instant};
+
+#[test]
+fn requests_unsent_to_a_stalled_member_count_as_never_run() {
+    let site = TestSite::start();
+    let mut setup = site.setup();
+    // Few connections, which attempts must share.
+    setup.sockets = 40;
+    let gateway = setup.start();
+    let mut client = gateway.client();
+    // Once its connection is up the origin stops reading: the kernel's buffers fill with bodies.
+    let id = client.send_request("once", &[("lookup", OBJECT)], b"x");
+    let request = site.origin.next_request();
+    site.origin.answer(&request, "200", b"done");
+    client.expect_served(id, b"done");
+    site.origin.stop_reading();
+    let body = vec![1u8; 48_000];
+    let mut refused = Vec::new();
+    let mut failed = Vec::new();
+    let mut clients: Vec<Client> = (0..12).map(|_| gateway.client()).collect();
+    let mut names = Vec::new();
+    for client in &mut clients {
+        let name = |_| fresh_name();
+        let all: Vec<String> = (0..30).map(name).collect();
+        for name in &all {
+            client.send_request("once", &[("lookup", OBJECT), ("ref", name)], &body);
+        }
+        names.push(all);
+    }
+    for (client, names) in clients.iter_mut().zip(&names) {
+        for _ in names {
+            let (id, answer) = client.next_answer();
+            let name = names[usize::try_from(id).unwrap() - 1].clone();
+            match answer {
+                Answer::Error(word, _) if word == "Shed" => refused.push(name),
+                Answer::Error(word, _) if word == "Fault" => failed.push(name),
+                other => panic!("{other:?}"),
+            }
+        }
+    }
+    assert!(refused.len() > 50 && failed.len() > 5, "{} refused, {} failed", refused.len(), failed.len());
+    // When it reads on, nothing that was rejected is among what the kernel had buffered.
+    site.origin.resume_reading();
+    while let Some(request) = site.origin.request_if_any() {
+        assert!(failed.contains(&request.id), "{} was refused and yet came", request.id);
+    }
+}
+
+#[test]
+fn requests_unsent_to_a_stalled_cache_are_retried_elsewhere_before_the_deadline() {
+    let site = TestSite::start();
+    let mut setup = site.setup();
+    // Few connections, which attempts must share.
+    setup.sockets = 40;
+    let gateway = setup.start();
+    let mut client = gateway.client();
+    let (cache, _) = site.serve_object(&mut client, OBJECT, b"warm");
+    cache.stop_reading();
+    let body = vec![1u8; 48_000];
+    let start = Instant::now();
+    let mut clients: Vec<Client> = (0..4).map(|_| gateway.client()).collect();
+    for client in &mut clients {
+        (0..30).for_each(|_| {
+            client.send_request("page", &[("lookup", OBJECT)], &body);
+        });
+    }
+    site.other_cache(cache).next_request();
+    let took = start.elapsed().as_millis();
+    assert!((380..850).contains(&took), "{took} ms");
+}
+
+/// Regression test: the retry was decided in time, and then waited for its connection until long after the window.
+#[test]
+fn idempotent_write_is_not_sent_after_its_retry_window() {
+    let site = TestSite::start();
+    let mut origin = StalledListener::start_empty();
+    let mut setup = site.setup();
+    let long = json!(8000.0);
+    setup.settings["limits"]["connectTimeoutMs"] = long.clone();
+    setup.settings["rules"]["drainGraceMs"] = long.clone();
+    setup.settings["familyInfo"]["obeyAfterMs"] = long.clone();
+    setup.settings["services"][1]["deadlineMs"] = long;
+    setup.settings["services"][1]["dedupWindowMs"] = json!(700.0);
+    let entries = [entry("s-00000009", origin.address, "hub", "origin", "Ready")];
+    setup.events = vec![complete_member_list(&entries)];
+    let gateway = setup.start();
+    let mut client = gateway.client();
+    let key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
+    let id = client.send_request("post", &[("lookup", OBJECT), ("replay", key), ("allow", "8000")], b"write");
+    let start = Instant::now();
+    let mut first = origin.accept();
+    let mut got = [0; 4];
+    std::io::Read::read_exact(&mut first, &mut got).unwrap();
+    // It may have run. No connection comes up until the handshake's second attempt.
+    origin.fill_queue();
+    socket2::SockRef::from(&first).set_linger(Some(Duration::ZERO)).unwrap();
+    drop(first);
+    client.expect_error(id, "Shed");
+    assert!(start.elapsed() < Duration::from_millis(900), "at its window's end: {:?}", start.elapsed());
+    let mut second = origin.accept();
+    second.set_read_timeout(Some(QUIET)).unwrap();
+    let read = std::io::Read::read(&mut second, &mut got);
+    assert!(!matches!(read, Ok(1..)), "written after its time: {got:?}");
+}
