--- a/crates/deckproxy-rig/tests/plans.rs
+++ b/crates/deckproxy-rig/tests/plans.rs
@@ -1,25 +1,25 @@
-//! Plans as files: those of the repository are good, what is written is read again, all faults are told at once.
+//! Plans as files: those of the repository are valid, a written plan is read back, all errors are reported at once.
 
 use deckproxy_rig::plan::generator::{LEAST_MEMBERSHIP_SECONDS, membership_faults, random_faults};
 use deckproxy_rig::plan::{CacheFault, Fault, FaultKind, OverloadControl, Plan, read};
 use deckproxy_rig::relay::DatagramFaults;
 
 #[test]
-fn the_plans_of_the_repository_are_good() {
+fn plans_of_the_repository_are_valid() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../experiments");
-    let mut seen = 0;
+    let mut plans = 0;
     for file in std::fs::read_dir(folder).unwrap().flatten() {
         if file.file_name().to_string_lossy().starts_with("rig-") {
             let plan = read(&std::fs::read(file.path()).unwrap()).unwrap();
             assert!(!plan.question.is_empty() && !plan.faults.is_empty());
-            seen += 1;
+            plans += 1;
         }
     }
-    assert!(seen >= 2);
+    assert!(plans >= 2);
 }
 
 #[test]
-fn what_is_written_is_read_again() {
+fn written_plans_are_read_back() {
     let mut plan = Plan {
         question: "each \"kind\"".to_string(),
         seconds: 60.0,
@@ -30,7 +30,7 @@
         skew: 2.5,
         ..Plan::default()
     };
-    let whats = [
+    let kinds = [
         FaultKind::Kill(1),
         FaultKind::Pause(2),
         FaultKind::Restart(3),
@@ -51,7 +51,7 @@
         FaultKind::ColdZone(1),
     ];
     let fault = |(i, kind): (usize, FaultKind)| Fault { at: i as f64 + 0.5, duration: 1.25, kind };
-    plan.faults = whats.into_iter().enumerate().map(fault).collect();
+    plan.faults = kinds.into_iter().enumerate().map(fault).collect();
     assert_eq!(read(plan.text().as_bytes()).unwrap(), plan);
     for seed in 0..200 {
         plan.faults = random_faults(seed, &plan);
@@ -62,24 +62,24 @@
 }
 
 #[test]
-fn the_shortest_drill_has_each_fault() {
+fn shortest_membership_run_has_each_fault() {
     for seed in 0..200 {
         let faults = membership_faults(seed, LEAST_MEMBERSHIP_SECONDS as f64, 5);
-        let has = |fits: fn(&FaultKind) -> bool| faults.iter().any(|f| fits(&f.kind));
-        assert!(has(|w| matches!(w, FaultKind::Kill(_))), "seed {seed}");
-        assert!(has(|w| matches!(w, FaultKind::Pause(_))), "seed {seed}");
-        assert!(has(|w| matches!(w, FaultKind::Restart(_))), "seed {seed}");
-        assert!(has(|w| matches!(w, FaultKind::Split(part) if part.len() == 2)), "seed {seed}");
-        assert!(has(|w| matches!(w, FaultKind::Mute(part) if part.len() == 2)), "seed {seed}");
+        let has = |matches: fn(&FaultKind) -> bool| faults.iter().any(|fault| matches(&fault.kind));
+        assert!(has(|kind| matches!(kind, FaultKind::Kill(_))), "seed {seed}");
+        assert!(has(|kind| matches!(kind, FaultKind::Pause(_))), "seed {seed}");
+        assert!(has(|kind| matches!(kind, FaultKind::Restart(_))), "seed {seed}");
+        assert!(has(|kind| matches!(kind, FaultKind::Split(part) if part.len() == 2)), "seed {seed}");
+        assert!(has(|kind| matches!(kind, FaultKind::Mute(part) if part.len() == 2)), "seed {seed}");
     }
 }
 
 #[test]
-fn faults_of_a_load_are_told_in_their_places() {
+fn errors_of_load_faults_name_line_and_column() {
     let text = "seconds: 9\norigin_room: 2000\nfaults { at: 1 lasts: 1 load: 3 }\nfaults { at: 1 lasts: 1 zone_cold: 5 }\n";
-    let told: Vec<String> = read(text.as_bytes()).unwrap_err().iter().map(ToString::to_string).collect();
-    assert_eq!(told.len(), 3, "{told:#?}");
-    assert!(told[0].starts_with("2:1: origin_room: 2000 is not from 0 to 1000"), "{told:#?}");
-    assert!(told[1].contains("only a throng of clients has another traffic"), "{told:#?}");
-    assert!(told[2].contains("there is no zone 5; they are 0 to 1"), "{told:#?}");
+    let errors: Vec<String> = read(text.as_bytes()).unwrap_err().iter().map(ToString::to_string).collect();
+    assert_eq!(errors.len(), 3, "{errors:#?}");
+    assert!(errors[0].starts_with("2:1: origin_room: 2000 is not from 0 to 1000"), "{errors:#?}");
+    assert!(errors[1].contains("only a throng of clients has another traffic"), "{errors:#?}");
+    assert!(errors[2].contains("there is no zone 5; they are 0 to 1"), "{errors:#?}");
 }
