--- a/crates/deckproxy-fleet/src/wire.rs
+++ b/crates/deckproxy-fleet/src/wire.rs
@@ -69,7 +69,7 @@
 
 /// Names of the reasons in logs, in the order of [`DropReason`].
 pub const DROP_REASONS: [&str; 7] =
-    ["foreign", "too_large", "garbled", "other_version", "other_fleet", "old_life", "too_many"];
+    ["foreign", "too_large", "garbled", "other_version", "other_fleet", "old_incarnation", "too_many"];
 
 /// Encodes and decodes the datagrams of one fleet.
 #[derive(Clone, Debug)]
--- a/crates/deckproxy-lab/src/drills/fleet.rs
+++ b/crates/deckproxy-lab/src/drills/fleet.rs
@@ -114,7 +114,7 @@
         Spoil::Board => {
             // An instance whose board never is that of the others.
             let log = std::mem::take(&mut run.logs[0]);
-            run.logs[0] = log.replace("\"board\":\"", "\"board\":\"ff");
+            run.logs[0] = log.replace("\"store_checksum\":\"", "\"store_checksum\":\"ff");
         }
         Spoil::Answer => {
             let name = facts.iter().find_map(|seen| match &seen.fact {
--- a/crates/deckproxy-rig/src/fleet_view.rs
+++ b/crates/deckproxy-rig/src/fleet_view.rs
@@ -42,14 +42,14 @@
     let time = humantime::parse_rfc3339(line["ts"].as_str()?).ok()?;
     Some(View {
         at: time.duration_since(UNIX_EPOCH).ok()?.as_secs_f64() * 1000.0,
-        heard: names("heard")?,
+        heard: names("alive")?,
         lost: names("lost")?,
         expected: number("expected")?,
-        mutual: number("sure")?,
-        in_larger_part: line["larger"].as_bool()?,
-        is_stale: line["old"].as_bool()?,
+        mutual: number("confirmed")?,
+        in_larger_part: line["in_majority"].as_bool()?,
+        is_stale: line["stale"].as_bool()?,
         observes: number("observes")?,
-        ejected: number("held")?,
-        board: line["board"].as_str()?.to_string(),
+        ejected: number("ejected")?,
+        board: line["store_checksum"].as_str()?.to_string(),
     })
 }
--- a/crates/deckproxy-rig/tests/fleet_view.rs
+++ b/crates/deckproxy-rig/tests/fleet_view.rs
@@ -5,7 +5,7 @@
 #[test]
 fn views_are_read_from_a_log() {
     let log = "{\"msg\":\"serving\"}\n{\"msg\":\"fleet view\",\"level\":\"INFO\",\"ts\":\"2026-12-01T23:16:10.70459065Z\",\
-               \"board\":\"2d\",\"held\":1,\"observes\":4,\"old\":true,\"larger\":true,\"expected\":5,\"sure\":2,\"heard\":\"i1 i3\",\"lost\":\"i2\"}\nrubbish \"fleet view\"\n";
+               \"store_checksum\":\"2d\",\"ejected\":1,\"observes\":4,\"stale\":true,\"in_majority\":true,\"expected\":5,\"confirmed\":2,\"alive\":\"i1 i3\",\"lost\":\"i2\"}\nrubbish \"fleet view\"\n";
     let views = views(log);
     assert_eq!(views.len(), 1);
     assert_eq!((views[0].heard.len(), views[0].observes, views[0].is_stale), (2, 4, true));
--- a/crates/deckproxy/src/program/accept.rs
+++ b/crates/deckproxy/src/program/accept.rs
@@ -79,7 +79,7 @@
                 self.clients.insert(id, ClientConnection::new(stream, now));
                 self.notify(now, &Event::ClientConnected { client: id, address });
             }
-            Err(e) => self.log_peer(&format!("a client's connection could not be taken: {e}")),
+            Err(e) => self.log_peer(&format!("a client's connection could not be accepted: {e}")),
         }
     }
 }
--- a/crates/deckproxy/src/program/attempts.rs
+++ b/crates/deckproxy/src/program/attempts.rs
@@ -208,7 +208,7 @@
         let lost = upstream.connection.take_lost();
         if !lost.is_empty() {
             let name = self.router.member_name(upstream.member).to_string();
-            self.log_peer(&format!("member {name}: connection {why}, {} attempts out", lost.len()));
+            self.log_peer(&format!("member {name}: connection {why}, {} attempts in flight", lost.len()));
         }
         self.close_upstream(id);
         for Lost { key, written } in lost {
--- a/crates/deckproxy/src/program/event_loop.rs
+++ b/crates/deckproxy/src/program/event_loop.rs
@@ -33,7 +33,7 @@
             self.finish_shutdown(clock::now());
             self.apply_effects(start);
         }
-        self.peak_sockets = self.peak_sockets.max(self.clients.len() + self.upstreams.len());
+        self.peak_connections = self.peak_connections.max(self.clients.len() + self.upstreams.len());
         self.longest_turn = self.longest_turn.max(clock::now() - start);
         self.loop_timer.set(&self.handle, self.next_timer())
     }
--- a/crates/deckproxy/src/program/fleet/mod.rs
+++ b/crates/deckproxy/src/program/fleet/mod.rs
@@ -4,7 +4,7 @@
 mod admission;
 mod report;
 
-use crate::program::subsystem::{Context, Effect, Effects, Event, RequestKey, Subsystem, Verdict};
+use crate::program::subsystem::{Context, Effect, Effects, Event, Field, RequestKey, Subsystem, Verdict};
 use crate::protocol::downstream::{Answer, Call};
 use crate::protocol::upstream::Status;
 use crate::routing::{AttemptKey, Router};
@@ -75,7 +75,7 @@
         let mut settings = file.settings(name, zone, start)?;
         let health_checks = conf.limits.health_checks;
         if !health_checks && settings.observers > 0 {
-            warn!(log, "fleet: the platform allows no probes: members are not observed");
+            warn!(log, "fleet: the platform allows no health checks: members are not observed");
             settings.observers = 0;
         }
         let mut admission = None;
@@ -86,8 +86,8 @@
             admission = Some(RequestAdmission::new(&conf.classes, by_address, platform.advice));
         }
         let own = settings.own.clone();
-        info!(log, "fleet: takes part"; "fleet" => &file.name, "instance" => &*own.name, "zone" => &*own.zone,
-            "address" => %own.address, "start" => start);
+        info!(log, "fleet: joining"; "fleet" => &file.name, "instance" => &*own.name, "zone" => &*own.zone,
+            "address" => %own.address, "incarnation" => start);
         // The platform may give the same seed to all.
         let seed = seed ^ start.rotate_left(32) ^ deckproxy_fleet::rendezvous::hash_of_name(&own.name);
         let mut core = fleet::Fleet::new(clock::steady(), settings, seed);
@@ -201,7 +201,7 @@
         let own = self.core.settings().own.clone();
         let names = &self.platform_names;
         match new.settings(&names.instance, &names.zone, own.incarnation) {
-            Err(error) => warn!(self.log, "reload: the fleet's settings stay"; "why" => %error),
+            Err(error) => warn!(self.log, "reload: the fleet's settings stay"; "error" => %error),
             Ok(mut settings) => {
                 if !self.health_checks {
                     settings.observers = 0;
@@ -214,12 +214,12 @@
                         "reload: the fleet's name, listen, instance, zone, address, weight and overload take a restart"
                     );
                 }
-                info!(self.log, "reload: the fleet's settings are taken");
+                info!(self.log, "reload: the fleet's settings are in force");
             }
         }
     }
 
-    fn summary(&mut self) -> String {
+    fn summary(&mut self) -> Vec<Field> {
         self.report()
     }
 }
--- a/crates/deckproxy/src/program/fleet/report.rs
+++ b/crates/deckproxy/src/program/fleet/report.rs
@@ -1,87 +1,98 @@
 //! What the log says of the fleet.
 
 use super::Fleet;
+use crate::program::subsystem::Field;
 use deckproxy_fleet::fleet::FleetStatus;
 use deckproxy_fleet::instance::Name;
 use deckproxy_fleet::liveness::PeerStatus;
-use deckproxy_fleet::overload;
+use deckproxy_fleet::overload::Overload;
+use deckproxy_fleet::overload::priority::PRIORITIES;
+use deckproxy_fleet::overload::shed_level::ShedLine;
 use deckproxy_fleet::wire::DROP_REASONS;
 use slog::info;
 
 impl Fleet {
     /// The fleet's part of the summary.
-    pub(super) fn report(&self) -> String {
+    pub(super) fn report(&self) -> Vec<Field> {
         let counters = self.core.counters;
         let view = self.core.view();
-        let dropped = DROP_REASONS.iter().zip(counters.dropped).filter(|(_, n)| *n > 0);
-        let dropped: Vec<String> = dropped.map(|(what, n)| format!("{what}:{n}")).collect();
-        let lost = self.core.instances_with(PeerStatus::Lost).count();
         let size = self.core.store().size();
-        format!(
-            "heard:{}/{},sure:{},lost:{lost},larger:{},old:{},observes:{},held:{},probes:{},board[authors:{},\
-             entries:{},over:{}],datagrams[sent:{},bytes:{},kept_back:{},taken:{},dropped[{}]],renewed:{},pauses:{}",
-            view.alive,
-            view.expected,
-            view.confirmed,
-            view.is_majority,
-            view.is_stale,
-            self.core.observed_count(),
-            self.core.ejected().len(),
-            counters.health_checks,
-            size.authors,
-            size.entries,
-            counters.over_limit,
-            counters.sent,
-            counters.sent_bytes,
-            counters.over_budget,
-            counters.received,
-            dropped.join(" "),
-            counters.renewals,
-            counters.pauses,
-        ) + &self.overload_summary()
+        let store = [
+            Field::value("authors", size.authors),
+            Field::value("entries", size.entries),
+            Field::value("over_limit", counters.over_limit),
+        ];
+        let mut fields = vec![
+            Field::value("alive", format_args!("{}/{}", view.alive, view.expected)),
+            Field::value("confirmed", view.confirmed),
+            Field::value("lost", self.core.instances_with(PeerStatus::Lost).count()),
+            Field::value("in_majority", view.is_majority),
+            Field::value("stale", view.is_stale),
+            Field::value("observes", self.core.observed_count()),
+            Field::value("ejected", self.core.ejected().len()),
+            Field::value("health_checks", counters.health_checks),
+            Field::group("store", store),
+            Field::group("datagrams", self.datagram_fields()),
+            Field::value("renewed", counters.renewals),
+            Field::value("pauses", counters.pauses),
+        ];
+        fields.extend(self.core.overload().map(overload_field));
+        fields
     }
 
-    /// Admission control's part of the summary; empty where that is off.
-    fn overload_summary(&self) -> String {
-        let Some(overload) = self.core.overload() else { return String::new() };
-        let counters = overload.counters;
-        let counts = overload.rejection_counts();
-        let line = |line: &Option<overload::shed_level::ShedLine>| {
-            line.map_or("none".to_string(), |l| {
-                format!(
-                    "{:.0}/{:.0}@{:.3}",
-                    l.admitted_rate,
-                    l.offered_rate,
-                    f64::from(l.min_priority) / f64::from(overload::priority::PRIORITIES)
-                )
-            })
-        };
-        let [caches, sources] = &overload.level().lines;
-        format!(
-            ",overload[epoch:{},caches:{},sources:{},leads:{},passed:{},kept:{},refused[hasty:{},below:{},no_budget:{},broken:{}],\
-             promised:{},remembered:{},untold:{}]",
-            overload.level().epoch,
-            line(caches),
-            line(sources),
-            overload.is_leader(),
-            counters.admitted,
-            counters.reservations_kept,
-            counters.too_early,
-            counters.below_level,
-            counters.no_budget,
-            counters.reservations_broken,
-            counters.reservations,
-            counts.remembered,
-            counts.not_shared,
-        )
+    /// What the summary says of datagrams.
+    fn datagram_fields(&self) -> [Field; 5] {
+        let counters = self.core.counters;
+        let dropped = DROP_REASONS.iter().zip(counters.dropped).filter(|(_, count)| *count > 0);
+        [
+            Field::value("sent", counters.sent),
+            Field::value("bytes", counters.sent_bytes),
+            Field::value("over_budget", counters.over_budget),
+            Field::value("accepted", counters.received),
+            Field::counts("dropped", dropped.map(|(reason, count)| Field::value(*reason, count))),
+        ]
     }
 
     /// Logs what this instance sees of the fleet.
     pub(super) fn log_status(&self, status: &FleetStatus) {
         let names = |all: &[Name]| all.iter().map(|name| &**name).collect::<Vec<_>>().join(" ");
         let view = &status.view;
-        info!(self.log, "fleet view"; "heard" => names(&status.alive), "lost" => names(&status.lost),
-            "sure" => view.confirmed, "expected" => view.expected, "larger" => view.is_majority, "old" => view.is_stale, "observes" => self.core.observed_count(), "held" => status.ejected,
-            "board" => format!("{:016x}", status.store_checksum));
+        info!(self.log, "fleet view"; "alive" => names(&status.alive), "lost" => names(&status.lost),
+            "confirmed" => view.confirmed, "expected" => view.expected, "in_majority" => view.is_majority, "stale" => view.is_stale,
+            "observes" => self.core.observed_count(), "ejected" => status.ejected,
+            "store_checksum" => format!("{:016x}", status.store_checksum));
     }
 }
+
+/// Admission control's part of the summary.
+fn overload_field(overload: &Overload) -> Field {
+    let counters = overload.counters;
+    let counts = overload.rejection_counts();
+    let [caches, sources] = &overload.level().lines;
+    let rejected = [
+        Field::value("too_early", counters.too_early),
+        Field::value("below_level", counters.below_level),
+        Field::value("no_budget", counters.no_budget),
+        Field::value("reservations_broken", counters.reservations_broken),
+    ];
+    let fields = [
+        Field::value("epoch", overload.level().epoch),
+        Field::value("caches", shed_line(caches.as_ref())),
+        Field::value("sources", shed_line(sources.as_ref())),
+        Field::value("is_leader", overload.is_leader()),
+        Field::value("admitted", counters.admitted),
+        Field::value("reservations_kept", counters.reservations_kept),
+        Field::group("rejected", rejected),
+        Field::value("reservations", counters.reservations),
+        Field::value("remembered", counts.remembered),
+        Field::value("not_shared", counts.not_shared),
+    ];
+    Field::group("overload", fields)
+}
+
+/// Admitted and offered rate, and the lowest priority that is admitted; `none` where no load is shed.
+fn shed_line(line: Option<&ShedLine>) -> String {
+    let Some(line) = line else { return "none".to_string() };
+    let lowest = f64::from(line.min_priority) / f64::from(PRIORITIES);
+    format!("{:.0}/{:.0}@{lowest:.3}", line.admitted_rate, line.offered_rate)
+}
--- a/crates/deckproxy/src/program/flows/mod.rs
+++ b/crates/deckproxy/src/program/flows/mod.rs
@@ -3,7 +3,9 @@
 
 mod accounting;
 
-use crate::program::subsystem::{Context, Effect, Effects, Event, Note, Subsystem, micros, outcome_of};
+use crate::program::subsystem::{
+    Context, Effect, Effects, Event, Field, Note, Subsystem, micros, outcome_of,
+};
 use crate::transport::clock;
 use accounting::Accounting;
 use deckproxy_flow::account::Micros;
@@ -283,41 +285,48 @@
             ..self.operator.clone()
         };
         out.push_back(Effect::WakeTask { task: self.send_task, at: None });
-        info!(self.log, "reload: collectors are taken"; "collectors" => self.collectors.len());
+        info!(self.log, "reload: collectors are in force"; "collectors" => self.collectors.len());
     }
 
     /// The export's part of the summary; the networks with most bytes are counted anew from it on.
-    fn summary(&mut self) -> String {
+    fn summary(&mut self) -> Vec<Field> {
         let counters = self.exporter.counters;
         let backlog = self.exporter.backlog();
-        let lost = self.exporter.unreported_loss();
-        let states: Vec<&str> =
-            self.exporter.collectors_up().map(|up| if up { "up" } else { "down" }).collect();
+        let states =
+            self.exporter.collectors_up().map(|up| if up { "up" } else { "down" }.to_string()).collect();
         let top = self.accounting.take_top(TOP_LOGGED);
-        let meter = &self.accounting.meter;
-        format!(
-            "collectors[{}],open[flows:{},kb:{},clients:{},attempts:{},runs:{}],folded:{},overflows:{},\
-             told[flows:{},messages:{},octets:{},requests:{}],waiting[flows:{},sent:{}],\
-             merged:{},lost[flows:{},untold:{}],breaks:{},top[{}]",
-            states.join(" "),
-            meter.len(),
-            meter.memory_bytes() / 1024,
-            self.accounting.clients.len(),
-            self.accounting.attempts.len(),
-            self.accounting.link_requests.len(),
-            meter.folds,
-            meter.overflows,
-            counters.flows,
-            counters.messages,
-            counters.octets,
-            counters.requests,
-            backlog.spooled,
-            backlog.in_flight,
-            self.exporter.merged(),
-            counters.lost,
-            lost.flows,
-            counters.breaks,
-            top.join(" "),
-        )
+        let accounting = &self.accounting;
+        let open = [
+            Field::value("flows", accounting.meter.len()),
+            Field::value("kb", accounting.meter.memory_bytes() / 1024),
+            Field::value("clients", accounting.clients.len()),
+            Field::value("attempts", accounting.attempts.len()),
+            Field::value("runs", accounting.link_requests.len()),
+        ];
+        let exported = [
+            Field::value("flows", counters.flows),
+            Field::value("messages", counters.messages),
+            Field::value("octets", counters.octets),
+            Field::value("requests", counters.requests),
+        ];
+        let lost = [
+            Field::value("flows", counters.lost),
+            Field::value("unreported", self.exporter.unreported_loss().flows),
+        ];
+        vec![
+            Field::items("collectors", states),
+            Field::group("open", open),
+            Field::value("folded", accounting.meter.folds),
+            Field::value("overflows", accounting.meter.overflows),
+            Field::group("exported", exported),
+            Field::group(
+                "backlog",
+                [Field::value("spooled", backlog.spooled), Field::value("in_flight", backlog.in_flight)],
+            ),
+            Field::value("merged", self.exporter.merged()),
+            Field::group("lost", lost),
+            Field::value("connections_lost", counters.breaks),
+            Field::items("top", top),
+        ]
     }
 }
--- a/crates/deckproxy/src/program/gateway.rs
+++ b/crates/deckproxy/src/program/gateway.rs
@@ -113,7 +113,7 @@
     /// That no descriptor is left for clients was logged in this summary interval.
     pub(super) exhaustion_logged: bool,
     /// Most connections to clients and members at one time.
-    pub(super) peak_sockets: usize,
+    pub(super) peak_connections: usize,
     /// Longest turn of the loop, ms.
     pub(super) longest_turn: f64,
 }
@@ -222,7 +222,7 @@
             done: false,
             peer_lines_logged: 0,
             exhaustion_logged: false,
-            peak_sockets: 0,
+            peak_connections: 0,
             longest_turn: 0.0,
         };
         gateway.set_bounds(config.memory, config.sockets);
--- a/crates/deckproxy/src/program/housekeeping.rs
+++ b/crates/deckproxy/src/program/housekeeping.rs
@@ -46,7 +46,7 @@
         let Some(client) = self.clients.get(&id) else { return };
         let idle = now - client.idle_since();
         if client.is_stalled(now) {
-            debug!(self.log, "closing a client's connection that leaves its answers unread"; "client" => id);
+            debug!(self.log, "closing a client's connection that reads no answers"; "client" => id);
             self.reset_client(now, id);
         } else if client.is_read_timed_out(now) {
             // Its open requests are still answered.
@@ -69,7 +69,7 @@
         let largest =
             self.clients.iter().max_by_key(|(_, client)| client.buffered_bytes()).map(|(id, _)| *id);
         if let Some(id) = largest {
-            self.log_peer("closing the client's connection that leaves most unread");
+            self.log_peer("closing the connection with the largest write buffer");
             self.reset_client(now, id);
         }
     }
--- a/crates/deckproxy/src/program/logging.rs
+++ b/crates/deckproxy/src/program/logging.rs
@@ -2,6 +2,7 @@
 //! the log never blocks the event loop.
 
 use crate::program::cli::{Format, Level, Log};
+use crate::program::log_aliases::AliasDrain;
 use slog::{Drain, Logger, o};
 use slog_async::OverflowStrategy;
 
@@ -21,7 +22,7 @@
             Box::new(std::sync::Mutex::new(json).ignore_res())
         }
     };
-    let (drain, guard) = slog_async::Async::new(drain)
+    let (drain, guard) = slog_async::Async::new(AliasDrain(drain))
         .chan_size(QUEUE_LENGTH)
         .overflow_strategy(OverflowStrategy::DropAndReport)
         .build_with_guard();
--- a/crates/deckproxy/src/program/recovery.rs
+++ b/crates/deckproxy/src/program/recovery.rs
@@ -1,7 +1,7 @@
 //! Admission control against retry storms, before the router: which requests pass, and the Retry-After of the others.
 
 use crate::program::subsystem::{
-    ClientIdentities, Context, Effects, Event, OpenRequests, RequestKey, Subsystem, Verdict,
+    ClientIdentities, Context, Effects, Event, Field, OpenRequests, RequestKey, Subsystem, Verdict,
 };
 use crate::protocol::downstream::{Answer, Call};
 use deckproxy_operator::{Client, Operator};
@@ -36,7 +36,7 @@
     ) -> Option<Box<Self>> {
         let recovery = operator.recovery.as_ref()?;
         for name in recovery.unknown(&instance_settings.classes) {
-            warn!(log, "recovery: a class is to be given up that the settings do not have"; "class" => name);
+            warn!(log, "recovery: give_up names a class that the settings do not have"; "class" => name);
         }
         let weights = instance_settings.settings.classes.iter().map(|class| class.priority_weight);
         let classes: Vec<(String, f64)> = instance_settings.classes.iter().cloned().zip(weights).collect();
@@ -122,26 +122,27 @@
             .then_some(Answer::Rejected(retry_after))
     }
 
-    fn summary(&mut self) -> String {
+    fn summary(&mut self) -> Vec<Field> {
         let counters = self.admission.counters;
         let status = self.admission.status();
         let cap = self.admission.cap().map_or("none".to_string(), |cap| format!("{cap:.0}"));
-        format!(
-            "cap:{cap},storms:{},given_up:{},came[first:{},repeat:{}],passed[first:{},repeat:{}],\
-             refused[hasty:{},no_budget:{},capped:{},aged:{},given_up:{}],remembered:{},crowded:{}",
-            status.storms,
-            status.shedding_level,
-            counters.firsts,
-            counters.retries,
-            counters.admitted_firsts,
-            counters.admitted_retries,
-            counters.too_early,
-            counters.no_budget,
-            counters.capped,
-            counters.too_late,
-            counters.class_shed,
-            status.remembered,
-            status.overbooked,
-        )
+        let attempts = |first: u64, retry: u64| [Field::value("first", first), Field::value("retry", retry)];
+        let rejected = [
+            Field::value("too_early", counters.too_early),
+            Field::value("no_budget", counters.no_budget),
+            Field::value("capped", counters.capped),
+            Field::value("too_late", counters.too_late),
+            Field::value("class_shed", counters.class_shed),
+        ];
+        vec![
+            Field::value("cap", cap),
+            Field::value("storms", status.storms),
+            Field::value("classes_shed", status.shedding_level),
+            Field::group("arrived", attempts(counters.firsts, counters.retries)),
+            Field::group("admitted", attempts(counters.admitted_firsts, counters.admitted_retries)),
+            Field::group("rejected", rejected),
+            Field::value("remembered", status.remembered),
+            Field::value("overbooked", status.overbooked),
+        ]
     }
 }
--- a/crates/deckproxy/src/program/reload.rs
+++ b/crates/deckproxy/src/program/reload.rs
@@ -20,9 +20,12 @@
         }
         let Files { config, operator } = match files {
             Ok(files) => files,
-            Err(why) => return warn!(self.log, "reload: the configuration in force stays"; "why" => %why),
+            Err(error) => {
+                return warn!(self.log, "reload: the configuration in force stays"; "error" => %error);
+            }
         };
-        info!(self.log, "reload: the feed is asked anew"; "feed" => ?config.feed, "event" => self.router.last_event());
+        let feed_event = self.router.last_event();
+        info!(self.log, "reload: polling the feed again"; "feed" => ?config.feed, "feed_event" => feed_event);
         if config.listen != self.listen {
             warn!(self.log, "reload: listen takes a restart"; "listen" => %config.listen);
         }
--- a/crates/deckproxy/src/program/shutdown.rs
+++ b/crates/deckproxy/src/program/shutdown.rs
@@ -13,7 +13,7 @@
         if self.is_shutting_down() {
             return;
         }
-        info!(self.log, "told to end"; "open" => self.router.unanswered(), "clients" => self.clients.len());
+        info!(self.log, "graceful shutdown begins"; "in_flight" => self.router.unanswered(), "clients" => self.clients.len());
         self.shutdown = ShutdownPhase::Draining;
         self.timers.schedule(now + limits::DRAIN_ACCEPT, TimerTask::RejectNewRequests);
         self.notify(now, &Event::ShutdownBegan);
--- a/crates/deckproxy/src/program/site_links.rs
+++ b/crates/deckproxy/src/program/site_links.rs
@@ -39,7 +39,7 @@
 
     fn accept_link(&mut self, now: f64, socket: TcpStream) {
         if self.site_links.as_ref().is_none_or(|links| links.open.len() >= links.limit) {
-            return self.log_peer("a link is turned away: too many connections");
+            return self.log_peer("a link is rejected: too many connections");
         }
         // A short send buffer: what is more urgent must not wait behind much. Fails only where the socket is gone.
         let _ = socket2::SockRef::from(&socket).set_send_buffer_size(limits::LINK_SEND_BUFFER);
@@ -51,7 +51,7 @@
                 links.open.insert(id, SiteLink::new(stream, None));
                 self.notify(now, &Event::LinkAccepted(id));
             }
-            Err(e) => self.log_peer(&format!("a link could not be taken: {e}")),
+            Err(e) => self.log_peer(&format!("a link could not be accepted: {e}")),
         }
     }
 
--- a/crates/deckproxy/src/program/sites/forwarding.rs
+++ b/crates/deckproxy/src/program/sites/forwarding.rs
@@ -96,7 +96,7 @@
             }
             Destination::Unroutable(reason) => {
                 let text = reason.as_str();
-                out.push_back(Effect::LogPeer(format!("a request over a link is turned away: {text}")));
+                out.push_back(Effect::LogPeer(format!("a request over a link is rejected: {text}")));
                 self.answer_link(cx, run, Answer::Invalid(RequestError::Unroutable(reason)), None, out);
             }
             Destination::Remote(site) => {
--- a/crates/deckproxy/src/program/sites/mod.rs
+++ b/crates/deckproxy/src/program/sites/mod.rs
@@ -3,7 +3,8 @@
 mod forwarding;
 
 use crate::program::subsystem::{
-    Context, Effect, Effects, Event, FIRST_LINK_CLIENT, LinkId, OpenRequests, RequestKey, Subsystem, Verdict,
+    Context, Effect, Effects, Event, FIRST_LINK_CLIENT, Field, LinkId, OpenRequests, RequestKey, Subsystem,
+    Verdict,
 };
 use crate::protocol::downstream::{Answer, Call};
 use crate::protocol::limits;
@@ -12,7 +13,7 @@
 use deckproxy_operator::Operator;
 use deckproxy_sites::frame::Frame;
 use deckproxy_sites::purges::PurgeNotice;
-use deckproxy_sites::requester::{Reply, RequestToken};
+use deckproxy_sites::requester::{Reply, RequestToken, Requester};
 use deckproxy_sites::responder::RunId;
 use deckproxy_sites::site::{self, PeerConfig, Site, SiteConfig};
 use slog::{Logger, info, warn};
@@ -240,57 +241,58 @@
         self.drop_peers(new);
         self.add_peers(cx.now, new);
         self.site.set_routes(new.rules());
-        info!(self.log, "reload: routes and peers are taken"; "routes" => new.routes.len(), "peers" => new.peers.len());
+        info!(self.log, "reload: routes and peers are in force"; "routes" => new.routes.len(), "peers" => new.peers.len());
     }
 
-    fn summary(&mut self) -> String {
+    fn summary(&mut self) -> Vec<Field> {
         let site = &self.site;
         let peers =
             self.peers.iter().filter_map(|(name, peer)| site.requester(peer.index).map(|side| (name, side)));
-        let peers = peers.map(|(name, requester)| {
-            let (c, open, endpoints) =
-                (requester.counters, requester.open_counts(), requester.endpoints_up());
-            format!(
-                "{name}[ways:{}/{},open:{},lost:{},taken:{},joined:{},attempts:{},repeats:{},\
-                 parked:{},no_way:{},crowded:{},full:{},stale:{},cuts:{}]",
-                endpoints.up,
-                endpoints.total,
-                open.crossings,
-                open.unresolved_attempts,
-                c.requests,
-                c.collapsed,
-                c.attempts,
-                c.retries,
-                c.queued,
-                c.rejected_unreachable,
-                c.rejected_saturated,
-                c.rejected_full,
-                c.stale_responses,
-                c.connections_lost
-            )
-        });
+        let peers = peers.map(|(name, requester)| Field::group(name, peer_fields(requester)));
         let usage = site.responder().usage();
-        let responder = format!(
-            "far[runs:{},sessions:{},lines:{},kept:{},doubled:{}]",
-            usage.runs,
-            usage.sessions,
-            usage.connections,
-            usage.retained_bytes,
-            site.responder().duplicates
-        );
-        let purges = format!(
-            "purges[last:{},kept:{},gaps:{}]",
-            site.purges().last_number(),
-            site.purges().len(),
-            site.purges().gaps
-        );
-        let distrusted = format!(
-            "untrusted[lease:{},missed:{},clock:{},bounds:{}]",
-            site.distrusted.lease_expired,
-            site.distrusted.purges_missed,
-            site.distrusted.clock_skew,
-            site.copy_age_limits
-        );
-        peers.chain([responder, purges, distrusted]).collect::<Vec<_>>().join(",")
+        let responder = [
+            Field::value("runs", usage.runs),
+            Field::value("sessions", usage.sessions),
+            Field::value("connections", usage.connections),
+            Field::value("retained_bytes", usage.retained_bytes),
+            Field::value("duplicates", site.responder().duplicates),
+        ];
+        let purges = [
+            Field::value("last", site.purges().last_number()),
+            Field::value("retained", site.purges().len()),
+            Field::value("gaps", site.purges().gaps),
+        ];
+        let untrusted = [
+            Field::value("lease", site.distrusted.lease_expired),
+            Field::value("missed", site.distrusted.purges_missed),
+            Field::value("clock", site.distrusted.clock_skew),
+            Field::value("copy_age_limits", site.copy_age_limits),
+        ];
+        let own = [
+            Field::group("responder", responder),
+            Field::group("purges", purges),
+            Field::group("untrusted", untrusted),
+        ];
+        peers.chain(own).collect()
     }
 }
+
+/// What the summary says of a peer.
+fn peer_fields(requester: &Requester) -> [Field; 13] {
+    let (counters, open, endpoints) = (requester.counters, requester.open_counts(), requester.endpoints_up());
+    [
+        Field::value("endpoints", format_args!("{}/{}", endpoints.up, endpoints.total)),
+        Field::value("in_flight", open.crossings),
+        Field::value("unresolved", open.unresolved_attempts),
+        Field::value("requests", counters.requests),
+        Field::value("collapsed", counters.collapsed),
+        Field::value("attempts", counters.attempts),
+        Field::value("retries", counters.retries),
+        Field::value("queued", counters.queued),
+        Field::value("unreachable", counters.rejected_unreachable),
+        Field::value("saturated", counters.rejected_saturated),
+        Field::value("full", counters.rejected_full),
+        Field::value("stale", counters.stale_responses),
+        Field::value("connections_lost", counters.connections_lost),
+    ]
+}
--- a/crates/deckproxy/src/program/subsystem/mod.rs
+++ b/crates/deckproxy/src/program/subsystem/mod.rs
@@ -9,12 +9,14 @@
 mod event;
 mod ids;
 mod open_requests;
+mod summary_fields;
 
 pub use client_identities::ClientIdentities;
 pub use effect::{Effect, Effects};
 pub use event::{Event, Note, outcome_of};
 pub use ids::{FIRST_LINK_CLIENT, LinkId, RequestKey, micros};
 pub use open_requests::OpenRequests;
+pub use summary_fields::{Field, summary_text};
 
 use crate::protocol::downstream::{Answer, Call};
 use crate::protocol::upstream::CopyInfo;
@@ -103,5 +105,5 @@
     fn reload(&mut self, _: &Context<'_>, _: &Operator, _: &mut Effects) {}
 
     /// Its part of the summary in the log.
-    fn summary(&mut self) -> String;
+    fn summary(&mut self) -> Vec<Field>;
 }
--- /dev/null
+++ b/crates/deckproxy/src/program/subsystem/summary_fields.rs
@@ -0,0 +1,88 @@
+//! Named figures in a part of the summary, such as `cap:none,arrived[first:9,retry:1]`.
+
+use crate::program::log_aliases::{ALIAS_KEY, Scope, old_key};
+use std::fmt::Display;
+
+/// A named figure, or a group of them.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Field {
+    name: String,
+    content: Content,
+}
+
+/// What a field holds.
+#[derive(Clone, Debug, PartialEq, Eq)]
+enum Content {
+    /// A value.
+    Value(String),
+    /// Items between brackets that have no names of their own.
+    Items(Vec<String>),
+    /// Fields between brackets, and what separates them.
+    Group(Vec<Field>, &'static str),
+}
+
+/// Which spelling is written.
+#[derive(Clone, Copy)]
+enum Spelling {
+    /// The names in the code.
+    Current,
+    /// The names before the renaming.
+    Old(Scope),
+}
+
+impl Field {
+    /// A value.
+    pub fn value(name: impl Into<String>, value: impl Display) -> Self {
+        Field { name: name.into(), content: Content::Value(value.to_string()) }
+    }
+
+    /// Items that have no names of their own.
+    pub fn items(name: impl Into<String>, items: Vec<String>) -> Self {
+        Field { name: name.into(), content: Content::Items(items) }
+    }
+
+    /// A group of fields.
+    pub fn group(name: impl Into<String>, fields: impl IntoIterator<Item = Field>) -> Self {
+        Field { name: name.into(), content: Content::Group(fields.into_iter().collect(), ",") }
+    }
+
+    /// A group of counts with a space between them.
+    pub fn counts(name: impl Into<String>, fields: impl IntoIterator<Item = Field>) -> Self {
+        Field { name: name.into(), content: Content::Group(fields.into_iter().collect(), " ") }
+    }
+
+    /// Whether its name or that of a field in it was renamed.
+    fn is_renamed(&self, scope: Scope) -> bool {
+        let inner = match &self.content {
+            Content::Group(fields, _) => fields.iter().any(|field| field.is_renamed(scope)),
+            Content::Value(_) | Content::Items(_) => false,
+        };
+        inner || old_key(scope, &self.name).is_some()
+    }
+
+    fn write(&self, spelling: Spelling) -> String {
+        let name = match spelling {
+            Spelling::Current => &self.name,
+            Spelling::Old(scope) => old_key(scope, &self.name).unwrap_or(&self.name),
+        };
+        match &self.content {
+            Content::Value(value) => format!("{name}:{value}"),
+            Content::Items(items) => format!("{name}[{}]", items.join(" ")),
+            Content::Group(fields, separator) => {
+                let fields: Vec<String> = fields.iter().map(|field| field.write(spelling)).collect();
+                format!("{name}[{}]", fields.join(separator))
+            }
+        }
+    }
+}
+
+/// The text of a part of the summary; renamed fields follow once more in their old spelling, in `alias[...]`.
+pub fn summary_text(scope: Scope, fields: &[Field]) -> String {
+    let mut parts: Vec<String> = fields.iter().map(|field| field.write(Spelling::Current)).collect();
+    let renamed = fields.iter().filter(|field| field.is_renamed(scope));
+    let old: Vec<String> = renamed.map(|field| field.write(Spelling::Old(scope))).collect();
+    if !old.is_empty() {
+        parts.push(format!("{ALIAS_KEY}[{}]", old.join(",")));
+    }
+    parts.join(",")
+}
--- a/crates/deckproxy/src/program/subsystems.rs
+++ b/crates/deckproxy/src/program/subsystems.rs
@@ -2,9 +2,12 @@
 
 use crate::program::fleet::Fleet;
 use crate::program::flows::Flows;
+use crate::program::log_aliases::Scope;
 use crate::program::recovery::Recovery;
 use crate::program::sites::Sites;
-use crate::program::subsystem::{Context, Effect, Effects, Event, LinkId, RequestKey, Subsystem, Verdict};
+use crate::program::subsystem::{
+    Context, Effect, Effects, Event, LinkId, RequestKey, Subsystem, Verdict, summary_text,
+};
 use crate::protocol::downstream::{Answer, Call};
 use crate::protocol::upstream::CopyInfo;
 use crate::routing::{ClientId, Router};
@@ -259,14 +262,15 @@
 
     /// Each subsystem's part of the summary in the log.
     pub fn summaries(&mut self) -> Summaries {
-        fn one<S: Subsystem>(slot: &mut Option<Box<S>>) -> String {
-            slot.as_mut().map_or_else(|| "off".to_string(), |subsystem| subsystem.summary())
+        fn one<S: Subsystem>(slot: &mut Option<Box<S>>, scope: Scope) -> String {
+            let Some(subsystem) = slot else { return "off".to_string() };
+            summary_text(scope, &subsystem.summary())
         }
         Summaries {
-            sites: one(&mut self.sites),
-            recovery: one(&mut self.recovery),
-            flows: one(&mut self.flows),
-            fleet: one(&mut self.fleet),
+            sites: one(&mut self.sites, Scope::Sites),
+            recovery: one(&mut self.recovery, Scope::Recovery),
+            flows: one(&mut self.flows, Scope::Flows),
+            fleet: one(&mut self.fleet, Scope::Fleet),
         }
     }
 }
--- a/crates/deckproxy/src/program/summary.rs
+++ b/crates/deckproxy/src/program/summary.rs
@@ -1,6 +1,8 @@
 //! The periodic summary in the log.
 
 use crate::program::gateway::Gateway;
+use crate::program::log_aliases::Scope;
+use crate::program::subsystem::{Field, summary_text};
 use crate::program::subsystems::Summaries;
 use crate::program::usage::Usage;
 use crate::routing::counters::ENDINGS;
@@ -13,16 +15,16 @@
         let usage = Usage::now();
         let Summaries { sites, recovery, flows, fleet } = self.subsystems.summaries();
         info!(self.log, "{}", message;
-            "taken" => counters.accepted, "served" => counters.served, "refused" => counters.rejected,
-            "failed" => counters.failed, "gone" => counters.cancelled, "unusable" => counters.invalid,
-            "owed" => self.router.unanswered(),
-            "attempts" => self.attempt_endings(), "probes" => counters.health_checks,
-            "clients" => self.clients.len(), "links" => self.upstreams.len(), "most_sockets" => self.peak_sockets,
+            "accepted" => counters.accepted, "served" => counters.served, "rejected" => counters.rejected,
+            "failed" => counters.failed, "cancelled" => counters.cancelled, "invalid" => counters.invalid,
+            "in_flight" => self.router.unanswered(),
+            "attempts" => self.attempt_endings(), "health_checks" => counters.health_checks,
+            "clients" => self.clients.len(), "upstreams" => self.upstreams.len(), "peak_connections" => self.peak_connections,
             "sizes" => self.sizes(),
             "sites" => sites, "recovery" => recovery, "flows" => flows, "fleet" => fleet,
-            "feed" => self.feed.is_some(), "event" => self.router.last_event(),
+            "feed" => self.feed.is_some(), "feed_event" => self.router.last_event(),
             "cpu_ms" => usage.cpu, "memory_kb" => usage.memory, "descriptors" => usage.descriptors,
-            "broken" => counters.broken_invariants, "overdue" => counters.overdue,
+            "broken_invariants" => counters.broken_invariants, "overdue" => counters.overdue,
             "timer_late_ms" => format!("{:.1}", counters.late),
             "longest_turn_ms" => format!("{:.1}", self.longest_turn));
     }
@@ -30,21 +32,23 @@
     /// How many attempts ended in each way, without those that none did.
     fn attempt_endings(&self) -> String {
         let endings = ENDINGS.iter().zip(self.router.counters.endings).filter(|(_, count)| *count > 0);
-        endings.map(|(ending, count)| format!("{ending}:{count}")).collect::<Vec<_>>().join(",")
+        let fields: Vec<Field> = endings.map(|(ending, count)| Field::value(*ending, count)).collect();
+        summary_text(Scope::Attempts, &fields)
     }
 
     /// Sizes of all tables and buffers that grow with traffic; each has a bound.
     fn sizes(&self) -> String {
         let tables = [
-            ("pools", self.upstream_pools.len()),
-            ("carried", self.attempt_upstreams.len()),
-            ("chores", self.timers.len()),
+            ("upstream_pools", self.upstream_pools.len()),
+            ("in_flight_attempts", self.attempt_upstreams.len()),
+            ("tasks", self.timers.len()),
         ];
         let bytes = [
-            ("read", self.client_buffers.input() + self.upstream_buffers.input()),
-            ("unread", self.client_buffers.output()),
+            ("read_buffers", self.client_buffers.input() + self.upstream_buffers.input()),
+            ("write_buffers", self.client_buffers.output()),
         ];
         let all = tables.into_iter().chain(bytes).chain(self.router.table_sizes());
-        all.map(|(name, size)| format!("{name}:{size}")).collect::<Vec<_>>().join(",")
+        let fields: Vec<Field> = all.map(|(name, size)| Field::value(name, size)).collect();
+        summary_text(Scope::Sizes, &fields)
     }
 }
--- a/crates/deckproxy/src/routing/counters.rs
+++ b/crates/deckproxy/src/routing/counters.rs
@@ -43,7 +43,7 @@
 
 /// Names of the endings, as the summary lines have them.
 pub const ENDINGS: [&str; 9] =
-    ["ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot", "miss"];
+    ["ok", "error", "rejected", "timeout", "connect_failed", "reset", "cancelled", "not_sent", "miss"];
 
 /// The position of an ending in [`ENDINGS`].
 pub(super) fn index_of(ending: AttemptEnding) -> usize {
--- a/crates/deckproxy/src/routing/feed_events.rs
+++ b/crates/deckproxy/src/routing/feed_events.rs
@@ -45,7 +45,7 @@
             entries.iter().filter_map(|entry| self.members.take(entry, zones, kinds)).collect();
         let dropped = unreadable + entries.len() - members.len();
         if dropped > 0 {
-            let text = format!("{dropped} lines of the list of members could not be read");
+            let text = format!("{dropped} entries of the member list could not be read");
             self.effects.push_back(Effect::Log(text));
         }
         // Idle connections to one that has left are closed at once; the address may get a new member.
--- a/crates/deckproxy/src/routing/router.rs
+++ b/crates/deckproxy/src/routing/router.rs
@@ -118,14 +118,14 @@
         let own = [
             ("requests", self.requests.len()),
             ("members", self.members.len()),
-            ("probing", self.health_checks.len()),
+            ("health_checks", self.health_checks.len()),
             ("timers", self.timers.len()),
         ];
         let decisions = self.control.table_sizes();
         own.into_iter().chain([
-            ("peers", decisions.members),
-            ("deciding", decisions.requests),
-            ("filling", decisions.fills),
+            ("known_members", decisions.members),
+            ("pending_requests", decisions.requests),
+            ("collapsed_fills", decisions.fills),
             ("objects", decisions.objects),
             ("purges", decisions.purges),
         ])
--- a/crates/deckproxy/tests/attempt_endings.rs
+++ b/crates/deckproxy/tests/attempt_endings.rs
@@ -108,8 +108,8 @@
         r.connection_failed(NOW, k, ConnectionFailure::Reset);
     });
     check_ending("a miss", "miss", true, |r, k| r.reply(NOW, k, reply(Status::Miss)));
-    check_ending("full", "full", true, |r, k| r.reply(NOW, k, reply(Status::Rejected)));
-    check_ending("over already", "moot", true, |r, k| r.reply(NOW, k, reply(Status::Expired)));
+    check_ending("full", "rejected", true, |r, k| r.reply(NOW, k, reply(Status::Rejected)));
+    check_ending("over already", "not_sent", true, |r, k| r.reply(NOW, k, reply(Status::Expired)));
     check_ending("an error", "error", false, |r, k| r.reply(NOW, k, reply(Status::Error)));
     check_ending("a copy that holds and nobody named", "error", false, |r, k| {
         r.reply(NOW, k, reply(Status::NotModified));
@@ -121,7 +121,7 @@
         assert!(matches!(withdraw, Some(Effect::CancelAttempt { key, .. }) if key == k), "{withdraw:?}");
         r.attempt_cancelled(NOW + 1000.0, k, true);
     });
-    check_ending("its time was over while it waited to be written", "moot", true, |r, k| {
+    check_ending("its time was over while it waited to be written", "not_sent", true, |r, k| {
         r.tick(NOW + 1000.0);
         assert!(matches!(r.next_effect(), Some(Effect::CancelAttempt { .. })));
         r.attempt_cancelled(NOW + 1000.0, k, false);
@@ -140,7 +140,7 @@
 
 #[test]
 fn cancelled_attempt_may_have_run_only_if_partly_written() {
-    for (sent, ending) in [(true, "cancelled"), (false, "moot")] {
+    for (sent, ending) in [(true, "cancelled"), (false, "not_sent")] {
         let mut router = router();
         let key = start_request(&mut router);
         router.cancel(NOW + 5.0, 1, 7);
--- a/crates/deckproxy/tests/connection_close.rs
+++ b/crates/deckproxy/tests/connection_close.rs
@@ -46,7 +46,7 @@
     let mut idle: Vec<Client> = (0..150).map(|_| ready_client(&gateway)).collect();
     let start = Instant::now();
     gateway.signal("TERM");
-    until("it is told", || gateway.log().contains("told to end"));
+    until("it is told", || gateway.log().contains("graceful shutdown begins"));
     gateway.pause();
     let ids: Vec<u64> = idle.iter_mut().map(|client| client.request_object(OBJECT)).collect();
     assert!(start.elapsed() < Duration::from_millis(600), "they came in time");
@@ -89,7 +89,7 @@
     let mut client = ready_client(&gateway);
     let start = Instant::now();
     gateway.signal("TERM");
-    until("it is told", || gateway.log().contains("told to end"));
+    until("it is told", || gateway.log().contains("graceful shutdown begins"));
     let (id, bytes) = client.encode_request("page", &[("lookup", OBJECT)], &[]);
     client.send(&bytes[..20]);
     until("the time for stragglers is over", || start.elapsed() > Duration::from_millis(900));
@@ -170,7 +170,7 @@
         gateway.signal(signal);
     }
     gateway.resume();
-    until("it is told", || gateway.log().contains("told to end"));
+    until("it is told", || gateway.log().contains("graceful shutdown begins"));
     gateway.signal("TERM");
     gateway.signal("HUP");
     cache.answer(&request, "200", b"kept");
--- a/crates/deckproxy/tests/fleet/membership.rs
+++ b/crates/deckproxy/tests/fleet/membership.rs
@@ -57,7 +57,8 @@
     });
     assert!(hole.coverage_gap_ms > 4000.0 && hole.coverage_gap_ms > good.coverage_gap_ms);
     // A gossip store with an outdated incarnation never equals the others.
-    let board = spoilt(&|p| p.logs[0] = p.logs[0].replace("\"board\":\"", "\"board\":\"ff"));
+    let board =
+        spoilt(&|p| p.logs[0] = p.logs[0].replace("\"store_checksum\":\"", "\"store_checksum\":\"ff"));
     assert!(good.convergence_ms.is_some());
     assert_ne!(board.convergence_ms, good.convergence_ms);
     // An instance that considers another dead, though nothing is between them.
--- a/crates/deckproxy/tests/fleet/reload.rs
+++ b/crates/deckproxy/tests/fleet/reload.rs
@@ -18,7 +18,7 @@
     until("members are probed", probed);
     gateway.reload_operator(&text("one", 0));
     let is_logged = |text: &str| gateway.log().contains(text);
-    until("it is taken", || is_logged("reload: the fleet's settings are taken"));
+    until("it is taken", || is_logged("reload: the fleet's settings are in force"));
     assert!(!is_logged("take a restart"));
     gateway.reload_operator(&text("two", 0));
     until("it is said", || {
--- a/crates/deckproxy/tests/flows.rs
+++ b/crates/deckproxy/tests/flows.rs
@@ -78,7 +78,7 @@
     assert_eq!((got.undecoded, got.missing), (0, 0));
     assert_eq!(got.described.len(), 6, "each of our elements is described: {:?}", got.described);
     let log = shut_down(gateway);
-    assert!(log.contains("collectors[up]") && log.contains("lost[flows:0,untold:0]"), "{log}");
+    assert!(log.contains("collectors[up]") && log.contains("lost[flows:0,unreported:0]"), "{log}");
 }
 
 #[test]
@@ -147,7 +147,7 @@
     let id = client.request_object(OBJECT);
     let (cache, request) = site.next_request();
     gateway.reload_operator(&operator_text(&[(new.address, "UDP")], "rate: 50 domain: 9"));
-    until("it is taken", || gateway.log().contains("collectors are taken"));
+    until("it is taken", || gateway.log().contains("collectors are in force"));
     until("the domain is told to take a restart", || gateway.log().contains("take a restart"));
     gateway.reload_operator("flows { collectors { address: \"here\" } }");
     until("it is refused", || gateway.log().contains("the configuration in force stays"));
--- a/crates/deckproxy/tests/lifecycle.rs
+++ b/crates/deckproxy/tests/lifecycle.rs
@@ -197,7 +197,7 @@
     let start = Instant::now();
     assert_eq!(gateway.wait_for_exit(), Some(0));
     assert!(start.elapsed() < Duration::from_secs(3), "{:?}", start.elapsed());
-    assert!(gateway.log().contains("told to end"), "{}", gateway.log());
+    assert!(gateway.log().contains("graceful shutdown begins"), "{}", gateway.log());
 }
 
 /// Regression test: the stand-in removed the file when the log ended, when a successor may have its own of that name.
--- a/crates/deckproxy/tests/member_connections.rs
+++ b/crates/deckproxy/tests/member_connections.rs
@@ -73,7 +73,7 @@
         // A request sent before the gateway's socket reports the close would cross it, which is another case.
         until("the gateway has seen it", || gateway.usage().descriptors < before);
     }
-    assert!(!gateway.log().contains("attempts out"), "{}", gateway.log());
+    assert!(!gateway.log().contains("attempts in flight"), "{}", gateway.log());
 }
 
 #[test]
--- a/crates/deckproxy/tests/reload.rs
+++ b/crates/deckproxy/tests/reload.rs
@@ -95,7 +95,7 @@
     let id = client.request_object(OBJECT);
     let (cache, request) = site.next_request();
     gateway.signal("TERM");
-    until("it ends", || gateway.log().contains("told to end"));
+    until("it ends", || gateway.log().contains("graceful shutdown begins"));
     gateway.reload(Some(&setup.config().to_string()));
     until("it reloads", || gateway.log().contains("reload"));
     cache.answer(&request, "200", b"x");
--- a/crates/deckproxy/tests/routing/member_lists.rs
+++ b/crates/deckproxy/tests/routing/member_lists.rs
@@ -85,7 +85,7 @@
     let bound = |name: &str| match name {
         "objects" => 8192,
         "timers" => 1000,
-        "requests" | "deciding" | "filling" => 150,
+        "requests" | "pending_requests" | "collapsed_fills" => 150,
         _ => 64,
     };
     assert!(most.iter().all(|(name, size)| *size <= bound(name)), "{most:?}");
--- a/crates/deckproxy/tests/sites/forwarding.rs
+++ b/crates/deckproxy/tests/sites/forwarding.rs
@@ -104,7 +104,9 @@
     let id = client.request_object("d000000000000001");
     assert!(matches!(client.next_answer(), (got, Answer::Error(..)) if got == id), "it would come back");
     // A log line may be read later than the answer.
-    until("it is turned away", || [&south, &east].iter().any(|s| s.gateway.log().contains("turned away")));
+    until("it is turned away", || {
+        [&south, &east].iter().any(|s| s.gateway.log().contains("over a link is rejected"))
+    });
     // A purge announced in the north reaches all sites.
     send_line(
         &north.feed_connection,
--- a/crates/deckproxy/tests/sites/lifecycle.rs
+++ b/crates/deckproxy/tests/sites/lifecycle.rs
@@ -14,7 +14,7 @@
     pair.north.gateway.reload_operator(&text.replace("home: \"south\"", "home: \"west\""));
     until("the fault is told", || pair.north.gateway.log().contains("no peer is named"));
     pair.north.gateway.reload_operator(&text.replace("prefix: \"b\"", "prefix: \"e\""));
-    until("the routes are taken", || pair.north.gateway.log().contains("routes and peers are taken"));
+    until("the routes are taken", || pair.north.gateway.log().contains("routes and peers are in force"));
     pair.north.members.serve_object(&mut pair.client, "b000000000000009", b"here now");
     cache.answer(&request, "200", b"as it went out");
     pair.client.expect_served(open, b"as it went out");
