--- a/crates/deckproxy-control/tests/attempt_limits.rs
+++ b/crates/deckproxy-control/tests/attempt_limits.rs
@@ -7,44 +7,44 @@
 #[test]
 fn a_timeout_at_the_deadline_is_answered_at_once_and_once() {
     let mut rig = Rig::new();
-    let id = rig.ask(SMALL, 5, 0);
-    let home = rig.sends()[0].1;
+    let id = rig.request(SMALL, 5, 0);
+    let home = rig.sends()[0].member;
     rig.now += 5000.0;
     rig.end(id, 0, home, AttemptEnding::Timeout);
-    assert!(rejected(&rig.acts, id));
+    assert!(rejected(&rig.actions, id));
     assert!(rig.sends().is_empty());
     rig.end(id, 0, home, AttemptEnding::Timeout);
-    assert!(rig.acts.is_empty());
+    assert!(rig.actions.is_empty());
 }
 
 #[test]
 fn a_request_never_makes_more_attempts_than_allowed() {
     let mut rig = Rig::with(Settings { max_attempts: 3, ..settings() }, everyone());
-    let id = rig.ask(SMALL, 5, 0);
+    let id = rig.request(SMALL, 5, 0);
     for attempt in 0..3 {
         assert_eq!(rig.sends().len(), 1);
-        let at = rig.sends()[0].1;
+        let at = rig.sends()[0].member;
         rig.end(id, attempt, at, AttemptEnding::Reset);
     }
-    assert!(rig.sends().is_empty() && rejected(&rig.acts, id));
+    assert!(rig.sends().is_empty() && rejected(&rig.actions, id));
 }
 
 #[test]
 fn nothing_is_sent_for_a_request_that_has_ended() {
     let mut rig = Rig::new();
-    let id = rig.ask(SMALL, 5, 0);
-    let home = rig.sends()[0].1;
+    let id = rig.request(SMALL, 5, 0);
+    let home = rig.sends()[0].member;
     rig.event(Event::ClientGone(id));
     rig.end(id, 0, home, AttemptEnding::Miss);
-    assert!(rig.acts.is_empty());
+    assert!(rig.actions.is_empty());
 }
 
 #[test]
 fn a_rejection_advises_a_retry_time_only_where_allowed() {
     for (retry_after, most) in [(true, 1000.0), (true, 100.0), (false, 1000.0)] {
         let mut rig = Rig::with(Settings { retry_after, max_retry_after: most, ..settings() }, vec![]);
-        rig.ask(SMALL, 5, 0);
-        let Action::Reject { retry_after: at, .. } = rig.acts[0] else { panic!("not refused") };
+        rig.request(SMALL, 5, 0);
+        let Action::Reject { retry_after: at, .. } = rig.actions[0] else { panic!("not refused") };
         assert_eq!(at > 0.0, retry_after);
         assert!(at <= most);
     }
@@ -53,8 +53,8 @@
 #[test]
 fn a_stream_that_has_begun_is_not_sent_again() {
     let mut rig = Rig::new();
-    let id = rig.ask(SMALL, 5, 0);
-    let home = rig.sends()[0].1;
+    let id = rig.request(SMALL, 5, 0);
+    let home = rig.sends()[0].member;
     rig.event(Event::StreamStarted { request: id, attempt: 0 });
     rig.end(id, 0, home, AttemptEnding::Reset);
     assert!(rig.sends().is_empty());
@@ -65,14 +65,14 @@
 fn a_request_that_fails_just_before_its_deadline_does_not_wait() {
     for left in [0.5, 3.0, 15.0, 40.0] {
         let mut rig = Rig::new();
-        let (leader, cache) = rig.ask_and_miss(SMALL, 5);
+        let (leader, cache) = rig.request_and_miss(SMALL, 5);
         rig.now += 4000.0;
-        let (waiter, _) = rig.ask_and_miss(SMALL, 5);
+        let (waiter, _) = rig.request_and_miss(SMALL, 5);
         rig.now += 1000.0 - left;
         rig.end(leader, 1, cache, AttemptEnding::Error);
-        let sends: Vec<RequestId> = rig.sends().iter().map(|s| s.0).collect();
+        let sends: Vec<RequestId> = rig.sends().iter().map(|sent| sent.request).collect();
         assert!(sends.contains(&waiter));
-        assert!(sends.contains(&leader) || rejected(&rig.acts, leader), "{left}");
+        assert!(sends.contains(&leader) || rejected(&rig.actions, leader), "{left}");
     }
 }
 
@@ -80,17 +80,17 @@
 fn a_request_that_is_not_idempotent_is_retried_only_if_it_never_ran() {
     for never in [AttemptEnding::Rejected, AttemptEnding::ConnectFailed, AttemptEnding::Miss] {
         let mut rig = Rig::new();
-        let id = rig.ask(UNSAFE, 5, 0);
+        let id = rig.request(UNSAFE, 5, 0);
         rig.end(id, 0, THE_ORIGIN, never);
-        assert!(rig.sends().len() == 1 || rejected(&rig.acts, id), "{never:?}");
+        assert!(rig.sends().len() == 1 || rejected(&rig.actions, id), "{never:?}");
     }
     for maybe in
         [AttemptEnding::Error, AttemptEnding::Timeout, AttemptEnding::Reset, AttemptEnding::Cancelled]
     {
         let mut rig = Rig::new();
-        let id = rig.ask(UNSAFE, 5, 0);
+        let id = rig.request(UNSAFE, 5, 0);
         rig.end(id, 0, THE_ORIGIN, maybe);
-        assert!(rig.sends().is_empty() && failed(&rig.acts, id), "{maybe:?}");
+        assert!(rig.sends().is_empty() && failed(&rig.actions, id), "{maybe:?}");
     }
 }
 
@@ -98,12 +98,12 @@
 fn a_keyed_request_is_retried_only_within_its_window_from_the_first_send() {
     for (at, again) in [(1990.0, true), (2000.0, false)] {
         let mut rig = Rig::new();
-        let id = rig.ask(KEYED, 5, 0);
+        let id = rig.request(KEYED, 5, 0);
         rig.now += at;
         rig.end(id, 0, THE_ORIGIN, AttemptEnding::Timeout);
         assert_eq!(!rig.sends().is_empty(), again, "{at}");
         // Refusing does no harm: every member drops its repeats.
-        assert_eq!(rejected(&rig.acts, id), !again);
+        assert_eq!(rejected(&rig.actions, id), !again);
     }
 }
 
@@ -113,10 +113,10 @@
     s.classes[KEYED].group = Group::Cell;
     let members = everyone().into_iter().map(|m| Member { cell: m.id, ..m }).collect();
     let mut rig = Rig::with(s, members);
-    let id = rig.ask(KEYED, 5, 0);
+    let id = rig.request(KEYED, 5, 0);
     rig.end(id, 0, THE_ORIGIN, AttemptEnding::Reset);
-    assert!(rig.sends().iter().all(|s| s.1 == THE_ORIGIN));
+    assert!(rig.sends().iter().all(|sent| sent.member == THE_ORIGIN));
     if rig.sends().is_empty() {
-        assert!(failed(&rig.acts, id) && !rejected(&rig.acts, id));
+        assert!(failed(&rig.actions, id) && !rejected(&rig.actions, id));
     }
 }
--- a/crates/deckproxy-control/tests/common/mod.rs
+++ b/crates/deckproxy-control/tests/common/mod.rs
@@ -20,14 +20,14 @@
 /// KB of one part, by class; at 1000 KB/s these are the sending times in ms.
 pub const SIZES: [f64; 4] = [50.0, 400.0, 20.0, 20.0];
 
-pub fn class(aim: f64, deadline: f64, effect: Idempotency, write: bool) -> Class {
+pub fn class(latency_objective: f64, deadline: f64, idempotency: Idempotency, write: bool) -> Class {
     Class {
-        latency_objective: aim,
+        latency_objective,
         latency_objective_stretch: 2.0,
         deadline,
         priority_weight: 1.0,
         late_weight_share: 0.0,
-        idempotency: effect,
+        idempotency,
         group: Group::All,
         dedup_window: 2000.0,
         freshness_lifetime: 0.0,
@@ -95,17 +95,38 @@
     CACHES.into_iter().chain(PARENTS).chain([THE_ORIGIN]).map(member).collect()
 }
 
+/// An attempt that the router sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SentAttempt {
+    pub request: RequestId,
+    pub member: MemberId,
+    /// The source of the fill, if it is a get.
+    pub source: Option<MemberId>,
+}
+
+/// How a member answers an attempt.
+#[derive(Clone, Copy, Debug)]
+pub struct AttemptAnswer {
+    pub request: RequestId,
+    pub attempt: u32,
+    pub member: MemberId,
+    pub ending: AttemptEnding,
+    pub note: FillNote,
+    pub elapsed: Millis,
+    pub load: Option<LoadReport>,
+}
+
 /// A router with its clock and the actions of its last step.
 pub struct Rig {
     pub control: Control,
     pub now: Millis,
-    pub acts: Vec<Action>,
+    pub actions: Vec<Action>,
     pub next: RequestId,
 }
 
 impl Rig {
     pub fn with(settings: Settings, members: Vec<Member>) -> Rig {
-        let mut rig = Rig { control: Control::new(settings, 1), now: 1000.0, acts: vec![], next: 1 };
+        let mut rig = Rig { control: Control::new(settings, 1), now: 1000.0, actions: vec![], next: 1 };
         rig.event(Event::Started);
         rig.event(Event::MemberList(ListKind::Cached, members));
         rig
@@ -115,20 +136,20 @@
         Rig::with(settings(), everyone())
     }
 
-    /// Handles one event; its actions are in `acts`.
+    /// Handles one event; its actions are in `actions`.
     pub fn event(&mut self, event: Event) -> &[Action] {
-        self.acts.clear();
-        self.control.handle(self.now, event, &mut self.acts);
-        &self.acts
+        self.actions.clear();
+        self.control.handle(self.now, event, &mut self.actions);
+        &self.actions
     }
 
     /// Requests a part of an object; returns the request's id.
-    pub fn ask(&mut self, class: usize, object: u64, part: u32) -> RequestId {
-        self.ask_of_size(class, object, part, Some(SIZES[class]))
+    pub fn request(&mut self, class: usize, object: u64, part: u32) -> RequestId {
+        self.request_of_size(class, object, part, Some(SIZES[class]))
     }
 
     /// Requests a part of an object with that size, or of unknown size; returns the request's id.
-    pub fn ask_of_size(&mut self, class: usize, object: u64, part: u32, size: Option<f64>) -> RequestId {
+    pub fn request_of_size(&mut self, class: usize, object: u64, part: u32, size: Option<f64>) -> RequestId {
         let id = self.next;
         self.next += 1;
         let deadline = self.now + 5000.0;
@@ -138,35 +159,45 @@
 
     /// Ends an attempt after 10 ms, without a note or load report.
     pub fn end(&mut self, request: RequestId, attempt: u32, member: MemberId, ending: AttemptEnding) {
-        self.answer((request, attempt), member, (ending, FillNote::None), 10.0, None);
+        self.answer(AttemptAnswer {
+            request,
+            attempt,
+            member,
+            ending,
+            note: FillNote::None,
+            elapsed: 10.0,
+            load: None,
+        });
     }
 
     /// Ends an attempt with a note and a load report.
-    pub fn answer(
-        &mut self,
-        (request, attempt): (RequestId, u32),
-        member: MemberId,
-        (ending, note): (AttemptEnding, FillNote),
-        elapsed: Millis,
-        load: Option<LoadReport>,
-    ) {
+    pub fn answer(&mut self, answer: AttemptAnswer) {
+        let AttemptAnswer { request, attempt, member, ending, note, elapsed, load } = answer;
         let finished = ending == AttemptEnding::Served;
         self.event(Event::AttemptEnded { request, attempt, member, ending, elapsed, finished, note, load });
     }
 
-    /// Serves look-ups of so many objects, each in the time given for its member.
+    /// Serves look-ups of `count` objects, each in the time given for its member.
     pub fn serve_lookups(&mut self, count: u64, elapsed: impl Fn(MemberId) -> Millis) {
         for object in 0..count {
-            let id = self.ask(SMALL, object, 0);
-            let member = self.sends()[0].1;
-            self.answer((id, 0), member, (AttemptEnding::Served, FillNote::None), elapsed(member), None);
+            let id = self.request(SMALL, object, 0);
+            let member = self.sends()[0].member;
+            self.answer(AttemptAnswer {
+                request: id,
+                attempt: 0,
+                member,
+                ending: AttemptEnding::Served,
+                note: FillNote::None,
+                elapsed: elapsed(member),
+                load: None,
+            });
         }
     }
 
-    /// Serves an object from its home; returns that.
+    /// Serves an object from its home cache, and returns that cache.
     pub fn home_of(&mut self, object: u64) -> MemberId {
-        let id = self.ask(SMALL, object, 0);
-        let member = self.sends()[0].1;
+        let id = self.request(SMALL, object, 0);
+        let member = self.sends()[0].member;
         self.end(id, 0, member, AttemptEnding::Served);
         member
     }
@@ -180,25 +211,33 @@
         elapsed: Millis,
         note: FillNote,
     ) {
-        self.answer((request, attempt), member, (AttemptEnding::Served, note), elapsed, None);
+        self.answer(AttemptAnswer {
+            request,
+            attempt,
+            member,
+            ending: AttemptEnding::Served,
+            note,
+            elapsed,
+            load: None,
+        });
     }
 
-    /// Whether the last step's get is answered from cache only; `None` without a get.
+    /// Whether the last step's get asks for a cached copy only; `None` without a get.
     pub fn cached_only(&self) -> Option<bool> {
-        self.acts.iter().find_map(|a| match a {
+        self.actions.iter().find_map(|a| match a {
             Action::Get { options, .. } => Some(options.cached_only),
             _ => None,
         })
     }
 
-    /// Runs the periodic timer every 20 ms until then; all actions are in `acts`.
+    /// Runs the periodic timer every 20 ms until `end`; all actions are in `actions`.
     pub fn sweep_until(&mut self, end: Millis) {
         let mut all = vec![];
         while self.now < end {
             self.now = (self.now + 20.0).min(end);
             all.extend(self.event(Event::Timer(0)).to_vec());
         }
-        self.acts = all;
+        self.actions = all;
     }
 
     /// Runs the periodic timer once, at that time.
@@ -207,34 +246,37 @@
         self.event(Event::Timer(0));
     }
 
-    /// The sends of the last step: request, member, source if it is a get.
-    pub fn sends(&self) -> Vec<(RequestId, MemberId, Option<MemberId>)> {
-        sends(&self.acts)
+    /// The attempts that the last step sent.
+    pub fn sends(&self) -> Vec<SentAttempt> {
+        sends(&self.actions)
     }
 
     /// Requests an object and answers the look-up with a miss; returns the request's id and the cache.
-    pub fn ask_and_miss(&mut self, class: usize, object: u64) -> (RequestId, MemberId) {
-        let id = self.ask(class, object, 0);
-        let cache = self.sends()[0].1;
+    pub fn request_and_miss(&mut self, class: usize, object: u64) -> (RequestId, MemberId) {
+        let id = self.request(class, object, 0);
+        let cache = self.sends()[0].member;
         self.end(id, 0, cache, AttemptEnding::Miss);
         (id, cache)
     }
 }
 
-pub fn sends(acts: &[Action]) -> Vec<(RequestId, MemberId, Option<MemberId>)> {
-    acts.iter()
-        .filter_map(|a| match a {
-            Action::Lookup { request, member, .. } => Some((*request, *member, None)),
-            Action::Get { request, member, source, .. } => Some((*request, *member, Some(*source))),
+pub fn sends(actions: &[Action]) -> Vec<SentAttempt> {
+    actions
+        .iter()
+        .filter_map(|action| match *action {
+            Action::Lookup { request, member, .. } => Some(SentAttempt { request, member, source: None }),
+            Action::Get { request, member, source, .. } => {
+                Some(SentAttempt { request, member, source: Some(source) })
+            }
             _ => None,
         })
         .collect()
 }
 
-pub fn rejected(acts: &[Action], id: RequestId) -> bool {
-    acts.iter().any(|a| matches!(a, Action::Reject { request, .. } if *request == id))
+pub fn rejected(actions: &[Action], id: RequestId) -> bool {
+    actions.iter().any(|a| matches!(a, Action::Reject { request, .. } if *request == id))
 }
 
-pub fn failed(acts: &[Action], id: RequestId) -> bool {
-    acts.iter().any(|a| matches!(a, Action::Fail { request } if *request == id))
+pub fn failed(actions: &[Action], id: RequestId) -> bool {
+    actions.iter().any(|a| matches!(a, Action::Fail { request } if *request == id))
 }
--- a/crates/deckproxy-control/tests/link_overload.rs
+++ b/crates/deckproxy-control/tests/link_overload.rs
@@ -10,48 +10,59 @@
     let mut s = settings();
     s.zone_link_rate = vec![0.0, 0.0, 8000.0, 0.0];
     let mut rig = Rig::with(s, everyone());
-    let mut led = vec![];
+    let mut fills = vec![];
     let mut shed = None;
     for object in 0..200 {
-        let (id, cache) = rig.ask_and_miss(LARGE, object);
-        if rejected(&rig.acts, id) {
+        let (id, cache) = rig.request_and_miss(LARGE, object);
+        if rejected(&rig.actions, id) {
             shed = Some(object);
             break;
         }
-        led.push((id, cache));
+        fills.push((id, cache));
     }
     let shed = shed.expect("the link holds no end of fills");
-    assert!(shed >= 8, "it sheds while there is room: {shed}");
-    let (small, _) = rig.ask_and_miss(SMALL, 900);
-    assert!(!rejected(&rig.acts, small) && rig.sends().len() == 1, "a small one still gets through in time");
-    for (id, cache) in led {
+    assert!(shed >= 8, "it sheds while there is capacity: {shed}");
+    let (small, _) = rig.request_and_miss(SMALL, 900);
+    assert!(
+        !rejected(&rig.actions, small) && rig.sends().len() == 1,
+        "a small one still gets through in time"
+    );
+    for (id, cache) in fills {
         rig.end(id, 1, cache, AttemptEnding::Served);
     }
-    let (id, _) = rig.ask_and_miss(LARGE, 901);
-    assert!(!rejected(&rig.acts, id), "the room comes back");
+    let (id, _) = rig.request_and_miss(LARGE, 901);
+    assert!(!rejected(&rig.actions, id), "its capacity is available again");
 }
 
 #[test]
 fn an_idle_link_of_unknown_rate_sheds_nothing() {
     let mut rig = Rig::new();
     for object in 0..20 {
-        let (id, _) = rig.ask_and_miss(LARGE, object);
-        assert!(!rejected(&rig.acts, id));
+        let (id, _) = rig.request_and_miss(LARGE, object);
+        assert!(!rejected(&rig.actions, id));
     }
 }
 
-/// Where the settings do not tell the link's rate, load reports decide.
+/// Where the settings do not give the link's rate, load reports decide.
 #[test]
 fn a_link_of_unknown_rate_is_as_full_as_reported() {
     let mut rig = Rig::new();
     let mut rejections = 0;
     for object in 0..120 {
-        let (id, _) = rig.ask_and_miss(LARGE, object);
-        rejections += usize::from(rejected(&rig.acts, id));
-        let probe = rig.ask(SMALL, 5000 + object, 0);
-        let member = rig.sends()[0].1;
+        let (id, _) = rig.request_and_miss(LARGE, object);
+        rejections += usize::from(rejected(&rig.actions, id));
+        let probe = rig.request(SMALL, 5000 + object, 0);
+        let member = rig.sends()[0].member;
         let load = Some(LoadReport { link: Some(object as f64 / 2.0), ..LoadReport::default() });
-        rig.answer((probe, 0), member, (AttemptEnding::Served, FillNote::None), 20.0, load);
+        rig.answer(AttemptAnswer {
+            request: probe,
+            attempt: 0,
+            member,
+            ending: AttemptEnding::Served,
+            note: FillNote::None,
+            elapsed: 20.0,
+            load,
+        });
     }
     assert!(rejections > 0);
 }
@@ -63,17 +74,17 @@
     s.zone_link_rate = vec![0.0, 0.0, 8000.0, 0.0];
     let mut rig = Rig::with(s, everyone());
     for object in 0..60 {
-        rig.ask_and_miss(LARGE, object);
+        rig.request_and_miss(LARGE, object);
     }
-    let (id, _) = rig.ask_and_miss(LARGE, 900);
-    assert!(rejected(&rig.acts, id), "the link is full");
+    let (id, _) = rig.request_and_miss(LARGE, 900);
+    assert!(rejected(&rig.actions, id), "the link is full");
     for _ in 0..200 {
         rig.now += 20.0;
         let now = rig.now;
         rig.sweep_at(now);
     }
-    let (id, _) = rig.ask_and_miss(LARGE, 901);
-    assert!(!rejected(&rig.acts, id) && rig.sends().len() == 1);
+    let (id, _) = rig.request_and_miss(LARGE, 901);
+    assert!(!rejected(&rig.actions, id) && rig.sends().len() == 1);
 }
 
 /// Fills that wait for a slow origin must not shed what parents have cached.
@@ -82,17 +93,22 @@
     for notes in [false, true] {
         let mut rig =
             Rig::with(Settings { zone_link_rate: vec![0.0, 0.0, 3000.0, 0.0], ..settings() }, everyone());
-        let (request, member) = rig.ask_and_miss(SMALL, 1);
+        let (request, member) = rig.request_and_miss(SMALL, 1);
         rig.serve(request, 1, member, 100.0, if notes { FillNote::FilledByOrigin } else { FillNote::None });
-        let (mut whole, mut held, mut rejections) = (0, 0, 0);
+        let (mut unrestricted, mut cached_only, mut rejections) = (0, 0, 0);
         for object in 10..40 {
-            let (id, _) = rig.ask_and_miss(LARGE, object);
-            rejections += u32::from(rejected(&rig.acts, id));
+            let (id, _) = rig.request_and_miss(LARGE, object);
+            rejections += u32::from(rejected(&rig.actions, id));
             let get = rig.cached_only();
-            (whole, held) = (whole + u32::from(get == Some(false)), held + u32::from(get == Some(true)));
+            unrestricted += u32::from(get == Some(false));
+            cached_only += u32::from(get == Some(true));
         }
-        assert!(whole > 0 && whole < 10, "the link carries a few: {whole}");
-        assert_eq!((held > 0, rejections > 0), (notes, !notes), "{held} held, {rejections} refused");
+        assert!(unrestricted > 0 && unrestricted < 10, "the link carries a few: {unrestricted}");
+        assert_eq!(
+            (cached_only > 0, rejections > 0),
+            (notes, !notes),
+            "{cached_only} from cache only, {rejections} rejected"
+        );
     }
 }
 
@@ -100,11 +116,11 @@
 fn on_an_overloaded_link_nothing_is_filled_from_the_origin() {
     let list = everyone().into_iter().filter(|m| m.kind != PARENT).collect();
     let mut rig = Rig::with(Settings { zone_link_rate: vec![0.0, 0.0, 3000.0, 0.0], ..settings() }, list);
-    let (request, member) = rig.ask_and_miss(SMALL, 1);
+    let (request, member) = rig.request_and_miss(SMALL, 1);
     rig.serve(request, 1, member, 100.0, FillNote::FilledByOrigin);
     let fills: Vec<bool> = (10..40)
         .map(|object| {
-            rig.ask_and_miss(LARGE, object);
+            rig.request_and_miss(LARGE, object);
             rig.cached_only().is_some()
         })
         .collect();
@@ -115,7 +131,7 @@
 /// evidence, as the object may just be large.
 #[test]
 fn fill_times_of_known_sizes_show_link_load_beside_other_reports() {
-    let shuts = |size: Option<f64>, held: u64, elapsed: Millis, note: FillNote, link: Option<f64>| {
+    let sheds_fills = |size: Option<f64>, fills: u64, elapsed: Millis, note: FillNote, link: Option<f64>| {
         let set = Settings {
             zone_link_rate: vec![0.0, 0.0, 30_000.0, 0.0],
             zone_routers: vec![0, 0, 20, 1],
@@ -125,24 +141,41 @@
         let list = everyone().into_iter().map(|m| Member { weight: 400.0, ..m }).collect();
         let mut rig = Rig::with(set, list);
         let miss = |rig: &mut Rig, object| {
-            let id = rig.ask_of_size(LARGE, object, 0, size);
-            let member = rig.sends()[0].1;
+            let id = rig.request_of_size(LARGE, object, 0, size);
+            let member = rig.sends()[0].member;
             rig.end(id, 0, member, AttemptEnding::Miss);
             (id, member)
         };
-        (0..held).for_each(|object| {
+        (0..fills).for_each(|object| {
             miss(&mut rig, object);
         });
         rig.now += 3000.0;
         let (id, member) = miss(&mut rig, 100);
         let load = Some(LoadReport { busy_share: Some(0.3), link, ..LoadReport::default() });
-        rig.answer((id, 1), member, (AttemptEnding::Served, note), elapsed, load);
+        rig.answer(AttemptAnswer {
+            request: id,
+            attempt: 1,
+            member,
+            ending: AttemptEnding::Served,
+            note,
+            elapsed,
+            load,
+        });
         miss(&mut rig, 101);
         rig.cached_only() != Some(false)
     };
-    assert!(shuts(Some(400.0), 4, 1350.0, FillNote::Filled, None));
-    assert!(!shuts(Some(400.0), 4, 1350.0, FillNote::Filled, Some(0.1)), "the link is reported to be idle");
-    assert!(!shuts(Some(400.0), 4, 400.0, FillNote::Filled, None), "nothing crowds it");
-    assert!(!shuts(Some(400.0), 4, 1350.0, FillNote::FilledByOrigin, None), "it is the origin that is slow");
-    assert!(!shuts(None, 2, 2300.0, FillNote::Filled, None), "an object not met before may just be large");
+    assert!(sheds_fills(Some(400.0), 4, 1350.0, FillNote::Filled, None));
+    assert!(
+        !sheds_fills(Some(400.0), 4, 1350.0, FillNote::Filled, Some(0.1)),
+        "the link is reported to be idle"
+    );
+    assert!(!sheds_fills(Some(400.0), 4, 400.0, FillNote::Filled, None), "nothing crowds it");
+    assert!(
+        !sheds_fills(Some(400.0), 4, 1350.0, FillNote::FilledByOrigin, None),
+        "it is the origin that is slow"
+    );
+    assert!(
+        !sheds_fills(None, 2, 2300.0, FillNote::Filled, None),
+        "an object not met before may just be large"
+    );
 }
--- a/crates/deckproxy-control/tests/member_drain.rs
+++ b/crates/deckproxy-control/tests/member_drain.rs
@@ -7,13 +7,13 @@
 #[test]
 fn a_draining_or_gone_member_takes_no_attempts_and_is_no_source() {
     for lifecycle in [Lifecycle::Draining, Lifecycle::Gone] {
-        for out in [101, 201] {
+        for draining in [101, 201] {
             let mut rig = Rig::new();
-            rig.event(Event::MemberList(ListKind::Delta, vec![Member { lifecycle, ..member(out) }]));
+            rig.event(Event::MemberList(ListKind::Delta, vec![Member { lifecycle, ..member(draining) }]));
             for object in 0..60 {
-                let (id, cache) = rig.ask_and_miss(SMALL, object);
+                let (id, cache) = rig.request_and_miss(SMALL, object);
                 let fill = rig.sends()[0];
-                assert!(cache != out && fill.1 != out && fill.2 != Some(out));
+                assert!(cache != draining && fill.member != draining && fill.source != Some(draining));
                 rig.end(id, 1, cache, AttemptEnding::Served);
             }
         }
@@ -23,25 +23,28 @@
 #[test]
 fn waiters_are_not_released_to_a_draining_cache() {
     let mut rig = Rig::new();
-    let (leader, cache) = rig.ask_and_miss(SMALL, 5);
-    rig.ask_and_miss(SMALL, 5);
+    let (leader, cache) = rig.request_and_miss(SMALL, 5);
+    rig.request_and_miss(SMALL, 5);
     let draining = Member { lifecycle: Lifecycle::Draining, ..member(cache) };
     rig.event(Event::MemberList(ListKind::Delta, vec![draining]));
-    let late = rig.ask(SMALL, 5, 0);
-    assert!(rig.sends().iter().all(|s| s.1 != cache), "nor is a new request looked up where the fill runs");
+    let late = rig.request(SMALL, 5, 0);
+    assert!(
+        rig.sends().iter().all(|sent| sent.member != cache),
+        "nor is a new request looked up where the fill runs"
+    );
     rig.event(Event::ClientGone(late));
     rig.end(leader, 1, cache, AttemptEnding::Served);
     assert_eq!(rig.sends().len(), 1);
-    assert_ne!(rig.sends()[0].1, cache);
+    assert_ne!(rig.sends()[0].member, cache);
 }
 
 #[test]
 fn a_member_missing_from_a_full_list_is_gone_and_its_fills_are_retried() {
     let mut rig = Rig::new();
-    let (id, cache) = rig.ask_and_miss(SMALL, 5);
+    let (id, cache) = rig.request_and_miss(SMALL, 5);
     let left = everyone().into_iter().filter(|m| m.id != cache).collect();
     rig.event(Event::MemberList(ListKind::Full, left));
     rig.end(id, 1, cache, AttemptEnding::Reset);
-    assert!(rig.sends().iter().all(|s| s.1 != cache));
+    assert!(rig.sends().iter().all(|sent| sent.member != cache));
     assert_eq!(rig.sends().len(), 1);
 }
--- a/crates/deckproxy-control/tests/properties.rs
+++ b/crates/deckproxy-control/tests/properties.rs
@@ -45,6 +45,35 @@
     possible_run: Option<Millis>,
 }
 
+/// An attempt that a warming member got.
+struct WarmingSend {
+    member: MemberId,
+    at: Millis,
+    sending_time: Millis,
+}
+
+/// A purge of an object, or of a whole group.
+struct Purge {
+    object: Option<u64>,
+    group: u32,
+    at: Millis,
+}
+
+impl Purge {
+    fn concerns(&self, request: &Request) -> bool {
+        match self.object {
+            Some(object) => object == request.object,
+            None => self.group == request.group,
+        }
+    }
+}
+
+/// A timer that the module asked for.
+struct PendingTimer {
+    at: Millis,
+    token: u64,
+}
+
 /// The rules, checked from the outside.
 struct RulesModel {
     rig: Rig,
@@ -52,10 +81,10 @@
     ended: u32,
     accepted: u32,
     members: BTreeMap<MemberId, Member>,
-    purged: Vec<(Option<u64>, u32, Millis)>,
-    timers: Vec<(Millis, u64)>,
-    /// Sends that reached each cold member since we were told of its start: when, and their sending time.
-    warming_sends: Vec<(MemberId, Millis, f64)>,
+    purges: Vec<Purge>,
+    timers: Vec<PendingTimer>,
+    /// Sends that reached each warming member since its start was listed.
+    warming_sends: Vec<WarmingSend>,
 }
 
 impl RulesModel {
@@ -67,7 +96,7 @@
             ended: 0,
             accepted: 0,
             members,
-            purged: vec![],
+            purges: vec![],
             timers: vec![],
             warming_sends: vec![],
         }
@@ -84,11 +113,11 @@
                     self.sent(request, member, deadline, Some(source), Some(max_age));
                 }
                 Action::Reject { request, .. } => {
-                    let asked = self.pending.remove(&request).expect("rejected one that is not pending");
-                    let class = &settings().classes[asked.request.class];
+                    let pending = self.pending.remove(&request).expect("rejected one that is not pending");
+                    let class = &settings().classes[pending.request.class];
                     let harmless =
-                        class.idempotency != Idempotency::NotIdempotent || asked.possible_run.is_none();
-                    assert!(harmless && asked.in_flight.is_none(), "rejected what may have run");
+                        class.idempotency != Idempotency::NotIdempotent || pending.possible_run.is_none();
+                    assert!(harmless && pending.in_flight.is_none(), "rejected what may have run");
                     self.ended += 1;
                 }
                 Action::Fail { request } => {
@@ -105,7 +134,7 @@
                 }
                 Action::Timer { token, at } => {
                     assert!(at > self.rig.now);
-                    self.timers.push((at, token));
+                    self.timers.push(PendingTimer { at, token });
                 }
                 _ => {}
             }
@@ -121,13 +150,13 @@
         age: Option<f64>,
     ) {
         let now = self.rig.now;
-        let asked = self.pending.get_mut(&id).expect("a send for a request that has ended");
-        let r = asked.request;
+        let pending = self.pending.get_mut(&id).expect("a send for a request that has ended");
+        let r = pending.request;
         let class = &settings().classes[r.class];
-        assert!(asked.in_flight.is_none(), "two attempts at once");
-        assert!(asked.sends < settings().max_attempts);
+        assert!(pending.in_flight.is_none(), "two attempts at once");
+        assert!(pending.sends < settings().max_attempts);
         assert!(now < r.deadline && attempt_deadline > now && attempt_deadline <= r.deadline);
-        if let Some(first) = asked.possible_run {
+        if let Some(first) = pending.possible_run {
             match class.idempotency {
                 Idempotency::Idempotent => {}
                 Idempotency::Keyed => assert!(now < first + class.dedup_window, "a repeat after the window"),
@@ -144,38 +173,38 @@
                 let share = (rule.initial_share
                     + (1.0 - rule.initial_share) * (now - started) / rule.duration)
                     .min(1.0);
-                self.warming_sends.push((m, now, SIZES[r.class]));
-                let window = self
-                    .warming_sends
-                    .iter()
-                    .filter(|c| c.0 == m && c.1 > now - rule.overload_window && c.1 >= started);
-                let load: f64 = window.map(|c| c.2).sum();
+                self.warming_sends.push(WarmingSend { member: m, at: now, sending_time: SIZES[r.class] });
+                let window = self.warming_sends.iter().filter(|sent| {
+                    sent.member == m && sent.at > now - rule.overload_window && sent.at >= started
+                });
+                let load: f64 = window.map(|sent| sent.sending_time).sum();
                 // One of two routers may have the whole turn; the sum over all is tested with the rules.
                 let most = rule.overload_multiple * share * listed.weight * rule.overload_window;
                 assert!(share >= 1.0 || load <= most, "{m} pushed over: {load} of {most}");
             }
         }
-        let purges = self.purged.iter().filter(|p| p.0 == Some(r.object) || p.0.is_none() && p.1 == r.group);
+        let purges = self.purges.iter().filter(|purge| purge.concerns(&r));
         let newest = purges
-            .map(|p| p.2)
+            .map(|purge| purge.at)
             .filter(|at| now <= at + settings().purge_settle_time)
             .fold(None, |latest, at| Some(newer(latest, at)));
         if let Some(at) = newest.filter(|_| !is_origin) {
             let age = age.expect("a look-up without a bound after a purge");
             assert!(age > 0.0 && age <= now - at + 0.0011, "a copy of {age} ms may be older than the purge");
         }
-        asked.in_flight = Some(ModelAttempt { number: asked.sends, member: to, at: now, attempt_deadline });
-        asked.sends += 1;
+        pending.in_flight =
+            Some(ModelAttempt { number: pending.sends, member: to, at: now, attempt_deadline });
+        pending.sends += 1;
     }
 
     fn end(&mut self, id: RequestId, ending: AttemptEnding) {
         let now = self.rig.now;
-        let Some(asked) = self.pending.get_mut(&id) else { return };
-        let Some(in_flight) = asked.in_flight.take() else { return };
+        let Some(pending) = self.pending.get_mut(&id) else { return };
+        let Some(in_flight) = pending.in_flight.take() else { return };
         let never =
             [AttemptEnding::Rejected, AttemptEnding::ConnectFailed, AttemptEnding::Miss].contains(&ending);
-        if !never && asked.possible_run.is_none() {
-            asked.possible_run = Some(in_flight.at);
+        if !never && pending.possible_run.is_none() {
+            pending.possible_run = Some(in_flight.at);
         }
         let finished = ending == AttemptEnding::Served;
         if finished {
@@ -200,7 +229,7 @@
     fn wait(&mut self, span: Millis) {
         let end = self.rig.now + span;
         loop {
-            let timer = self.timers.iter().map(|t| t.0).fold(f64::MAX, f64::min);
+            let timer = self.timers.iter().map(|timer| timer.at).fold(f64::MAX, f64::min);
             let in_flight = self
                 .pending
                 .iter()
@@ -214,8 +243,8 @@
             if in_flight.0 <= timer {
                 self.end(in_flight.1, AttemptEnding::Timeout);
             } else {
-                let i = self.timers.iter().position(|t| t.0 == timer).unwrap();
-                let (_, token) = self.timers.remove(i);
+                let i = self.timers.iter().position(|other| other.at == timer).unwrap();
+                let PendingTimer { token, .. } = self.timers.remove(i);
                 self.event(Event::Timer(token));
             }
             self.overdue();
@@ -225,11 +254,11 @@
     }
 
     fn overdue(&self) {
-        for asked in self.pending.values() {
+        for pending in self.pending.values() {
             assert!(
-                self.rig.now <= asked.request.deadline + 0.001,
+                self.rig.now <= pending.request.deadline + 0.001,
                 "no final answer in time: {:?}",
-                asked.request
+                pending.request
             );
         }
     }
@@ -296,10 +325,10 @@
             Step::ClientLeaves(index) => {
                 let ids: Vec<RequestId> = self.pending.keys().copied().collect();
                 if let Some(id) = ids.get(usize::from(index) % ids.len().max(1)) {
-                    let asked = self.pending.remove(id).unwrap();
+                    let pending = self.pending.remove(id).unwrap();
                     self.ended += 1;
                     self.event(Event::ClientGone(*id));
-                    if let Some(in_flight) = asked.in_flight {
+                    if let Some(in_flight) = pending.in_flight {
                         let (attempt, member) = (in_flight.number, in_flight.member);
                         let (ending, elapsed, note) =
                             (AttemptEnding::Cancelled, self.rig.now - in_flight.at, FillNote::None);
@@ -333,7 +362,7 @@
                     2 => Member { started: Some(self.rig.now - 500.0), ..member(id) },
                     _ => member(id),
                 };
-                self.warming_sends.retain(|c| c.0 != id);
+                self.warming_sends.retain(|sent| sent.member != id);
                 if new.lifecycle == Lifecycle::Gone {
                     self.members.remove(&id);
                 } else {
@@ -346,7 +375,7 @@
                 let object = u64::from(object);
                 let (object, group) =
                     if whole_group { (None, (object % 2) as u32) } else { (Some(object), 0) };
-                self.purged.push((object, group, self.rig.now - age));
+                self.purges.push(Purge { object, group, at: self.rig.now - age });
                 self.event(Event::Purged { object, group, age });
             }
         }
--- a/crates/deckproxy-control/tests/purges.rs
+++ b/crates/deckproxy-control/tests/purges.rs
@@ -11,20 +11,20 @@
         let mut rig = Rig::new();
         rig.event(Event::Purged { object, group, age: 100.0 });
         let purged = rig.now - 100.0;
-        let id = rig.ask(SMALL, 5, 0);
-        let Action::Get { member, source, max_age, options, .. } = rig.acts[0] else { panic!("no bound") };
+        let id = rig.request(SMALL, 5, 0);
+        let Action::Get { member, source, max_age, options, .. } = rig.actions[0] else { panic!("no bound") };
         assert_eq!(member, source, "still only a look-up");
         assert!(!options.join && max_age > 0.0 && max_age <= rig.now - purged);
         rig.now += 40.0;
         rig.end(id, 0, member, AttemptEnding::Miss);
-        let Action::Get { max_age, source, .. } = rig.acts[0] else { panic!("no fill") };
+        let Action::Get { max_age, source, .. } = rig.actions[0] else { panic!("no fill") };
         assert!(
             PARENTS.contains(&source) && max_age > 0.0 && max_age <= rig.now - purged,
             "judged at its send"
         );
         rig.now = purged + done + 1.0;
-        rig.ask(SMALL, 5, 1);
-        assert!(matches!(rig.acts[0], Action::Lookup { .. }), "past it, copies are gone by themselves");
+        rig.request(SMALL, 5, 1);
+        assert!(matches!(rig.actions[0], Action::Lookup { .. }), "past it, copies are gone by themselves");
         // Others are not bound.
         rig.now = purged + 200.0;
         rig.event(Event::Purged { object: Some(6), group: 3, age: 0.0 });
@@ -35,8 +35,8 @@
 fn a_purge_of_this_instant_gives_a_maximum_age_above_zero() {
     let mut rig = Rig::new();
     rig.event(Event::Purged { object: Some(5), group: 7, age: 0.0 });
-    rig.ask(LARGE, 5, 0);
-    let Action::Get { max_age, .. } = rig.acts[0] else { panic!("no bound") };
+    rig.request(LARGE, 5, 0);
+    let Action::Get { max_age, .. } = rig.actions[0] else { panic!("no bound") };
     assert!(max_age >= 0.001, "0 would mean any max_age");
 }
 
@@ -46,8 +46,8 @@
     rig.event(Event::Purged { object: Some(5), group: 7, age: 0.0 });
     rig.event(Event::Purged { object: Some(5), group: 7, age: 4000.0 });
     rig.now += 50.0;
-    rig.ask(SMALL, 5, 0);
-    let Action::Get { max_age, .. } = rig.acts[0] else { panic!("no bound") };
+    rig.request(SMALL, 5, 0);
+    let Action::Get { max_age, .. } = rig.actions[0] else { panic!("no bound") };
     assert!(max_age <= 50.0);
 }
 
@@ -57,8 +57,8 @@
     s.classes[SMALL].freshness_lifetime = 30.0;
     let mut rig = Rig::with(s, everyone());
     rig.event(Event::Purged { object: Some(5), group: 7, age: 1000.0 });
-    rig.ask(SMALL, 5, 0);
-    let Action::Get { max_age, .. } = rig.acts[0] else { panic!("no bound") };
+    rig.request(SMALL, 5, 0);
+    let Action::Get { max_age, .. } = rig.actions[0] else { panic!("no bound") };
     assert!(max_age <= 30.0);
 }
 
@@ -66,7 +66,7 @@
 fn a_purge_binds_direct_attempts_to_a_parent() {
     let mut rig = Rig::with(settings(), everyone().into_iter().filter(|m| m.kind != CACHE).collect());
     rig.event(Event::Purged { object: Some(5), group: 7, age: 10.0 });
-    rig.ask(SMALL, 5, 0);
-    let Action::Get { max_age, member, .. } = rig.acts[0] else { panic!("no bound") };
+    rig.request(SMALL, 5, 0);
+    let Action::Get { max_age, member, .. } = rig.actions[0] else { panic!("no bound") };
     assert!(PARENTS.contains(&member) && max_age > 0.0 && max_age <= 10.0);
 }
--- a/crates/deckproxy-control/tests/slow_sources.rs
+++ b/crates/deckproxy-control/tests/slow_sources.rs
@@ -8,8 +8,8 @@
 fn fill_sources(rig: &mut Rig, slow: &[MemberId]) -> Vec<MemberId> {
     let mut sources = vec![];
     for object in 0..60 {
-        let (request, member) = rig.ask_and_miss(SMALL, object);
-        let Some((_, _, Some(source))) = rig.sends().first().copied() else { continue };
+        let (request, member) = rig.request_and_miss(SMALL, object);
+        let Some(SentAttempt { source: Some(source), .. }) = rig.sends().first().copied() else { continue };
         sources.push(source);
         let elapsed = if slow.contains(&source) { 2000.0 } else { 100.0 };
         rig.serve(request, 1, member, elapsed, FillNote::None);
@@ -17,21 +17,21 @@
     sources
 }
 
-/// The sources asked in a span of that length, with a fill every 20 ms that comes too late.
-fn asked_while_slow(rig: &mut Rig, span: Millis) -> Vec<MemberId> {
-    let (start, mut asked) = (rig.now, vec![]);
+/// The sources of fills within `span`, with a fill every 20 ms that takes too long.
+fn sources_while_slow(rig: &mut Rig, span: Millis) -> Vec<MemberId> {
+    let (start, mut sources) = (rig.now, vec![]);
     for object in 0.. {
         rig.now += 20.0;
         if rig.now - start > span {
-            return asked;
+            return sources;
         }
-        let (request, member) = rig.ask_and_miss(SMALL, object);
-        if let Some((_, _, Some(source))) = rig.sends().first().copied() {
-            asked.push(source);
+        let (request, member) = rig.request_and_miss(SMALL, object);
+        if let Some(SentAttempt { source: Some(source), .. }) = rig.sends().first().copied() {
+            sources.push(source);
             rig.serve(request, 1, member, 2000.0, FillNote::None);
         }
     }
-    asked
+    sources
 }
 
 #[test]
@@ -42,8 +42,8 @@
         let objects: Vec<u64> = (500..700).filter(|o| rig.home_of(*o) == 101).take(4).collect();
         let mut away = 0;
         for object in objects {
-            rig.ask(LARGE, object, 0);
-            away += u32::from(rig.sends()[0].1 != 101);
+            rig.request(LARGE, object, 0);
+            away += u32::from(rig.sends()[0].member != 101);
         }
         away
     };
@@ -74,8 +74,8 @@
     let mut rig = Rig::new();
     let mut seen = vec![];
     for object in 0..120 {
-        let (request, member) = rig.ask_and_miss(SMALL, object);
-        let Some((_, _, Some(source))) = rig.sends().first().copied() else { continue };
+        let (request, member) = rig.request_and_miss(SMALL, object);
+        let Some(SentAttempt { source: Some(source), .. }) = rig.sends().first().copied() else { continue };
         seen.push(source);
         rig.serve(request, 1, member, if source == THE_ORIGIN { 330.0 } else { 400.0 }, FillNote::None);
     }
@@ -85,12 +85,12 @@
 /// Else the retries of many routers alone would exceed what a slow source can send.
 #[test]
 fn more_routers_retry_a_slow_source_less_often_each() {
-    let asked = |routers: u32| {
+    let parent_sends = |routers: u32| {
         let mut rig = Rig::with(Settings { routers, ..settings() }, everyone());
-        asked_while_slow(&mut rig, 4000.0);
-        asked_while_slow(&mut rig, 8000.0).iter().filter(|s| PARENTS.contains(s)).count()
+        sources_while_slow(&mut rig, 4000.0);
+        sources_while_slow(&mut rig, 8000.0).iter().filter(|s| PARENTS.contains(s)).count()
     };
-    let (few, many) = (asked(2), asked(300));
+    let (few, many) = (parent_sends(2), parent_sends(300));
     assert!(few > 20 && many < few / 4, "{few} and {many} sends in 8 s");
 }
 
@@ -98,15 +98,15 @@
 #[test]
 fn warming_parents_without_budget_do_not_block_retries_of_a_slow_origin() {
     let mut rig = Rig::with(Settings { routers: 20, ..settings() }, everyone());
-    asked_while_slow(&mut rig, 8000.0);
+    sources_while_slow(&mut rig, 8000.0);
     let now = rig.now;
-    let cold = |m: Member| Member { started: PARENTS.contains(&m.id).then_some(now), ..m };
-    rig.event(Event::MemberList(ListKind::Full, everyone().into_iter().map(cold).collect()));
+    let warming = |m: Member| Member { started: PARENTS.contains(&m.id).then_some(now), ..m };
+    rig.event(Event::MemberList(ListKind::Full, everyone().into_iter().map(warming).collect()));
     let (mut at_parents, mut at_origin) = (0, 0);
     for object in 1000..1300 {
         rig.now += 20.0;
-        let (request, member) = rig.ask_and_miss(SMALL, object);
-        if let Some((_, _, Some(source))) = rig.sends().first().copied() {
+        let (request, member) = rig.request_and_miss(SMALL, object);
+        if let Some(SentAttempt { source: Some(source), .. }) = rig.sends().first().copied() {
             let slow = source == THE_ORIGIN;
             (at_parents, at_origin) = (at_parents + u32::from(!slow), at_origin + u32::from(slow));
             rig.serve(request, 1, member, if slow { 2000.0 } else { 100.0 }, FillNote::None);
@@ -119,17 +119,17 @@
 #[test]
 fn slow_sources_are_retried_and_one_good_answer_restores_them() {
     let mut rig = Rig::new();
-    let ask = |rig: &mut Rig, object, elapsed| {
+    let send_request = |rig: &mut Rig, object, elapsed| {
         rig.now += 20.0;
-        let (request, member) = rig.ask_and_miss(SMALL, object);
+        let (request, member) = rig.request_and_miss(SMALL, object);
         let sent = !rig.sends().is_empty();
         if sent {
             rig.serve(request, 1, member, elapsed, FillNote::None);
         }
         sent
     };
-    let slow = (0..200).filter(|object| ask(&mut rig, *object, 1300.0)).count();
+    let slow = (0..200).filter(|object| send_request(&mut rig, *object, 1300.0)).count();
     assert!(slow < 40, "{slow}");
-    let quick: Vec<bool> = (200..400).map(|object| ask(&mut rig, object, 30.0)).collect();
-    assert!(quick[60..].iter().all(|sent| *sent), "asked again within a second");
+    let quick: Vec<bool> = (200..400).map(|object| send_request(&mut rig, object, 30.0)).collect();
+    assert!(quick[60..].iter().all(|sent| *sent), "used again within a second");
 }
--- a/crates/deckproxy-control/tests/slow_start.rs
+++ b/crates/deckproxy-control/tests/slow_start.rs
@@ -8,8 +8,8 @@
 
 const STARTED: Millis = 900.0;
 
-/// What a member can take by these settings.
-fn bears(member: &Member, rule: SlowStart) -> SlowStartLimits {
+/// The load that a member can bear by these settings.
+fn load_limits(member: &Member, rule: SlowStart) -> SlowStartLimits {
     SlowStartLimits {
         started_ms: STARTED,
         capacity: member.weight,
@@ -20,20 +20,20 @@
     }
 }
 
-/// Routers of one location, of unequal traffic, with one cold member among those that serve it.
+/// Routers of one location, of unequal traffic, with one warming member among those that serve it.
 struct Fleet {
     rigs: Vec<Rig>,
-    told: Settings,
-    cold: Member,
-    judge: SlowStartChecker,
+    settings: Settings,
+    warming: Member,
+    checker: SlowStartChecker,
     object: u64,
 }
 
 impl Fleet {
-    fn of(routers: u32, cold: Member) -> Fleet {
+    fn of(routers: u32, warming: Member) -> Fleet {
         let set = settings();
         let (cache_slow_start, parent_slow_start) = (slow(set.cache_slow_start), slow(set.parent_slow_start));
-        let told = Settings {
+        let settings = Settings {
             routers,
             zone_routers: vec![0, 0, routers],
             cache_slow_start,
@@ -41,48 +41,48 @@
             ..set
         };
         let rigs = (0..routers)
-            .map(|position| Rig::with(Settings { position, ..told.clone() }, Self::others(&cold)))
+            .map(|position| Rig::with(Settings { position, ..settings.clone() }, Self::others(&warming)))
             .collect();
-        Fleet { rigs, told, cold, judge: SlowStartChecker::default(), object: 10_000 }
+        Fleet { rigs, settings, warming, checker: SlowStartChecker::default(), object: 10_000 }
     }
 
-    /// Where the member is a cache, another takes what it does not; its parents are warm, or it is the only
+    /// Where the member is a cache, another takes what it rejects; its parents are warm, or it is the only
     /// one.
-    fn others(cold: &Member) -> Vec<Member> {
+    fn others(warming: &Member) -> Vec<Member> {
         let all = [member(101), member(102), member(201), member(301)];
-        all.into_iter().filter(|m| m.kind != cold.kind || m.id != cold.id && m.kind == CACHE).collect()
+        all.into_iter().filter(|m| m.kind != warming.kind || m.id != warming.id && m.kind == CACHE).collect()
     }
 
     fn at(&mut self, now: Millis) {
         self.rigs.iter_mut().for_each(|rig| rig.now = now);
     }
 
-    fn tell(&mut self, i: usize) {
-        let cold = self.cold;
-        self.rigs[i].event(Event::MemberList(ListKind::Delta, vec![cold]));
+    fn notify(&mut self, i: usize) {
+        let warming = self.warming;
+        self.rigs[i].event(Event::MemberList(ListKind::Delta, vec![warming]));
     }
 
-    /// The process is started again: it knows the list, and nothing of what it sent.
+    /// The process restarts: it knows the member list, but nothing of what it sent before.
     fn restart(&mut self, i: usize) {
-        let mut list = Self::others(&self.cold);
-        list.push(self.cold);
+        let mut list = Self::others(&self.warming);
+        list.push(self.warming);
         let now = self.rigs[i].now;
         let position = u32::try_from(i).unwrap();
-        let mut rig = Rig::with(Settings { position, ..self.told.clone() }, Vec::new());
+        let mut rig = Rig::with(Settings { position, ..self.settings.clone() }, Vec::new());
         rig.now = now;
         rig.event(Event::MemberList(ListKind::Cached, list));
         self.rigs[i] = rig;
     }
 
     /// One request through a router, with all its attempts; a parent's fills count.
-    fn ask(&mut self, i: usize) {
+    fn request(&mut self, i: usize) {
         self.object += 1;
         let class = if self.object.is_multiple_of(3) { LARGE } else { SMALL };
-        let id = self.rigs[i].ask(class, self.object, 0);
+        let id = self.rigs[i].request(class, self.object, 0);
         let mut attempt = 0;
-        while let Some((_, to, source)) = self.rigs[i].sends().first().copied() {
-            if to == self.cold.id || source == Some(self.cold.id) {
-                self.judge.record_call(self.rigs[i].now, SIZES[class]);
+        while let Some(SentAttempt { member: to, source, .. }) = self.rigs[i].sends().first().copied() {
+            if to == self.warming.id || source == Some(self.warming.id) {
+                self.checker.record_call(self.rigs[i].now, SIZES[class]);
             }
             let fills = source.is_some_and(|s| s != to);
             self.rigs[i].end(
@@ -103,26 +103,26 @@
 
 /// A small cache and a small parent: all routers together have more than a handful of calls only in sum.
 fn cases() -> [(Member, SlowStart); 2] {
-    let cold = |id, weight| Member { started: Some(STARTED), weight, ..member(id) };
+    let warming = |id, weight| Member { started: Some(STARTED), weight, ..member(id) };
     [
-        (cold(101, 0.8), slow(settings().cache_slow_start)),
-        (cold(201, 1.5), slow(settings().parent_slow_start)),
+        (warming(101, 0.8), slow(settings().cache_slow_start)),
+        (warming(201, 1.5), slow(settings().parent_slow_start)),
     ]
 }
 
-/// 24 routers, the busiest with twelve times the traffic of the quietest. Some hear of the member late, some
-/// start again within the ramp, there is a lull, and after it all ask at once.
+/// 24 routers, the busiest with twelve times the traffic of the quietest. Some are notified of the member late,
+/// some restart during its slow start, there is a lull, and after it all send requests at once.
 #[test]
 fn twenty_four_routers_keep_a_slow_start_budget_through_lulls_surges_and_restarts() {
-    for (cold, rule) in cases() {
-        let mut fleet = Fleet::of(24, cold);
+    for (warming, rule) in cases() {
+        let mut fleet = Fleet::of(24, warming);
         for step in 0..8000_u32 {
             let now = 1000.0 + 20.0 * f64::from(step);
             fleet.at(now);
             let lull = (800..4000).contains(&step) || (4300..7000).contains(&step);
             for i in 0..24_usize {
                 if step == 20 * (u32::try_from(i).unwrap() % 5) {
-                    fleet.tell(i);
+                    fleet.notify(i);
                 }
                 if (step == 700 || step == 3999) && i % 4 == 1 {
                     fleet.restart(i);
@@ -130,60 +130,60 @@
                 let every = 6 + 6 * u32::try_from(i).unwrap() % 72;
                 let surge = step == 4000 || step == 7000;
                 if !lull && (surge || (step + u32::try_from(i).unwrap()).is_multiple_of(every)) {
-                    (0..if surge { 40 } else { 1 }).for_each(|_| fleet.ask(i));
+                    (0..if surge { 40 } else { 1 }).for_each(|_| fleet.request(i));
                 }
             }
         }
-        assert_eq!(fleet.judge.first_overload(bears(&cold, rule)), None, "{}", cold.id);
-        // It is used: a tenth at least of what it bears at its slowest, but for the lulls.
-        let least = 0.1 * rule.overload_multiple * rule.initial_share * cold.weight * 42_000.0;
-        assert!(fleet.judge.total_work_ms() > least, "{}: {}", cold.id, fleet.judge.total_work_ms());
+        assert_eq!(fleet.checker.first_overload(load_limits(&warming, rule)), None, "{}", warming.id);
+        // It is used: a tenth at least of what it can bear at its slowest, but for the lulls.
+        let least = 0.1 * rule.overload_multiple * rule.initial_share * warming.weight * 42_000.0;
+        assert!(fleet.checker.total_work_ms() > least, "{}: {}", warming.id, fleet.checker.total_work_ms());
     }
 }
 
 /// Saved turns of 24 routers would all come at once.
 #[test]
 fn a_lull_saves_no_budget_for_the_surge_after_it() {
-    for (cold, rule) in cases() {
-        let mut fleet = Fleet::of(24, cold);
+    for (warming, rule) in cases() {
+        let mut fleet = Fleet::of(24, warming);
         fleet.at(1000.0);
-        (0..24).for_each(|i| fleet.tell(i));
+        (0..24).for_each(|i| fleet.notify(i));
         fleet.at(41_000.0);
         for _ in 0..40 {
-            (0..24).for_each(|i| fleet.ask(i));
+            (0..24).for_each(|i| fleet.request(i));
         }
-        assert_eq!(fleet.judge.first_overload(bears(&cold, rule)), None, "{}", cold.id);
+        assert_eq!(fleet.checker.first_overload(load_limits(&warming, rule)), None, "{}", warming.id);
     }
 }
 
 /// Each router may have spent its turn just before its restart.
 #[test]
 fn a_fleet_restarted_within_a_window_has_no_second_budget() {
-    for (cold, rule) in cases() {
-        let mut fleet = Fleet::of(24, cold);
+    for (warming, rule) in cases() {
+        let mut fleet = Fleet::of(24, warming);
         fleet.at(1000.0);
-        (0..24).for_each(|i| fleet.tell(i));
+        (0..24).for_each(|i| fleet.notify(i));
         for step in 0..1200 {
             fleet.at(1000.0 + 5.0 * f64::from(step));
             if step % 30 == 29 {
                 (0..24).for_each(|i| fleet.restart(i));
             }
-            (0..24).for_each(|i| fleet.ask(i));
+            (0..24).for_each(|i| fleet.request(i));
         }
-        assert_eq!(fleet.judge.first_overload(bears(&cold, rule)), None, "{}", cold.id);
+        assert_eq!(fleet.checker.first_overload(load_limits(&warming, rule)), None, "{}", warming.id);
     }
 }
 
 /// It is empty: a look-up would be a miss and weigh as much as the fill.
 #[test]
 fn a_cache_that_warms_up_is_asked_for_a_fill_at_once() {
-    let cold = |m: Member| Member { started: (m.id == CACHES[0]).then_some(0.0), ..m };
-    let mut rig = Rig::with(settings(), everyone().into_iter().map(cold).collect());
+    let warming = |m: Member| Member { started: (m.id == CACHES[0]).then_some(0.0), ..m };
+    let mut rig = Rig::with(settings(), everyone().into_iter().map(warming).collect());
     let mut fills = 0;
     for object in 0..200 {
         rig.now += 20.0;
-        let id = rig.ask(SMALL, object, 0);
-        let (_, at, source) = rig.sends()[0];
+        let id = rig.request(SMALL, object, 0);
+        let SentAttempt { member: at, source, .. } = rig.sends()[0];
         assert_eq!(source.is_some(), at == CACHES[0], "the others are looked up at first");
         fills += u32::from(source.is_some());
         rig.end(id, 0, at, AttemptEnding::Served);
--- a/crates/deckproxy-control/tests/slow_start_budget.rs
+++ b/crates/deckproxy-control/tests/slow_start_budget.rs
@@ -4,6 +4,18 @@
 use common::*;
 use deckproxy_control::interface::*;
 
+/// A call that reached a warming member.
+struct Call {
+    at: Millis,
+    sending_time: Millis,
+}
+
+/// The load of the calls within the overload window that ends at `end`.
+fn load_until(calls: &[Call], end: Millis, rule: SlowStart) -> f64 {
+    let in_window = |call: &&Call| call.at <= end && call.at > end - rule.overload_window;
+    calls.iter().filter(in_window).map(|call| call.sending_time).sum()
+}
+
 /// Sends as many requests as it can for ten seconds and returns when each reached the member, as target or
 /// as source.
 fn sends_under_pressure(rig: &mut Rig, id: MemberId, class: usize) -> Vec<Millis> {
@@ -12,9 +24,9 @@
     let mut object = 1000;
     while rig.now < end {
         object += 1;
-        let request = rig.ask(class, object, 0);
+        let request = rig.request(class, object, 0);
         let mut attempt = 0;
-        while let Some((_, to, source)) = rig.sends().first().copied() {
+        while let Some(SentAttempt { member: to, source, .. }) = rig.sends().first().copied() {
             if to == id || source == Some(id) {
                 times.push(rig.now);
             }
@@ -33,8 +45,8 @@
         [(101, settings().cache_slow_start, 1.0), (201, settings().parent_slow_start, 2.0)]
     {
         for class in [SMALL, LARGE] {
-            let cold = |m: Member| Member { started: (m.id == id).then_some(900.0), ..m };
-            let mut rig = Rig::with(settings(), everyone().into_iter().map(cold).collect());
+            let warming = |m: Member| Member { started: (m.id == id).then_some(900.0), ..m };
+            let mut rig = Rig::with(settings(), everyone().into_iter().map(warming).collect());
             let times = sends_under_pressure(&mut rig, id, class);
             assert!(!times.is_empty(), "it gets its share");
             for (i, end) in times.iter().enumerate() {
@@ -54,32 +66,31 @@
 fn all_routers_together_keep_and_use_a_slow_start_budget() {
     let rule = settings().parent_slow_start;
     for (routers, weight) in [(1, 12.0), (4, 12.0), (40, 40.0), (200, 100.0), (1000, 400.0)] {
-        let told = Settings { routers, zone_routers: vec![0, 0, routers], ..settings() };
+        let settings = Settings { routers, zone_routers: vec![0, 0, routers], ..settings() };
         let parent = Member { started: Some(900.0), weight, ..member(201) };
         let list: Vec<Member> = [member(101), parent].into();
         let mut rigs: Vec<Rig> = (0..routers)
-            .map(|position| Rig::with(Settings { position, ..told.clone() }, list[..1].to_vec()))
+            .map(|position| Rig::with(Settings { position, ..settings.clone() }, list[..1].to_vec()))
             .collect();
-        let mut sent: Vec<(Millis, f64)> = vec![];
+        let mut calls: Vec<Call> = vec![];
         for step in 0..36_u32 {
             for (i, rig) in rigs.iter_mut().enumerate() {
                 rig.now = 1000.0 + 250.0 * f64::from(step);
-                // Some hear of it late.
+                // Some are notified of it late.
                 if step == 12 * (i as u32 % 3) {
                     rig.event(Event::MemberList(ListKind::Delta, vec![parent]));
                 }
                 let class = if step % 2 == 0 { SMALL } else { LARGE };
-                let (id, cache) = rig.ask_and_miss(class, 5000 + 100 * i as u64 + u64::from(step));
-                if let Some((_, _, Some(201))) = rig.sends().first() {
-                    sent.push((rig.now, SIZES[class]));
+                let (id, cache) = rig.request_and_miss(class, 5000 + 100 * i as u64 + u64::from(step));
+                if let Some(SentAttempt { source: Some(201), .. }) = rig.sends().first() {
+                    calls.push(Call { at: rig.now, sending_time: SIZES[class] });
                 }
                 rig.end(id, 1, cache, AttemptEnding::Served);
             }
         }
-        assert!(sent.len() > 4, "{routers}: it gets work, {}", sent.len());
-        for (end, _) in &sent {
-            let load: f64 =
-                sent.iter().filter(|s| s.0 <= *end && s.0 > end - rule.overload_window).map(|s| s.1).sum();
+        assert!(calls.len() > 4, "{routers}: it gets work, {}", calls.len());
+        for Call { at: end, .. } in &calls {
+            let load = load_until(&calls, *end, rule);
             let capacity = rule.initial_share + (1.0 - rule.initial_share) * (end - 900.0) / rule.duration;
             let most = rule.overload_multiple * capacity * weight * rule.overload_window;
             assert!(load <= most, "{routers}: {load} by {end} of {most}");
@@ -92,31 +103,30 @@
 fn the_routers_of_one_location_keep_and_use_a_caches_budget() {
     let rule = settings().cache_slow_start;
     for (here, weight) in [(13, 6.0), (40, 3.0)] {
-        let cold = Member { started: Some(900.0), weight, ..member(101) };
+        let warming = Member { started: Some(900.0), weight, ..member(101) };
         let mut rigs: Vec<Rig> = (100..100 + here)
             .map(|position| {
                 let zone_routers = vec![0, 0, here, 300 - here];
                 let set = Settings { position, routers: 300, zone_routers, ..settings() };
-                Rig::with(set, vec![cold, member(102), member(201)])
+                Rig::with(set, vec![warming, member(102), member(201)])
             })
             .collect();
-        let mut sent: Vec<(Millis, f64)> = vec![];
+        let mut calls: Vec<Call> = vec![];
         for step in 0..1200_u32 {
             let rig = &mut rigs[(step % here) as usize];
             rig.now = 1000.0 + 5.0 * f64::from(step);
-            let id = rig.ask(LARGE, u64::from(step), 0);
-            let (_, at, _) = rig.sends()[0];
+            let id = rig.request(LARGE, u64::from(step), 0);
+            let at = rig.sends()[0].member;
             if at == 101 {
-                sent.push((rig.now, SIZES[LARGE]));
+                calls.push(Call { at: rig.now, sending_time: SIZES[LARGE] });
             }
             rig.end(id, 0, at, AttemptEnding::Served);
         }
-        let load: f64 = sent.iter().map(|s| s.1).sum();
+        let load: f64 = calls.iter().map(|call| call.sending_time).sum();
         let least = rule.overload_multiple * rule.initial_share * weight * 6000.0;
         assert!(load > 0.3 * least, "{here}: {load} of {least}");
-        for (end, _) in &sent {
-            let load: f64 =
-                sent.iter().filter(|s| s.0 <= *end && s.0 > end - rule.overload_window).map(|s| s.1).sum();
+        for Call { at: end, .. } in &calls {
+            let load = load_until(&calls, *end, rule);
             let capacity = rule.initial_share + (1.0 - rule.initial_share) * (end - 900.0) / rule.duration;
             assert!(
                 load <= rule.overload_multiple * capacity * weight * rule.overload_window,
@@ -129,14 +139,14 @@
 /// A restarted router does not know what it sent in that window before.
 #[test]
 fn a_router_that_just_started_leaves_warming_members_alone_for_a_window() {
-    let cold = Member { started: Some(900.0), ..member(201) };
-    let mut rig = Rig::with(settings(), vec![member(101), cold]);
-    let (id, cache) = rig.ask_and_miss(SMALL, 1);
-    assert!(rig.sends().iter().all(|s| s.2 != Some(201)));
+    let warming = Member { started: Some(900.0), ..member(201) };
+    let mut rig = Rig::with(settings(), vec![member(101), warming]);
+    let (id, cache) = rig.request_and_miss(SMALL, 1);
+    assert!(rig.sends().iter().all(|sent| sent.source != Some(201)));
     rig.end(id, 1, cache, AttemptEnding::Served);
     rig.now = 2.0 * settings().parent_slow_start.overload_window;
-    rig.ask_and_miss(SMALL, 2);
-    assert_eq!(rig.sends()[0].2, Some(201));
+    rig.request_and_miss(SMALL, 2);
+    assert_eq!(rig.sends()[0].source, Some(201));
 }
 
 #[test]
@@ -162,23 +172,23 @@
 /// Else a member that comes and goes in the list would have a full budget each time.
 #[test]
 fn a_warming_member_that_leaves_and_returns_keeps_its_spent_budget() {
-    let cold = |m: Member| Member { started: (m.id == 101).then_some(900.0), ..m };
+    let warming = |m: Member| Member { started: (m.id == 101).then_some(900.0), ..m };
     for whole in [false, true] {
-        let mut rig = Rig::with(settings(), everyone().into_iter().map(cold).collect());
+        let mut rig = Rig::with(settings(), everyone().into_iter().map(warming).collect());
         let mut sent = 0;
         for object in 0..400 {
-            let id = rig.ask(SMALL, object, 0);
-            let at = rig.sends()[0].1;
+            let id = rig.request(SMALL, object, 0);
+            let at = rig.sends()[0].member;
             sent += u32::from(at == 101);
             rig.end(id, 0, at, AttemptEnding::Served);
             if whole {
                 let others = everyone().into_iter().filter(|m| m.id != 101).collect();
                 rig.event(Event::MemberList(ListKind::Full, others));
             } else {
-                let gone = Member { lifecycle: Lifecycle::Gone, ..cold(member(101)) };
+                let gone = Member { lifecycle: Lifecycle::Gone, ..warming(member(101)) };
                 rig.event(Event::MemberList(ListKind::Delta, vec![gone]));
             }
-            rig.event(Event::MemberList(ListKind::Delta, vec![cold(member(101))]));
+            rig.event(Event::MemberList(ListKind::Delta, vec![warming(member(101))]));
         }
         let rule = settings().cache_slow_start;
         let most =
