--- a/crates/deckproxy-lab/src/measure/mod.rs
+++ b/crates/deckproxy-lab/src/measure/mod.rs
@@ -1,4 +1,4 @@
-//! `decklab measure`: figures for docs/results.md, each beside a baseline in the same run.
+//! `decklab measure`: figures for docs/results.md, each compared with a baseline in the same run.
 
 mod cpu;
 mod fleet;
@@ -34,19 +34,23 @@
 enum Name {
     /// The gateway between sites.
     Sites,
-    /// The index of routes beside a plain list.
+    /// The index of routes, compared with a plain list.
     Routes,
     /// Metering and export of flows.
     Flows,
-    /// The model's queue of events beside a heap.
+    /// The model's queue of events, compared with a heap.
     Model,
-    /// A fleet's probes, bytes, time to agree, CPU.
+    /// A fleet's health checks, gossip, convergence, CPU.
     Fleet,
-    /// This build of the gateway beside another one, `--beside`: CPU a request, memory, descriptors.
+    /// This build of the gateway, compared with another one, `--beside`: CPU a request, memory, descriptors.
     Program,
 }
 
-/// Measures.
+/// Runs a measurement.
+///
+/// # Errors
+///
+/// The program to compare with is missing, or is not one.
 pub fn run(options: &Options) -> Result<ExitCode, LabError> {
     match options.name {
         Name::Sites => sites::run(options),
@@ -56,7 +60,7 @@
         Name::Fleet => fleet::run(options),
         Name::Program => {
             let other =
-                options.beside.as_deref().ok_or(LabError::argument("--beside", "a program is wanted"))?;
+                options.beside.as_deref().ok_or(LabError::argument("--beside", "a program is required"))?;
             check_program(other)?;
             cpu::run(options, other);
         }
@@ -64,7 +68,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Whether a path names a program that can be started, before anything else is.
+/// Checks that a path names a program that can be started, before anything else is.
 fn check_program(path: &Path) -> Result<(), LabError> {
     let metadata = std::fs::metadata(path).map_err(LabError::file(path))?;
     if metadata.is_file() && metadata.permissions().mode() & 0o111 != 0 {
@@ -73,10 +77,10 @@
     Err(LabError::NotExecutable { path: path.to_path_buf() })
 }
 
-/// Prints a table.
-fn show(head: &[&str], rows: &[Vec<String>]) {
+/// Prints a table with a header.
+fn show(header: &[&str], rows: &[Vec<String>]) {
     let mut table = comfy_table::Table::new();
-    table.set_header(head.iter().copied());
+    table.set_header(header.iter().copied());
     for row in rows {
         table.add_row(row.iter().cloned());
     }
