--- a/crates/deckproxy-lab/src/demo/fleet.rs
+++ b/crates/deckproxy-lab/src/demo/fleet.rs
@@ -58,7 +58,14 @@
         ),
         ("health checks of a cache, relative to one fleet's", format!("{:.2}", figures.check_ratio)),
         ("gossip of a gateway, bytes a second", format!("{:.0}", figures.bytes_per_second)),
-        ("p50 / p99, ms", format!("{:.1} / {:.1}", verdict.quantile(0, 0.5), verdict.quantile(0, 0.99))),
+        (
+            "p50 / p99, ms",
+            format!(
+                "{:.1} / {:.1}",
+                verdict.home_latencies.quantile(0.5),
+                verdict.home_latencies.quantile(0.99)
+            ),
+        ),
         ("rules broken", violations(verdict)),
     ]
 }
--- a/crates/deckproxy-lab/src/demo/site.rs
+++ b/crates/deckproxy-lab/src/demo/site.rs
@@ -7,7 +7,7 @@
 use deckproxy_standins::free_address;
 use deckproxy_standins::load_client::{Load, LoadClients};
 use deckproxy_standins::record::{Fact, Outcome, Record, Seen};
-use deckproxy_standins::rules::{self, Verdict};
+use deckproxy_standins::rules::{self, Latencies, Verdict};
 use deckproxy_standins::site::{Site, SiteConfig};
 use hdrhistogram::Histogram;
 use indicatif::{ProgressBar, ProgressStyle};
@@ -112,7 +112,8 @@
 /// The median and the 99th percentile of all latencies, ms.
 fn latency_quantiles(verdict: &Verdict) -> String {
     let mut latencies_us = Histogram::<u64>::new(3).expect("three digits are allowed");
-    for ms in verdict.latencies_ms.iter().flatten() {
+    let latencies = [&verdict.home_latencies, &verdict.cross_site_latencies];
+    for ms in latencies.into_iter().flat_map(Latencies::as_slice) {
         let _ = latencies_us.record((ms * 1000.0) as u64);
     }
     let quantile_ms = |quantile| latencies_us.value_at_quantile(quantile) as f64 / 1000.0;
--- a/crates/deckproxy-lab/src/drills/mod.rs
+++ b/crates/deckproxy-lab/src/drills/mod.rs
@@ -177,8 +177,8 @@
         "wrong_bodies": verdict.wrong_bodies, "late": verdict.late_answers, "cuts": verdict.link_cuts,
         "purges": verdict.purges,
         "home_share": round(verdict.home_served_share), "crossed_share": round(verdict.cross_site_served_share),
-        "home_p50_ms": round(verdict.quantile(0, 0.5)), "home_p99_ms": round(verdict.quantile(0, 0.99)),
-        "crossed_p50_ms": round(verdict.quantile(1, 0.5)), "crossed_p99_ms": round(verdict.quantile(1, 0.99)),
+        "home_p50_ms": round(verdict.home_latencies.quantile(0.5)), "home_p99_ms": round(verdict.home_latencies.quantile(0.99)),
+        "crossed_p50_ms": round(verdict.cross_site_latencies.quantile(0.5)), "crossed_p99_ms": round(verdict.cross_site_latencies.quantile(0.99)),
     });
     if let (Value::Object(all), Value::Object(own)) = (&mut all, report.figures) {
         all.extend(own);
--- a/crates/deckproxy-lab/src/measure/sites/crossing.rs
+++ b/crates/deckproxy-lab/src/measure/sites/crossing.rs
@@ -39,14 +39,15 @@
     for (name, site) in [("own site's", 0), ("crossing", 1)] {
         let result = pair.load(options, 800.0, &small_objects(site));
         let (verdict, cpu_ms) = (&result.verdict, result.cpu_ms);
+        let latencies = [&verdict.home_latencies, &verdict.cross_site_latencies][site as usize];
         let cpu_seconds = (cpu_ms[0] + cpu_ms[1]).max(1) as f64 / 1000.0;
         let per_cpu = verdict.served as f64 / cpu_seconds;
         served_per_cpu.push(per_cpu);
         rows.push(vec![
             name.to_string(),
             verdict.served.to_string(),
-            format!("{:.2}", verdict.quantile(site as usize, 0.5)),
-            format!("{:.2}", verdict.quantile(site as usize, 0.99)),
+            format!("{:.2}", latencies.quantile(0.5)),
+            format!("{:.2}", latencies.quantile(0.99)),
             format!("{} + {}", cpu_ms[0], cpu_ms[1]),
             format!("{per_cpu:.0}"),
         ]);
--- a/crates/deckproxy-standins/src/gateway.rs
+++ b/crates/deckproxy-standins/src/gateway.rs
@@ -1,5 +1,11 @@
 //! The process of a gateway: how it is started, signalled and measured.
 
+mod program;
+mod usage;
+
+pub use program::Program;
+pub use usage::Usage;
+
 use crate::client::Client;
 use crate::wait::{next_number, until};
 use std::io::Read;
@@ -10,32 +16,8 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// The program to start as a gateway, and its first arguments: the program that `DECKPROXY_PROGRAM` names, the lab's own
-/// program, or the gateway built beside the running test.
-///
-/// # Panics
-/// If the running program has no path.
-pub fn program() -> (PathBuf, Vec<String>) {
-    if let Some(path) = std::env::var_os("DECKPROXY_PROGRAM") {
-        return (path.into(), Vec::new());
-    }
-    let own = std::env::current_exe().expect("the running program has a path");
-    if own.file_stem().is_some_and(|name| name == "decklab") {
-        return (own, vec!["gateway".to_string()]);
-    }
-    let folder = own.parent().expect("a program is in a folder");
-    let folder = if folder.ends_with("deps") { folder.parent().unwrap_or(folder) } else { folder };
-    (folder.join("deckproxy"), Vec::new())
-}
-
-/// What a process uses.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Usage {
-    /// The greatest resident memory so far, KB.
-    pub peak_memory_kb: u64,
-    /// Open file descriptors.
-    pub descriptors: usize,
-}
+/// Bytes of the log that are read at a time.
+const READ_CHUNK: usize = 4096;
 
 /// The process of a gateway. It is killed when this is dropped, and its files are removed.
 pub struct Gateway {
@@ -45,8 +27,11 @@
     pub address: SocketAddr,
     /// Its configuration file.
     pub path: PathBuf,
+    /// Its operator file.
     operator: Option<PathBuf>,
+    /// What it has logged so far.
     log: Arc<Mutex<String>>,
+    /// The reading end of its log is to be closed.
     log_closed: Arc<AtomicBool>,
 }
 
@@ -86,15 +71,15 @@
 
     /// Starts it with a configuration file and arguments, after a shell command that sets its limits.
     pub fn spawn_with(path: &Path, address: SocketAddr, limit: &str, arguments: &[String]) -> Self {
-        Self::spawn_program(program(), path, address, limit, arguments)
+        Self::spawn_program(&Program::default(), path, address, limit, arguments)
     }
 
-    /// Like [`Gateway::spawn_with`], with another program and its first arguments.
+    /// Like [`Gateway::spawn_with`], with another program.
     ///
     /// # Panics
     /// Panics if the process cannot be started.
     pub fn spawn_program(
-        (program, first_arguments): (PathBuf, Vec<String>),
+        program: &Program,
         path: &Path,
         address: SocketAddr,
         limit: &str,
@@ -103,8 +88,8 @@
         let command = format!("{limit} && exec \"$0\" \"$@\"");
         let mut child = Command::new("sh")
             .args(["-c", &command])
-            .arg(program)
-            .args(first_arguments)
+            .arg(&program.path)
+            .args(&program.arguments)
             .args(arguments)
             .env("GW_CONFIG", path)
             .env("GW_LISTEN", address.to_string())
@@ -217,55 +202,6 @@
     }
 }
 
-/// What it uses, by /proc.
-impl Gateway {
-    /// CPU time of its event loop, ms.
-    pub fn cpu_ms(&self) -> u64 {
-        self.cpu_ns() / 1_000_000
-    }
-
-    /// CPU time of its event loop, ns.
-    ///
-    /// # Panics
-    /// Panics if the process has ended or the kernel's figures cannot be read.
-    pub fn cpu_ns(&self) -> u64 {
-        let text = self.proc_file("schedstat");
-        text.split_whitespace().next().unwrap().parse().unwrap()
-    }
-
-    /// Its memory and descriptors.
-    ///
-    /// # Panics
-    /// Panics if the process has ended or the kernel's figures cannot be read.
-    pub fn usage(&self) -> Usage {
-        let descriptors = std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count();
-        Usage { peak_memory_kb: self.memory_kb("VmHWM"), descriptors }
-    }
-
-    /// The greatest resident memory so far without the pages of the program itself, KB: a test build has twice as many
-    /// of those as the deployed one.
-    pub fn own_memory_kb(&self) -> u64 {
-        self.memory_kb("VmHWM") - self.memory_kb("RssFile")
-    }
-
-    /// A line of /proc/PID/status, KB.
-    fn memory_kb(&self, name: &str) -> u64 {
-        let status = self.proc_file("status");
-        let line = status.lines().find(|line| line.starts_with(name)).unwrap();
-        line.split_whitespace().nth(1).unwrap().parse().unwrap()
-    }
-
-    /// The state's letter in /proc/PID/stat.
-    fn state(&self) -> char {
-        let stat = self.proc_file("stat");
-        stat.rsplit(") ").next().and_then(|rest| rest.chars().next()).unwrap()
-    }
-
-    fn proc_file(&self, name: &str) -> String {
-        std::fs::read_to_string(format!("/proc/{}/{name}", self.child.id())).unwrap()
-    }
-}
-
 impl Drop for Gateway {
     fn drop(&mut self) {
         let _ = self.child.kill();
@@ -281,9 +217,10 @@
     }
 }
 
+/// Copies the log until it ends, or its reading end is to be closed.
 fn read_log(mut stderr: ChildStderr, log: &Mutex<String>, closed: &AtomicBool) {
-    let mut chunk = [0; 4096];
-    while let (false, Ok(n @ 1..)) = (closed.load(Ordering::SeqCst), stderr.read(&mut chunk)) {
-        log.lock().unwrap().push_str(&String::from_utf8_lossy(&chunk[..n]));
+    let mut chunk = [0; READ_CHUNK];
+    while let (false, Ok(length @ 1..)) = (closed.load(Ordering::SeqCst), stderr.read(&mut chunk)) {
+        log.lock().unwrap().push_str(&String::from_utf8_lossy(&chunk[..length]));
     }
 }
--- a/crates/deckproxy-standins/src/rules.rs
+++ b/crates/deckproxy-standins/src/rules.rs
@@ -1,7 +1,9 @@
 //! The five rules of the platform, judged on a record of what passed on the sockets. Nothing here asks the gateway.
 
+mod latencies;
 mod verdict;
 
+pub use latencies::Latencies;
 pub use verdict::Verdict;
 
 use crate::record::{Fact, Outcome, Seen, Stamp};
@@ -42,6 +44,7 @@
     judge.finish(end_ms)
 }
 
+/// A request of a client.
 #[derive(Debug)]
 struct Request {
     sent: f64,
@@ -56,10 +59,11 @@
     connection_lost: bool,
 }
 
+/// A purge of an object or a group.
 struct Purge {
     announced: f64,
     /// When it was made, Unix ms.
-    at: u64,
+    made: u64,
 }
 
 /// An attempt in flight.
@@ -82,8 +86,9 @@
     purged_groups: HashMap<u32, Vec<Purge>>,
     /// When a member received the latest attempt of a request.
     last_attempt: HashMap<&'a str, f64>,
-    /// Requests served: for own objects, and cross-site ones.
-    served: [usize; 2],
+    /// Cross-site requests that were served.
+    cross_site_served: usize,
+    /// When the gateway of a site was killed last.
     killed: HashMap<u32, f64>,
 }
 
@@ -120,7 +125,7 @@
             }
             Fact::PurgeAnnounced { object, group, at: made, .. } => {
                 self.verdict.purges += 1;
-                let purge = Purge { announced: at, at: *made };
+                let purge = Purge { announced: at, made: *made };
                 match object {
                     Some(object) => self.purged_objects.entry(*object).or_default().push(purge),
                     None => self.purged_groups.entry(*group).or_default().push(purge),
@@ -134,6 +139,7 @@
         }
     }
 
+    /// Describes a violation, unless many were described already.
     fn violation(&mut self, at: f64, what: &str) {
         if self.verdict.violations.len() < DESCRIBED_VIOLATIONS {
             self.verdict.violations.push(format!("{at:.0} ms: {what}"));
@@ -156,34 +162,37 @@
     fn answered(&mut self, at: f64, name: &str, outcome: Outcome) {
         let Some(request) = self.requests.get_mut(name) else { return };
         request.answers += 1;
-        let latency = at - request.sent;
-        let (answers, timeout_ms, cross_site) = (request.answers, request.timeout_ms, request.cross_site);
-        if answers > 1 {
+        let (cross_site, sent, timeout_ms) = (request.cross_site, request.sent, request.timeout_ms);
+        if request.answers > 1 {
             self.verdict.double_answers += 1;
             self.violation(at, &format!("{name}: a second answer"));
             return;
         }
-        if at > self.requests[name].sent + timeout_ms + SLACK_MS {
+        let latency = at - sent;
+        if at > sent + timeout_ms + SLACK_MS {
             self.verdict.late_answers += 1;
             self.violation(at, &format!("{name}: answered after {latency:.0} ms"));
         }
-        let kind = usize::from(cross_site);
         match outcome {
             Outcome::Served(stamp) => {
-                self.verdict.served += 1;
-                self.served[kind] += 1;
-                self.verdict.latencies_ms[kind].push(latency);
+                self.count_served(cross_site);
+                let verdict = &mut self.verdict;
+                let latencies =
+                    if cross_site { &mut verdict.cross_site_latencies } else { &mut verdict.home_latencies };
+                latencies.record(latency);
                 self.check_body(at, name, stamp);
             }
-            Outcome::Unchanged => {
-                self.verdict.served += 1;
-                self.served[kind] += 1;
-            }
+            Outcome::Unchanged => self.count_served(cross_site),
             Outcome::Rejected(_) => self.verdict.rejected += 1,
             Outcome::Failed => self.verdict.failed += 1,
         }
     }
 
+    fn count_served(&mut self, cross_site: bool) {
+        self.verdict.served += 1;
+        self.cross_site_served += usize::from(cross_site);
+    }
+
     /// Checks that a body is of the requested object, and not older than a purge.
     fn check_body(&mut self, at: f64, name: &str, stamp: Option<Stamp>) {
         let request = &self.requests[name];
@@ -196,8 +205,8 @@
         // A cross-site request is judged by the time of its answer, another by that of the attempt that brought it.
         let since = if cross_site { at } else { self.last_attempt.get(name).copied().unwrap_or(at) };
         let announced = self
-            .voided_by(self.purged_objects.get(&stamp.object), stamp, since)
-            .or_else(|| self.voided_by(self.purged_groups.get(&request.group), stamp, since));
+            .invalidated_since(self.purged_objects.get(&stamp.object), stamp, since)
+            .or_else(|| self.invalidated_since(self.purged_groups.get(&request.group), stamp, since));
         if let Some(announced) = announced {
             self.verdict.stale_after_purge += 1;
             let age = since - announced;
@@ -208,11 +217,11 @@
         }
     }
 
-    /// When the first purge was announced that makes a copy void at that time.
-    fn voided_by(&self, purges: Option<&Vec<Purge>>, stamp: Stamp, at: f64) -> Option<f64> {
+    /// When the first purge was announced that invalidates a copy at that time.
+    fn invalidated_since(&self, purges: Option<&Vec<Purge>>, stamp: Stamp, at: f64) -> Option<f64> {
         purges?
             .iter()
-            .find(|purge| purge.at > stamp.issued && purge.announced + self.limits.purge_ms + SLACK_MS < at)
+            .find(|purge| purge.made > stamp.issued && purge.announced + self.limits.purge_ms + SLACK_MS < at)
             .map(|purge| purge.announced)
     }
 
@@ -259,6 +268,7 @@
         }
     }
 
+    /// The verdict at the end of the record.
     fn finish(mut self, end: f64) -> Verdict {
         for (name, request) in std::mem::take(&mut self.requests) {
             let overdue = request.sent + request.timeout_ms + ANSWER_WAIT_MS < end;
@@ -269,9 +279,11 @@
             }
         }
         let mut verdict = self.verdict;
-        verdict.home_served_share = share(self.served[0], verdict.requests - verdict.cross_site);
-        verdict.cross_site_served_share = share(self.served[1], verdict.cross_site);
-        verdict.latencies_ms.iter_mut().for_each(|latencies| latencies.sort_by(f64::total_cmp));
+        let home_served = verdict.served - self.cross_site_served;
+        verdict.home_served_share = share(home_served, verdict.requests - verdict.cross_site);
+        verdict.cross_site_served_share = share(self.cross_site_served, verdict.cross_site);
+        verdict.home_latencies.sort();
+        verdict.cross_site_latencies.sort();
         verdict
     }
 }
--- a/crates/deckproxy-standins/src/rules/verdict.rs
+++ b/crates/deckproxy-standins/src/rules/verdict.rs
@@ -1,5 +1,7 @@
 //! What a judgement counted.
 
+use super::Latencies;
+
 /// What was counted.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Verdict {
@@ -45,8 +47,10 @@
     pub hits: usize,
     /// Fills.
     pub fills: usize,
-    /// Times from a request to its being served, ms, ascending: for own objects, and for cross-site requests.
-    pub latencies_ms: [Vec<f64>; 2],
+    /// Times from a request for an own object to its being served.
+    pub home_latencies: Latencies,
+    /// Times from a cross-site request to its being served.
+    pub cross_site_latencies: Latencies,
     /// The first few violations, in words.
     pub violations: Vec<String>,
 }
@@ -66,14 +70,4 @@
             + self.wrong_bodies
             + self.late_answers
     }
-
-    /// A quantile (0 to 1) of the latencies of own (0) or cross-site (1) requests, ms; 0 without any.
-    ///
-    /// # Panics
-    /// If `which` is over 1.
-    pub fn quantile(&self, which: usize, q: f64) -> f64 {
-        let latencies = &self.latencies_ms[which];
-        let index = ((latencies.len() as f64 - 1.0) * q).round().max(0.0) as usize;
-        latencies.get(index).copied().unwrap_or(0.0)
-    }
 }
--- a/crates/deckproxy-standins/src/site/gateways.rs
+++ b/crates/deckproxy-standins/src/site/gateways.rs
@@ -1,7 +1,7 @@
 //! The gateways of a site: their configuration and how they are started.
 
 use super::Site;
-use crate::gateway::Gateway;
+use crate::gateway::{Gateway, Program};
 use crate::gateway_setup::settings;
 use crate::wait::{next_number, until};
 use serde_json::{Value, json};
@@ -63,7 +63,7 @@
         }
         let mut gateway = match program {
             Some(program) => {
-                Gateway::spawn_program((program.into(), Vec::new()), &config_file, listen, "true", &arguments)
+                Gateway::spawn_program(&Program::new(program), &config_file, listen, "true", &arguments)
             }
             None => Gateway::spawn_with(&config_file, listen, "true", &arguments),
         };
