--- a/crates/deckproxy-adapter/src/wire/reply.rs
+++ b/crates/deckproxy-adapter/src/wire/reply.rs
@@ -25,7 +25,8 @@
 }
 
 impl Reply {
-    /// Appends one action of an instance.
+    /// Appends one action of an instance. One that names an attempt or a router that the wire has no number for is left
+    /// out.
     pub fn push(&mut self, instance: u16, action: &Action) {
         let mut record = Record::new(instance);
         match action {
@@ -39,7 +40,9 @@
                 record.code(2).u32(3, *request);
             }
             Action::Cancel { request, attempt } => {
-                record.code(3).u32(3, *request).u8(7, *attempt as u8);
+                // The settings allow no attempt whose number does not fit; another one must not be cancelled for it.
+                let Ok(attempt) = u8::try_from(*attempt) else { return };
+                record.code(3).u32(3, *request).u8(7, attempt);
             }
             Action::Timer { token, at } => {
                 record.code(4).u64(3, *token).f64(11, *at);
@@ -51,8 +54,8 @@
                 record.code(6).u32(3, *member);
             }
             Action::SendToPeer(peer, message) => {
+                let Some(peer) = encode_peer(*peer) else { return };
                 let range = self.append_to_tail(&message[..message.len().min(PEER_MESSAGE_MAX)]);
-                let peer = peer.map_or(ALL_PEERS, |position| position as u16);
                 record.code(7).u16(3, peer).range(5, &range);
             }
             Action::Log(line) => {
@@ -87,16 +90,16 @@
     }
 
     fn append_to_tail(&mut self, bytes: &[u8]) -> TailRange {
-        let offset = self.tail.len() as u32;
+        let offset = saturating_u32(self.tail.len());
         self.tail.extend_from_slice(bytes);
-        TailRange { offset, length: bytes.len() as u32 }
+        TailRange { offset, length: saturating_u32(bytes.len()) }
     }
 
     /// The complete frame, in answer to the batch of that number.
     pub fn frame(&self, number: u32) -> Vec<u8> {
         let length = self.records.len() + self.tail.len();
         let mut frame = Vec::with_capacity(HEADER_BYTES + length);
-        for word in [length as u32, self.count, number] {
+        for word in [saturating_u32(length), self.count, number] {
             frame.extend_from_slice(&word.to_le_bytes());
         }
         frame.extend_from_slice(&self.records);
@@ -105,6 +108,17 @@
     }
 }
 
+/// A router's position on the wire; none for a position that it has no number for.
+fn encode_peer(position: Option<u32>) -> Option<u16> {
+    let Some(position) = position else { return Some(ALL_PEERS) };
+    u16::try_from(position).ok().filter(|position| *position != ALL_PEERS)
+}
+
+/// A length as a field of 32 bits. The lengths in a reply are below the limit: it answers one batch, which is bounded.
+fn saturating_u32(length: usize) -> u32 {
+    u32::try_from(length).unwrap_or(u32::MAX)
+}
+
 fn option_bits(options: GetOptions) -> u8 {
     u8::from(options.join)
         | u8::from(options.cached_only) << 1
--- a/crates/deckproxy-adapter/tests/wire.rs
+++ b/crates/deckproxy-adapter/tests/wire.rs
@@ -289,3 +289,18 @@
     let count = u32::from_le_bytes(reply[4..8].try_into().unwrap());
     assert!(count >= 30_000, "each is sent or answered: {count}");
 }
+
+#[test]
+fn an_action_on_what_the_wire_has_no_number_for_is_left_out() {
+    let cancel = |attempt| Action::Cancel { request: 1, attempt };
+    assert_eq!(action(&cancel(255)).0, hex("03 0300 01000000 ff +32"));
+    let last_peer = Action::SendToPeer(Some(65_534), b"x".to_vec());
+    assert_eq!(action(&last_peer).0, hex("07 0300 feff 00000000 01000000 +27"));
+    let to_peer = |position| Action::SendToPeer(Some(position), b"x".to_vec());
+    // 65,535 stands for all routers on the wire.
+    for left_out in [cancel(256), cancel(258), to_peer(65_535), to_peer(65_536), to_peer(65_538)] {
+        let mut reply = Reply::default();
+        reply.push(3, &left_out);
+        assert_eq!(reply.frame(9), hex("00000000 00000000 09000000"), "{left_out:?}");
+    }
+}
--- a/crates/deckproxy-operator/src/fleet.rs
+++ b/crates/deckproxy-operator/src/fleet.rs
@@ -45,7 +45,8 @@
             address: self.advertised_address().parse().map_err(|_| FleetSettingsError::Address)?,
             incarnation,
             renewals: 0,
-            weight: self.weight.unwrap_or(defaults::WEIGHT) as u16,
+            // The rules allow 1000 at most.
+            weight: u16::try_from(self.weight.unwrap_or(defaults::WEIGHT)).unwrap_or(u16::MAX),
         };
         let probes = self.probes.unwrap_or_default();
         let heartbeat_interval = f64::from(self.beat_ms.unwrap_or(defaults::BEAT_MS));
--- a/crates/deckproxy-settings/src/lib.rs
+++ b/crates/deckproxy-settings/src/lib.rs
@@ -23,6 +23,8 @@
 const CONNECT_TIMEOUT: f64 = 1000.0;
 /// Window in ms over which the overload of a member that warms up is counted, where the settings do not tell.
 const OVERLOAD_WINDOW: f64 = 1000.0;
+/// Most attempts of one request. Their numbers, from 0, are one byte on the simulator's wire and in a gateway's keys.
+const MAX_ATTEMPTS: u32 = 1 << u8::BITS;
 
 /// The settings of one instance.
 #[derive(Debug)]
@@ -117,7 +119,7 @@
         purge_grace: values.number("familyInfo.obeyAfterMs", 0.0)?,
         purge_settle_time: values.number("familyInfo.clearedWithinMs", 0.0)?,
         poll_member_list: values.text("discovery") == Some("on_request"),
-        max_attempts: values.parsed("limits.sendCap")?.unwrap_or(1),
+        max_attempts: values.parsed("limits.sendCap")?.unwrap_or(1).min(MAX_ATTEMPTS),
         hedged_requests: values.flag("limits.secondCopies")?,
         cancellation: values.flag("limits.cancel")?,
         retry_after: values.flag("limits.retryAfter")?,
--- a/crates/deckproxy-settings/tests/settings.rs
+++ b/crates/deckproxy-settings/tests/settings.rs
@@ -102,3 +102,11 @@
     }
     assert!(!text.contains("unknown.key"), "{text}");
 }
+
+#[test]
+fn attempts_are_limited_to_what_their_numbers_can_tell_apart() {
+    let max_attempts =
+        |cap: u32| settings::read(&format!("limits.sendCap={cap}")).unwrap().settings.max_attempts;
+    assert_eq!([0, 1, 255, 256].map(max_attempts), [0, 1, 255, 256]);
+    assert_eq!([257, 300, u32::MAX].map(max_attempts), [256; 3]);
+}
--- a/crates/deckproxy-sites/src/lib.rs
+++ b/crates/deckproxy-sites/src/lib.rs
@@ -29,3 +29,8 @@
 
 /// A connection, by the caller's number.
 pub type ConnectionId = u64;
+
+/// A number, a length or an offset as a field of 32 bits. Where one may be over the limit, the limit stands for it.
+fn saturating_u32(number: usize) -> u32 {
+    u32::try_from(number).unwrap_or(u32::MAX)
+}
--- a/crates/deckproxy-sites/src/requester/mod.rs
+++ b/crates/deckproxy-sites/src/requester/mod.rs
@@ -32,7 +32,7 @@
 };
 
 use crate::frame::Hello;
-use crate::{LinkLimits, Millis};
+use crate::{LinkLimits, Millis, saturating_u32};
 use crossing::{CollapseKey, Crossing, CrossingId};
 use endpoint::Endpoint;
 use queue::{CrossingQueue, TimeKey};
@@ -111,7 +111,7 @@
         Hello {
             session: endpoint.session,
             next_attempt: endpoint.next_attempt,
-            credit_window: self.limits.credit_window as u32,
+            credit_window: saturating_u32(self.limits.credit_window),
             resume_timeout: self.limits.resume_timeout as u32,
             ..hello
         }
--- a/crates/deckproxy-sites/src/requester/responses.rs
+++ b/crates/deckproxy-sites/src/requester/responses.rs
@@ -5,7 +5,7 @@
 use super::types::{Effect, Reply};
 use crate::frame::{BodyChunk, Outcome, Payload, ResponseHead, WindowUpdate};
 use crate::purges::PurgeLog;
-use crate::{ConnectionId, Millis};
+use crate::{ConnectionId, Millis, saturating_u32};
 use bytes::Bytes;
 
 /// Largest body that is accepted, bytes.
@@ -182,5 +182,5 @@
         return None;
     }
     attempt.credit_limit = received + window;
-    Some(WindowUpdate { number: attempt.number, limit: attempt.credit_limit as u32 })
+    Some(WindowUpdate { number: attempt.number, limit: saturating_u32(attempt.credit_limit) })
 }
--- a/crates/deckproxy-sites/src/responder/responses.rs
+++ b/crates/deckproxy-sites/src/responder/responses.rs
@@ -4,7 +4,7 @@
 use super::session::{AttemptProgress, SessionKey};
 use super::types::Effect;
 use crate::frame::{BodyChunk, Payload, ResponseHead, WindowUpdate};
-use crate::{ConnectionId, Millis};
+use crate::{ConnectionId, Millis, saturating_u32};
 
 impl Responder {
     /// Sends the head of an attempt's response, if there is a connection for it, and queues its body from the start.
@@ -19,7 +19,7 @@
             number,
             outcome: result.outcome.into(),
             retry_after: result.retry_after,
-            body_length: result.body.len() as u32,
+            body_length: saturating_u32(result.body.len()),
             copy_age: result.issued_at.map(|at| (now - at).max(0.0)),
             tag: result.tag.clone(),
         };
@@ -46,7 +46,7 @@
             if start >= end {
                 continue;
             }
-            let chunk = BodyChunk { number, offset: start as u32, bytes: body.slice(start..end) };
+            let chunk = BodyChunk { number, offset: saturating_u32(start), bytes: body.slice(start..end) };
             response.sent = end;
             if end < body.len() {
                 peer.send_queue.push_back(number);
--- a/crates/deckproxy-sites/src/routes/table.rs
+++ b/crates/deckproxy-sites/src/routes/table.rs
@@ -5,6 +5,7 @@
 //! is one binary search over the segments' first numbers and a short walk outwards.
 
 use super::rule::RouteRule;
+use crate::saturating_u32;
 
 #[derive(Debug)]
 struct Prefix {
@@ -32,7 +33,7 @@
     /// Builds the index; the rules have passed [`super::validate`].
     pub fn new(own_site: &str, rules: Vec<RouteRule>) -> Self {
         // Outer prefixes before inner ones, and of the same prefix the rules that name a class first.
-        let mut order: Vec<u32> = (0..rules.len() as u32).collect();
+        let mut order: Vec<u32> = (0..saturating_u32(rules.len())).collect();
         order.sort_by_key(|index| {
             let rule = &rules[*index as usize];
             (rule.prefix, rule.prefix_digits, rule.class.is_none())
@@ -53,7 +54,7 @@
             }
             previous = Some(current);
             table.close_prefixes_before(first_object, &mut enclosing);
-            let number = table.prefixes.len() as u32;
+            let number = saturating_u32(table.prefixes.len());
             let outer = enclosing.last().copied();
             table.prefixes.push(Prefix { last_object, enclosing: outer, rules: vec![index] });
             table.start_segment(first_object, Some(number));
--- a/crates/deckproxy-sites/src/site/connections.rs
+++ b/crates/deckproxy-sites/src/site/connections.rs
@@ -4,7 +4,7 @@
 use super::{Peer, Site};
 use crate::close::{CloseReason, HelloError};
 use crate::frame::{Goodbye, Hello, Payload, VERSION};
-use crate::{ConnectionId, Millis};
+use crate::{ConnectionId, Millis, saturating_u32};
 
 /// Longest site name that is accepted in a hello, bytes.
 const MAX_SITE_NAME: usize = 63;
@@ -169,7 +169,7 @@
             site: self.own_site.clone(),
             peer_site: hello.site.clone(),
             session: hello.session,
-            credit_window: self.link.credit_window as u32,
+            credit_window: saturating_u32(self.link.credit_window),
             resume_timeout: self.link.resume_timeout as u32,
             ..Hello::default()
         };
