--- a/crates/deckproxy-recovery/src/retry_after.rs
+++ b/crates/deckproxy-recovery/src/retry_after.rs
@@ -72,6 +72,7 @@
             self.rng.random_range(from..=to)
         });
         self.slots[slot] += 1;
+        // The slots ahead reach to the longest retry-after time: their index is small.
         let begin = (self.first + slot as i64) as f64 * SLOT;
         let retry_after = begin + self.rng.random::<f64>() * SLOT - now;
         retry_after.clamp(min.max(SHORTEST).min(max), max)
@@ -92,7 +93,8 @@
     }
 
     fn slot_index(&self, at: Millis) -> usize {
-        ((at / SLOT).floor() as i64 - self.first).max(0) as usize
+        let slots_ahead = (at / SLOT).floor() as i64 - self.first;
+        usize::try_from(slots_ahead).unwrap_or(0)
     }
 
     /// The first slot with free capacity. A capacity of less than one client adds up over several slots.
--- a/crates/deckproxy/src/program/flows/mod.rs
+++ b/crates/deckproxy/src/program/flows/mod.rs
@@ -62,6 +62,9 @@
         let flows = operator.flows.as_ref()?;
         let (limits, collectors) = (flows.limits(), flows.reached());
         let transports: Vec<Transport> = collectors.iter().map(|(_, transport)| *transport).collect();
+        // Sequence numbers begin anywhere: a collector that remembers an earlier process sees a new beginning. Of the seed
+        // they take the lower half.
+        let first_sequence = seed as u32;
         let collect_task = tasks.add(COLLECT_TASK);
         let send_task = tasks.add(SEND_TASK);
         tasks.wake(micros(now), collect_task);
@@ -70,8 +73,7 @@
             log: log.clone(),
             collect_interval: (limits.idle * 1000 / 4).clamp(20_000, 1_000_000),
             accounting: Accounting::new(limits, classes),
-            // Sequence numbers begin anywhere: a collector that remembers an earlier process sees a new beginning.
-            exporter: Exporter::new(flows.settings(), &transports, seed as u32, now as u64),
+            exporter: Exporter::new(flows.settings(), &transports, first_sequence, now as u64),
             collectors,
             operator: flows.clone(),
             collect_task,
--- a/crates/deckproxy/src/protocol/config_migration.rs
+++ b/crates/deckproxy/src/protocol/config_migration.rs
@@ -117,7 +117,7 @@
     /// Removes a position that is not in its list any more.
     fn remove_misfit_position(&mut self, setting: &PositionSetting) {
         let PositionSetting { group, field, list } = setting;
-        let length = self.names(list).map(|names| names.len() as i64);
+        let length = self.names(list).map(|names| i64::try_from(names.len()).unwrap_or(i64::MAX));
         let settings = &mut self.config["settings"];
         let holder = match group {
             Some(group) => &mut settings[*group],
--- a/crates/deckproxy/src/protocol/downstream/encode.rs
+++ b/crates/deckproxy/src/protocol/downstream/encode.rs
@@ -58,7 +58,8 @@
 fn result(out: &mut Vec<u8>, body: usize) {
     let _ = encode::write_nil(out);
     let _ = encode::write_array_len(out, 2);
-    let _ = encode::write_bin_len(out, body as u32);
+    // Bodies are far below 2^32 bytes: members' answers are limited.
+    let _ = encode::write_bin_len(out, u32::try_from(body).unwrap_or(u32::MAX));
 }
 
 fn field(out: &mut Vec<u8>, name: &str, value: &str) {
--- a/crates/deckproxy/src/protocol/link.rs
+++ b/crates/deckproxy/src/protocol/link.rs
@@ -70,7 +70,8 @@
 pub fn encode_frame(frame: &Frame) -> Bytes {
     let length = frame.encoded_len();
     let mut bytes = BytesMut::with_capacity(LENGTH + length);
-    bytes.put_u32(length as u32);
+    // A frame is far below 2^32 bytes: a body goes in chunks.
+    bytes.put_u32(u32::try_from(length).unwrap_or(u32::MAX));
     // Fails only where the buffer is too small, which it is not.
     let _ = frame.encode(&mut bytes);
     bytes.freeze()
--- a/crates/deckproxy/src/routing/attempt_key.rs
+++ b/crates/deckproxy/src/routing/attempt_key.rs
@@ -15,9 +15,9 @@
     u64::from(request) * ATTEMPTS_PER_REQUEST + u64::from(number)
 }
 
-/// The request whose attempt has that key.
-pub(super) fn request_of(key: AttemptKey) -> RequestId {
-    (key / ATTEMPTS_PER_REQUEST) as RequestId
+/// The request whose attempt has that key; none for the key of a health check.
+pub(super) fn request_of(key: AttemptKey) -> Option<RequestId> {
+    RequestId::try_from(key / ATTEMPTS_PER_REQUEST).ok()
 }
 
 /// The key of the health check with that number.
--- a/crates/deckproxy/src/routing/attempts.rs
+++ b/crates/deckproxy/src/routing/attempts.rs
@@ -123,7 +123,7 @@
     /// An attempt has ended: its answer goes to the client, and the decision module is notified.
     pub(super) fn end_attempt(&mut self, now: f64, key: AttemptKey, result: AttemptResult) {
         let AttemptResult { ending, answer, load } = result;
-        let request = request_of(key);
+        let Some(request) = request_of(key) else { return };
         let Some(attempt) = self.requests.take_attempt(key) else { return };
         let Some(open) = self.requests.get_mut(request) else { return };
         if !never_ran(ending) {
--- a/crates/deckproxy/src/routing/requests.rs
+++ b/crates/deckproxy/src/routing/requests.rs
@@ -142,26 +142,26 @@
 
     /// The request of an attempt, also where the attempt itself has ended.
     pub(super) fn of_attempt(&self, key: AttemptKey) -> Option<&OpenRequest> {
-        self.open.get(&request_of(key))
+        self.open.get(&request_of(key)?)
     }
 
     /// An attempt that is in flight.
     pub(super) fn attempt(&self, key: AttemptKey) -> Option<&Attempt> {
-        let request = request_of(key);
+        let request = request_of(key)?;
         let attempts = &self.open.get(&request)?.in_flight;
         attempts.iter().find(|attempt| attempt_key(request, attempt.number) == key)
     }
 
     /// An attempt that is in flight, to be changed.
     pub(super) fn attempt_mut(&mut self, key: AttemptKey) -> Option<&mut Attempt> {
-        let request = request_of(key);
+        let request = request_of(key)?;
         let attempts = &mut self.open.get_mut(&request)?.in_flight;
         attempts.iter_mut().find(|attempt| attempt_key(request, attempt.number) == key)
     }
 
     /// Takes an attempt out that has ended.
     pub(super) fn take_attempt(&mut self, key: AttemptKey) -> Option<Attempt> {
-        let request = request_of(key);
+        let request = request_of(key)?;
         let attempts = &mut self.open.get_mut(&request)?.in_flight;
         let at = attempts.iter().position(|attempt| attempt_key(request, attempt.number) == key)?;
         Some(attempts.remove(at))
--- a/crates/deckproxy/tests/routing/main.rs
+++ b/crates/deckproxy/tests/routing/main.rs
@@ -1,5 +1,6 @@
 //! The router without sockets: a location of two caches, two parents and an origin.
 
+mod health_checks;
 mod member_lists;
 mod request_invariants;
 
@@ -38,6 +39,10 @@
 }
 
 fn router() -> Router {
+    router_with_health_checks(false)
+}
+
+fn router_with_health_checks(allowed: bool) -> Router {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "aimMs": 500.0, "deadlineMs": 1500.0, "effect": effect, "group": "all",
             "dedupWindowMs": 1000.0})
@@ -51,7 +56,7 @@
                 "clearedWithinMs": 6000.0, "obeyAfterMs": 1000.0, "upperColdFrom": 0.1, "upperColdMs": 5000.0},
             "rules": {"answerSlackMs": 8.0, "coldFrom": 0.2, "rampTimeMs": 5000.0, "fallMultiple": 3.0},
             "limits": {"sendCap": ATTEMPTS, "cancel": true, "connectTimeoutMs": 400.0, "retryAfter": true,
-                "maxRetryAfterMs": 500.0},
+                "maxRetryAfterMs": 500.0, "probes": allowed},
             "machineTypes": ["box", "parent", "origin"], "zones": ["hub", "edge"], "locality": 1, "groupSize": 1
         }
     });
