--- a/crates/deckproxy/tests/client_limits.rs
+++ b/crates/deckproxy/tests/client_limits.rs
@@ -169,8 +169,8 @@
     let first = gateway.client();
     site.origin.stop_reading();
     let body = vec![1u8; 48_000];
-    let mut refused = 0;
-    let mut most = (0, 0);
+    let mut rejected = 0;
+    let mut peak = (0, 0);
     for round in 0..3 {
         let mut clients: Vec<Client> = (0..70).map(|_| gateway.client()).collect();
         for (at, client) in clients.iter_mut().enumerate() {
@@ -187,16 +187,16 @@
         }
         for client in clients.iter_mut().skip(1).step_by(2) {
             for _ in 0..21 {
-                refused +=
+                rejected +=
                     usize::from(matches!(client.next_answer().1, Answer::Error(word, _) if word == "Shed"));
             }
         }
         // The program's own pages, 5 MB as deployed, are within the 32 MB too, with 3 MB to spare.
         let (memory, descriptors) = (gateway.own_memory_kb(), gateway.usage().descriptors);
-        most = (memory.max(most.0), descriptors.max(most.1));
+        peak = (memory.max(peak.0), descriptors.max(peak.1));
         assert!(memory < 24 * 1024 && descriptors <= 256, "round {round}: {memory} KB, {descriptors}");
     }
-    assert!(refused > 300, "{refused} refused, {most:?}");
+    assert!(rejected > 300, "{rejected} rejected, {peak:?}");
     drop(first);
 }
 
--- a/crates/deckproxy/tests/fleet/membership.rs
+++ b/crates/deckproxy/tests/fleet/membership.rs
@@ -33,48 +33,51 @@
     let member = run.members[0].clone();
     let middle = (run.traffic_from + run.traffic_to) / 2.0;
     let good = judge(run);
-    let spoilt = |spoil: &dyn Fn(&mut RunRecord)| {
+    let judge_with_fault = |plant_fault: &dyn Fn(&mut RunRecord)| {
         let mut copy = run.clone();
-        spoil(&mut copy);
+        plant_fault(&mut copy);
         copy.facts.sort_by(|a, b| a.at.total_cmp(&b.at));
         judge(&copy)
     };
     // An instance that continues checks which others took over.
-    let more = spoilt(&|p| {
+    let extra_checks = judge_with_fault(&|record| {
         let probe = |i: usize| Seen {
             at: middle + i as f64 * 100.0,
             fact: Fact::HealthChecked { member: member.clone() },
         };
-        p.facts.extend((0..16).map(probe));
+        record.facts.extend((0..16).map(probe));
     });
-    assert!(more.check_ratio_max >= 2.0, "{}", more.check_ratio_max);
+    assert!(extra_checks.check_ratio_max >= 2.0, "{}", extra_checks.check_ratio_max);
     // An instance that does not take over: nobody checks a member for a while.
-    let hole = spoilt(&|p| {
+    let missing_checks = judge_with_fault(&|record| {
         let within = middle - 2500.0..middle + 2500.0;
-        p.facts.retain(|s| {
+        record.facts.retain(|s| {
             !(matches!(&s.fact, Fact::HealthChecked { member: m } if *m == member) && within.contains(&s.at))
         });
     });
-    assert!(hole.coverage_gap_ms > 4000.0 && hole.coverage_gap_ms > good.coverage_gap_ms);
+    assert!(missing_checks.coverage_gap_ms > 4000.0 && missing_checks.coverage_gap_ms > good.coverage_gap_ms);
     // A gossip store with an outdated incarnation never equals the others.
-    let board =
-        spoilt(&|p| p.logs[0] = p.logs[0].replace("\"store_checksum\":\"", "\"store_checksum\":\"ff"));
+    let outdated_store = judge_with_fault(&|record| {
+        record.logs[0] = record.logs[0].replace("\"store_checksum\":\"", "\"store_checksum\":\"ff");
+    });
     assert!(good.convergence_ms.is_some());
-    assert_ne!(board.convergence_ms, good.convergence_ms);
+    assert_ne!(outdated_store.convergence_ms, good.convergence_ms);
     // An instance that considers another dead, though nothing is between them.
-    let deaf = spoilt(&|p| {
-        let last = p.logs[0].rfind("\"lost\":\"").expect("it says who is lost") + "\"lost\":\"".len();
-        p.logs[0].insert_str(last, "i2 ");
-        p.absences.iter_mut().for_each(|a| *a = deckproxy_rig::absence::Absences::default());
-        p.traffic_from = 0.0;
+    let false_death = judge_with_fault(&|record| {
+        let last = record.logs[0].rfind("\"lost\":\"").expect("it says who is lost") + "\"lost\":\"".len();
+        record.logs[0].insert_str(last, "i2 ");
+        record.absences.iter_mut().for_each(|a| *a = deckproxy_rig::absence::Absences::default());
+        record.traffic_from = 0.0;
     });
-    assert!(deaf.false_deaths > 0);
-    let unanswered = spoilt(&|p| {
-        let name = p.facts.iter().find_map(|s| match &s.fact {
+    assert!(false_death.false_deaths > 0);
+    let unanswered = judge_with_fault(&|record| {
+        let name = record.facts.iter().find_map(|s| match &s.fact {
             Fact::Answered { name, .. } => Some(name.clone()),
             _ => None,
         });
-        p.facts.retain(|s| !matches!(&s.fact, Fact::Answered { name: n, .. } if Some(n) == name.as_ref()));
+        record
+            .facts
+            .retain(|s| !matches!(&s.fact, Fact::Answered { name: n, .. } if Some(n) == name.as_ref()));
     });
     assert_eq!(unanswered.verdict.unanswered, 1);
 }
--- a/crates/deckproxy/tests/routing/member_lists.rs
+++ b/crates/deckproxy/tests/routing/member_lists.rs
@@ -13,7 +13,7 @@
 fn thousands_of_member_lists_leak_nothing() {
     let mut router = router();
     let mut now = NOW;
-    let mut most = BTreeMap::new();
+    let mut largest_sizes = BTreeMap::new();
     let listed = |id: u64, lifecycle: Lifecycle, started: f64| MemberEntry {
         id: format!("s-{id:08x}").into(),
         ..entry(0, lifecycle, Some(started))
@@ -59,12 +59,8 @@
                 n if n % 7 == 0 => {}
                 n if n % 5 == 0 => router.connection_failed(now, key, ConnectionFailure::Reset),
                 _ => {
-                    let (id, word, body) = (call.name.clone(), Status::Ok, Bytes::new());
-                    router.reply(
-                        now,
-                        key,
-                        Reply { id, status: word, load_report: Vec::new(), copy: None, body },
-                    );
+                    let (id, status, body) = (call.name.clone(), Status::Ok, Bytes::new());
+                    router.reply(now, key, Reply { id, status, load_report: Vec::new(), copy: None, body });
                 }
             }
         }
@@ -78,8 +74,8 @@
             }
         }
         for (name, size) in router.table_sizes() {
-            let seen = most.entry(name).or_insert(0);
-            *seen = size.max(*seen);
+            let largest = largest_sizes.entry(name).or_insert(0);
+            *largest = size.max(*largest);
         }
     }
     let bound = |name: &str| match name {
@@ -88,14 +84,14 @@
         "requests" | "pending_requests" | "collapsed_fills" => 150,
         _ => 64,
     };
-    assert!(most.iter().all(|(name, size)| *size <= bound(name)), "{most:?}");
+    assert!(largest_sizes.iter().all(|(name, size)| *size <= bound(name)), "{largest_sizes:?}");
     assert_eq!(router.body_bytes(), 4 * router.table_sizes().find(|s| s.0 == "requests").unwrap().1);
     assert_eq!(router.counters.broken_invariants, 0);
 }
 
-/// Where the router sends requests for many objects.
-fn asked(router: &mut Router, now: f64, from: u32) -> Vec<String> {
-    let mut out = Vec::new();
+/// The members to which the router sends requests for many objects.
+fn requested_members(router: &mut Router, now: f64, from: u32) -> Vec<String> {
+    let mut members = Vec::new();
     for n in 0..40u32 {
         let object = u64::from(n) * 0x0123_4567_89ab;
         let call = Call {
@@ -114,7 +110,7 @@
         router.request(now, 1, from + n, call);
         while let Some(effect) = router.next_effect() {
             if let Effect::SendAttempt { key, member, .. } = effect {
-                out.push(router.member_name(member).to_string());
+                members.push(router.member_name(member).to_string());
                 let reply = Reply {
                     id: "".into(),
                     status: Status::Ok,
@@ -126,45 +122,45 @@
             }
         }
     }
-    out
+    members
 }
 
-fn number(router: &Router, name: &str) -> u32 {
+fn member_id(router: &Router, name: &str) -> u32 {
     router.listed_members().find(|(_, other)| *other == name).map(|(m, _)| m.id).expect("it is listed")
 }
 
 #[test]
 fn ejected_member_gets_no_requests_and_never_exceeds_its_listed_state() {
     let mut router = router();
-    let one = number(&router, "s-1");
-    let two = number(&router, "s-2");
-    let both = asked(&mut router, NOW + 10.0, 0);
+    let first = member_id(&router, "s-1");
+    let second = member_id(&router, "s-2");
+    let both = requested_members(&mut router, NOW + 10.0, 0);
     assert!(both.iter().any(|m| m == "s-1") && both.iter().any(|m| m == "s-2"), "{both:?}");
-    router.set_ejected(NOW + 20.0, &[one]);
-    let held = asked(&mut router, NOW + 30.0, 100);
-    assert!(held.iter().all(|m| m == "s-2"), "{held:?}");
+    router.set_ejected(NOW + 20.0, &[first]);
+    let without_first = requested_members(&mut router, NOW + 30.0, 100);
+    assert!(without_first.iter().all(|m| m == "s-2"), "{without_first:?}");
     // The list has it drain; the end of its ejection does not bring it back.
-    let drains = FeedEvent::Members {
+    let drain_first = FeedEvent::Members {
         complete: false,
         entries: vec![entry(0, Lifecycle::Draining, None)],
         unreadable: 0,
     };
-    assert!(router.feed_event(NOW + 40.0, numbered(2, drains), false));
+    assert!(router.feed_event(NOW + 40.0, numbered(2, drain_first), false));
     router.set_ejected(NOW + 50.0, &[]);
-    let drained = asked(&mut router, NOW + 60.0, 200);
+    let drained = requested_members(&mut router, NOW + 60.0, 200);
     assert!(drained.iter().all(|m| m == "s-2"), "{drained:?}");
     // Updates of the list do not end an ejection.
-    router.set_ejected(NOW + 70.0, &[one, two]);
+    router.set_ejected(NOW + 70.0, &[first, second]);
     let ready = FeedEvent::Members {
         complete: true,
         entries: (0..MEMBERS.len()).map(|at| entry(at, Lifecycle::Ready, None)).collect(),
         unreadable: 0,
     };
     assert!(router.feed_event(NOW + 80.0, numbered(3, ready), false));
-    router.set_ejected(NOW + 90.0, &[one]);
-    let again = asked(&mut router, NOW + 100.0, 300);
+    router.set_ejected(NOW + 90.0, &[first]);
+    let again = requested_members(&mut router, NOW + 100.0, 300);
     assert!(again.iter().all(|m| m == "s-2"), "{again:?}");
     router.set_ejected(NOW + 110.0, &[]);
-    let both = asked(&mut router, NOW + 120.0, 400);
+    let both = requested_members(&mut router, NOW + 120.0, 400);
     assert!(both.iter().any(|m| m == "s-1"), "{both:?}");
 }
--- a/crates/deckproxy/tests/unsent_requests.rs
+++ b/crates/deckproxy/tests/unsent_requests.rs
@@ -19,7 +19,7 @@
     client.expect_served(id, b"done");
     site.origin.stop_reading();
     let body = vec![1u8; 48_000];
-    let mut refused = Vec::new();
+    let mut rejected = Vec::new();
     let mut failed = Vec::new();
     let mut clients: Vec<Client> = (0..12).map(|_| gateway.client()).collect();
     let mut names = Vec::new();
@@ -36,17 +36,17 @@
             let (id, answer) = client.next_answer();
             let name = names[usize::try_from(id).unwrap() - 1].clone();
             match answer {
-                Answer::Error(word, _) if word == "Shed" => refused.push(name),
+                Answer::Error(word, _) if word == "Shed" => rejected.push(name),
                 Answer::Error(word, _) if word == "Fault" => failed.push(name),
                 other => panic!("{other:?}"),
             }
         }
     }
-    assert!(refused.len() > 50 && failed.len() > 5, "{} refused, {} failed", refused.len(), failed.len());
+    assert!(rejected.len() > 50 && failed.len() > 5, "{} rejected, {} failed", rejected.len(), failed.len());
     // When it reads on, nothing that was rejected is among what the kernel had buffered.
     site.origin.resume_reading();
     while let Some(request) = site.origin.request_if_any() {
-        assert!(failed.contains(&request.id), "{} was refused and yet came", request.id);
+        assert!(failed.contains(&request.id), "{} was rejected and yet arrived", request.id);
     }
 }
 
