--- a/crates/deckproxy-fleet/src/gossip_store/entry.rs
+++ b/crates/deckproxy-fleet/src/gossip_store/entry.rs
@@ -60,6 +60,11 @@
     pub fn is_expired(&self, now: Millis) -> bool {
         now - self.written_at >= f64::from(self.ttl)
     }
+
+    /// Time until it expires, in milliseconds.
+    pub(super) fn expires_in(&self, now: Millis) -> Millis {
+        self.written_at + f64::from(self.ttl) - now
+    }
 }
 
 /// A live entry as [`super::GossipStore::entries_of_kind`] yields it.
@@ -71,6 +76,8 @@
     pub subject: &'a Name,
     /// Time since it was written, in milliseconds.
     pub age: Millis,
+    /// Time until it expires, in milliseconds.
+    pub expires_in: Millis,
     /// Its value.
     pub value: &'a [u8],
 }
--- a/crates/deckproxy-fleet/src/gossip_store/mod.rs
+++ b/crates/deckproxy-fleet/src/gossip_store/mod.rs
@@ -120,7 +120,7 @@
         own.version += 1;
         // An instance that has only the previous entry must not keep that for longer than others keep this one.
         let previous = own.entries.get(&key);
-        let left = previous.map_or(0.0, |old| old.written_at + f64::from(old.ttl) - now);
+        let left = previous.map_or(0.0, |old| old.expires_in(now));
         let ttl = ttl.max(left.max(0.0).ceil() as u32);
         own.entries.insert(key, Entry { version: own.version, written_at: now, ttl, value });
         true
@@ -208,5 +208,6 @@
 
 fn view<'a>(now: Millis, author: &'a Name, key: &'a Key, entry: &'a Entry) -> Option<EntryView<'a>> {
     let value = entry.value.as_deref().filter(|_| !entry.is_expired(now))?;
-    Some(EntryView { author, subject: &key.subject, age: now - entry.written_at, value })
+    let (age, expires_in) = (now - entry.written_at, entry.expires_in(now));
+    Some(EntryView { author, subject: &key.subject, age, expires_in, value })
 }
--- a/crates/deckproxy-fleet/src/overload/coordination.rs
+++ b/crates/deckproxy-fleet/src/overload/coordination.rs
@@ -56,7 +56,7 @@
         }
         self.restore_restarted(now, presence);
         self.merge_rejections(now, presence, store);
-        self.enforce_shared_level(now, presence, store);
+        writes.extend(self.enforce_shared_level(now, presence, store));
         if let Some(batch) = self.rejected.next_batch(now) {
             let ttl = (self.settings.max_retry_after + LATE_TOLERANCE).min(LONGEST_BATCH_TTL) as u32;
             let subject = (batch.number % BATCH_SLOTS).to_string().into();
@@ -69,15 +69,22 @@
         writes
     }
 
-    /// The level to announce where this instance is the leader; where it is not any more, that is withdrawn.
+    /// The level to announce where this instance is the leader. Where another one is, a level that this instance has
+    /// announced is withdrawn, but not before the leader has decided: it may have just started.
     fn lead(&mut self, now: Millis, presence: &Presence, store: &GossipStore) -> Option<StoreWrite> {
         let key = Key::of_kind(kinds::SHED_LEVEL);
-        let was_leader = std::mem::replace(&mut self.is_leader, is_leader(presence));
+        let Some(leader) = leader(presence) else {
+            self.is_leader = false;
+            return None;
+        };
+        let was_leader = std::mem::replace(&mut self.is_leader, presence.is_own(leader));
         if self.is_leader {
             let level = self.decide(now, presence, store, was_leader);
             return Some(StoreWrite::new(key, SHED_LEVEL_TTL, &level));
         }
-        was_leader.then_some(StoreWrite { key, ttl: SHED_LEVEL_TTL, value: None })
+        let announces = |author: &Name| store.read(now, author, &key).is_some();
+        let is_replaced = presence.own.as_ref().is_some_and(announces) && announces(leader);
+        is_replaced.then_some(StoreWrite { key, ttl: SHED_LEVEL_TTL, value: None })
     }
 
     fn decide(
@@ -157,25 +164,47 @@
         }
     }
 
-    /// Enforces the strictest of the levels in the store. With a stale view the level in force stays.
-    fn enforce_shared_level(&mut self, now: Millis, presence: &Presence, store: &GossipStore) {
-        if presence.is_stale {
-            return;
+    /// Enforces the strictest of the levels in the store. After a pause the level in force stays while the view is stale; a
+    /// process that has just started has none to keep.
+    ///
+    /// Where the store has none any more before the level in force has expired, its author was restarted and has forgotten
+    /// it: it stays in force, and is announced in the author's place.
+    fn enforce_shared_level(
+        &mut self,
+        now: Millis,
+        presence: &Presence,
+        store: &GossipStore,
+    ) -> Option<StoreWrite> {
+        if presence.is_stale && self.has_been_fresh {
+            return None;
         }
+        self.has_been_fresh = !presence.is_stale;
         let is_present = |author: &Name| presence.is_own(author) || presence.has_other(author);
         // The level of a leader that is lost stays in force until another one has decided. The own level is in the store,
         // too, and has no precedence.
         let shared = strictest(now, store, is_present).or_else(|| strictest(now, store, |_| true));
-        let none = ShedLevel { epoch: self.level.epoch, ..ShedLevel::default() };
-        let shared = shared.unwrap_or(DatedShedLevel { level: none, epoch_began: self.epoch_began });
-        self.enforce(now, shared);
+        if shared.is_none() && self.level.sheds() && now < self.level_expires_at {
+            return Some(self.announce_again(now));
+        }
+        let level = ShedLevel { epoch: self.level.epoch, ..ShedLevel::default() };
+        let none = DatedShedLevel { level, epoch_began: self.epoch_began, expires_at: now };
+        self.enforce(now, shared.unwrap_or(none));
+        None
+    }
+
+    /// Announces the level in force, with the epoch's present age and the time that the level has left.
+    fn announce_again(&self, now: Millis) -> StoreWrite {
+        let level = ShedLevel { epoch_age: (now - self.epoch_began) as u16, ..self.level };
+        let ttl = (self.level_expires_at - now).ceil() as u32;
+        StoreWrite::new(Key::of_kind(kinds::SHED_LEVEL), ttl, &level)
     }
 
     fn enforce(&mut self, now: Millis, shared: DatedShedLevel) {
-        let DatedShedLevel { level, epoch_began } = shared;
+        let DatedShedLevel { level, epoch_began, expires_at } = shared;
         if level.epoch != self.level.epoch {
             self.epoch_began = epoch_began;
         }
+        self.level_expires_at = expires_at;
         let own = self.counter.summary();
         for (resource, retry_share) in self.retry_shares.iter_mut().enumerate() {
             let Some(line) = level.lines[resource] else {
@@ -207,13 +236,14 @@
     factors
 }
 
-/// Whether this instance decides for those that hear each other: by rendezvous, without an exchange.
-fn is_leader(presence: &Presence) -> bool {
-    let Some(own) = &presence.own else { return false };
-    let candidate = |name: &Name| Candidate { name: name.clone(), zone: Name::from(""), weight: 1 };
+/// The instance that decides for those that hear each other: by rendezvous, without an exchange. `None` where no own name
+/// is known.
+fn leader(presence: &Presence) -> Option<&Name> {
     let others = presence.others.iter().map(|other| &other.name);
-    let candidates: Vec<Candidate> = std::iter::once(own).chain(others).map(candidate).collect();
-    observers("overload", "", &candidates, 1) == [0]
+    let names: Vec<&Name> = std::iter::once(presence.own.as_ref()?).chain(others).collect();
+    let candidate = |name: &&Name| Candidate { name: Name::clone(name), zone: Name::from(""), weight: 1 };
+    let candidates: Vec<Candidate> = names.iter().map(candidate).collect();
+    observers("overload", "", &candidates, 1).first().map(|index| names[*index])
 }
 
 /// The strictest of the levels that some authors have decided.
@@ -221,7 +251,8 @@
     let entries = store.entries_of_kind(now, kinds::SHED_LEVEL);
     let levels = entries.filter(|entry| counts(entry.author)).filter_map(|entry| {
         let level: ShedLevel = postcard::from_bytes(entry.value).ok()?;
-        Some(DatedShedLevel { level, epoch_began: now - entry.age - f64::from(level.epoch_age) })
+        let epoch_began = now - entry.age - f64::from(level.epoch_age);
+        Some(DatedShedLevel { level, epoch_began, expires_at: now + entry.expires_in })
     });
     levels.reduce(DatedShedLevel::combine)
 }
--- a/crates/deckproxy-fleet/src/overload/mod.rs
+++ b/crates/deckproxy-fleet/src/overload/mod.rs
@@ -66,6 +66,10 @@
     level: ShedLevel,
     /// When its epoch began.
     epoch_began: Millis,
+    /// Until when it stays in force where the store has no level.
+    level_expires_at: Millis,
+    /// The view has been fresh since the start of the process.
+    has_been_fresh: bool,
     /// Retries that are admitted while load is shed, by resource.
     retry_shares: [RetryShare; RESOURCES],
     /// Retries that are admitted while no load is shed.
@@ -108,6 +112,8 @@
             next_look: now,
             level: ShedLevel::default(),
             epoch_began: now,
+            level_expires_at: now,
+            has_been_fresh: false,
             retry_shares: [RetryShare::none(now); RESOURCES],
             retry_budget: Budget::new(settings.retry_budget),
             rejected: RejectedRequests::new(settings.remembered, remembered_for),
--- a/crates/deckproxy-fleet/src/overload/shed_level.rs
+++ b/crates/deckproxy-fleet/src/overload/shed_level.rs
@@ -49,21 +49,28 @@
     }
 }
 
-/// A shed level with the beginning of its epoch on the clock of this instance.
+/// A shed level with its times on the clock of this instance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DatedShedLevel {
     /// The level.
     pub level: ShedLevel,
     /// When its epoch began.
     pub epoch_began: Millis,
+    /// Until when it is in force, unless another one is decided.
+    pub expires_at: Millis,
 }
 
 impl DatedShedLevel {
-    /// Combines two decisions: the epoch of the later one, and the stricter line at each resource.
+    /// Combines two decisions: the epoch of the later one, and the stricter line at each resource. Both are in force until
+    /// the last of them expires.
     #[must_use]
     pub fn combine(self, other: DatedShedLevel) -> DatedShedLevel {
         let (later, earlier) =
             if self.level.epoch < other.level.epoch { (other, self) } else { (self, other) };
-        DatedShedLevel { level: later.level.stricter(&earlier.level), epoch_began: later.epoch_began }
+        DatedShedLevel {
+            level: later.level.stricter(&earlier.level),
+            epoch_began: later.epoch_began,
+            expires_at: later.expires_at.max(earlier.expires_at),
+        }
     }
 }
--- a/crates/deckproxy-fleet/src/overload/tests.rs
+++ b/crates/deckproxy-fleet/src/overload/tests.rs
@@ -3,7 +3,7 @@
 use super::shed_level::ShedLine;
 use super::summary::Resource;
 use super::*;
-use crate::gossip_store::{self, GossipStore, Key, kinds};
+use crate::gossip_store::{self, AuthorUpdate, Delta, EntryUpdate, GossipStore, Key, kinds};
 use deckproxy_recovery::budget;
 
 /// The highest minimal priority: no first attempt is admitted.
@@ -156,6 +156,62 @@
     assert_eq!(overload.level().lines, [None; RESOURCES], "no instance sheds load any more");
 }
 
+/// A restarted author has forgotten its entries, and the stores of all others with it.
+#[test]
+fn a_level_stays_in_force_when_its_author_is_restarted_and_is_announced_in_its_place() {
+    let level = level(40_000, 0, 0.0);
+    let mut overload = follower(&level);
+    let empty = GossipStore::new("a".into(), 1, gossip_store::Limits::default());
+    let writes = overload.tick(100.0, &presence("a", &["b"]), &empty);
+    assert_eq!(overload.level().lines, level.lines);
+    let write = writes.iter().find(|write| write.key.kind == kinds::SHED_LEVEL).expect("it is announced");
+    assert_eq!(write.ttl, SHED_LEVEL_TTL - 100, "not for longer than the restarted author did");
+    let announced: ShedLevel = postcard::from_bytes(write.value.as_ref().unwrap()).unwrap();
+    assert_eq!(announced, ShedLevel { epoch_age: 100, ..level });
+
+    let writes = overload.tick(f64::from(SHED_LEVEL_TTL), &presence("a", &["b"]), &empty);
+    assert_eq!(overload.level().lines, [None; RESOURCES], "it has expired");
+    assert!(writes.iter().all(|write| write.key.kind != kinds::SHED_LEVEL));
+}
+
+#[test]
+fn a_process_that_has_just_started_enforces_the_shared_level() {
+    let (first, next) = (level(40_000, 0, 0.0), level(30_000, 0, 0.0));
+    let mut overload = Overload::new(0.0, settings());
+    let stale = Presence { is_stale: true, ..presence("a", &["b"]) };
+    overload.tick(10.0, &stale, &store_with(&first));
+    assert_eq!(overload.level().lines, first.lines);
+    overload.tick(20.0, &stale, &store_with(&next));
+    assert_eq!(overload.level().lines, next.lines);
+}
+
+#[test]
+fn an_announced_level_is_withdrawn_once_the_leader_has_decided() {
+    let mut leads = Overload::new(0.0, settings());
+    leads.tick(
+        0.0,
+        &presence("a", &["b"]),
+        &GossipStore::new("a".into(), 1, gossip_store::Limits::default()),
+    );
+    let (leader, own) = if leads.is_leader() { ("a", "b") } else { ("b", "a") };
+
+    let (key, value) =
+        (Key::of_kind(kinds::SHED_LEVEL), postcard::to_stdvec(&level(40_000, 0, 0.0)).unwrap());
+    let mut store = GossipStore::new(own.into(), 1, gossip_store::Limits::default());
+    assert!(store.write(0.0, key.clone(), SHED_LEVEL_TTL, Some(value.clone())));
+    let mut overload = Overload::new(0.0, settings());
+    let mut withdraws = |now, store: &GossipStore| {
+        let writes = overload.tick(now, &presence(own, &[leader]), store);
+        writes.iter().any(|write| write.key == key && write.value.is_none())
+    };
+    assert!(!withdraws(0.0, &store), "the leader has just started");
+    let entry = EntryUpdate { version: 1, age: 0, ttl: SHED_LEVEL_TTL, key: key.clone(), value: Some(value) };
+    let update =
+        AuthorUpdate { author: leader.into(), incarnation: 1, after: 0, up_to: 1, entries: vec![entry] };
+    store.merge(0.0, Delta { authors: vec![update] });
+    assert!(withdraws(300.0, &store));
+}
+
 #[test]
 fn the_stricter_of_two_levels_counts() {
     let (loose, strict) = (level(10_000, 0, 0.0), ShedLevel { epoch: 7, ..level(50_000, 0, 0.0) });
--- a/crates/deckproxy-fleet/tests/overload.rs
+++ b/crates/deckproxy-fleet/tests/overload.rs
@@ -211,6 +211,38 @@
     }
 }
 
+/// A restarted leader has forgotten the level that it decided, and decides none for over a second. The saved case of the
+/// property test below.
+#[test]
+fn the_shed_level_outlives_a_restart_of_the_leader() {
+    let mut all = converged(6, LoadSettings::default(), 160_584);
+    all.settings.rate = 900.0;
+    all.run(8000.0);
+    let from = all.fleet.now;
+    let (leader, other) = (1, 0);
+    assert!(all.fleet.fleet(leader).overload().unwrap().is_leader());
+    for restarted in [leader, other] {
+        all.fleet.kill(restarted);
+        all.run(500.0);
+        all.fleet.start(restarted);
+        let started_at = all.fleet.now;
+        while all.fleet.now < started_at + 1500.0 {
+            all.run(50.0);
+            let sheds = |i: usize| admitted_rate(&all, i).is_some();
+            assert!(
+                (0..6).filter(|i| *i != restarted).all(sheds),
+                "{} ms after the start",
+                all.fleet.now - started_at
+            );
+        }
+        assert!(admitted_rate(&all, restarted).is_some(), "instance {restarted} sheds no load");
+    }
+    let capacity = capacity(&all.settings);
+    let c = all.count(from, all.fleet.now);
+    assert!(c.admitted < 1.25 * capacity && c.served > 0.9 * capacity, "{c:?} of {capacity}");
+    assert!(budget_use(&all, from) < 1.2, "{}", budget_use(&all, from));
+}
+
 #[test]
 fn a_slow_period_of_the_sources_is_overcome() {
     let mut all = converged(6, LoadSettings::default(), 16);
