--- a/crates/deckproxy-operator/src/defaults.rs
+++ b/crates/deckproxy-operator/src/defaults.rs
@@ -1,122 +1,164 @@
-//! What a field that is left out stands for; the schema's comments name the same values, which a test compares.
+//! The values of fields that are left out, by message. The schema's comments name the same values, which a test compares.
+//!
+//! Each constant's comment names the field of the operator file first; the constant has the field's usual term.
+/// This gateway's site.
+pub mod sites {
+    /// `Sites.most_hops`: sites that a request may pass.
+    pub const MAX_HOPS: u32 = 2;
+    /// `Sites.cooldown_ms`: Retry-After where the gateway knows no better, ms.
+    pub const RETRY_AFTER_MS: u32 = 200;
+}
 
-/// `Sites.most_hops`.
-pub const MOST_HOPS: u32 = 2;
-/// `Sites.cooldown_ms`.
-pub const COOLDOWN_MS: u32 = 200;
-/// `Peer.connections`.
-pub const CONNECTIONS: u32 = 2;
-/// `Link.heartbeat_ms`.
-pub const HEARTBEAT_MS: u32 = 150;
-/// `Link.silence_ms`.
-pub const SILENCE_MS: u32 = 600;
-/// `Link.reattach_ms`.
-pub const REATTACH_MS: u32 = 5000;
-/// `Link.chunk_kb`.
-pub const CHUNK_KB: u32 = 16;
-/// `Link.credit_kb`.
-pub const CREDIT_KB: u32 = 64;
-/// `Link.most_crossings`.
-pub const MOST_CROSSINGS: u32 = 10_000;
-/// `Link.waiters`.
-pub const WAITERS: u32 = 512;
-/// `Link.retain_kb`.
-pub const RETAIN_KB: u32 = 8192;
-/// `Link.ramp_ms`.
-pub const RAMP_MS: u32 = 2000;
-/// `Link.hold_ms`.
-pub const HOLD_MS: u32 = 300;
-/// `Link.repeats_share`.
-pub const REPEATS_SHARE: f64 = 0.1;
-/// `Trust.grace_ms`.
-pub const GRACE_MS: u32 = 1000;
-/// `Trust.lease_ms`.
-pub const LEASE_MS: u32 = 700;
-/// `Trust.skew_ms`.
-pub const SKEW_MS: u32 = 250;
-/// `Trust.copy_life_ms`.
-pub const COPY_LIFE_MS: u32 = 60_000;
-/// `Flows.domain`.
-pub const DOMAIN: u32 = 1;
-/// `Flows.enterprise`: the number kept for documentation (RFC 5612).
-pub const ENTERPRISE: u32 = 32_473;
-/// `Flows.message_bytes`.
-pub const MESSAGE_BYTES: u32 = 1400;
-/// `Flows.rate`.
-pub const RATE: u32 = 0;
-/// `Flows.refresh_ms`.
-pub const REFRESH_MS: u32 = 60_000;
-/// `Flows.spool_kb`.
-pub const SPOOL_KB: u32 = 4096;
-/// `Flows.stall_ms`.
-pub const STALL_MS: u32 = 5000;
-/// `Flows.flush_ms`.
-pub const FLUSH_MS: u32 = 1000;
-/// `Meter.entries`.
-pub const ENTRIES: u32 = 16_384;
-/// `Meter.v4_bits`.
-pub const V4_BITS: u32 = 32;
-/// `Meter.v6_bits`.
-pub const V6_BITS: u32 = 64;
-/// `Meter.folded_v4_bits`.
-pub const FOLDED_V4_BITS: u32 = 16;
-/// `Meter.folded_v6_bits`.
-pub const FOLDED_V6_BITS: u32 = 40;
-/// `Meter.active_ms`.
-pub const ACTIVE_MS: u32 = 60_000;
-/// `Meter.idle_ms`.
-pub const IDLE_MS: u32 = 15_000;
-/// `Recovery.share_of_repeats`.
-pub const SHARE_OF_REPEATS: f64 = 0.2;
-/// `Recovery.repeats_saved`.
-pub const REPEATS_SAVED: u32 = 20;
-/// `Recovery.remembered`.
-pub const REMEMBERED: u32 = 65_536;
-/// `Recovery.least_back_ms`.
-pub const LEAST_BACK_MS: u32 = 50;
-/// `Recovery.window_ms`.
-pub const WINDOW_MS: u32 = 250;
-/// `Recovery.bad_share`.
-pub const BAD_SHARE: f64 = 0.6;
-/// `Recovery.good_share`.
-pub const GOOD_SHARE: f64 = 0.9;
-/// `Recovery.storm_repeats`.
-pub const STORM_REPEATS: f64 = 0.3;
-/// `Overload.share_of_repeats`.
-pub const FLEET_SHARE_OF_REPEATS: f64 = 0.2;
-/// `Overload.remembered`.
-pub const FLEET_REMEMBERED: u32 = 65_536;
-/// `Overload.least_back_ms`.
-pub const FLEET_LEAST_BACK_MS: u32 = 50;
-/// `Overload.bad_share`.
-pub const FLEET_BAD_SHARE: f64 = 0.85;
-/// `Overload.good_share`.
-pub const FLEET_GOOD_SHARE: f64 = 0.95;
-/// `Overload.vain_share`.
-pub const VAIN_SHARE: f64 = 0.05;
-/// `Overload.repeats`.
-pub const REPEATS: f64 = 0.3;
-/// `Overload.least_per_s`.
-pub const LEAST_PER_S: u32 = 10;
-/// `Fleet.instances`.
-pub const INSTANCES: u32 = 0;
-/// `Fleet.kb_per_s`.
-pub const KB_PER_S: u32 = 16;
-/// `Fleet.beat_ms`.
-pub const BEAT_MS: u32 = 500;
-/// `Fleet.pause_ms`.
-pub const PAUSE_MS: u32 = 1000;
-/// `Fleet.forget_ms`.
-pub const FORGET_MS: u32 = 600_000;
-/// `Fleet.weight`.
-pub const WEIGHT: u32 = 1;
-/// `Probes.observers`.
-pub const OBSERVERS: u32 = 2;
-/// `Probes.interval_ms`.
-pub const INTERVAL_MS: u32 = 1000;
-/// `Probes.fails`.
-pub const FAILS: u32 = 3;
-/// `Probes.most_held`.
-pub const MOST_HELD: f64 = 0.34;
-/// `Probes.spread_ms`.
-pub const SPREAD_MS: u32 = 2000;
+/// A site that links are opened to.
+pub mod peer {
+    /// `Peer.connections`: connections to each of its addresses.
+    pub const CONNECTIONS: u32 = 2;
+}
+
+/// Links between gateways.
+pub mod link {
+    /// `Link.heartbeat_ms`: time between heartbeats, ms.
+    pub const HEARTBEAT_INTERVAL_MS: u32 = 150;
+    /// `Link.silence_ms`: silence after which a connection counts as cut, ms.
+    pub const SILENCE_TIMEOUT_MS: u32 = 600;
+    /// `Link.reattach_ms`: time for which a cut session can be resumed, ms.
+    pub const RESUME_TIMEOUT_MS: u32 = 5000;
+    /// `Link.chunk_kb`: size of a piece of a body, KB.
+    pub const CHUNK_SIZE_KB: u32 = 16;
+    /// `Link.credit_kb`: part of one body that may be in flight, KB.
+    pub const CREDIT_WINDOW_KB: u32 = 64;
+    /// `Link.most_crossings`: open requests to other sites.
+    pub const MAX_CROSSINGS: u32 = 10_000;
+    /// `Link.waiters`: requests that wait for another one's crossing.
+    pub const MAX_WAITERS: u32 = 512;
+    /// `Link.retain_kb`: answers retained for a peer whose link was cut, KB.
+    pub const MAX_RETAINED_KB: u32 = 8192;
+    /// `Link.ramp_ms`: recovery ramp of a link that came back, ms.
+    pub const RECOVERY_RAMP_MS: u32 = 2000;
+    /// `Link.hold_ms`: time for which a request waits for a link that is down, ms.
+    pub const QUEUE_TIMEOUT_MS: u32 = 300;
+    /// `Link.repeats_share`: retries over a link for each first attempt.
+    pub const RETRY_RATIO: f64 = 0.1;
+}
+
+/// Trust in copies of another site's objects.
+pub mod trust {
+    /// `Trust.grace_ms`: time from a purge's arrival in which older copies may answer, ms.
+    pub const PURGE_GRACE_MS: u32 = 1000;
+    /// `Trust.lease_ms`: validity of the home's word that no purge is missing, ms.
+    pub const LEASE_MS: u32 = 700;
+    /// `Trust.skew_ms`: difference of clocks up to which copies are trusted, ms.
+    pub const MAX_CLOCK_SKEW_MS: u32 = 250;
+    /// `Trust.copy_life_ms`: time after which a purged copy has expired everywhere, ms.
+    pub const COPY_LIFETIME_MS: u32 = 60_000;
+    /// `Trust.known_ms`: time before its start whose purges the configuration holds, ms.
+    pub const KNOWN_PURGE_HISTORY_MS: u32 = 0;
+}
+
+/// Export of flows.
+pub mod flows {
+    /// `Flows.domain`: observation domain or source id.
+    pub const OBSERVATION_DOMAIN: u32 = 1;
+    /// `Flows.enterprise`: private enterprise number, here the one for documentation (RFC 5612).
+    pub const ENTERPRISE_NUMBER: u32 = 32_473;
+    /// `Flows.message_bytes`: largest message, bytes.
+    pub const MAX_MESSAGE_BYTES: u32 = 1400;
+    /// `Flows.rate`: messages a second to one collector; 0: no limit.
+    pub const MESSAGE_RATE: u32 = 0;
+    /// `Flows.refresh_ms`: time between templates over UDP, ms.
+    pub const TEMPLATE_INTERVAL_MS: u32 = 60_000;
+    /// `Flows.spool_kb`: flows that wait for a collector, KB.
+    pub const SPOOL_SIZE_KB: u32 = 4096;
+    /// `Flows.stall_ms`: time after which a collector that takes nothing has failed, ms.
+    pub const STALL_TIMEOUT_MS: u32 = 5000;
+    /// `Flows.flush_ms`: time that a graceful shutdown waits for the export, ms.
+    pub const FLUSH_TIMEOUT_MS: u32 = 1000;
+}
+
+/// Metering of flows.
+pub mod meter {
+    /// `Meter.entries`: flows in memory.
+    pub const MAX_ENTRIES: u32 = 16_384;
+    /// `Meter.v4_bits`: leading bits of an IPv4 address that identify a client.
+    pub const IPV4_BITS: u32 = 32;
+    /// `Meter.v6_bits`: leading bits of an IPv6 address that identify a client.
+    pub const IPV6_BITS: u32 = 64;
+    /// `Meter.folded_v4_bits`: the same of IPv4 in a folded flow.
+    pub const FOLDED_IPV4_BITS: u32 = 16;
+    /// `Meter.folded_v6_bits`: the same of IPv6 in a folded flow.
+    pub const FOLDED_IPV6_BITS: u32 = 40;
+    /// `Meter.active_ms`: time after which a flow that goes on is exported, ms.
+    pub const ACTIVE_TIMEOUT_MS: u32 = 60_000;
+    /// `Meter.idle_ms`: time without traffic after which a flow has ended, ms.
+    pub const IDLE_TIMEOUT_MS: u32 = 15_000;
+}
+
+/// Admission control of one instance.
+pub mod recovery {
+    /// `Recovery.share_of_repeats`: retries admitted for each first attempt.
+    pub const RETRY_SHARE: f64 = 0.2;
+    /// `Recovery.repeats_saved`: retries saved up for a class.
+    pub const MAX_SAVED_RETRIES: u32 = 20;
+    /// `Recovery.remembered`: rejected requests remembered.
+    pub const REMEMBERED_REQUESTS: u32 = 65_536;
+    /// `Recovery.least_back_ms`: shortest Retry-After, ms.
+    pub const MIN_RETRY_AFTER_MS: u32 = 50;
+    /// `Recovery.window_ms`: window in which requests are counted, ms.
+    pub const WINDOW_MS: u32 = 250;
+    /// `Recovery.bad_share`: served share below which a window is bad.
+    pub const BAD_SHARE: f64 = 0.6;
+    /// `Recovery.good_share`: served share from which a window is good.
+    pub const GOOD_SHARE: f64 = 0.9;
+    /// `Recovery.storm_repeats`: retries for each first attempt from which a bad window is a storm.
+    pub const STORM_RETRY_RATIO: f64 = 0.3;
+}
+
+/// Admission control of the whole fleet.
+pub mod overload {
+    /// `Overload.share_of_repeats`: retries admitted for each first attempt.
+    pub const RETRY_SHARE: f64 = 0.2;
+    /// `Overload.remembered`: requests remembered.
+    pub const REMEMBERED_REQUESTS: u32 = 65_536;
+    /// `Overload.least_back_ms`: shortest Retry-After, ms.
+    pub const MIN_RETRY_AFTER_MS: u32 = 50;
+    /// `Overload.bad_share`: served share below which load is shed.
+    pub const BAD_SHARE: f64 = 0.85;
+    /// `Overload.good_share`: served share from which all is well.
+    pub const GOOD_SHARE: f64 = 0.95;
+    /// `Overload.vain_share`: wasted share from which load is shed.
+    pub const WASTED_SHARE: f64 = 0.05;
+    /// `Overload.repeats`: retries for each first attempt from which load is shed.
+    pub const RETRY_RATIO: f64 = 0.3;
+    /// `Overload.least_per_s`: requests a second that are always admitted.
+    pub const MIN_RATE: u32 = 10;
+}
+
+/// The fleet.
+pub mod fleet {
+    /// `Fleet.instances`: instances when all is well; 0: as many as are known.
+    pub const EXPECTED_INSTANCES: u32 = 0;
+    /// `Fleet.kb_per_s`: send rate limit, KB a second.
+    pub const SEND_RATE_KB: u32 = 16;
+    /// `Fleet.beat_ms`: time between heartbeats, ms.
+    pub const HEARTBEAT_INTERVAL_MS: u32 = 500;
+    /// `Fleet.pause_ms`: pause of the process from which its view is stale, ms.
+    pub const PAUSE_THRESHOLD_MS: u32 = 1000;
+    /// `Fleet.forget_ms`: time after which a lost instance is forgotten, ms.
+    pub const FORGET_AFTER_MS: u32 = 600_000;
+    /// `Fleet.weight`: this instance's weight in shared tasks.
+    pub const WEIGHT: u32 = 1;
+}
+
+/// Health checks by the fleet.
+pub mod health_checks {
+    /// `Probes.observers`: instances that check one member.
+    pub const OBSERVERS: u32 = 2;
+    /// `Probes.interval_ms`: time between checks, ms.
+    pub const INTERVAL_MS: u32 = 1000;
+    /// `Probes.fails`: failed checks in a row from which a member has failed.
+    pub const FAILURES: u32 = 3;
+    /// `Probes.most_held`: share of a kind's members that is ejected at most.
+    pub const MAX_EJECTED_SHARE: f64 = 0.34;
+    /// `Probes.spread_ms`: time over which instances reinstate a member, ms.
+    pub const REINSTATEMENT_SPREAD_MS: u32 = 2000;
+}
--- a/crates/deckproxy-operator/src/fleet.rs
+++ b/crates/deckproxy-operator/src/fleet.rs
@@ -1,8 +1,8 @@
-//! The fleet's part of the file: relations between its entries, and its form for `deckproxy-fleet`.
+//! The fleet's part of the file: relations between its entries, and the settings of `deckproxy-fleet` made from it.
 
 use crate::finding::Finding;
 use crate::fleet_settings_error::FleetSettingsError;
-use crate::{Client, Fleet, Operator, Overload, defaults, rules};
+use crate::{Client, Fleet, Operator, Overload, PlatformClass, PlatformSettings, defaults, rules};
 use deckproxy_fleet::fleet::Settings;
 use deckproxy_fleet::health::Thresholds;
 use deckproxy_fleet::instance::Instance;
@@ -46,10 +46,10 @@
             incarnation,
             renewals: 0,
             // The rules allow 1000 at most.
-            weight: u16::try_from(self.weight.unwrap_or(defaults::WEIGHT)).unwrap_or(u16::MAX),
+            weight: u16::try_from(self.weight.unwrap_or(defaults::fleet::WEIGHT)).unwrap_or(u16::MAX),
         };
         let probes = self.probes.unwrap_or_default();
-        let heartbeat_interval = f64::from(self.beat_ms.unwrap_or(defaults::BEAT_MS));
+        let heartbeat_interval = f64::from(self.beat_ms.unwrap_or(defaults::fleet::HEARTBEAT_INTERVAL_MS));
         Ok(Settings {
             fleet: self.name.clone(),
             own,
@@ -60,23 +60,27 @@
                 .iter()
                 .filter_map(|way| Some((way.instance.as_str().into(), way.address.parse().ok()?)))
                 .collect(),
-            expected_instances: self.instances.unwrap_or(defaults::INSTANCES) as usize,
-            bytes_per_second: f64::from(self.kb_per_s.unwrap_or(defaults::KB_PER_S)) * 1024.0,
+            expected_instances: self.instances.unwrap_or(defaults::fleet::EXPECTED_INSTANCES) as usize,
+            bytes_per_second: f64::from(self.kb_per_s.unwrap_or(defaults::fleet::SEND_RATE_KB)) * 1024.0,
             heartbeat_interval,
             digest_interval: heartbeat_interval / 2.0,
-            pause_threshold: f64::from(self.pause_ms.unwrap_or(defaults::PAUSE_MS)),
-            forget_after: f64::from(self.forget_ms.unwrap_or(defaults::FORGET_MS)),
+            pause_threshold: f64::from(self.pause_ms.unwrap_or(defaults::fleet::PAUSE_THRESHOLD_MS)),
+            forget_after: f64::from(self.forget_ms.unwrap_or(defaults::fleet::FORGET_AFTER_MS)),
             swim: SwimTiming {
                 probe_period: heartbeat_interval,
                 probe_timeout: heartbeat_interval * PROBE_TIMEOUT_SHARE,
                 suspicion: heartbeat_interval * SUSPICION_MULTIPLE,
             },
-            observers: probes.observers.unwrap_or(defaults::OBSERVERS) as usize,
-            health_check_interval: f64::from(probes.interval_ms.unwrap_or(defaults::INTERVAL_MS)),
-            max_ejected_share: probes.most_held.unwrap_or(defaults::MOST_HELD),
-            reinstatement_spread: f64::from(probes.spread_ms.unwrap_or(defaults::SPREAD_MS)),
+            observers: probes.observers.unwrap_or(defaults::health_checks::OBSERVERS) as usize,
+            health_check_interval: f64::from(
+                probes.interval_ms.unwrap_or(defaults::health_checks::INTERVAL_MS),
+            ),
+            max_ejected_share: probes.most_held.unwrap_or(defaults::health_checks::MAX_EJECTED_SHARE),
+            reinstatement_spread: f64::from(
+                probes.spread_ms.unwrap_or(defaults::health_checks::REINSTATEMENT_SPREAD_MS),
+            ),
             thresholds: Thresholds {
-                failures: probes.fails.unwrap_or(defaults::FAILS),
+                failures: probes.fails.unwrap_or(defaults::health_checks::FAILURES),
                 ..Thresholds::default()
             },
             overload: None,
@@ -94,100 +98,120 @@
     }
 }
 
-/// What the platform's settings say that overload has to do with.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Platform {
-    /// Worth of each class, and whether it has an effect.
-    pub classes: Vec<(f64, bool)>,
-    /// Clients may be told when to come back, and the longest time for that, ms.
-    pub advice: bool,
-    /// See `advice`.
-    pub most_back: f64,
-}
-
-/// Repeats that an instance may have saved up while nothing is cut.
-const SAVED: f64 = 5.0;
+/// Retries that an instance may have saved up while no load is shed.
+const MAX_SAVED_RETRIES: f64 = 5.0;
 
 impl Overload {
-    /// How overload is handled in a fleet of that name, defaults filled in.
-    pub fn settings(&self, fleet: &str, platform: &Platform) -> overload::Settings {
-        let mut worths: Vec<f64> = platform.classes.iter().map(|(worth, _)| *worth).collect();
-        worths.sort_by(f64::total_cmp);
-        worths.dedup();
-        let band = |worth: f64| worths.iter().position(|w| *w == worth).unwrap_or(0);
-        let share = self.share_of_repeats.unwrap_or(defaults::FLEET_SHARE_OF_REPEATS);
-        let most_back = platform.most_back.max(1.0);
+    /// The settings of overload handling in a fleet of that name, defaults filled in.
+    pub fn settings(&self, fleet: &str, platform: &PlatformSettings) -> overload::Settings {
+        let retry_share = self.share_of_repeats.unwrap_or(defaults::overload::RETRY_SHARE);
+        let max_retry_after = platform.retry_after_bound();
+        let min_retry_after = f64::from(self.least_back_ms.unwrap_or(defaults::overload::MIN_RETRY_AFTER_MS));
         overload::Settings {
             fleet: fleet.to_string(),
-            classes: platform
-                .classes
-                .iter()
-                .map(|(w, effect)| Class { band: band(*w), has_effect: *effect })
-                .collect(),
+            classes: priority_bands(&platform.classes),
             limits: shed_controller::Limits {
-                bad_share: self.bad_share.unwrap_or(defaults::FLEET_BAD_SHARE),
-                good_share: self.good_share.unwrap_or(defaults::FLEET_GOOD_SHARE),
-                wasted_share: self.vain_share.unwrap_or(defaults::VAIN_SHARE),
-                retry_ratio: self.repeats.unwrap_or(defaults::REPEATS),
-                min_rate: f64::from(self.least_per_s.unwrap_or(defaults::LEAST_PER_S)),
-                retry_share: share,
+                bad_share: self.bad_share.unwrap_or(defaults::overload::BAD_SHARE),
+                good_share: self.good_share.unwrap_or(defaults::overload::GOOD_SHARE),
+                wasted_share: self.vain_share.unwrap_or(defaults::overload::WASTED_SHARE),
+                retry_ratio: self.repeats.unwrap_or(defaults::overload::RETRY_RATIO),
+                min_rate: f64::from(self.least_per_s.unwrap_or(defaults::overload::MIN_RATE)),
+                retry_share,
             },
-            retry_budget: budget::Limits { share, max_saved: SAVED },
-            gives_retry_after: platform.advice,
-            min_retry_after: f64::from(self.least_back_ms.unwrap_or(defaults::FLEET_LEAST_BACK_MS))
-                .min(most_back),
-            max_retry_after: most_back,
-            remembered: self.remembered.unwrap_or(defaults::FLEET_REMEMBERED) as usize / 2,
-            window: f64::from(defaults::WINDOW_MS),
+            retry_budget: budget::Limits { share: retry_share, max_saved: MAX_SAVED_RETRIES },
+            gives_retry_after: platform.sends_retry_after,
+            min_retry_after: min_retry_after.min(max_retry_after),
+            max_retry_after,
+            remembered: self.remembered.unwrap_or(defaults::overload::REMEMBERED_REQUESTS) as usize / 2,
+            window: f64::from(defaults::recovery::WINDOW_MS),
         }
     }
 
-    /// Who a repeat is known by.
-    pub fn known_by(&self) -> Client {
-        self.client.and_then(|c| Client::try_from(c).ok()).unwrap_or(Client::Address)
+    /// What identifies the client of a retry.
+    pub fn client_identity(&self) -> Client {
+        self.client.and_then(|client| Client::try_from(client).ok()).unwrap_or(Client::Address)
     }
 }
 
+/// The classes with their bands: those of the lowest priority weight are in band 0, those of the next in band 1.
+fn priority_bands(classes: &[PlatformClass]) -> Vec<Class> {
+    let mut weights: Vec<f64> = classes.iter().map(|class| class.priority_weight).collect();
+    weights.sort_by(f64::total_cmp);
+    weights.dedup();
+    let band = |class: &PlatformClass| weights.iter().position(|weight| *weight == class.priority_weight);
+    let class =
+        |class: &PlatformClass| Class { band: band(class).unwrap_or(0), has_effect: class.has_effect };
+    classes.iter().map(class).collect()
+}
+
 /// Faults of entries beside each other.
 pub(crate) fn check(operator: &Operator) -> Vec<Finding> {
     let Some(fleet) = &operator.fleet else { return Vec::new() };
-    let mut findings = Vec::new();
-    let address = |text: &str| text.parse::<SocketAddr>().ok();
-    let told = fleet.address.as_deref().unwrap_or(&fleet.listen);
-    let field = if fleet.address.is_some() { "address" } else { "listen" };
-    if address(told).is_some_and(|at| at.ip().is_unspecified()) {
-        let what = format!("{told} is no address at which others reach it: set fleet.address");
-        findings.push(Finding::new(format!("fleet.{field}"), what));
+    let mut findings = check_address(fleet);
+    findings.extend(check_seeds(fleet));
+    if let Some(overload) = &fleet.overload {
+        findings.extend(check_overload(overload, operator.recovery.is_some()));
+    }
+    findings.extend(check_ways(fleet));
+    findings
+}
+
+/// The address at which others reach the instance is one that they can send to.
+fn check_address(fleet: &Fleet) -> Vec<Finding> {
+    let address = fleet.advertised_address();
+    if !address.parse::<SocketAddr>().is_ok_and(|address| address.ip().is_unspecified()) {
+        return Vec::new();
     }
+    let field = if fleet.address.is_some() { "address" } else { "listen" };
+    let message = format!("{address} is no address at which others reach it: set fleet.address");
+    vec![Finding::new(format!("fleet.{field}"), message)]
+}
+
+/// Datagrams from the seeds are accepted.
+fn check_seeds(fleet: &Fleet) -> Vec<Finding> {
     let networks = fleet.networks();
-    if networks.len() == fleet.prefixes.len() {
-        let within = |at: SocketAddr| networks.iter().any(|net| net.contains(&at.ip().to_canonical()));
-        for (i, seed) in fleet.seeds.iter().enumerate() {
-            if address(seed).is_some_and(|at| !within(at)) {
-                let what = format!("{seed} is in none of fleet.prefixes: what it says would not be believed");
-                findings.push(Finding::new(format!("fleet.seeds[{i}]"), what));
-            }
-        }
+    if networks.len() != fleet.prefixes.len() {
+        // A network that can't be read is reported by its own rule.
+        return Vec::new();
     }
-    if let Some(overload) = &fleet.overload {
-        let bad = overload.bad_share.unwrap_or(defaults::FLEET_BAD_SHARE);
-        let good = overload.good_share.unwrap_or(defaults::FLEET_GOOD_SHARE);
-        if good < bad {
-            let field = if overload.good_share.is_some() { "good_share" } else { "bad_share" };
-            let what = format!("good_share ({good}) is below bad_share ({bad})");
-            findings.push(Finding::new(format!("fleet.overload.{field}"), what));
-        }
-        if operator.recovery.is_some() {
-            let what =
-                "recovery does for an instance alone what this does for the fleet: leave one of them out";
-            findings.push(Finding::new("fleet.overload".to_string(), what.to_string()));
-        }
+    let is_outside = |seed: &str| {
+        let address = seed.parse::<SocketAddr>().map(|seed| seed.ip().to_canonical());
+        address.is_ok_and(|address| !networks.iter().any(|network| network.contains(&address)))
+    };
+    let mut findings = Vec::new();
+    for (index, seed) in fleet.seeds.iter().enumerate().filter(|(_, seed)| is_outside(seed)) {
+        let message = format!("{seed} is in none of fleet.prefixes: what it says would not be believed");
+        findings.push(Finding::new(format!("fleet.seeds[{index}]"), message));
     }
+    findings
+}
+
+/// The shares are in order, and no instance handles overload by itself too.
+fn check_overload(overload: &Overload, has_recovery: bool) -> Vec<Finding> {
+    let mut findings = Vec::new();
+    let bad_share = overload.bad_share.unwrap_or(defaults::overload::BAD_SHARE);
+    let good_share = overload.good_share.unwrap_or(defaults::overload::GOOD_SHARE);
+    if good_share < bad_share {
+        let field = if overload.good_share.is_some() { "good_share" } else { "bad_share" };
+        let message = format!("good_share ({good_share}) is below bad_share ({bad_share})");
+        findings.push(Finding::new(format!("fleet.overload.{field}"), message));
+    }
+    if has_recovery {
+        let message =
+            "recovery does for an instance alone what this does for the fleet: leave one of them out";
+        findings.push(Finding::new("fleet.overload", message));
+    }
+    findings
+}
+
+/// No instance has two addresses.
+fn check_ways(fleet: &Fleet) -> Vec<Finding> {
     let mut seen = BTreeSet::new();
-    for (i, way) in fleet.ways.iter().enumerate() {
+    let mut findings = Vec::new();
+    for (index, way) in fleet.ways.iter().enumerate() {
         if !seen.insert(&way.instance) {
-            let what = format!("{:?} has a way already", way.instance);
-            findings.push(Finding::new(format!("fleet.ways[{i}].instance"), what));
+            let message = format!("{:?} has a way already", way.instance);
+            findings.push(Finding::new(format!("fleet.ways[{index}].instance"), message));
         }
     }
     findings
--- a/crates/deckproxy-operator/src/recovery.rs
+++ b/crates/deckproxy-operator/src/recovery.rs
@@ -1,87 +1,116 @@
-//! The recovery's part of the file, in the form of `deckproxy-recovery`.
+//! The recovery's part of the file: relations between its entries, and the settings of `deckproxy-recovery` made from it.
 
 use crate::finding::Finding;
-use crate::{Operator, Recovery, defaults};
+use crate::{Operator, PlatformClass, PlatformSettings, Recovery, Step, defaults};
 use deckproxy_recovery::admission::{Class, Settings};
 use deckproxy_recovery::{budget, class_shedding, retry_storm};
 
+/// Time that a request must have left to be admitted, ms.
+const MIN_TIME_LEFT: f64 = 100.0;
+/// Rank of a class where all have the same priority weight.
+const MIDDLE_RANK: f64 = 0.5;
+
 impl Recovery {
-    /// How the door is set, defaults filled in. `classes`: name and worth of each, by place; `most_back`: the platform's
-    /// bound on times to come back, ms.
-    pub fn settings(&self, classes: &[(String, f64)], most_back: f64) -> Settings {
-        let rank = |worth: f64| {
-            let below = classes.iter().filter(|(_, w)| *w < worth).count();
-            let others = classes.iter().filter(|(_, w)| *w != worth).count();
-            if others == 0 { 0.5 } else { below as f64 / others as f64 }
-        };
-        let place = |name: &str| classes.iter().position(|(n, _)| n == name);
-        let steps = self.give_up.iter().filter_map(|s| {
-            Some(class_shedding::Step { class: place(&s.class)?, shed_from: s.enter, restore_below: s.leave })
-        });
+    /// The settings of admission control, defaults filled in.
+    pub fn settings(&self, platform: &PlatformSettings) -> Settings {
+        let max_retry_after = platform.retry_after_bound();
+        let min_retry_after = f64::from(self.least_back_ms.unwrap_or(defaults::recovery::MIN_RETRY_AFTER_MS));
         Settings {
-            // What is refused at the door has gone nowhere: a new try does no harm, whatever the class.
-            classes: classes
-                .iter()
-                .map(|(_, worth)| Class {
-                    priority_weight: rank(*worth),
-                    can_be_rejected: true,
-                    min_time_left: 100.0,
-                })
-                .collect(),
+            classes: ranked_classes(&platform.classes),
             retry_budget: Some(budget::Limits {
-                share: self.share_of_repeats.unwrap_or(defaults::SHARE_OF_REPEATS),
-                max_saved: f64::from(self.repeats_saved.unwrap_or(defaults::REPEATS_SAVED)),
+                share: self.share_of_repeats.unwrap_or(defaults::recovery::RETRY_SHARE),
+                max_saved: f64::from(self.repeats_saved.unwrap_or(defaults::recovery::MAX_SAVED_RETRIES)),
             }),
             storm: Some(retry_storm::Limits {
-                window: f64::from(self.window_ms.unwrap_or(defaults::WINDOW_MS)),
-                bad_share: self.bad_share.unwrap_or(defaults::BAD_SHARE),
-                good_share: self.good_share.unwrap_or(defaults::GOOD_SHARE),
-                retry_ratio: self.storm_repeats.unwrap_or(defaults::STORM_REPEATS),
+                window: f64::from(self.window_ms.unwrap_or(defaults::recovery::WINDOW_MS)),
+                bad_share: self.bad_share.unwrap_or(defaults::recovery::BAD_SHARE),
+                good_share: self.good_share.unwrap_or(defaults::recovery::GOOD_SHARE),
+                retry_ratio: self.storm_repeats.unwrap_or(defaults::recovery::STORM_RETRY_RATIO),
                 ..retry_storm::Limits::default()
             }),
-            shedding_steps: steps.collect(),
-            min_retry_after: f64::from(self.least_back_ms.unwrap_or(defaults::LEAST_BACK_MS)).min(most_back),
-            max_retry_after: most_back,
-            remembered: self.remembered.unwrap_or(defaults::REMEMBERED) as usize / 2,
+            shedding_steps: self.shedding_steps(platform),
+            min_retry_after: min_retry_after.min(max_retry_after),
+            max_retry_after,
+            // Clients that get no Retry-After can't be held to one.
+            enforces_retry_after: platform.sends_retry_after,
+            remembered: self.remembered.unwrap_or(defaults::recovery::REMEMBERED_REQUESTS) as usize / 2,
             ..Settings::default()
         }
     }
 
-    /// Classes that are named and not there.
-    pub fn unknown(&self, classes: &[String]) -> Vec<String> {
-        let named = self.give_up.iter().map(|s| s.class.clone());
-        named.filter(|name| !classes.contains(name)).collect()
+    /// The steps at which classes are shed; those of unknown classes are left out.
+    fn shedding_steps(&self, platform: &PlatformSettings) -> Vec<class_shedding::Step> {
+        let step = |step: &Step| {
+            Some(class_shedding::Step {
+                class: platform.class_position(&step.class)?,
+                shed_from: step.enter,
+                restore_below: step.leave,
+            })
+        };
+        self.give_up.iter().filter_map(step).collect()
+    }
+
+    /// Names of classes to be shed that the platform does not have.
+    pub fn unknown_classes(&self, platform: &PlatformSettings) -> Vec<String> {
+        let names = self.give_up.iter().map(|step| &step.class);
+        names.filter(|name| platform.class_position(name).is_none()).cloned().collect()
     }
 }
 
+/// The classes, each with its rank by priority weight: the share of the others that weigh less, 0 to 1.
+fn ranked_classes(classes: &[PlatformClass]) -> Vec<Class> {
+    let rank = |weight: f64| {
+        let below = classes.iter().filter(|other| other.priority_weight < weight).count();
+        let others = classes.iter().filter(|other| other.priority_weight != weight).count();
+        if others == 0 { MIDDLE_RANK } else { below as f64 / others as f64 }
+    };
+    let class = |class: &PlatformClass| Class {
+        priority_weight: rank(class.priority_weight),
+        // A request that is rejected here was forwarded nowhere: a retry does no harm, whatever the class.
+        can_be_rejected: true,
+        min_time_left: MIN_TIME_LEFT,
+    };
+    classes.iter().map(class).collect()
+}
+
 /// Faults of entries beside each other.
 pub(crate) fn check(operator: &Operator) -> Vec<Finding> {
     let Some(recovery) = &operator.recovery else { return Vec::new() };
-    let mut findings = Vec::new();
-    let bad = recovery.bad_share.unwrap_or(defaults::BAD_SHARE);
-    let good = recovery.good_share.unwrap_or(defaults::GOOD_SHARE);
-    if good < bad {
-        let field = if recovery.good_share.is_some() { "good_share" } else { "bad_share" };
-        findings.push(Finding::new(
-            format!("recovery.{field}"),
-            format!("good_share ({good}) is below bad_share ({bad})"),
-        ));
+    let mut findings = check_shares(recovery);
+    findings.extend(check_steps(&recovery.give_up));
+    findings
+}
+
+/// The shares are in order.
+fn check_shares(recovery: &Recovery) -> Vec<Finding> {
+    let bad_share = recovery.bad_share.unwrap_or(defaults::recovery::BAD_SHARE);
+    let good_share = recovery.good_share.unwrap_or(defaults::recovery::GOOD_SHARE);
+    if good_share >= bad_share {
+        return Vec::new();
     }
-    for (i, step) in recovery.give_up.iter().enumerate() {
+    let field = if recovery.good_share.is_some() { "good_share" } else { "bad_share" };
+    let message = format!("good_share ({good_share}) is below bad_share ({bad_share})");
+    vec![Finding::new(format!("recovery.{field}"), message)]
+}
+
+/// The steps are in order, and each names another class.
+fn check_steps(steps: &[Step]) -> Vec<Finding> {
+    let mut findings = Vec::new();
+    for (index, step) in steps.iter().enumerate() {
+        let mut report = |field: &str, message: String| {
+            findings.push(Finding::new(format!("recovery.give_up[{index}].{field}"), message));
+        };
+        let earlier = &steps[..index];
         if step.leave >= step.enter {
-            let what =
+            let message =
                 format!("leave ({}) must be under enter ({}), or it would flap", step.leave, step.enter);
-            findings.push(Finding::new(format!("recovery.give_up[{i}].leave"), what));
+            report("leave", message);
         }
-        if recovery.give_up[..i].iter().any(|s| s.class == step.class) {
-            findings.push(Finding::new(
-                format!("recovery.give_up[{i}].class"),
-                format!("{:?} is given up already", step.class),
-            ));
+        if earlier.iter().any(|other| other.class == step.class) {
+            report("class", format!("{:?} is given up already", step.class));
         }
-        if i > 0 && recovery.give_up[i - 1].enter > step.enter {
-            let what = "below the step before it, which comes first".to_string();
-            findings.push(Finding::new(format!("recovery.give_up[{i}].enter"), what));
+        if earlier.last().is_some_and(|previous| previous.enter > step.enter) {
+            report("enter", "below the step before it, which comes first".to_string());
         }
     }
     findings
--- a/crates/deckproxy-operator/src/rules.rs
+++ b/crates/deckproxy-operator/src/rules.rs
@@ -1,70 +1,148 @@
 //! Rules on fields, and between a field and its neighbours, in the form that the validation library calls.
 
 use crate::{Link, Trust, defaults};
+use deckproxy_fleet::instance;
 use garde::{Error, Result};
+use ipnet::IpNet;
 use std::net::SocketAddr;
 
+/// How a value breaks a rule. The texts give the field's own names, which are those of the operator file.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum RuleViolation {
+    /// A text is not the name of a site.
+    #[error("{0:?} is no name: 1 to 63 of a-z, 0-9 and \"-\" are wanted")]
+    SiteName(String),
+    /// A text is not an address with its port.
+    #[error("{0:?} is no ADDRESS:PORT")]
+    SocketAddress(String),
+    /// A text is not a network.
+    #[error("{0:?} is no ADDRESS/BITS")]
+    Network(String),
+    /// A network's address has bits set past its length.
+    #[error("{text:?} has bits past its length; {network} is meant?")]
+    HostBits {
+        /// The text.
+        text: String,
+        /// The network without these bits.
+        network: IpNet,
+    },
+    /// A text is not the name of an instance.
+    #[error(transparent)]
+    InstanceName(#[from] InvalidInstanceName),
+    /// A text is not the beginning of an object's number.
+    #[error("{0:?} is no prefix: 0 to 16 digits of 0-9 and a-f are wanted")]
+    HexPrefix(String),
+    /// A number is below that of another field.
+    #[error("below {field}, which is {min}")]
+    BelowField {
+        /// The other field.
+        field: &'static str,
+        /// Its number.
+        min: u32,
+    },
+    /// A number is below twice that of another field.
+    #[error("{value} is below twice {field}, which is {other}")]
+    BelowTwiceField {
+        /// The number.
+        value: u32,
+        /// The other field.
+        field: &'static str,
+        /// Its number.
+        other: u32,
+    },
+    /// A number is above that of another field.
+    #[error("{value} is over {field}, which is {max}")]
+    AboveField {
+        /// The number.
+        value: u32,
+        /// The other field.
+        field: &'static str,
+        /// Its number.
+        max: u32,
+    },
+    /// The lease does not end before the grace does.
+    #[error("lease_ms ({lease}) must be below grace_ms ({grace})")]
+    LeaseNotBelowGrace {
+        /// The lease, ms.
+        lease: u32,
+        /// The grace, ms.
+        grace: u32,
+    },
+    /// The lease is too short for the heartbeats that renew it.
+    #[error("lease_ms ({lease}) must be twice link.heartbeat_ms ({heartbeat}) at least")]
+    LeaseBelowHeartbeats {
+        /// The lease, ms.
+        lease: u32,
+        /// The time between heartbeats, ms.
+        heartbeat: u32,
+    },
+}
+
+impl From<RuleViolation> for Error {
+    fn from(violation: RuleViolation) -> Self {
+        Error::new(violation)
+    }
+}
+
+/// A name that no instance of a fleet may have.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{name:?} is no name: 1 to 63 of a-z, 0-9, \"-\", \".\" and \"_\" are wanted")]
+pub struct InvalidInstanceName {
+    /// The name.
+    pub name: String,
+}
+
 /// A site's name.
 ///
 /// # Errors
-/// An error if the name is not 1 to 63 characters of `a-z`, `0-9` and `-`.
+/// The name is not 1 to 63 characters of `a-z`, `0-9` and `-`.
 pub fn site_name(name: &str, _: &()) -> Result {
-    let plain = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-';
+    let is_name_byte = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
     match name.len() {
-        1..64 if name.bytes().all(plain) => Ok(()),
-        _ => Err(Error::new(format!("{name:?} is no name: 1 to 63 of a-z, 0-9 and \"-\" are wanted"))),
+        1..64 if name.bytes().all(is_name_byte) => Ok(()),
+        _ => Err(RuleViolation::SiteName(name.to_string()).into()),
     }
 }
 
 /// An address with its port.
 ///
 /// # Errors
-/// An error if the text is not a socket address or its port is 0.
-pub fn address(text: &str, _: &()) -> Result {
+/// The text is not a socket address, or its port is 0.
+pub fn socket_address(text: &str, _: &()) -> Result {
     match text.parse::<SocketAddr>() {
-        Ok(at) if at.port() > 0 => Ok(()),
-        _ => Err(Error::new(format!("{text:?} is no ADDRESS:PORT"))),
+        Ok(address) if address.port() > 0 => Ok(()),
+        _ => Err(RuleViolation::SocketAddress(text.to_string()).into()),
     }
 }
 
-/// The same where one is given.
+/// An address with its port, or none.
 ///
 /// # Errors
-/// An error if a text is given that [`address`] rejects.
-pub fn address_if_set(text: &Option<String>, context: &()) -> Result {
-    text.as_ref().map_or(Ok(()), |text| address(text, context))
+/// See [`socket_address`].
+pub fn optional_socket_address(text: &Option<String>, context: &()) -> Result {
+    text.as_ref().map_or(Ok(()), |text| socket_address(text, context))
 }
 
-/// A network, as an address and its leading bits.
+/// A network, as an address and its number of leading bits.
 ///
 /// # Errors
-/// An error if the text is not a network prefix or has bits set past its length.
-pub fn prefix(text: &str, _: &()) -> Result {
-    match text.parse::<ipnet::IpNet>() {
-        Ok(net) if net.trunc() == net => Ok(()),
-        Ok(net) => Err(Error::new(format!("{text:?} has bits past its length; {} is meant?", net.trunc()))),
-        Err(_) => Err(Error::new(format!("{text:?} is no ADDRESS/BITS"))),
+/// The text is not a network, or its address has bits set past its length.
+pub fn network(text: &str, _: &()) -> Result {
+    match text.parse::<IpNet>() {
+        Ok(network) if network.trunc() == network => Ok(()),
+        Ok(network) => {
+            Err(RuleViolation::HostBits { text: text.to_string(), network: network.trunc() }.into())
+        }
+        Err(_) => Err(RuleViolation::Network(text.to_string()).into()),
     }
 }
 
-/// A name that no instance of a fleet may have.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{name:?} is no name: 1 to 63 of a-z, 0-9, \"-\", \".\" and \"_\" are wanted")]
-pub struct InvalidInstanceName {
-    /// The name.
-    pub name: String,
-}
-
 /// Checks the name of an instance of a fleet, or of its zone.
 ///
 /// # Errors
 /// The name is empty, too long or has other characters than an instance name may have.
 pub fn check_instance_name(name: &str) -> std::result::Result<(), InvalidInstanceName> {
-    if deckproxy_fleet::instance::is_valid_name(name) {
-        Ok(())
-    } else {
-        Err(InvalidInstanceName { name: name.to_string() })
-    }
+    if instance::is_valid_name(name) { Ok(()) } else { Err(InvalidInstanceName { name: name.to_string() }) }
 }
 
 /// The name of an instance of a fleet.
@@ -72,96 +150,88 @@
 /// # Errors
 /// See [`check_instance_name`].
 pub fn instance_name(name: &str, _: &()) -> Result {
-    check_instance_name(name).map_err(Error::new)
+    check_instance_name(name).map_err(|error| RuleViolation::from(error).into())
 }
 
-/// The same where one is given.
+/// The name of an instance of a fleet, or none.
 ///
 /// # Errors
-/// An error if a name is given that [`instance_name`] rejects.
-pub fn instance_name_if_set(name: &Option<String>, context: &()) -> Result {
+/// See [`check_instance_name`].
+pub fn optional_instance_name(name: &Option<String>, context: &()) -> Result {
     name.as_ref().map_or(Ok(()), |name| instance_name(name, context))
 }
 
-/// First digits of an object's number.
+/// The first digits of an object's number.
 ///
 /// # Errors
-/// An error if the text is not 0 to 16 digits of `0-9` and `a-f`.
+/// The text is not 0 to 16 digits of `0-9` and `a-f`.
 pub fn hex_prefix(text: &str, _: &()) -> Result {
-    let digits = text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
-    if digits && text.len() <= 16 {
-        Ok(())
-    } else {
-        Err(Error::new(format!("{text:?} is no prefix: 0 to 16 digits of 0-9 and a-f are wanted")))
-    }
+    let is_hex = text.bytes().all(|byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f'));
+    if is_hex && text.len() <= 16 { Ok(()) } else { Err(RuleViolation::HexPrefix(text.to_string()).into()) }
 }
 
-/// A value that may be left out.
-pub trait Given {
-    /// The value, if it is there.
-    fn given(&self) -> Option<u32>;
+/// A number that a file may leave out.
+pub trait OptionalNumber {
+    /// The number, if the file has it.
+    fn number(&self) -> Option<u32>;
 }
 
-impl Given for u32 {
-    fn given(&self) -> Option<u32> {
+impl OptionalNumber for u32 {
+    fn number(&self) -> Option<u32> {
         Some(*self)
     }
 }
 
-impl Given for Option<u32> {
-    fn given(&self) -> Option<u32> {
+impl OptionalNumber for Option<u32> {
+    fn number(&self) -> Option<u32> {
         *self
     }
 }
 
-/// Not below another field.
-pub fn not_below<T: Given>(name: &'static str, least: Option<u32>) -> impl FnOnce(&T, &()) -> Result {
-    move |value, ()| match (value.given(), least) {
-        (Some(value), Some(least)) if value < least => {
-            Err(Error::new(format!("below {name}, which is {least}")))
-        }
+/// At least the number of another field.
+pub fn at_least<T: OptionalNumber>(field: &'static str, min: Option<u32>) -> impl FnOnce(&T, &()) -> Result {
+    move |value, ()| match (value.number(), min) {
+        (Some(value), Some(min)) if value < min => Err(RuleViolation::BelowField { field, min }.into()),
         _ => Ok(()),
     }
 }
 
-/// Twice another field at least.
-pub fn twice(name: &'static str, other: Option<u32>) -> impl FnOnce(&Option<u32>, &()) -> Result {
-    move |value, ()| match (value, other) {
-        (Some(value), Some(other)) if *value < other * 2 => {
-            Err(Error::new(format!("{value} is below twice {name}, which is {other}")))
+/// At least twice the number of another field.
+pub fn at_least_twice(field: &'static str, other: Option<u32>) -> impl FnOnce(&Option<u32>, &()) -> Result {
+    move |value, ()| match (*value, other) {
+        (Some(value), Some(other)) if value < other * 2 => {
+            Err(RuleViolation::BelowTwiceField { value, field, other }.into())
         }
         _ => Ok(()),
     }
 }
 
-/// The lease ends before the grace does, and the link tells of a cut before that.
+/// At most the number of another field, or that field's default.
+pub fn at_most(
+    field: &'static str,
+    other: Option<u32>,
+    default: u32,
+) -> impl FnOnce(&Option<u32>, &()) -> Result {
+    let max = other.unwrap_or(default);
+    move |value, ()| match *value {
+        Some(value) if value > max => Err(RuleViolation::AboveField { value, field, max }.into()),
+        _ => Ok(()),
+    }
+}
+
+/// The lease ends before the grace does, and is long enough for two heartbeats of the link.
 pub fn lease_below_grace(link: &Option<Link>) -> impl FnOnce(&Option<Trust>, &()) -> Result {
-    let heartbeat = link.and_then(|l| l.heartbeat_ms).unwrap_or(defaults::HEARTBEAT_MS);
+    let heartbeat = link.and_then(|link| link.heartbeat_ms).unwrap_or(defaults::link::HEARTBEAT_INTERVAL_MS);
     move |trust, ()| {
         let Some(trust) = trust else { return Ok(()) };
-        let lease = trust.lease_ms.unwrap_or(defaults::LEASE_MS);
-        let grace = trust.grace_ms.unwrap_or(defaults::GRACE_MS);
+        let lease = trust.lease_ms.unwrap_or(defaults::trust::LEASE_MS);
+        let grace = trust.grace_ms.unwrap_or(defaults::trust::PURGE_GRACE_MS);
         if lease >= grace {
-            return Err(Error::new(format!("lease_ms ({lease}) must be below grace_ms ({grace})")));
+            return Err(RuleViolation::LeaseNotBelowGrace { lease, grace }.into());
         }
         if lease < heartbeat * 2 {
-            return Err(Error::new(format!(
-                "lease_ms ({lease}) must be twice link.heartbeat_ms ({heartbeat}) at least"
-            )));
+            return Err(RuleViolation::LeaseBelowHeartbeats { lease, heartbeat }.into());
         }
         Ok(())
     }
 }
-
-/// Another field at most; that one's default where it is left out.
-pub fn not_above(
-    name: &'static str,
-    other: Option<u32>,
-    default: u32,
-) -> impl FnOnce(&Option<u32>, &()) -> Result {
-    let most = other.unwrap_or(default);
-    move |value, ()| match value {
-        Some(value) if *value > most => Err(Error::new(format!("{value} is over {name}, which is {most}"))),
-        _ => Ok(()),
-    }
-}
--- a/crates/deckproxy-operator/src/sites.rs
+++ b/crates/deckproxy-operator/src/sites.rs
@@ -1,12 +1,12 @@
-//! The sites' part of the file: relations between its entries, and its form for `deckproxy-sites`.
+//! The sites' part of the file: relations between its entries, and the settings of `deckproxy-sites` made from it.
 
 use crate::finding::Finding;
 use crate::{Mode, Operator, Route, Sites, WhenCut, defaults};
 use deckproxy_sites::routes::{self, ForwardingError, RouteRule, SiteRoutes};
 use deckproxy_sites::{LinkLimits, TrustLimits};
 
-/// A route in the form that is looked up; a prefix that is no number counts as empty, which its own rule tells.
-fn rule(route: &Route) -> RouteRule {
+/// A route in the form that requests are looked up in. A prefix that is no number counts as empty; its own rule reports it.
+fn route_rule(route: &Route) -> RouteRule {
     let digits = u32::try_from(route.prefix.len().min(16)).unwrap_or(16);
     let number = u64::from_str_radix(&route.prefix, 16).unwrap_or(0);
     RouteRule {
@@ -21,45 +21,45 @@
 }
 
 impl Sites {
-    /// The routes in the form that is looked up.
-    pub fn rules(&self) -> Vec<RouteRule> {
-        self.routes.iter().map(rule).collect()
+    /// The routes in the form that requests are looked up in.
+    pub fn route_rules(&self) -> Vec<RouteRule> {
+        self.routes.iter().map(route_rule).collect()
     }
 
-    /// The most hops of a request.
-    pub fn hops(&self) -> u32 {
-        self.most_hops.unwrap_or(defaults::MOST_HOPS)
+    /// Sites that a request may pass.
+    pub fn max_hops(&self) -> u32 {
+        self.most_hops.unwrap_or(defaults::sites::MAX_HOPS)
     }
 
-    /// The links' limits, defaults filled in.
+    /// The limits of links, defaults filled in.
     pub fn link_limits(&self) -> LinkLimits {
         let link = self.link.unwrap_or_default();
         LinkLimits {
-            heartbeat_interval: f64::from(link.heartbeat_ms.unwrap_or(defaults::HEARTBEAT_MS)),
-            silence_timeout: f64::from(link.silence_ms.unwrap_or(defaults::SILENCE_MS)),
-            resume_timeout: f64::from(link.reattach_ms.unwrap_or(defaults::REATTACH_MS)),
-            chunk_size: link.chunk_kb.unwrap_or(defaults::CHUNK_KB) as usize * 1024,
-            credit_window: link.credit_kb.unwrap_or(defaults::CREDIT_KB) as usize * 1024,
-            max_crossings: link.most_crossings.unwrap_or(defaults::MOST_CROSSINGS) as usize,
-            max_waiters: link.waiters.unwrap_or(defaults::WAITERS) as usize,
-            max_retained: link.retain_kb.unwrap_or(defaults::RETAIN_KB) as usize * 1024,
-            recovery_ramp: f64::from(link.ramp_ms.unwrap_or(defaults::RAMP_MS)),
-            queue_timeout: f64::from(link.hold_ms.unwrap_or(defaults::HOLD_MS)),
-            retry_ratio: link.repeats_share.unwrap_or(defaults::REPEATS_SHARE),
-            retry_after: f64::from(self.cooldown_ms.unwrap_or(defaults::COOLDOWN_MS)),
+            heartbeat_interval: f64::from(link.heartbeat_ms.unwrap_or(defaults::link::HEARTBEAT_INTERVAL_MS)),
+            silence_timeout: f64::from(link.silence_ms.unwrap_or(defaults::link::SILENCE_TIMEOUT_MS)),
+            resume_timeout: f64::from(link.reattach_ms.unwrap_or(defaults::link::RESUME_TIMEOUT_MS)),
+            chunk_size: link.chunk_kb.unwrap_or(defaults::link::CHUNK_SIZE_KB) as usize * 1024,
+            credit_window: link.credit_kb.unwrap_or(defaults::link::CREDIT_WINDOW_KB) as usize * 1024,
+            max_crossings: link.most_crossings.unwrap_or(defaults::link::MAX_CROSSINGS) as usize,
+            max_waiters: link.waiters.unwrap_or(defaults::link::MAX_WAITERS) as usize,
+            max_retained: link.retain_kb.unwrap_or(defaults::link::MAX_RETAINED_KB) as usize * 1024,
+            recovery_ramp: f64::from(link.ramp_ms.unwrap_or(defaults::link::RECOVERY_RAMP_MS)),
+            queue_timeout: f64::from(link.hold_ms.unwrap_or(defaults::link::QUEUE_TIMEOUT_MS)),
+            retry_ratio: link.repeats_share.unwrap_or(defaults::link::RETRY_RATIO),
+            retry_after: f64::from(self.cooldown_ms.unwrap_or(defaults::sites::RETRY_AFTER_MS)),
         }
     }
 
-    /// What copies are trusted by, defaults filled in.
+    /// The limits of trust in copies, defaults filled in.
     pub fn trust_limits(&self) -> TrustLimits {
         let trust = self.trust.unwrap_or_default();
         TrustLimits {
-            known_purge_history: f64::from(trust.known_ms.unwrap_or(0)),
+            known_purge_history: f64::from(trust.known_ms.unwrap_or(defaults::trust::KNOWN_PURGE_HISTORY_MS)),
             serve_when_partitioned: trust.when_cut == WhenCut::Serve as i32,
-            purge_grace: f64::from(trust.grace_ms.unwrap_or(defaults::GRACE_MS)),
-            lease: f64::from(trust.lease_ms.unwrap_or(defaults::LEASE_MS)),
-            max_clock_skew: f64::from(trust.skew_ms.unwrap_or(defaults::SKEW_MS)),
-            copy_lifetime: f64::from(trust.copy_life_ms.unwrap_or(defaults::COPY_LIFE_MS)),
+            purge_grace: f64::from(trust.grace_ms.unwrap_or(defaults::trust::PURGE_GRACE_MS)),
+            lease: f64::from(trust.lease_ms.unwrap_or(defaults::trust::LEASE_MS)),
+            max_clock_skew: f64::from(trust.skew_ms.unwrap_or(defaults::trust::MAX_CLOCK_SKEW_MS)),
+            copy_lifetime: f64::from(trust.copy_life_ms.unwrap_or(defaults::trust::COPY_LIFETIME_MS)),
         }
     }
 }
@@ -97,7 +97,7 @@
         }
     }
     let peers: Vec<&str> = sites.peers.iter().map(|p| &*p.site).collect();
-    let errors = routes::validate(&sites.name, &peers, &sites.rules());
+    let errors = routes::validate(&sites.name, &peers, &sites.route_rules());
     findings.extend(errors.iter().map(|error| {
         Finding::new(format!("sites.routes[{}].{}", error.route, error.field), error.to_string())
     }));
@@ -107,8 +107,11 @@
 /// Checks that the routes of several sites' files lead each request home without passing a site twice. An error's
 /// `site` is the index of the file.
 pub fn check_together(files: &[Operator]) -> Vec<ForwardingError> {
-    let site_routes =
-        |sites: &Sites| SiteRoutes { site: sites.name.clone(), rules: sites.rules(), max_hops: sites.hops() };
+    let site_routes = |sites: &Sites| SiteRoutes {
+        site: sites.name.clone(),
+        rules: sites.route_rules(),
+        max_hops: sites.max_hops(),
+    };
     let all: Vec<SiteRoutes> =
         files.iter().map(|file| file.sites.as_ref().map(site_routes).unwrap_or_default()).collect();
     routes::validate_together(&all)
--- a/crates/deckproxy-operator/tests/files.rs
+++ b/crates/deckproxy-operator/tests/files.rs
@@ -1,6 +1,14 @@
 //! Operator files: all faults in one go, each in its place; the defaults; the example.
 
-use deckproxy_operator::{FileError, LARGEST, defaults, read};
+use deckproxy_operator::{FileError, LARGEST, PlatformClass, PlatformSettings, defaults, read};
+
+fn class(name: &str, priority_weight: f64, has_effect: bool) -> PlatformClass {
+    PlatformClass { name: name.to_string(), priority_weight, has_effect }
+}
+
+fn platform(classes: Vec<PlatformClass>) -> PlatformSettings {
+    PlatformSettings { classes, sends_retry_after: true, max_retry_after: 500.0 }
+}
 
 fn faults(text: &str) -> Vec<String> {
     read(text.as_bytes()).unwrap_err().iter().map(FileError::to_string).collect()
@@ -17,15 +25,15 @@
 #[test]
 fn a_good_file_is_read_with_its_defaults() {
     let sites = read(GOOD.as_bytes()).unwrap().sites.unwrap();
-    let rules = sites.rules();
+    let rules = sites.route_rules();
     assert_eq!((rules[0].prefix, rules[0].prefix_digits, rules[0].groups), (0x7f << 56, 2, (3, 9)));
     assert!(rules[0].copies_allowed);
     let link = sites.link_limits();
     assert_eq!(
         (link.heartbeat_interval, link.silence_timeout, link.resume_timeout),
-        (100.0, 200.0, f64::from(defaults::REATTACH_MS))
+        (100.0, 200.0, f64::from(defaults::link::RESUME_TIMEOUT_MS))
     );
-    assert_eq!(sites.trust_limits().purge_grace, f64::from(defaults::GRACE_MS));
+    assert_eq!(sites.trust_limits().purge_grace, f64::from(defaults::trust::PURGE_GRACE_MS));
     assert_eq!(read(b"").unwrap().sites, None, "nothing is on");
 }
 
@@ -41,7 +49,7 @@
     let source = include_str!("../src/defaults.rs");
     let mut seen = 0;
     let mut place = None;
-    for line in source.lines() {
+    for line in source.lines().map(str::trim_start) {
         // Above each stands whose it is: the message and the field.
         if let Some((message, field)) =
             line.strip_prefix("/// `").and_then(|l| l.split('`').next()?.split_once('.'))
@@ -133,10 +141,10 @@
 #[test]
 fn flows_have_their_defaults_and_their_example() {
     let flows = read(FLOWS.as_bytes()).unwrap().flows.unwrap();
-    let (settings, limits) = (flows.settings(), flows.limits());
+    let (settings, limits) = (flows.settings(), flows.meter_limits());
     assert_eq!((settings.max_message, settings.message_rate, settings.replicate), (1400, 0, false));
     assert_eq!((limits.active, limits.idle, limits.bits), (20_000, 15_000, (32, 64)));
-    assert_eq!(flows.reached().len(), 1);
+    assert_eq!(flows.collector_endpoints().len(), 1);
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/flows.example.textproto");
     assert!(read(&std::fs::read(path).unwrap()).unwrap().flows.is_some());
 }
@@ -167,14 +175,18 @@
 fn recovery_has_its_defaults_its_example_and_its_faults() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/recovery.example.textproto");
     let recovery = read(&std::fs::read(path).unwrap()).unwrap().recovery.unwrap();
-    let classes = [("page".to_string(), 1.0), ("post".to_string(), 3.0), ("once".to_string(), 3.0)];
-    let set = recovery.settings(&classes, 500.0);
+    let without_page = platform(vec![class("post", 3.0, false)]);
+    let all = platform(vec![class("page", 1.0, false), class("post", 3.0, false), class("once", 3.0, false)]);
+    let set = recovery.settings(&all);
     assert_eq!(set.classes.iter().map(|c| c.priority_weight).collect::<Vec<_>>(), [0.0, 1.0, 1.0]);
     assert_eq!(
         (set.retry_budget.unwrap().share, set.max_retry_after, set.shedding_steps.len()),
         (0.2, 500.0, 1)
     );
-    assert_eq!(recovery.unknown(&["post".to_string()]), ["page"]);
+    assert_eq!(recovery.unknown_classes(&without_page), ["page"]);
+    assert!(set.enforces_retry_after, "clients get a Retry-After");
+    let silent = PlatformSettings { sends_retry_after: false, ..without_page };
+    assert!(!recovery.settings(&silent).enforces_retry_after, "clients that get none are held to none");
     let errors = faults(
         "recovery {\n  bad_share: 0.95\n  give_up { class: \"a\" enter: 0.5 leave: 0.5 }\n  \
          give_up { class: \"a\" enter: 0.4 leave: 0.1 }\n}\n",
@@ -222,10 +234,16 @@
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/overload.example.textproto");
     let fleet = read(&std::fs::read(path).unwrap()).unwrap().fleet.unwrap();
     let overload = fleet.overload.unwrap();
-    assert_eq!(overload.known_by(), deckproxy_operator::Client::Address);
-    let classes = vec![(1.0, false), (3.0, true), (1.0, false), (2.0, false)];
-    let platform = deckproxy_operator::Platform { classes, advice: true, most_back: 500.0 };
-    let set = overload.settings(&fleet.name, &platform);
+    assert_eq!(overload.client_identity(), deckproxy_operator::Client::Address);
+    let set = overload.settings(
+        &fleet.name,
+        &platform(vec![
+            class("a", 1.0, false),
+            class("b", 3.0, true),
+            class("c", 1.0, false),
+            class("d", 2.0, false),
+        ]),
+    );
     assert_eq!(
         set.classes.iter().map(|c| (c.band, c.has_effect)).collect::<Vec<_>>(),
         [(0, false), (2, true), (0, false), (1, false)]
--- a/crates/deckproxy/src/program/fleet/admission.rs
+++ b/crates/deckproxy/src/program/fleet/admission.rs
@@ -2,12 +2,9 @@
 
 use crate::program::subsystem::{ClientIdentities, Event, OpenRequests, RequestKey, Verdict};
 use crate::protocol::downstream::{Answer, Call};
-use crate::routing::Router;
 use crate::transport::clock;
-use deckproxy_control::interface;
 use deckproxy_fleet::fleet::Fleet;
 use deckproxy_fleet::overload::{self, RequestInfo, RequestOutcome, Ticket};
-use deckproxy_operator::Platform;
 use std::collections::HashMap;
 
 /// What admission control knows of clients' requests.
@@ -21,18 +18,6 @@
     sends_retry_after: bool,
 }
 
-/// What the platform's configuration says that admission control depends on.
-pub(super) fn platform(router: &Router) -> Platform {
-    let settings = &router.instance_settings().settings;
-    let has_effect =
-        |class: &interface::Class| class.write || class.idempotency != interface::Idempotency::Idempotent;
-    Platform {
-        classes: settings.classes.iter().map(|class| (class.priority_weight, has_effect(class))).collect(),
-        advice: settings.retry_after,
-        most_back: settings.max_retry_after,
-    }
-}
-
 impl RequestAdmission {
     /// No request is open yet, for the settings' classes.
     pub(super) fn new(classes: &[String], by_address: bool, sends_retry_after: bool) -> Self {
--- a/crates/deckproxy/src/program/fleet/mod.rs
+++ b/crates/deckproxy/src/program/fleet/mod.rs
@@ -4,12 +4,14 @@
 mod admission;
 mod report;
 
-use crate::program::subsystem::{Context, Effect, Effects, Event, Field, RequestKey, Subsystem, Verdict};
+use crate::program::subsystem::{
+    Context, Effect, Effects, Event, Field, RequestKey, Subsystem, Verdict, platform_settings,
+};
 use crate::protocol::downstream::{Answer, Call};
 use crate::protocol::upstream::Status;
 use crate::routing::{AttemptKey, Router};
 use crate::transport::clock;
-use admission::{RequestAdmission, platform};
+use admission::RequestAdmission;
 use deckproxy_control::interface::Lifecycle;
 use deckproxy_fleet::fleet::{self, ListedMember};
 use deckproxy_flow::meter::Outcome;
@@ -80,10 +82,10 @@
         }
         let mut admission = None;
         if let Some(overload) = &file.overload {
-            let platform = platform(router);
+            let platform = platform_settings(conf);
             settings.overload = Some(overload.settings(&file.name, &platform));
-            let by_address = overload.known_by() == Client::Address;
-            admission = Some(RequestAdmission::new(&conf.classes, by_address, platform.advice));
+            let by_address = overload.client_identity() == Client::Address;
+            admission = Some(RequestAdmission::new(&conf.classes, by_address, platform.sends_retry_after));
         }
         let own = settings.own.clone();
         info!(log, "fleet: joining"; "fleet" => &file.name, "instance" => &*own.name, "zone" => &*own.zone,
@@ -206,8 +208,10 @@
                 if !self.health_checks {
                     settings.observers = 0;
                 }
-                settings.overload =
-                    new.overload.as_ref().map(|o| o.settings(&new.name, &platform(cx.router)));
+                settings.overload = new
+                    .overload
+                    .as_ref()
+                    .map(|o| o.settings(&new.name, &platform_settings(cx.router.instance_settings())));
                 if self.core.reload(settings) {
                     warn!(
                         self.log,
--- a/crates/deckproxy/src/program/flows/mod.rs
+++ b/crates/deckproxy/src/program/flows/mod.rs
@@ -60,7 +60,7 @@
         tasks: &mut Scheduler,
     ) -> Option<Box<Self>> {
         let flows = operator.flows.as_ref()?;
-        let (limits, collectors) = (flows.limits(), flows.reached());
+        let (limits, collectors) = (flows.meter_limits(), flows.collector_endpoints());
         let transports: Vec<Transport> = collectors.iter().map(|(_, transport)| *transport).collect();
         // Sequence numbers begin anywhere: a collector that remembers an earlier process sees a new beginning. Of the seed
         // they take the lower half.
@@ -216,7 +216,7 @@
                 settings;
             (version, domain, enterprise, max_message, spool_size, replicate)
         };
-        if fixed(new) != fixed(&self.operator) || new.limits() != self.operator.limits() {
+        if fixed(new) != fixed(&self.operator) || new.meter_limits() != self.operator.meter_limits() {
             warn!(
                 self.log,
                 "reload: flows' delivery, protocol, domain, enterprise, message_bytes, spool_kb and meter take a restart"
@@ -249,7 +249,7 @@
         if let Some(deadline) = self.flush_deadline {
             return self.exporter.is_settled() || cx.now >= deadline;
         }
-        let deadline = cx.now + self.operator.flush();
+        let deadline = cx.now + self.operator.flush_timeout();
         self.flush_deadline = Some(deadline);
         for flow in self.accounting.meter.take_all() {
             self.exporter.push(flow);
@@ -270,7 +270,7 @@
             stall_timeout: wanted.stall_timeout,
             ..self.operator.settings()
         };
-        let collectors = new.reached();
+        let collectors = new.collector_endpoints();
         let previous_index = |one| self.collectors.iter().position(|other| other == one);
         let previous: Vec<(Transport, Option<CollectorIndex>)> =
             collectors.iter().map(|one| (one.1, previous_index(one))).collect();
--- a/crates/deckproxy/src/program/recovery.rs
+++ b/crates/deckproxy/src/program/recovery.rs
@@ -2,6 +2,7 @@
 
 use crate::program::subsystem::{
     ClientIdentities, Context, Effects, Event, Field, OpenRequests, RequestKey, Subsystem, Verdict,
+    platform_settings,
 };
 use crate::protocol::downstream::{Answer, Call};
 use deckproxy_operator::{Client, Operator};
@@ -35,23 +36,18 @@
         operator: &Operator,
     ) -> Option<Box<Self>> {
         let recovery = operator.recovery.as_ref()?;
-        for name in recovery.unknown(&instance_settings.classes) {
+        let platform = platform_settings(instance_settings);
+        for name in recovery.unknown_classes(&platform) {
             warn!(log, "recovery: give_up names a class that the settings do not have"; "class" => name);
         }
-        let weights = instance_settings.settings.classes.iter().map(|class| class.priority_weight);
-        let classes: Vec<(String, f64)> = instance_settings.classes.iter().cloned().zip(weights).collect();
-        let sends_retry_after = instance_settings.settings.retry_after;
-        let longest_retry_after = instance_settings.settings.max_retry_after.max(1.0);
-        let mut settings = recovery.settings(&classes, longest_retry_after);
-        // Clients that get no Retry-After can't be held to one.
-        settings.enforces_retry_after = sends_retry_after;
+        let names = platform.classes.iter().map(|class| class.name.as_str().into());
         Some(Box::new(Recovery {
             log: log.clone(),
-            admission: Admission::new(settings, seed),
-            classes: classes.iter().enumerate().map(|(i, (name, _))| (name.as_str().into(), i)).collect(),
+            admission: Admission::new(recovery.settings(&platform), seed),
+            classes: names.enumerate().map(|(index, name)| (name, index)).collect(),
             open: OpenRequests::default(),
             identities: ClientIdentities::by_address(recovery.client() == Client::Address),
-            sends_retry_after,
+            sends_retry_after: platform.sends_retry_after,
             storm_logged: false,
         }))
     }
--- a/crates/deckproxy/src/program/sites/mod.rs
+++ b/crates/deckproxy/src/program/sites/mod.rs
@@ -65,7 +65,7 @@
     PeerConfig {
         site: peer.site.clone(),
         endpoints: peer.addresses.len(),
-        connections: peer.connections.unwrap_or(deckproxy_operator::defaults::CONNECTIONS) as usize,
+        connections: peer.connections.unwrap_or(deckproxy_operator::defaults::peer::CONNECTIONS) as usize,
     }
 }
 
@@ -76,8 +76,8 @@
         let config = SiteConfig {
             own_site: sites.name.clone(),
             peers: sites.peers.iter().map(peer_setup).collect(),
-            rules: sites.rules(),
-            max_hops: sites.hops(),
+            rules: sites.route_rules(),
+            max_hops: sites.max_hops(),
             link: sites.link_limits(),
             trust: sites.trust_limits(),
         };
@@ -240,7 +240,7 @@
         }
         self.drop_peers(new);
         self.add_peers(cx.now, new);
-        self.site.set_routes(new.rules());
+        self.site.set_routes(new.route_rules());
         info!(self.log, "reload: routes and peers are in force"; "routes" => new.routes.len(), "peers" => new.peers.len());
     }
 
--- a/crates/deckproxy/src/program/subsystem/mod.rs
+++ b/crates/deckproxy/src/program/subsystem/mod.rs
@@ -9,6 +9,7 @@
 mod event;
 mod ids;
 mod open_requests;
+mod platform;
 mod summary_fields;
 
 pub use client_identities::ClientIdentities;
@@ -16,6 +17,7 @@
 pub use event::{Event, Note, outcome_of};
 pub use ids::{FIRST_LINK_CLIENT, LinkId, RequestKey, micros};
 pub use open_requests::OpenRequests;
+pub use platform::platform_settings;
 pub use summary_fields::{Field, summary_text};
 
 use crate::protocol::downstream::{Answer, Call};
