--- a/crates/deckproxy-lab/src/drills/fleet.rs
+++ b/crates/deckproxy-lab/src/drills/fleet.rs
@@ -12,9 +12,9 @@
 use serde_json::{Value, json};
 use std::sync::atomic::Ordering;
 
-/// Health checks of members beside those intended that are allowed over the run.
+/// Health checks of members over the run, relative to those intended, that are allowed.
 const MOST_CHECK_RATIO: f64 = 1.2;
-/// Health checks of one member in any 2 s beside those intended that are not reached.
+/// Health checks of one member in any 2 s, relative to those intended, that are not reached.
 const MOST_CHECK_RATIO_IN_SPAN: f64 = 2.0;
 /// The longest time for which a member may not be checked, ms.
 const MOST_COVERAGE_GAP_MS: f64 = 4000.0;
@@ -23,7 +23,7 @@
 /// Length of the gap in the health checks of a member that is put into a record, ms.
 const SPOILT_GAP_MS: f64 = 4500.0;
 
-/// Plays the drill.
+/// Runs the drill.
 pub fn run(options: &Options) -> Report {
     let mut plan = Plan { seconds: options.seconds as f64, seed: options.seed, ..Plan::default() };
     plan.question =
--- a/crates/deckproxy-lab/src/drills/mod.rs
+++ b/crates/deckproxy-lab/src/drills/mod.rs
@@ -59,9 +59,9 @@
 pub enum Spoil {
     /// An answer from a copy older than a purge of long before.
     Stale,
-    /// A second attempt beside the first.
+    /// A second attempt at the same time as the first.
     Attempt,
-    /// An effect that comes twice.
+    /// An effect that is applied twice.
     Effect,
     /// An answer that never came.
     Answer,
@@ -80,7 +80,7 @@
     verdict: Verdict,
     /// Further figures.
     figures: Value,
-    /// Promises that broke, beside the rules.
+    /// Promises that broke, in addition to the rules.
     broken: Vec<String>,
 }
 
@@ -138,7 +138,7 @@
     }
 }
 
-/// Plays a drill and prints its figures: exit code 1 where a promise broke, 2 where it could not run.
+/// Runs a drill and prints its figures: exit code 1 where a promise broke, 2 where it could not run.
 ///
 /// # Errors
 ///
--- a/crates/deckproxy-lab/src/drills/overload.rs
+++ b/crates/deckproxy-lab/src/drills/overload.rs
@@ -1,5 +1,5 @@
 //! The drill of overload: six instances in two zones, three times the traffic, an origin that slows down, instances that are
-//! killed and cut off from each other, clients that retry at once. Played three times: with load shedding of the whole
+//! killed and cut off from each other, clients that retry at once. Run three times: with load shedding of the whole
 //! fleet, with admission control at each instance, and with neither.
 
 use super::promises::Promises;
@@ -32,9 +32,9 @@
 /// Share of the run for which it lasts.
 const OVERLOAD_SHARE: f64 = 0.5;
 
-/// Attempts for each request beside the calm time that are allowed.
+/// Attempts for each request, relative to the time before the overload, that are allowed.
 const MOST_AMPLIFICATION: f64 = 1.3;
-/// Retries beside their budget that are allowed while the instances hear each other.
+/// Retries relative to their budget that are allowed while the instances hear each other.
 const MOST_BUDGET_RATIO: f64 = 1.2;
 /// The same while they are split.
 const MOST_SPLIT_BUDGET_RATIO: f64 = 1.5;
@@ -47,7 +47,7 @@
 /// Share of the requests that has to be served before the faults, or the machine is too slow; and of that share the one
 /// that must be missed during the overload, or it was none.
 const CALM_GOODPUT: f64 = 0.9;
-/// Seconds that recovery may take however short the faults were, and its length beside the longest fault otherwise.
+/// Seconds that recovery may take however short the faults were, and its length relative to the longest fault otherwise.
 const RECOVERY_SECONDS: f64 = 20.0;
 /// See `RECOVERY_SECONDS`.
 const RECOVERY_MULTIPLE: f64 = 3.0;
@@ -91,14 +91,14 @@
     }
 }
 
-/// What the three runs came to.
+/// The figures of the three runs.
 struct Comparison {
     fleet: OverloadFigures,
     per_instance: OverloadFigures,
     off: OverloadFigures,
 }
 
-/// Plays the plan three times.
+/// Runs the plan three times.
 pub fn run(options: &Options) -> Report {
     let play = |control| {
         let plan = plan(options.seed, options.seconds as f64, control);
--- a/crates/deckproxy-lab/src/drills/promises.rs
+++ b/crates/deckproxy-lab/src/drills/promises.rs
@@ -1,6 +1,6 @@
 //! The promises of a drill, and which of them broke.
 
-/// Collects the promises that broke, in words.
+/// Collects descriptions of the promises that broke.
 #[derive(Debug, Default)]
 pub struct Promises {
     broken: Vec<String>,
--- a/crates/deckproxy-lab/src/drills/recovery/goodput.rs
+++ b/crates/deckproxy-lab/src/drills/recovery/goodput.rs
@@ -29,7 +29,7 @@
     pub traffic_end: f64,
 }
 
-/// What a run came to. Goodput is the share of the requests that were served.
+/// The figures of a run. Goodput is the share of the requests that were served.
 #[derive(Clone, Copy, Debug)]
 pub struct Goodput {
     /// Before the fault.
@@ -92,7 +92,7 @@
                 Fact::RequestSent { name, timeout_ms: left_ms, .. } => {
                     let is_first = *left_ms >= timeout_ms - TIMEOUT_TOLERANCE_MS;
                     counts.first_attempts[now] += f64::from(u8::from(is_first));
-                    // The time that is left tells when the first attempt was made.
+                    // The remaining timeout shows when the first attempt was made.
                     first_sent.insert(name, second((seen.at - (timeout_ms - left_ms)).max(0.0)));
                 }
                 Fact::Answered { name, outcome: Outcome::Served(_) | Outcome::Unchanged } => {
--- a/crates/deckproxy-lab/src/drills/recovery/mod.rs
+++ b/crates/deckproxy-lab/src/drills/recovery/mod.rs
@@ -39,7 +39,7 @@
 /// The shortest run, s: the first second is left out, and the quarter before the fault has to hold another one.
 pub const LEAST_SECONDS: u64 = 8;
 
-/// What one run came to.
+/// The results of one run.
 struct Run {
     verdict: Verdict,
     goodput: Goodput,
@@ -61,12 +61,12 @@
     immediate_retries: Run,
 }
 
-/// Plays the drill.
+/// Runs the drill.
 pub fn run(options: &Options) -> Report {
     let comparison = Comparison {
-        recovery: play(options, Some(OPERATOR_FILE), RetryPolicy::AfterAdvice),
-        off: play(options, None, RetryPolicy::AfterAdvice),
-        immediate_retries: play(options, None, RetryPolicy::Immediate),
+        recovery: run_once(options, Some(OPERATOR_FILE), RetryPolicy::AfterAdvice),
+        off: run_once(options, None, RetryPolicy::AfterAdvice),
+        immediate_retries: run_once(options, None, RetryPolicy::Immediate),
     };
     Report {
         broken: broken_promises(options, &comparison.recovery),
@@ -116,8 +116,8 @@
     })
 }
 
-/// Plays the load and the fault once.
-fn play(options: &Options, operator_file: Option<&str>, retry_policy: RetryPolicy) -> Run {
+/// Runs the load and the fault once.
+fn run_once(options: &Options, operator_file: Option<&str>, retry_policy: RetryPolicy) -> Run {
     let record = Record::default();
     let config = SiteConfig { origin_concurrency: ORIGIN_CONCURRENCY, ..SiteConfig::default() };
     let site = Site::start(0, config, &record);
--- a/crates/deckproxy-lab/src/drills/sites/timeline.rs
+++ b/crates/deckproxy-lab/src/drills/sites/timeline.rs
@@ -1,4 +1,4 @@
-//! What a record tells of a run over time: the cuts of the links, and the outcomes of requests by half second.
+//! A run over time: the cuts of the links, and the outcomes of requests by half second.
 
 use deckproxy_standins::record::{Fact, Outcome, Seen};
 use std::collections::HashMap;
--- a/crates/deckproxy-lab/src/flows/collect/exporters.rs
+++ b/crates/deckproxy-lab/src/flows/collect/exporters.rs
@@ -24,7 +24,7 @@
 /// Why the collector closed a connection.
 #[derive(Debug, Error)]
 pub enum ConnectionError {
-    /// Nothing came for [`IDLE_TIMEOUT`].
+    /// Nothing was received for [`IDLE_TIMEOUT`].
     #[error("closed: silent for {} s", IDLE_TIMEOUT.as_secs())]
     Idle,
     /// The bytes are not IPFIX: it is unknown where the next message begins (RFC 7011, 10.4).
@@ -46,7 +46,7 @@
     time::unix_ms(SystemTime::now())
 }
 
-/// Reads datagrams for ever. Exporters are told apart by address and port (RFC 7011, 10.3); the one that was silent for
+/// Reads datagrams forever. Exporters are distinguished by address and port (RFC 7011, 10.3); the one that was silent for
 /// longest is forgotten where there are too many.
 pub fn read_datagrams(socket: &UdpSocket, store: &Mutex<Store>) {
     let limits = Limits { template_lifetime: TEMPLATE_LIFETIME_MS, ..Limits::default() };
--- a/crates/deckproxy-lab/src/flows/collect/mod.rs
+++ b/crates/deckproxy-lab/src/flows/collect/mod.rs
@@ -1,4 +1,4 @@
-//! `decklab flows collect`: takes what exporters send and stores readable records.
+//! `decklab flows collect`: receives what exporters send and stores readable records.
 
 mod exporters;
 mod store;
@@ -23,7 +23,7 @@
     /// The folder for the records: a file for each hour.
     #[arg(long, value_name = "DIR")]
     out: PathBuf,
-    /// End after so many seconds; else with Ctrl-C.
+    /// Seconds after which to end; without it, Ctrl-C ends.
     #[arg(long, value_name = "SECONDS")]
     seconds: Option<u64>,
     /// MB that the folder may take; the oldest files are removed beyond it.
--- a/crates/deckproxy-lab/src/flows/collect/store.rs
+++ b/crates/deckproxy-lab/src/flows/collect/store.rs
@@ -13,7 +13,7 @@
 const HOUR_MS: u64 = 3_600_000;
 const BYTES_PER_MB: u64 = 1_000_000;
 
-/// What came so far.
+/// Counts of what was received so far.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
     /// Messages of exporters.
@@ -46,7 +46,7 @@
         Store { folder, keep_mb, open: None, counts: Counts::default(), failure: None }
     }
 
-    /// What came so far.
+    /// Counts of what was received so far.
     pub fn counts(&self) -> Counts {
         self.counts
     }
--- a/crates/deckproxy-lab/src/flows/filter.rs
+++ b/crates/deckproxy-lab/src/flows/filter.rs
@@ -90,8 +90,8 @@
             Filter::And(all) => all.iter().all(|filter| filter.matches(record)),
             Filter::Not(inner) => !inner.matches(record),
             Filter::Within(net) => record.client.is_some_and(|client| net.contains(&client)),
-            Filter::Text(field, operator, wanted) => operator.compare(field.value(record), wanted),
-            Filter::Number(field, operator, wanted) => operator.compare(field.value(record), *wanted),
+            Filter::Text(field, operator, operand) => operator.compare(field.value(record), operand),
+            Filter::Number(field, operator, operand) => operator.compare(field.value(record), *operand),
         }
     }
 }
@@ -110,11 +110,11 @@
 }
 
 impl TextOperator {
-    fn compare(self, value: &str, wanted: &str) -> bool {
+    fn compare(self, value: &str, operand: &str) -> bool {
         match self {
-            TextOperator::Equal => value == wanted,
-            TextOperator::NotEqual => value != wanted,
-            TextOperator::Contains => value.contains(wanted),
+            TextOperator::Equal => value == operand,
+            TextOperator::NotEqual => value != operand,
+            TextOperator::Contains => value.contains(operand),
         }
     }
 }
@@ -133,14 +133,14 @@
 }
 
 impl NumberOperator {
-    fn compare(self, value: f64, wanted: f64) -> bool {
+    fn compare(self, value: f64, operand: f64) -> bool {
         match self {
-            NumberOperator::Equal => value == wanted,
-            NumberOperator::NotEqual => value != wanted,
-            NumberOperator::Less => value < wanted,
-            NumberOperator::LessOrEqual => value <= wanted,
-            NumberOperator::Greater => value > wanted,
-            NumberOperator::GreaterOrEqual => value >= wanted,
+            NumberOperator::Equal => value == operand,
+            NumberOperator::NotEqual => value != operand,
+            NumberOperator::Less => value < operand,
+            NumberOperator::LessOrEqual => value <= operand,
+            NumberOperator::Greater => value > operand,
+            NumberOperator::GreaterOrEqual => value >= operand,
         }
     }
 }
--- a/crates/deckproxy-lab/src/flows/follow.rs
+++ b/crates/deckproxy-lab/src/flows/follow.rs
@@ -24,7 +24,7 @@
     /// Begin with the records that are there already.
     #[arg(long)]
     all: bool,
-    /// End after so many seconds; else with Ctrl-C.
+    /// Seconds after which to end; without it, Ctrl-C ends.
     #[arg(long, value_name = "SECONDS")]
     seconds: Option<u64>,
 }
--- a/crates/deckproxy-lab/src/flows/query/tests.rs
+++ b/crates/deckproxy-lab/src/flows/query/tests.rs
@@ -58,11 +58,11 @@
         ("not", 4, "a field"),
         ("", 1, "a field"),
     ];
-    for (text, column, wanted) in cases {
+    for (text, column, expected) in cases {
         let fault = parse(text).unwrap_err().to_string();
         let first = fault.lines().next().unwrap();
         assert!(
-            first.starts_with(&format!("column {column}: ")) && first.contains(wanted),
+            first.starts_with(&format!("column {column}: ")) && first.contains(expected),
             "{text}: {fault}"
         );
     }
--- a/crates/deckproxy-lab/src/flows/top/totals.rs
+++ b/crates/deckproxy-lab/src/flows/top/totals.rs
@@ -112,14 +112,14 @@
 pub struct Totals {
     selection: Selection,
     by_key: HashMap<String, Total>,
-    /// The records' times for a picture, where one is wanted.
+    /// The records' times for a picture, if there is to be one.
     spans: Option<Vec<Span>>,
     lost: Lost,
     folded_bytes: u64,
 }
 
 impl Totals {
-    /// Sums of no record. With `keep_spans`, the times of the records are kept for a picture.
+    /// No sums yet. With `keep_spans`, the times of the records are kept for a picture.
     pub fn new(selection: Selection, keep_spans: bool) -> Self {
         Totals {
             selection,
@@ -163,7 +163,7 @@
         self.by_key.values().fold(0u64, |sum, total| sum.saturating_add(total.bytes_out))
     }
 
-    /// When the bytes of the records were sent; nothing where no picture is wanted.
+    /// When the bytes of the records were sent; nothing without a picture.
     pub fn spans(&self) -> &[Span] {
         self.spans.as_deref().unwrap_or_default()
     }
--- a/crates/deckproxy-lab/src/main.rs
+++ b/crates/deckproxy-lab/src/main.rs
@@ -1,4 +1,4 @@
-//! decklab: what operators and developers try deckproxy with.
+//! decklab: demo, drills, experiments and measurements for operators and developers of deckproxy.
 #![forbid(unsafe_code)]
 
 mod demo;
@@ -28,7 +28,7 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// The main job, seen at work: caches, parent, origin and feed, the real gateway, traffic, a table.
+    /// The main job at work: caches, parent, origin and feed, the real gateway, traffic, a table.
     Demo(demo::Options),
     /// The hard cases of a subsystem, on real processes and sockets; exit code 1 when a promise broke, 2 when it could
     /// not run.
@@ -37,7 +37,7 @@
     Flows(flows::Options),
     /// Experiments on a model of sites: the deployed gateway in simulated time, at any size.
     Model(model::Options),
-    /// Several processes of the gateway, hurt by a plan: what each sees, what members get, a page of it.
+    /// Several processes of the gateway under a plan of faults: what each sees, what members receive, a page of the run.
     Rig(rig::Options),
     /// Measurements on this machine; each compares in one run.
     Measure(measure::Options),
--- a/crates/deckproxy-lab/src/measure/sites/collapsing.rs
+++ b/crates/deckproxy-lab/src/measure/sites/collapsing.rs
@@ -45,7 +45,7 @@
         })
         .collect();
     show(
-        &["asked", "served", "requests that crossed"],
+        &["requests", "served", "requests that crossed"],
         &[vec![requests.to_string(), served.to_string(), crossed.len().to_string()]],
     );
 }
--- a/crates/deckproxy-lab/src/measure/sites/crossing.rs
+++ b/crates/deckproxy-lab/src/measure/sites/crossing.rs
@@ -1,4 +1,4 @@
-//! The cost of a request that crosses to the other site beside one that stays.
+//! The cost of a request that crosses to the other site, compared with one that stays.
 
 use super::{LinkPath, SitePair, is_small, page};
 use crate::measure::{Options, show};
@@ -26,9 +26,7 @@
 
 /// Runs the measurement.
 pub fn run(options: &Options) {
-    print_line!(
-        "\nCrossing beside staying, 800 requests a second, objects of under 8 KB, no delay on the link"
-    );
+    print_line!("\nCrossing and staying, 800 requests a second, objects of under 8 KB, no delay on the link");
     let pair = SitePair::start("", LinkPath::Direct);
     // Both sites' caches are filled first.
     for site in 0..2 {
--- a/crates/deckproxy-lab/src/measure/sites/flow_control.rs
+++ b/crates/deckproxy-lab/src/measure/sites/flow_control.rs
@@ -1,4 +1,4 @@
-//! Small answers beside large ones on a narrow link, with bodies in chunks under credit and in one piece.
+//! Small answers together with large ones on a narrow link, with bodies in chunks under credit and in one piece.
 
 use super::{LinkPath, SitePair, is_small, page};
 use crate::measure::{Options, show};
@@ -72,7 +72,7 @@
 /// Runs the measurement.
 pub fn run(options: &Options) {
     print_line!(
-        "\nSmall answers beside large ones (180 KB), link of 2 MB a second each connection, one connection"
+        "\nSmall answers together with large ones (180 KB), link of 2 MB a second each connection, one connection"
     );
     let mut rows = Vec::new();
     for (name, link_settings) in [
--- a/crates/deckproxy-lab/src/measure/sites/mod.rs
+++ b/crates/deckproxy-lab/src/measure/sites/mod.rs
@@ -55,7 +55,7 @@
     relay: LinkRelay,
 }
 
-/// What one load came to.
+/// The results of one load.
 struct LoadResult {
     verdict: Verdict,
     facts: Vec<Seen>,
--- a/crates/deckproxy-lab/src/measure/sites/recovery.rs
+++ b/crates/deckproxy-lab/src/measure/sites/recovery.rs
@@ -38,7 +38,7 @@
 }
 
 impl CutRun {
-    fn play(link_settings: &str, retry_policy: RetryPolicy, seed: u64) -> Self {
+    fn run_once(link_settings: &str, retry_policy: RetryPolicy, seed: u64) -> Self {
         let pair = SitePair::start(link_settings, LinkPath::Relayed);
         let requests = traffic::requests(1, 1, 300, 0.0, 0.0);
         let load = Load { retry_policy, ..Load::new(0, pair.addresses[0], CLIENTS, RATE, seed, &requests) };
@@ -68,7 +68,7 @@
         self.count(from, to, |fact| matches!(fact, Fact::RequestSent { .. }))
     }
 
-    /// Attempts that came to the serving side's members.
+    /// Attempts at the serving side's members.
     fn attempts(&self, from: f64, to: f64) -> f64 {
         self.count(from, to, |fact| matches!(fact, Fact::AttemptReceived { .. }))
     }
@@ -111,7 +111,7 @@
         ("plain: no ramp, no waiting, retry at once", "ramp_ms: 0 hold_ms: 0", RetryPolicy::Immediate),
     ]
     .map(|(name, link_settings, retry_policy)| {
-        CutRun::play(link_settings, retry_policy, options.seed).row(name)
+        CutRun::run_once(link_settings, retry_policy, options.seed).row(name)
     });
     show(
         &[
--- a/crates/deckproxy-lab/src/model/report.rs
+++ b/crates/deckproxy-lab/src/model/report.rs
@@ -27,17 +27,17 @@
 
 /// The curves of the report, drawn over time for each variant.
 const CURVES: [(&str, Value); 5] = [
-    ("Share of what clients wanted that was served", |p| p.served as f64 / wanted(p)),
+    ("Share of requests that was served", |p| p.served as f64 / requests(p)),
     ("99th percentile of the time until served, ms", |p| p.p99_ms),
-    ("Admitted attempts, for each request that was wanted", |p| {
-        (p.client_attempts - p.admission_rejected) as f64 / wanted(p)
+    ("Admitted attempts for each request", |p| {
+        (p.client_attempts - p.admission_rejected) as f64 / requests(p)
     }),
-    ("Fills at the origin, for each request that was wanted", |p| p.origin_fills as f64 / wanted(p)),
-    ("Work done for nobody, for each request that was wanted", |p| p.wasted as f64 / wanted(p)),
+    ("Fills at the origin for each request", |p| p.origin_fills as f64 / requests(p)),
+    ("Wasted work for each request", |p| p.wasted as f64 / requests(p)),
 ];
 
-/// What clients wanted in a step, one at least.
-fn wanted(point: &Point) -> f64 {
+/// Requests of clients in a step, one at least.
+fn requests(point: &Point) -> f64 {
     point.requests.max(1) as f64
 }
 
@@ -88,7 +88,7 @@
         escape(if experiment.question.is_empty() { "Experiment" } else { &experiment.question })
     );
     let seed = runs.first().map_or(1, |run| run.seed);
-    let _ = write!(page, "<p>Curves are of seed {seed}. Grey: something is wrong.</p>");
+    let _ = write!(page, "<p>Curves are of seed {seed}. Grey: a fault.</p>");
     let shown: Vec<&Run> = variants
         .iter()
         .filter_map(|variant| runs_of(runs, &variant.name).find(|run| run.seed == seed))
@@ -99,8 +99,7 @@
         page += &picture(title, "seconds", &lines, &first.faults)?;
     }
     let loads: Vec<Line> = shown.iter().map(|run| cache_loads(run)).collect();
-    page +=
-        &picture("Requests that came to each cache, the busiest first", "share of the caches", &loads, &[])?;
+    page += &picture("Requests at each cache, the busiest first", "share of the caches", &loads, &[])?;
     Ok(page)
 }
 
@@ -126,7 +125,7 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('"', "&quot;")
 }
 
-/// A picture as SVG, with the times at which something is wrong in grey.
+/// A picture as SVG, with the times of faults in grey.
 fn picture(title: &str, x_label: &str, lines: &[Line], faults: &[Fault]) -> Result<String, LabError> {
     let mut svg = String::new();
     draw(&mut svg, title, x_label, lines, faults).map_err(LabError::picture(title))?;
--- a/crates/deckproxy-lab/src/model/run.rs
+++ b/crates/deckproxy-lab/src/model/run.rs
@@ -21,7 +21,7 @@
     pub seed: u64,
     /// The scenario as it was run: the record of another one is not taken for it.
     pub scenario: Scenario,
-    /// Requests that clients wanted, each counted once.
+    /// Requests of clients, each counted once.
     pub requests: u64,
     /// Share of them that was served.
     pub served: f64,
@@ -31,7 +31,7 @@
     pub trough: f64,
     /// Share served at the end.
     pub after: f64,
-    /// The most work for each request during and after the faults, beside the work before them.
+    /// The most work for each request during and after the faults, relative to the work before them.
     pub amplification: f64,
     /// Seconds from the end of the faults until service was back; none: not within the run.
     pub seconds_to_recover: Option<f64>,
@@ -47,7 +47,7 @@
     pub events: u64,
     /// Seconds that the run took.
     pub took: f64,
-    /// Requests that came to each cache.
+    /// Requests at each cache.
     pub per_cache: Vec<u64>,
     /// What was counted in each step of the run.
     pub points: Vec<Point>,
@@ -76,13 +76,13 @@
     pub fn new(variant: &str, scenario: Scenario, record: Record) -> Self {
         let Span { from, to } = fault_span(&scenario);
         let Recovery { before, trough, after, seconds, amplification } = record.recovery(from, to);
-        let wanted = record.sum(|point| point.requests);
+        let requests = record.sum(|point| point.requests);
         Run {
             variant: variant.to_string(),
             seed: scenario.seed,
             scenario,
-            requests: wanted,
-            served: record.sum(|point| point.served) as f64 / wanted.max(1) as f64,
+            requests,
+            served: record.sum(|point| point.served) as f64 / requests.max(1) as f64,
             before,
             trough,
             after,
--- a/crates/deckproxy-lab/src/model/summary.rs
+++ b/crates/deckproxy-lab/src/model/summary.rs
@@ -1,4 +1,4 @@
-//! What the runs of an experiment came to by variant: a table for people, a JSON object for programs.
+//! The results of an experiment by variant: a table for people, a JSON object for programs.
 
 use super::run::Run;
 use crate::output::print_line;
@@ -60,7 +60,7 @@
     table.set_header([
         "variant",
         "served",
-        "beside the first (95%)",
+        "relative to the first (95%)",
         "before",
         "trough",
         "after",
--- a/crates/deckproxy-lab/src/rig.rs
+++ b/crates/deckproxy-lab/src/rig.rs
@@ -1,4 +1,4 @@
-//! `decklab rig`: a plan played on several processes of the gateway.
+//! `decklab rig`: runs a plan of faults on several processes of the gateway.
 
 use crate::error::LabError;
 use crate::output::{print_line, print_rows};
@@ -15,30 +15,30 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Health checks of a member in 2 s beside those intended that no run may reach.
+/// Health checks of a member in 2 s, relative to those intended, that no run may reach.
 const MOST_CHECK_RATIO: f64 = 2.0;
 
-/// Which plan, and what becomes of it.
+/// Which plan, and where its results go.
 #[derive(Debug, Args)]
 pub struct Options {
-    /// The plan (protobuf text format; see experiments/rig-*.textproto). Left out: one is drawn from the seed.
+    /// The plan (protobuf text format; see experiments/rig-*.textproto). Without it, one is drawn from the seed.
     file: Option<PathBuf>,
     /// Seed of the traffic and, without a file, of the plan; else the plan's own.
     #[arg(long)]
     seed: Option<u64>,
-    /// Seconds of a plan that is drawn.
+    /// Seconds of a plan that is drawn from the seed.
     #[arg(long, default_value_t = 30, value_parser = clap::value_parser!(u64).range(10..=3600))]
     seconds: u64,
     /// A folder for the page of the run, the instances' logs and the plan.
     #[arg(long, value_name = "DIR")]
     out: Option<PathBuf>,
-    /// Where a promise breaks: leave faults out while it still does, in so many runs at most, and write the plan that is
+    /// Where a promise breaks: leave faults out while it still breaks, in at most so many runs, and write the plan that is
     /// left.
     #[arg(long, value_name = "RUNS", default_value_t = 0)]
     shrink: usize,
 }
 
-/// Plays a plan; exit code 1 where a promise broke.
+/// Runs a plan; exit code 1 where a promise broke.
 ///
 /// # Errors
 ///
@@ -57,7 +57,7 @@
         plan.rate,
         plan.seconds
     );
-    let (run, figures) = play(&plan, |at, fault| print_line!("{at:7.2} s  {fault}"));
+    let (run, figures) = run_once(&plan, |at, fault| print_line!("{at:7.2} s  {fault}"));
     let broken = broken_promises(&run, &figures);
     show(&run, &figures);
     for promise in &broken {
@@ -93,15 +93,15 @@
 
 /// Creates a folder, and sees that it takes a file.
 fn create_folder(folder: &Path) -> Result<(), LabError> {
-    let probe = folder.join(".decklab");
+    let test_file = folder.join(".decklab");
     std::fs::create_dir_all(folder)
-        .and_then(|()| std::fs::write(&probe, ""))
-        .and_then(|()| std::fs::remove_file(&probe))
+        .and_then(|()| std::fs::write(&test_file, ""))
+        .and_then(|()| std::fs::remove_file(&test_file))
         .map_err(LabError::file(folder))
 }
 
-/// Plays a plan with the traffic that it is made for, and judges the run.
-fn play(plan: &Plan, report: impl FnMut(f64, &str)) -> (RunRecord, FleetFigures) {
+/// Runs a plan with the traffic that it is made for, and judges the run.
+fn run_once(plan: &Plan, report: impl FnMut(f64, &str)) -> (RunRecord, FleetFigures) {
     let requests =
         if plan.open_loop { overload_traffic::requests() } else { traffic::requests(0, 1, 600, 0.0, 0.06) };
     let run = run_plan(plan, &requests, report);
@@ -127,8 +127,8 @@
 /// Leaves faults out while a promise still breaks, and writes the plan that is left.
 fn shrink_plan(plan: &Plan, options: &Options) {
     let fails = |smaller: &Plan| {
-        print_line!("without some: {} of {} faults", smaller.faults.len(), plan.faults.len());
-        let (run, figures) = play(smaller, |_, _| {});
+        print_line!("trying {} of {} faults", smaller.faults.len(), plan.faults.len());
+        let (run, figures) = run_once(smaller, |_, _| {});
         !broken_promises(&run, &figures).is_empty()
     };
     let Shrunk { plan: smallest, runs } = shrink(plan, options.shrink, fails);
@@ -141,7 +141,7 @@
     let folder = options.out.clone().unwrap_or_else(|| PathBuf::from("."));
     let path = folder.join("smallest.textproto");
     match std::fs::write(&path, smallest.text()) {
-        Ok(()) => print_line!("plays again by: decklab rig {}", path.display()),
+        Ok(()) => print_line!("run it again with: decklab rig {}", path.display()),
         Err(e) => eprintln!("decklab rig: {}: {e}", path.display()),
     }
 }
@@ -180,7 +180,7 @@
     ]
 }
 
-/// What came of a run with clients in an open loop.
+/// The figures of a run with clients in an open loop.
 fn overload_rows(run: &RunRecord) -> [(&'static str, String); 8] {
     let figures = overload_judge::judge(run, OverloadCriteria::default());
     [
--- a/crates/deckproxy-lab/tests/flows.rs
+++ b/crates/deckproxy-lab/tests/flows.rs
@@ -1,4 +1,4 @@
-//! `decklab flows` as an operator runs it: a collector that takes anything, sums that are right, filters.
+//! `decklab flows` as an operator runs it: a collector that survives any input, exact sums, filters.
 
 use deckproxy_flow::codec::Version;
 use deckproxy_flow::codec::elements::EXAMPLE_ENTERPRISE;
@@ -30,13 +30,13 @@
         Collect { child, at, folder }
     }
 
-    fn top(&self, words: &[&str]) -> Output {
-        run(&["flows", "top"], &self.folder, words)
+    fn top(&self, options: &[&str]) -> Output {
+        run(&["flows", "top"], &self.folder, options)
     }
 
     /// The rows of a sum as CSV: key, bytes out, requests.
-    fn rows(&self, words: &[&str]) -> Vec<(String, u64, u64)> {
-        let output = self.top(&[words, &["--csv"]].concat());
+    fn rows(&self, options: &[&str]) -> Vec<(String, u64, u64)> {
+        let output = self.top(&[options, &["--csv"]].concat());
         let text = String::from_utf8(output.stdout).unwrap();
         let cells = |line: &str| {
             let all: Vec<&str> = line.split(',').collect();
@@ -54,12 +54,12 @@
     }
 }
 
-fn run(first: &[&str], folder: &Path, words: &[&str]) -> Output {
+fn run(first: &[&str], folder: &Path, options: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_decklab"));
-    command.args(first).arg(folder).args(words).output().unwrap()
+    command.args(first).arg(folder).args(options).output().unwrap()
 }
 
-/// The messages that tell some flows: of clients in two networks and two classes, of a member, of a link.
+/// The messages that export some flows: of clients in two networks and two classes, of a member, of a link.
 fn messages(version: Version) -> Vec<bytes::Bytes> {
     let mut meter = Meter::new(Limits::default());
     for n in 1..=40u8 {
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn what_is_sent_is_stored_summed_filtered_and_drawn() {
+fn exported_flows_are_stored_summed_filtered_and_drawn() {
     let collect = Collect::start();
     let mut stream = TcpStream::connect(collect.at).unwrap();
     // In pieces that end anywhere.
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn netflow_v9_over_udp_is_stored_too() {
+fn netflow_v9_over_udp_is_stored() {
     let collect = Collect::start();
     let socket = UdpSocket::bind((std::net::Ipv4Addr::LOCALHOST, 0)).unwrap();
     for message in messages(Version::NetflowV9) {
@@ -146,12 +146,12 @@
 }
 
 #[test]
-fn hostile_input_ends_nothing_but_its_own_connection() {
+fn hostile_input_ends_only_its_own_connection() {
     let collect = Collect::start();
     let good = messages(Version::Ipfix);
     let udp = UdpSocket::bind((std::net::Ipv4Addr::LOCALHOST, 0)).unwrap();
     // Not the protocol, a length that is none, sets of any length, a template of 65,535 fields, and each message of
-    // the good ones with every byte turned over in its turn.
+    // the good ones with each byte inverted in its turn.
     let mut bad: Vec<Vec<u8>> = vec![
         b"GET / HTTP/1.1\r\n\r\n".to_vec(),
         vec![0, 10, 0, 3, 0, 0, 0, 0],
@@ -164,9 +164,9 @@
         [&[0, 10, 0, 20, 0, 0, 0, 1, 0, 0, 0, 1, 0, 0, 0, 1][..], &[1, 0, 0xff, 0xff]].concat(),
     ];
     bad.extend((0..good[0].len()).map(|at| {
-        let mut turned = good[0].to_vec();
-        turned[at] ^= 0xff;
-        turned
+        let mut inverted = good[0].to_vec();
+        inverted[at] ^= 0xff;
+        inverted
     }));
     for message in &bad {
         let _ = udp.send_to(message, collect.at);
@@ -176,18 +176,18 @@
         stream.write_all(message).unwrap();
         stream.shutdown(std::net::Shutdown::Write).unwrap();
         stream.set_read_timeout(Some(std::time::Duration::from_secs(10))).unwrap();
-        // It closes; some of it unread is told by a reset.
+        // The collector closes it; with unread bytes left, by a reset.
         assert!(matches!(stream.read(&mut [0]), Ok(0) | Err(_)));
     }
     let mut stream = TcpStream::connect(collect.at).unwrap();
     stream.write_all(&good.concat()).unwrap();
-    let whole = || {
+    let is_complete = || {
         collect.rows(&["--by", "class", "--where", "domain = 3"]).iter().any(|r| r.0 == "page" && r.2 >= 60)
     };
-    until("the good ones are stored", whole);
+    until("the good ones are stored", is_complete);
 }
 
-/// A turned byte made counters of near 2^64, and the sums of two of them ended `top`.
+/// An inverted byte made counters of near 2^64, and the sum of two of them ended `top`.
 #[test]
 fn counters_of_any_size_are_summed() {
     let folder = std::env::temp_dir().join(format!("decklab-flows-{}-large", std::process::id()));
@@ -208,22 +208,22 @@
 }
 
 #[test]
-fn faults_of_the_operator_are_told_where_they_are() {
+fn invalid_lines_filters_and_folders_are_reported_with_their_place() {
     let folder = std::env::temp_dir().join(format!("decklab-flows-{}-bad", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     std::fs::write(folder.join("flows-00000001.jsonl"), "{\"leg\":\"client\",\"out\":7}\nnonsense\n{\"leg\"")
         .unwrap();
     let output = run(&["flows", "top"], &folder, &["--by", "class", "--csv"]);
-    let told = String::from_utf8(output.stderr).unwrap();
+    let stderr = String::from_utf8(output.stderr).unwrap();
     assert!(
         output.status.success()
-            && told.contains(".jsonl:2: not a record")
-            && told.contains("2 lines are not records")
+            && stderr.contains(".jsonl:2: not a record")
+            && stderr.contains("2 lines are not records")
     );
     assert!(String::from_utf8(output.stdout).unwrap().contains("(none),7,100.0"));
     let output = run(&["flows", "top"], &folder, &["--where", "class = page or"]);
-    let told = String::from_utf8(output.stderr).unwrap();
-    assert!(output.status.code() == Some(2) && told.contains("column 16: expected a field"), "{told}");
+    let stderr = String::from_utf8(output.stderr).unwrap();
+    assert!(output.status.code() == Some(2) && stderr.contains("column 16: expected a field"), "{stderr}");
     let output = run(&["flows", "top"], &folder.join("nowhere"), &[]);
     assert!(
         output.status.code() == Some(2) && String::from_utf8(output.stderr).unwrap().contains("nowhere: ")
--- a/crates/deckproxy-lab/tests/model.rs
+++ b/crates/deckproxy-lab/tests/model.rs
@@ -4,8 +4,8 @@
 use std::process::{Command, Output};
 use std::time::Instant;
 
-fn decklab(words: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_decklab")).arg("model").args(words).output().unwrap()
+fn decklab(options: &[&str]) -> Output {
+    Command::new(env!("CARGO_BIN_EXE_decklab")).arg("model").args(options).output().unwrap()
 }
 
 fn folder(name: &str) -> PathBuf {
@@ -19,12 +19,12 @@
                     variants { name: \"gateway\" }\nvariants { name: \"random\" host: RANDOM }\n";
 
 #[test]
-fn an_experiment_is_run_stored_drawn_and_taken_up_again() {
+fn experiment_is_run_stored_drawn_and_resumed() {
     let folder = folder("good");
     let (file, out) = (folder.join("e.textproto"), folder.join("out"));
     std::fs::write(&file, GOOD).unwrap();
-    let words = [file.to_str().unwrap(), "--seeds", "2", "--json", "--out", out.to_str().unwrap()];
-    let first = decklab(&words);
+    let options = [file.to_str().unwrap(), "--seeds", "2", "--json", "--out", out.to_str().unwrap()];
+    let first = decklab(&options);
     let text = String::from_utf8(first.stdout).unwrap();
     let line: serde_json::Value = serde_json::from_str(text.lines().last().unwrap()).unwrap();
     assert_eq!(
@@ -41,7 +41,7 @@
     assert!(points.starts_with("variant,seed,at,wanted,") && points.lines().count() > 50, "{points}");
     // The records are there: nothing is run again, and all comes out the same.
     let start = Instant::now();
-    let again = decklab(&words);
+    let again = decklab(&options);
     assert_eq!(String::from_utf8(again.stdout).unwrap().lines().last(), text.lines().last());
     assert!(start.elapsed().as_secs() < 5);
     let sweep = decklab(&[file.to_str().unwrap(), "--seeds", "1", "--sweep", "load.rate=50,100"]);
@@ -51,18 +51,18 @@
 }
 
 #[test]
-fn faults_of_an_experiment_are_told_where_they_are() {
+fn faults_of_an_experiment_are_reported_with_their_place() {
     let folder = folder("bad");
     let file = folder.join("e.textproto");
-    let told = |text: &str, words: &[&str]| {
+    let stderr = |text: &str, options: &[&str]| {
         std::fs::write(&file, text).unwrap();
-        let output = decklab(&[&[file.to_str().unwrap()], words].concat());
+        let output = decklab(&[&[file.to_str().unwrap()], options].concat());
         assert_eq!(output.status.code(), Some(2));
         String::from_utf8(output.stderr).unwrap()
     };
     let text = "seconds: 0\nload { schedule: \"1 +\" }\nfaults { at: 1 lasts: 1 }\nfaults { at: 1 site: 4 }\n\
                 variants { name: \"a\" }\nvariants { name: \"a\" }\nmembers { cores: 4 }\n";
-    let faults = told(text, &[]);
+    let faults = stderr(text, &[]);
     for want in [
         ":1:1: seconds: over 0",
         ":2:8: load.schedule: column 4: wanted here: a number",
@@ -72,10 +72,10 @@
     ] {
         assert!(faults.contains(want), "{want}: {faults}");
     }
-    let fault = told("faults { at: 1 lasts: 1 site: 4 }", &[]);
+    let fault = stderr("faults { at: 1 lasts: 1 site: 4 }", &[]);
     assert!(fault.contains(":1:25: faults[0].site: there is no such site"), "{fault}");
-    assert!(told("load { rat: 5 }", &[]).contains(":1:8: load.rat: no such field; there are rate"));
-    assert!(told(GOOD, &["--sweep", "load.rats=5"]).contains("there is no field load.rats"));
-    assert!(told(GOOD, &["--sweep", "load.rate=-5"]).contains("load.rate: over 0"));
+    assert!(stderr("load { rat: 5 }", &[]).contains(":1:8: load.rat: no such field; there are rate"));
+    assert!(stderr(GOOD, &["--sweep", "load.rats=5"]).contains("there is no field load.rats"));
+    assert!(stderr(GOOD, &["--sweep", "load.rate=-5"]).contains("load.rate: over 0"));
     std::fs::remove_dir_all(&folder).unwrap();
 }
