--- a/crates/deckproxy-model/src/balancer/gateway.rs
+++ b/crates/deckproxy-model/src/balancer/gateway.rs
@@ -2,12 +2,12 @@
 
 use super::gateway_config::{configuration, feed_entry, member_at};
 use super::{
-    AttemptKey, ClientAnswer, ClientAttempt, Effect, EndpointEntry, MemberReply, MemberRequest, RequestId,
-    simulated_time,
+    AttemptKey, BalancerSetup, ClientAnswer, ClientAttempt, Effect, EndpointEntry, MemberReply,
+    MemberRequest, RequestId, simulated_time,
 };
 use crate::load::{Class, ClientRequest};
 use crate::members::MemberId;
-use crate::scenario::{BalancerKind, Scenario};
+use crate::scenario::BalancerKind;
 use crate::{Micros, unix_ms};
 use ahash::AHashMap;
 use bytes::Bytes;
@@ -44,13 +44,8 @@
 }
 
 impl Gateway {
-    pub(super) fn new(
-        now: Micros,
-        scenario: &Scenario,
-        position: usize,
-        seed: u64,
-        endpoints: &[EndpointEntry],
-    ) -> Self {
+    pub(super) fn new(now: Micros, setup: &BalancerSetup) -> Self {
+        let BalancerSetup { scenario, position, seed, endpoints } = *setup;
         let entries = endpoints.iter().map(feed_entry).collect();
         let known = FeedEvent::Members { complete: true, entries, unreadable: 0 };
         let with_admission = scenario.balancer == BalancerKind::GatewayWithRecovery;
--- a/crates/deckproxy-model/src/balancer/mod.rs
+++ b/crates/deckproxy-model/src/balancer/mod.rs
@@ -142,6 +142,19 @@
     pub started_unix_ms: Option<f64>,
 }
 
+/// What a balancer starts with.
+#[derive(Clone, Copy, Debug)]
+pub struct BalancerSetup<'a> {
+    /// The run that it is part of.
+    pub scenario: &'a Scenario,
+    /// Its index among the gateways of its location.
+    pub position: usize,
+    /// Seed of its random numbers.
+    pub seed: u64,
+    /// The endpoint list that it knows.
+    pub endpoints: &'a [EndpointEntry],
+}
+
 /// A balancer.
 pub enum Balancer {
     /// The deployed gateway.
@@ -151,20 +164,13 @@
 }
 
 impl Balancer {
-    /// Starts a balancer that knows an endpoint list. `position` is its index among the gateways of its
-    /// location.
-    pub fn new(
-        now: Micros,
-        scenario: &Scenario,
-        position: usize,
-        seed: u64,
-        endpoints: &[EndpointEntry],
-    ) -> Self {
-        match scenario.balancer {
+    /// Starts a balancer of the scenario's kind.
+    pub fn new(now: Micros, setup: &BalancerSetup) -> Self {
+        match setup.scenario.balancer {
             BalancerKind::Gateway | BalancerKind::GatewayWithRecovery => {
-                Balancer::Gateway(Box::new(Gateway::new(now, scenario, position, seed, endpoints)))
+                Balancer::Gateway(Box::new(Gateway::new(now, setup)))
             }
-            kind => Balancer::Baseline(Box::new(Baseline::new(kind, seed, endpoints))),
+            kind => Balancer::Baseline(Box::new(Baseline::new(kind, setup.seed, setup.endpoints))),
         }
     }
 
--- a/crates/deckproxy-model/src/simulation/gateways.rs
+++ b/crates/deckproxy-model/src/simulation/gateways.rs
@@ -5,7 +5,9 @@
 use super::event::Event;
 use super::job::{Attempt, JobHandle, JobOwner};
 use super::setup::random_purpose;
-use crate::balancer::{AttemptKey, Balancer, ClientAnswer, Effect, MemberReply, MemberRequest, RequestId};
+use crate::balancer::{
+    AttemptKey, Balancer, BalancerSetup, ClientAnswer, Effect, MemberReply, MemberRequest, RequestId,
+};
 use crate::check::RequestKey;
 use crate::members::MemberId;
 use crate::{Micros, micros, random_stream, unix_ms};
@@ -19,6 +21,9 @@
 /// From the notice of a purge until attempts must not return an older copy, in milliseconds.
 const PURGE_GRACE_MS: f64 = 1000.0;
 
+/// Bits of a random stream's index below the gateway's incarnation.
+const INCARNATION_SHIFT: u32 = 32;
+
 /// Where a gateway is.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct GatewayPlace {
@@ -164,6 +169,7 @@
         self.schedule_after(micros(CLIENT_LATENCY_MS), event);
     }
 
+    /// Schedules the next timer event, unless an earlier one is pending.
     fn schedule_timer(&mut self, gateway: u32) {
         let now = self.now;
         let node = self.gateway_mut(gateway);
@@ -188,6 +194,7 @@
         self.apply_effects(gateway);
     }
 
+    /// A member's reply to an attempt or a health check arrives; void for an earlier incarnation.
     pub(super) fn reply_at_gateway(
         &mut self,
         gateway: u32,
@@ -220,6 +227,7 @@
         }
     }
 
+    /// The connection of an attempt broke; void for an earlier incarnation.
     pub(super) fn connection_broken(&mut self, gateway: u32, incarnation: u32, key: AttemptKey, sent: bool) {
         if !self.serves(gateway, incarnation) {
             return;
@@ -233,11 +241,27 @@
 
     /// Kills a gateway with all that it knew, and starts a new incarnation of it.
     pub(super) fn restart_gateway(&mut self, gateway: u32) {
-        let node = self.gateway_mut(gateway);
-        if !node.up {
+        if !self.gateway(gateway).up {
             return;
         }
-        let (killed, place) = (node.incarnation, node.place);
+        self.kill_gateway(gateway);
+        let up_at = self.now + micros(RESTART_MS);
+        let node = self.gateway(gateway);
+        let (place, incarnation) = (node.place, node.incarnation);
+        let endpoints = self.endpoints_of(place.site, place.location);
+        let index = u64::from(gateway) | u64::from(incarnation) << INCARNATION_SHIFT;
+        let seed: u64 = random_stream(self.scenario.seed, random_purpose::BALANCERS, index).random();
+        let setup =
+            BalancerSetup { scenario: &self.scenario, position: place.position, seed, endpoints: &endpoints };
+        let balancer = Balancer::new(up_at, &setup);
+        self.gateway_mut(gateway).balancer = balancer;
+        self.schedule(up_at, Event::GatewayUp { gateway });
+    }
+
+    /// Ends an incarnation of a gateway: members cancel its attempts, and its clients lose their connections.
+    fn kill_gateway(&mut self, gateway: u32) {
+        let node = self.gateway_mut(gateway);
+        let killed = node.incarnation;
         node.up = false;
         node.incarnation += 1;
         node.timer_at = None;
@@ -249,15 +273,9 @@
         }
         self.checker.gateway_killed(gateway, killed);
         self.disconnect_clients(gateway, killed);
-        let endpoints = self.endpoints_of(place.site, place.location);
-        let index = u64::from(gateway) | u64::from(killed + 1) << 32;
-        let seed: u64 = random_stream(self.scenario.seed, random_purpose::BALANCERS, index).random();
-        let up_at = self.now + micros(RESTART_MS);
-        self.gateways[gateway as usize].balancer =
-            Balancer::new(up_at, &self.scenario, place.position, seed, &endpoints);
-        self.schedule(up_at, Event::GatewayUp { gateway });
     }
 
+    /// A restarted gateway serves again.
     pub(super) fn gateway_up(&mut self, gateway: u32) {
         self.gateway_mut(gateway).up = true;
         self.apply_effects(gateway);
--- a/crates/deckproxy-model/src/simulation/setup.rs
+++ b/crates/deckproxy-model/src/simulation/setup.rs
@@ -8,7 +8,7 @@
 use super::job::JobTable;
 use super::recording::Recorder;
 use super::{ParentLink, Simulation};
-use crate::balancer::Balancer;
+use crate::balancer::{Balancer, BalancerSetup};
 use crate::check::InvariantChecker;
 use crate::load::RequestGenerator;
 use crate::members::{Member, MemberId, MemberKind};
@@ -81,7 +81,9 @@
         let place = GatewayPlace { site: location / self.scenario.locations, location, position };
         let endpoints = self.endpoints_of(place.site, place.location);
         let balancer_seed: u64 = random_stream(seed, random_purpose::BALANCERS, index).random();
-        let balancer = Balancer::new(0, &self.scenario, position, balancer_seed, &endpoints);
+        let setup =
+            BalancerSetup { scenario: &self.scenario, position, seed: balancer_seed, endpoints: &endpoints };
+        let balancer = Balancer::new(0, &setup);
         let arrival_rng = random_stream(seed, random_purpose::ARRIVALS, index);
         let client_rng = random_stream(seed, random_purpose::CLIENTS, index);
         self.gateways.push(GatewayNode::new(balancer, place, arrival_rng, client_rng));
