--- a/crates/deckproxy-fleet/src/fleet/admission.rs
+++ b/crates/deckproxy-fleet/src/fleet/admission.rs
@@ -7,7 +7,7 @@
 use crate::overload::{Overload, Presence, PresentInstance, RequestInfo, RequestOutcome, Ticket, Verdict};
 
 /// Wording of the resources in log lines, with the verb's number.
-const RESOURCE_NAMES: [(&str, &str); RESOURCES] = [("the caches", "are"), ("the way to the sources", "is")];
+const RESOURCE_NAMES: [(&str, &str); RESOURCES] = [("the caches", "are"), ("the path to the sources", "is")];
 
 impl Fleet {
     /// The state of load shedding; `None` where the fleet does not handle overload together.
@@ -72,7 +72,7 @@
     let lines = before.lines.iter().zip(&now.lines);
     let changes = RESOURCE_NAMES.into_iter().zip(lines).filter_map(|((name, verb), change)| match change {
         (None, Some(line)) => Some(shedding_began(name, verb, line)),
-        (Some(_), None) => Some(format!("{name}: all are let in again")),
+        (Some(_), None) => Some(format!("{name}: all requests are admitted again")),
         _ => None,
     });
     let changes: Vec<String> = changes.collect();
@@ -82,6 +82,6 @@
 fn shedding_began(name: &str, verb: &str, line: &ShedLine) -> String {
     let ShedLine { admitted_rate, offered_rate, .. } = line;
     format!(
-        "{name} {verb} crowded: the fleet lets in {admitted_rate:.0} of {offered_rate:.0} requests a second"
+        "{name} {verb} overloaded: the fleet admits {admitted_rate:.0} of {offered_rate:.0} requests a second"
     )
 }
--- a/crates/deckproxy-fleet/src/fleet/datagrams.rs
+++ b/crates/deckproxy-fleet/src/fleet/datagrams.rs
@@ -62,7 +62,7 @@
     fn supersede(&mut self) {
         self.superseded = true;
         let name = self.own().name.clone();
-        self.log(format!("another process is {name} now: this one takes no part in the fleet any more"));
+        self.log(format!("another process is {name} now: this one has left the fleet"));
         self.health_checks = HealthCheckSchedule::default();
         self.reinstatements.clear();
         if !std::mem::take(&mut self.ejected).is_empty() {
@@ -113,7 +113,7 @@
             self.swim.raise_incarnation(own_time, known);
             let raised = self.own().incarnation;
             self.store.adopt_incarnation(raised);
-            self.log(format!("an earlier life had number {known}: this one goes on as {raised}"));
+            self.log(format!("an earlier incarnation had number {known}: this one goes on as {raised}"));
         }
         if !is_reply {
             self.send(from, Body::Hello { is_reply: true, known_incarnation: None });
--- a/crates/deckproxy-fleet/src/fleet/ejection.rs
+++ b/crates/deckproxy-fleet/src/fleet/ejection.rs
@@ -116,10 +116,10 @@
         let added = self.names_of(ejected.difference(&self.ejected));
         let removed = self.names_of(self.ejected.difference(ejected));
         if !added.is_empty() {
-            self.log(format!("held back, as its observers agree that it fails: {added}"));
+            self.log(format!("ejected, as its observers agree that it fails: {added}"));
         }
         if !removed.is_empty() {
-            self.log(format!("taken back: {removed}"));
+            self.log(format!("reinstated: {removed}"));
         }
     }
 
--- a/crates/deckproxy-fleet/src/fleet/mod.rs
+++ b/crates/deckproxy-fleet/src/fleet/mod.rs
@@ -247,7 +247,7 @@
         self.stale_since = Some(now);
         self.view.update(now, &View { is_stale: true, ..self.view.clone() });
         self.health_checks.restart(now, self.settings.health_check_interval);
-        self.log(format!("this process stood still for {pause:.0} ms: what it knew of the fleet is old"));
+        self.log(format!("this process was paused for {pause:.0} ms: its view of the fleet is stale"));
     }
 
     /// The timeouts for a fleet of the expected size.
--- a/crates/deckproxy-fleet/src/fleet/peers.rs
+++ b/crates/deckproxy-fleet/src/fleet/peers.rs
@@ -88,7 +88,7 @@
                 MembershipChange::Down(_) => {}
                 MembershipChange::Renewed(own) => {
                     self.counters.renewals += 1;
-                    self.log(format!("was taken for dead while alive; goes on as renewal {}", own.renewals));
+                    self.log(format!("was declared dead while alive; refuted with renewal {}", own.renewals));
                 }
             }
         }
--- a/crates/deckproxy-fleet/src/health.rs
+++ b/crates/deckproxy-fleet/src/health.rs
@@ -24,9 +24,9 @@
     /// The state's name in log lines.
     pub fn log_name(self) -> &'static str {
         match self {
-            Health::Healthy => "Good",
-            Health::Failing => "Failing",
-            Health::HalfOpen => "Back",
+            Health::Healthy => "healthy",
+            Health::Failing => "failing",
+            Health::HalfOpen => "half-open",
         }
     }
 }
--- a/crates/deckproxy-fleet/tests/instances.rs
+++ b/crates/deckproxy-fleet/tests/instances.rs
@@ -27,7 +27,7 @@
         let ratio = sim.check_ratio(from, sim.now);
         assert!((0.85 * observers..1.1 * observers).contains(&ratio), "{instances} instances: {ratio}");
         assert!(sim.has_same_stores() && sim.hears_all());
-        assert!(sim.logs.iter().all(|line| !line.text.contains("taken for dead")), "{:?}", sim.logs);
+        assert!(sim.logs.iter().all(|line| !line.text.contains("declared dead")), "{:?}", sim.logs);
     }
 }
 
@@ -120,7 +120,7 @@
         );
         // It did not take others for dead because it was paused itself.
         assert!(
-            sim.logs.iter().all(|line| line.instance == 1 || !line.text.contains("taken for dead")),
+            sim.logs.iter().all(|line| line.instance == 1 || !line.text.contains("declared dead")),
             "{:?}",
             sim.logs
         );
--- a/crates/deckproxy-flow/src/export/effects.rs
+++ b/crates/deckproxy-flow/src/export/effects.rs
@@ -42,7 +42,7 @@
         match self {
             LogEvent::Up(collector) => write!(formatter, "collector {collector}: up"),
             LogEvent::Lost(collector) => write!(formatter, "collector {collector}: lost"),
-            LogEvent::Stalled(collector) => write!(formatter, "collector {collector}: takes nothing"),
+            LogEvent::Stalled(collector) => write!(formatter, "collector {collector}: stalled"),
         }
     }
 }
--- a/crates/deckproxy-sites/src/site/effects.rs
+++ b/crates/deckproxy-sites/src/site/effects.rs
@@ -108,22 +108,22 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             LogEvent::EndpointUp { site, endpoint, endpoints: EndpointsUp { up, total } } => {
-                write!(formatter, "link to {site} ({endpoint}): up; {up} of {total} ways are up")
+                write!(formatter, "link to {site} ({endpoint}): up; {up} of {total} endpoints are up")
             }
             LogEvent::EndpointDown { site, endpoint, endpoints: EndpointsUp { up, total } } => {
-                write!(formatter, "link to {site} ({endpoint}): cut; {up} of {total} ways are up")
+                write!(formatter, "link to {site} ({endpoint}): down; {up} of {total} endpoints are up")
             }
             LogEvent::HelloRejected(error) => write!(formatter, "link: {error}"),
-            LogEvent::Goodbye(reason) => write!(formatter, "link: the other side says: {reason}"),
+            LogEvent::Goodbye(reason) => write!(formatter, "link: the peer says: {reason}"),
             LogEvent::PurgesMissing => {
                 formatter.write_str("purges of a peer are missing: copies are not trusted")
             }
             LogEvent::CopyAgeLimited { site, max_age } => write!(
                 formatter,
-                "site {site} is not heard, or purges of its may be missing: own copies may be {max_age:.0} ms old at most"
+                "site {site} is unreachable, or its purges may be missing: own copies may be {max_age:.0} ms old at most"
             ),
             LogEvent::CopyAgeUnlimited => {
-                formatter.write_str("all peers are heard: own copies may be of any age again")
+                formatter.write_str("all peers are reachable: own copies may be of any age again")
             }
         }
     }
--- a/crates/deckproxy/src/program/recovery.rs
+++ b/crates/deckproxy/src/program/recovery.rs
@@ -64,8 +64,8 @@
             return;
         }
         let text = match cap {
-            Some(cap) => format!("a storm of repeats: {cap:.0} requests a second are let in"),
-            None => "the storm of repeats is over: all are let in".to_string(),
+            Some(cap) => format!("a retry storm: {cap:.0} requests a second are admitted"),
+            None => "the retry storm is over: all requests are admitted".to_string(),
         };
         info!(self.log, "recovery"; "what" => text);
     }
--- a/crates/deckproxy/tests/fleet/cache_ejection.rs
+++ b/crates/deckproxy/tests/fleet/cache_ejection.rs
@@ -42,7 +42,7 @@
     let cache = rig.caches()[0].clone();
     rig.begin_fault(&FaultKind::Cache(0, CacheFault::Hangs), 0.0);
     rig.until("all hold it back", |rig| (0..4).all(|i| rig.view(i).is_some_and(|v| v.ejected == 1)));
-    let fails = format!("{cache} is Failing, as this instance observes it");
+    let fails = format!("{cache} is failing, as this instance observes it");
     let observer = (0..4).find(|i| rig.log(*i).contains(&fails)).expect("two observe it");
     rig.begin_fault(&FaultKind::Kill(observer), 0.0);
     rig.wait_for_processes();
@@ -101,13 +101,13 @@
     let mut rig = Rig::start(&plan, &draw());
     rig.begin_fault(&cut, 0.0);
     rig.until("it says that caches fail", |rig| {
-        rig.log(0).contains("is Failing, as this instance observes it")
+        rig.log(0).contains("is failing, as this instance observes it")
     });
     wait_for_health_checks(&rig, 6);
     assert!((0..4).all(|i| rig.view(i).is_some_and(|v| v.ejected == 0)), "the others see them well");
     rig.end_fault(&cut);
     rig.until("it says that they are back", |rig| {
-        rig.log(0).contains("is Good, as this instance observes it")
+        rig.log(0).contains("is healthy, as this instance observes it")
     });
     finish_and_check(rig);
 }
--- a/crates/deckproxy/tests/fleet/membership.rs
+++ b/crates/deckproxy/tests/fleet/membership.rs
@@ -91,7 +91,7 @@
     wait_for_health_checks(&rig, 3);
     rig.end_fault(&FaultKind::Pause(2));
     rig.wait_for_processes();
-    rig.until("it says that it stood still", |rig| rig.log(2).contains("this process stood still"));
+    rig.until("it says that it stood still", |rig| rig.log(2).contains("this process was paused"));
     rig.until("all are one again", Rig::has_converged);
     wait_for_health_checks(&rig, 4);
     let views = deckproxy_rig::fleet_view::views(&rig.log(2));
--- a/crates/deckproxy/tests/flows.rs
+++ b/crates/deckproxy/tests/flows.rs
@@ -266,7 +266,7 @@
     };
     let mut asked = 0;
     let end = Instant::now() + Duration::from_secs(30);
-    while !gateway.log().contains("collector 0: takes nothing") {
+    while !gateway.log().contains("collector 0: stalled") {
         assert!(Instant::now() < end, "never given up after {asked} clients: {}", gateway.log());
         (asked..asked + 500).for_each(request);
         asked += 500;
--- a/crates/deckproxy/tests/log_aliases.rs
+++ b/crates/deckproxy/tests/log_aliases.rs
@@ -146,6 +146,20 @@
     let line = logged(|log| info!(log, "peer"; "what" => text.to_string()));
     assert_eq!(line["what"], text);
     assert_eq!(line[ALIAS_KEY], "member s-1: connection closed, 4 attempts out");
+    for (text, old) in [
+        ("link to south (0): down; 0 of 2 endpoints are up", "link to south (0): cut; 0 of 2 ways are up"),
+        (
+            "the path to the sources is overloaded: the fleet admits 140 of 300 requests a second",
+            "the way to the sources is crowded: the fleet lets in 140 of 300 requests a second",
+        ),
+        (
+            "this process was paused for 1200 ms: its view of the fleet is stale",
+            "this process stood still for 1200 ms: what it knew of the fleet is old",
+        ),
+    ] {
+        let line = logged(|log| info!(log, "fleet"; "what" => text));
+        assert_eq!((line["what"].as_str(), line[ALIAS_KEY].as_str()), (Some(text), Some(old)));
+    }
     let same = logged(|log| info!(log, "peer"; "what" => "control feed: closed"));
     assert!(same.get(ALIAS_KEY).is_none(), "{same}");
 }
--- a/crates/deckproxy/tests/overload.rs
+++ b/crates/deckproxy/tests/overload.rs
@@ -106,9 +106,9 @@
     let mut long = plan(1, &[]);
     (long.seconds, long.faults[0].duration) = (28.0, 2.0 * LASTS);
     let (run, f) = play_and_check(&long);
-    assert_eq!(logged(&run, "the way to the sources is crowded"), 4, "each has the cut");
-    assert_eq!(logged(&run, "the way to the sources: all are let in again"), 4);
-    assert_eq!(logged(&run, "the caches are crowded"), 0, "hits pass");
+    assert_eq!(logged(&run, "the path to the sources is overloaded"), 4, "each has the cut");
+    assert_eq!(logged(&run, "the path to the sources: all requests are admitted again"), 4);
+    assert_eq!(logged(&run, "the caches are overloaded"), 0, "hits pass");
     // Retry-After was given, and kept for two in three: nine in ten is the target, but times given before the queue was
     // measured are not kept.
     assert!(f.returns >= 5 && 3 * f.served_returns >= 2 * f.returns, "{} of {}", f.served_returns, f.returns);
@@ -189,7 +189,7 @@
 #[test]
 fn paused_instance_during_overload() {
     let (run, _) = play_and_check(&plan(5, &[(3.0, 3.0, FaultKind::Pause(2))]));
-    assert!(run.logs[2].contains("this process stood still"));
+    assert!(run.logs[2].contains("this process was paused"));
 }
 
 #[test]
@@ -260,12 +260,12 @@
         |bytes: &[u8]| at.iter().for_each(|at| assert_eq!(stranger.send_to(bytes, at).unwrap(), bytes.len()));
     say(&bad);
     // A valid one that is repeated applies for its stated lifetime and no longer, however new it is claimed to be.
-    let crowded = |rig: &Rig| (0..4).filter(|i| rig.log(*i).contains("crowded")).count();
+    let crowded = |rig: &Rig| (0..4).filter(|i| rig.log(*i).contains("overloaded")).count();
     assert_eq!(crowded(&rig), 0);
     say(&good);
     rig.until("it counts", |rig| crowded(rig) == 4);
     say(&good);
-    rig.until("it has ended", |rig| (0..4).all(|i| rig.log(i).contains("all are let in again")));
+    rig.until("it has ended", |rig| (0..4).all(|i| rig.log(i).contains("all requests are admitted again")));
     say(&good);
     let run = rig.finish();
     let f = judge(&run, OverloadCriteria::default());
@@ -274,10 +274,10 @@
         .logs
         .iter()
         .flat_map(|l| l.lines())
-        .filter(|l| l.contains("crowded") || l.contains("let in again"))
+        .filter(|l| l.contains("overloaded") || l.contains("admitted again"))
         .collect();
     assert!(
-        run.logs.iter().all(|log| log.matches("crowded").count() <= 2),
+        run.logs.iter().all(|log| log.matches("overloaded").count() <= 2),
         "once for each thing at most: {told:#?}"
     );
     let garbled = |log: &String| {
--- a/crates/deckproxy/tests/sites/link_faults.rs
+++ b/crates/deckproxy/tests/sites/link_faults.rs
@@ -66,11 +66,11 @@
     let north = LinkedSite::start(
         north.replace(&format!("addresses: \"{first}\""), &format!("addresses: [\"{first}\", \"{second}\"]")),
     );
-    until("both ways are up", || north.gateway.log().contains("2 of 2 ways are up"));
+    until("both endpoints are up", || north.gateway.log().contains("2 of 2 endpoints are up"));
     other.child.kill().unwrap();
     other.child.wait().unwrap();
     until("one is cut", || {
-        north.gateway.log().contains("1 of 2 ways are up") && north.gateway.log().contains(": cut")
+        north.gateway.log().contains("1 of 2 endpoints are up") && north.gateway.log().contains(": down")
     });
     let mut client = north.gateway.client();
     for n in 0..5 {
@@ -98,7 +98,7 @@
 #[test]
 fn slow_link_is_not_treated_as_cut() {
     let mut pair = SitePair::start();
-    until("its round trip is known", || pair.north.gateway.log().contains("all peers are heard"));
+    until("its round trip is known", || pair.north.gateway.log().contains("all peers are reachable"));
     // One frame of 16 KB takes three times the silence timeout.
     pair.link.throttle(24);
     let body = vec![5; 20_000];
@@ -106,14 +106,14 @@
     let (cache, request) = pair.south.members.next_request();
     cache.answer(&request, "200", &body);
     pair.client.expect_served(id, &body);
-    assert!(!pair.north.gateway.log().contains(": cut"), "{}", pair.north.gateway.log());
+    assert!(!pair.north.gateway.log().contains(": down"), "{}", pair.north.gateway.log());
 }
 
 #[test]
 fn requests_wait_briefly_for_a_down_link_and_are_then_rejected_with_retry_after() {
     let mut pair = SitePair::start();
     pair.link.set_state(LinkState::Reset);
-    until("the cut is seen", || pair.north.gateway.log().contains("link to south (0): cut"));
+    until("the cut is seen", || pair.north.gateway.log().contains("link to south (0): down"));
     let start = Instant::now();
     let id = pair.client.request_object(SOUTHERN);
     let fields = pair.client.expect_error(id, "Shed");
--- a/crates/deckproxy/tests/sites/purges.rs
+++ b/crates/deckproxy/tests/sites/purges.rs
@@ -40,22 +40,22 @@
         let (_, request) = pair.north.members.serve_object(&mut own, "a000000000000001", b"own");
         request.field("within").and_then(|w| w.parse::<u64>().ok())
     };
-    until("the south is heard", || pair.north.gateway.log().contains("all peers are heard"));
+    until("the south is heard", || pair.north.gateway.log().contains("all peers are reachable"));
     pair.link.set_state(LinkState::Silent);
-    until("the north doubts", || pair.north.gateway.log().matches("is not heard").count() == 2);
+    until("the north doubts", || pair.north.gateway.log().matches("is unreachable").count() == 2);
     let bound = within(&pair);
     assert!(bound.is_some_and(|w| w <= 1000), "{bound:?}");
     pair.link.set_state(LinkState::Up);
-    until("it is heard again", || pair.north.gateway.log().matches("all peers are heard").count() == 2);
+    until("it is heard again", || pair.north.gateway.log().matches("all peers are reachable").count() == 2);
 }
 
 #[test]
 fn local_copies_are_served_while_the_lease_lasts() {
     let mut pair = SitePair::start_with("mode: COPIES");
-    until("the south is heard", || pair.north.gateway.log().contains("all peers are heard"));
+    until("the south is heard", || pair.north.gateway.log().contains("all peers are reachable"));
     pair.north.members.serve_object(&mut pair.client, SOUTHERN, b"copy");
     pair.link.set_state(LinkState::Silent);
-    until("the north doubts", || pair.north.gateway.log().matches("is not heard").count() == 2);
+    until("the north doubts", || pair.north.gateway.log().matches("is unreachable").count() == 2);
     let id = pair.client.request_object(SOUTHERN);
     pair.client.expect_error(id, "Shed");
     assert!(pair.north.members.request_if_any().is_none(), "a copy that nobody vouches for");
