--- a/crates/deckproxy-operator/src/lib.rs
+++ b/crates/deckproxy-operator/src/lib.rs
@@ -18,7 +18,7 @@
 pub use platform::{PlatformClass, PlatformSettings};
 pub use sites::check_together;
 pub mod text_format;
-pub use text_format::{FileError, LARGEST};
+pub use text_format::{FileError, MAX_FILE_SIZE};
 
 #[allow(clippy::all, clippy::pedantic, missing_docs)]
 mod schema {
--- a/crates/deckproxy-operator/src/sites.rs
+++ b/crates/deckproxy-operator/src/sites.rs
@@ -2,7 +2,7 @@
 
 use crate::finding::Finding;
 use crate::{Mode, Operator, Route, Sites, WhenCut, defaults};
-use deckproxy_sites::routes::{self, ForwardingError, RouteRule, SiteRoutes};
+use deckproxy_sites::routes::{self, ForwardingError, RouteError, RouteRule, SiteRoutes};
 use deckproxy_sites::{LinkLimits, TrustLimits};
 
 /// A route in the form that requests are looked up in. A prefix that is no number counts as empty; its own rule reports it.
@@ -69,39 +69,58 @@
     let Some(sites) = &operator.sites else { return Vec::new() };
     let mut findings = Vec::new();
     if sites.listen.is_none() && sites.peers.is_empty() {
-        findings.push(Finding::new(
-            "sites".to_string(),
-            "neither listen nor peers: nothing would be linked".to_string(),
-        ));
+        findings.push(Finding::new("sites", "neither listen nor peers: nothing would be linked"));
     }
-    for (i, peer) in sites.peers.iter().enumerate() {
-        if peer.site == sites.name {
-            findings.push(Finding::new(format!("sites.peers[{i}].site"), "this site itself".to_string()));
-        }
-        if sites.peers[..i].iter().any(|p| p.site == peer.site) {
-            findings.push(Finding::new(
-                format!("sites.peers[{i}].site"),
-                format!("{:?} is a peer already", peer.site),
-            ));
-        }
-        for (k, address) in peer.addresses.iter().enumerate() {
-            let own = sites.listen.as_ref() == Some(address);
-            let before = sites.peers[..i].iter().flat_map(|p| &p.addresses).chain(&peer.addresses[..k]);
-            if own || before.clone().any(|a| a == address) {
-                let what = if own { "this gateway's own listen" } else { "named already" };
-                findings.push(Finding::new(
-                    format!("sites.peers[{i}].addresses[{k}]"),
-                    format!("{address:?} is {what}"),
-                ));
-            }
-        }
+    for index in 0..sites.peers.len() {
+        findings.extend(check_peer_name(sites, index));
+        findings.extend(check_peer_addresses(sites, index));
+    }
+    findings.extend(check_routes(sites));
+    findings
+}
+
+/// A peer is another site, and no earlier peer is the same one.
+fn check_peer_name(sites: &Sites, index: usize) -> Vec<Finding> {
+    let peer = &sites.peers[index];
+    let path = format!("sites.peers[{index}].site");
+    let mut findings = Vec::new();
+    if peer.site == sites.name {
+        findings.push(Finding::new(&path, "this site itself"));
     }
-    let peers: Vec<&str> = sites.peers.iter().map(|p| &*p.site).collect();
+    if sites.peers[..index].iter().any(|earlier| earlier.site == peer.site) {
+        findings.push(Finding::new(&path, format!("{:?} is a peer already", peer.site)));
+    }
+    findings
+}
+
+/// A peer's addresses are neither this gateway's own nor named before.
+fn check_peer_addresses(sites: &Sites, index: usize) -> Vec<Finding> {
+    let addresses = &sites.peers[index].addresses;
+    let mut findings = Vec::new();
+    for (position, address) in addresses.iter().enumerate() {
+        let earlier_peers = sites.peers[..index].iter().flat_map(|peer| &peer.addresses);
+        let mut earlier = earlier_peers.chain(&addresses[..position]);
+        let problem = if sites.listen.as_ref() == Some(address) {
+            "this gateway's own listen"
+        } else if earlier.any(|other| other == address) {
+            "named already"
+        } else {
+            continue;
+        };
+        let path = format!("sites.peers[{index}].addresses[{position}]");
+        findings.push(Finding::new(path, format!("{address:?} is {problem}")));
+    }
+    findings
+}
+
+/// The routes lead to sites that are linked, and no two match the same requests.
+fn check_routes(sites: &Sites) -> Vec<Finding> {
+    let peers: Vec<&str> = sites.peers.iter().map(|peer| &*peer.site).collect();
     let errors = routes::validate(&sites.name, &peers, &sites.route_rules());
-    findings.extend(errors.iter().map(|error| {
+    let finding = |error: &RouteError| {
         Finding::new(format!("sites.routes[{}].{}", error.route, error.field), error.to_string())
-    }));
-    findings
+    };
+    errors.iter().map(finding).collect()
 }
 
 /// Checks that the routes of several sites' files lead each request home without passing a site twice. An error's
--- a/crates/deckproxy-operator/src/text_format.rs
+++ b/crates/deckproxy-operator/src/text_format.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 
 /// Largest file that is read, bytes.
-pub const LARGEST: usize = 1_000_000;
+pub const MAX_FILE_SIZE: usize = 1_000_000;
 
 /// What is wrong in one place of a file; shown as `LINE:COLUMN: FIELD: MESSAGE`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -59,8 +59,8 @@
 /// Every fault of form, in the order of the text: too large, not UTF-8, not the text format, unknown and doubled fields,
 /// values of the wrong form.
 pub fn read<'a>(descriptor: &MessageDescriptor, bytes: &'a [u8]) -> Result<File<'a>, Vec<FileError>> {
-    if bytes.len() > LARGEST {
-        let message = format!("{} bytes; {LARGEST} are the most", bytes.len());
+    if bytes.len() > MAX_FILE_SIZE {
+        let message = format!("{} bytes; {MAX_FILE_SIZE} are the most", bytes.len());
         return Err(vec![error_at("", 0, message)]);
     }
     let text = decode(bytes).map_err(|error| vec![error])?;
--- a/crates/deckproxy-operator/tests/files.rs
+++ b/crates/deckproxy-operator/tests/files.rs
@@ -1,6 +1,6 @@
 //! Operator files: all faults in one go, each in its place; the defaults; the example.
 
-use deckproxy_operator::{FileError, LARGEST, PlatformClass, PlatformSettings, defaults, read};
+use deckproxy_operator::{FileError, MAX_FILE_SIZE, PlatformClass, PlatformSettings, defaults, read};
 
 fn class(name: &str, priority_weight: f64, has_effect: bool) -> PlatformClass {
     PlatformClass { name: name.to_string(), priority_weight, has_effect }
@@ -128,7 +128,7 @@
     assert!(faults("sites }")[0].starts_with("1:"));
     let bytes = read(b"# caf\xe9\n").unwrap_err();
     assert_eq!((bytes[0].line, bytes[0].column, &*bytes[0].message), (1, 6, "not UTF-8"));
-    let large = vec![b'#'; LARGEST + 1];
+    let large = vec![b'#'; MAX_FILE_SIZE + 1];
     assert!(read(&large).unwrap_err()[0].message.contains("1000000 are the most"));
     // However deep it goes, it is an error and no overflow.
     let deep = "sites {".repeat(100_000);
--- a/crates/deckproxy-settings/src/classes.rs
+++ b/crates/deckproxy-settings/src/classes.rs
@@ -30,6 +30,7 @@
     (0..count).map(|position| read_class(values, &lists, position)).collect()
 }
 
+/// Reads the class at a position.
 fn read_class(values: &Values, lists: &ClassLists, position: usize) -> Result<NamedClass, SettingsError> {
     let key = |field: &str| format!("services.{position}.{field}");
     let at_position = |list: &[f64]| list.get(position).copied().unwrap_or(0.0);
@@ -53,7 +54,7 @@
     Ok(NamedClass { name, class })
 }
 
-/// Absent, a request counts as not idempotent: the careful reading.
+/// Reads how repeating a request of the class acts; absent, it counts as not idempotent, which is safe.
 fn read_idempotency(values: &Values, key: &str) -> Result<Idempotency, SettingsError> {
     values.word(
         key,
@@ -67,6 +68,7 @@
     )
 }
 
+/// Reads which members may serve the class; absent, all may.
 fn read_group(values: &Values, key: &str) -> Result<Group, SettingsError> {
     let groups = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
     values.word(key, "group", Group::All, &groups)
--- a/crates/deckproxy-settings/src/keys.rs
+++ b/crates/deckproxy-settings/src/keys.rs
@@ -19,18 +19,18 @@
     List(&'static ValueFormat),
 }
 
-/// Largest span in ms and largest plain number that is accepted: anything above is a slip of the pen.
+/// Longest duration in ms and largest plain number that is accepted: anything above is a mistake.
 const NUMBER_MAX: f64 = 1e9;
-/// Most classes: a request names its class by one byte.
+/// Largest number of classes: a request names its class by one byte.
 const CLASSES_MAX: i64 = 256;
 
-/// A span in ms, a rate or a weight: not negative.
+/// A duration in ms, a rate or a weight: not negative.
 const AMOUNT: ValueFormat = ValueFormat::Number(0.0, NUMBER_MAX);
 /// A share of a whole.
 const SHARE: ValueFormat = ValueFormat::Number(0.0, 1.0);
 /// A position in a list; -1 for none.
 const POSITION: ValueFormat = ValueFormat::Integer(-1, u32::MAX as i64);
-/// A number of things.
+/// A count.
 const COUNT: ValueFormat = ValueFormat::Integer(0, u32::MAX as i64);
 
 /// Every key that is read, with its format; `*` stands for the position of a class.
--- a/crates/deckproxy-settings/src/lib.rs
+++ b/crates/deckproxy-settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! Reads the settings of an instance: pairs of key and value to the decision module's settings and what a
-//! gateway needs beside them.
+//! Reads the settings of an instance from pairs of key and value: the decision module's settings, and what a gateway
+//! needs beside them.
 //!
 //! The simulator sends the pairs as text; a gateway's configuration holds the same keys as JSON, which its
 //! decoder flattens to the same pairs. Unknown keys are ignored, and a neutral value stands in for an absent
@@ -19,9 +19,9 @@
 use deckproxy_control::interface::{Class, Settings, Siblings, SlowStart};
 use values::Values;
 
-/// Time in ms within which a connection must be established, where the settings do not tell.
+/// Time in ms within which a connection must be established, where the settings omit it.
 const CONNECT_TIMEOUT: f64 = 1000.0;
-/// Window in ms over which the overload of a member that warms up is counted, where the settings do not tell.
+/// Window in ms over which the overload of a member that warms up is counted, where the settings omit it.
 const OVERLOAD_WINDOW: f64 = 1000.0;
 /// Most attempts of one request. Their numbers, from 0, are one byte on the simulator's wire and in a gateway's keys.
 const MAX_ATTEMPTS: u32 = 1 << u8::BITS;
@@ -51,7 +51,7 @@
     /// Time in ms after which a connection that is not established has failed.
     pub connect_timeout: f64,
     /// Time in ms for which a decision holds: an attempt whose sending has not begun by then is not sent. It
-    /// is the shortest of the connect timeout and of the graces of drains and purges.
+    /// is the shortest of the connect timeout and of the grace periods of drains and purges.
     pub unsent_timeout: f64,
     /// Most attempts in flight on one connection, at least 1.
     pub max_streams: usize,
@@ -97,7 +97,7 @@
 
 fn read_control_settings(values: &Values, classes: Vec<Class>) -> Result<Settings, SettingsError> {
     let siblings = [("none", Siblings::None), ("location", Siblings::Location), ("any", Siblings::Any)];
-    // A live weight changes with the load all the time: it is no size to hash or to budget by.
+    // A live weight changes with the load all the time: neither hashing nor budgets can take it for a size.
     let weights = [("nominal", true), ("rough", true), ("none", false), ("live", false)];
     let cache_slow_start = read_cache_slow_start(values)?;
     Ok(Settings {
@@ -136,7 +136,7 @@
     })
 }
 
-/// Where the parents' slow start is not told, it is that of the caches.
+/// Where the settings omit the parents' slow start, it is that of the caches.
 fn read_parent_slow_start(values: &Values, cache: SlowStart) -> Result<SlowStart, SettingsError> {
     Ok(SlowStart {
         initial_share: values.number("familyInfo.upperColdFrom", cache.initial_share)?,
--- a/crates/deckproxy-settings/src/values.rs
+++ b/crates/deckproxy-settings/src/values.rs
@@ -67,7 +67,7 @@
         Ok(self.parsed::<i64>(key)?.and_then(|position| u32::try_from(position).ok()))
     }
 
-    /// The meaning of a word, or the default if it is absent; `meanings` tells what the word stands for.
+    /// The meaning of a word, or the default if it is absent; `meaning` is what the error calls the word, `meanings` what each word stands for.
     pub(crate) fn word<T: Copy>(
         &self,
         key: &str,
--- a/crates/deckproxy/src/program/files.rs
+++ b/crates/deckproxy/src/program/files.rs
@@ -105,7 +105,7 @@
 
 /// Reads an operator file up to one byte over the largest that is allowed: of a longer file no more is needed to report it.
 fn read_limited(path: &Path) -> io::Result<Vec<u8>> {
-    let most = deckproxy_operator::LARGEST + 1;
+    let most = deckproxy_operator::MAX_FILE_SIZE + 1;
     let length = usize::try_from(fs::metadata(path)?.len()).unwrap_or(usize::MAX);
     let mut bytes = Vec::with_capacity(length.min(most));
     File::open(path)?.take(most as u64).read_to_end(&mut bytes)?;
