--- a/crates/deckproxy-flow/src/account/names.rs
+++ b/crates/deckproxy-flow/src/account/names.rs
@@ -32,7 +32,7 @@
         }
         let is_last = self.by_number.len() + 1 >= self.capacity;
         let name = if is_last { OTHERS } else { name };
-        let next = self.by_number.len() as Name;
+        let next = Name::try_from(self.by_number.len()).unwrap_or(Name::MAX);
         *self.numbers.entry(name.into()).or_insert_with(|| {
             self.by_number.push(name.into());
             next
--- a/crates/deckproxy-flow/src/meter/heavy_hitters.rs
+++ b/crates/deckproxy-flow/src/meter/heavy_hitters.rs
@@ -1,5 +1,6 @@
 //! The keys with the greatest sums, in bounded memory.
 
+use super::index_u32;
 use ahash::RandomState;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -45,7 +46,7 @@
             return;
         }
         if self.slots.len() < self.capacity {
-            let slot = self.slots.len() as u32;
+            let slot = index_u32(self.slots.len());
             self.slots.push(HeavyHitter { key, sum: amount, error: 0 });
             self.smallest.push(Reverse((amount, slot)));
             self.index.insert(key, slot);
--- a/crates/deckproxy-flow/src/meter/mod.rs
+++ b/crates/deckproxy-flow/src/meter/mod.rs
@@ -95,6 +95,11 @@
     net.unwrap_or(IpNet::from(client))
 }
 
+/// The index of an entry, in 32 bits to save memory; the settings allow far fewer entries than 2^32.
+fn index_u32(index: usize) -> u32 {
+    u32::try_from(index).unwrap_or(u32::MAX)
+}
+
 impl Meter {
     /// An empty table.
     pub fn new(limits: Limits) -> Self {
@@ -163,7 +168,7 @@
 
     fn insert(&mut self, key: Key, counts: Counts) {
         let hash = self.hasher.hash_one(key);
-        let position = self.entries.len() as u32;
+        let position = index_u32(self.entries.len());
         self.entries.push(Entry { key, counts });
         let (entries, hasher) = (&self.entries, &self.hasher);
         self.index.insert_unique(hash, position, |position| hasher.hash_one(entries[*position as usize].key));
@@ -181,7 +186,7 @@
             && let Some(slot) =
                 self.index.find_mut(hash(&self.entries[last].key), |other| *other as usize == last)
         {
-            *slot = position as u32;
+            *slot = index_u32(position);
         }
         self.entries.swap_remove(position)
     }
--- a/crates/deckproxy-model/src/balancer/baseline.rs
+++ b/crates/deckproxy-model/src/balancer/baseline.rs
@@ -135,7 +135,7 @@
 
     /// The request of an attempt, if it is open and no later attempt was sent for it.
     fn latest_attempt(&self, key: AttemptKey) -> Option<(RequestId, OpenRequest)> {
-        let id = (key >> ATTEMPT_NUMBER_BITS) as RequestId;
+        let id = RequestId::try_from(key >> ATTEMPT_NUMBER_BITS).ok()?;
         let number = key & ((1 << ATTEMPT_NUMBER_BITS) - 1);
         let open = self.open.get(&id).filter(|open| u64::from(open.attempts) == number + 1)?;
         Some((id, *open))
--- a/crates/deckproxy-model/src/lib.rs
+++ b/crates/deckproxy-model/src/lib.rs
@@ -39,6 +39,11 @@
     (ms * 1000.0).round().max(0.0) as Micros
 }
 
+/// A number of members or gateways as an id; they are far fewer than 2^32.
+fn saturating_u32(number: usize) -> u32 {
+    u32::try_from(number).unwrap_or(u32::MAX)
+}
+
 /// The Unix time in milliseconds that gateways see at a simulated time.
 pub fn unix_ms(at: Micros) -> f64 {
     RUN_START_UNIX_MS + at as f64 / 1000.0
--- a/crates/deckproxy-model/src/queue/wheel.rs
+++ b/crates/deckproxy-model/src/queue/wheel.rs
@@ -34,6 +34,18 @@
     }
 }
 
+/// The slot of a time on a level.
+fn slot_at(at: Micros, level: usize) -> usize {
+    // Of the shifted time only the lowest bits count.
+    (at >> lower_bits(level)) as usize % SLOTS
+}
+
+/// The bits of a time that the levels below this one cover.
+fn lower_bits(level: usize) -> u32 {
+    // A level is below `LEVELS`.
+    SLOT_BITS * level as u32
+}
+
 impl<E> TimingWheel<E> {
     fn insert(&mut self, at: Micros, event: E) {
         let difference = at ^ self.now;
@@ -42,15 +54,17 @@
             _ => ((63 - difference.leading_zeros()) / SLOT_BITS) as usize,
         };
         let level = level.min(LEVELS - 1);
-        let slot = (at >> (SLOT_BITS * level as u32)) as usize % SLOTS;
+        let slot = slot_at(at, level);
         self.levels[level][slot].push_back((at, event));
         self.occupied[level] |= 1 << slot;
     }
 
     /// The first occupied slot of a level from now on.
     fn first_slot(&self, level: usize) -> usize {
-        let current = (self.now >> (SLOT_BITS * level as u32)) as u32 % SLOTS as u32;
-        (self.occupied[level].rotate_right(current).trailing_zeros() + current) as usize % SLOTS
+        let current = slot_at(self.now, level);
+        // A slot's index is below 64.
+        let distance = self.occupied[level].rotate_right(current as u32).trailing_zeros() as usize;
+        (current + distance) % SLOTS
     }
 
     fn pop_lowest_level(&mut self, slot: usize) -> Option<(Micros, E)> {
@@ -65,7 +79,7 @@
 
     /// Advances to a slot and moves its events to lower levels, in their order.
     fn cascade(&mut self, level: usize, slot: usize) {
-        let lower_bits = SLOT_BITS * level as u32;
+        let lower_bits = lower_bits(level);
         self.occupied[level] &= !(1 << slot);
         let events = std::mem::take(&mut self.levels[level][slot]);
         let slot_start = events.front().map_or(self.now, |(at, _)| at >> lower_bits << lower_bits);
--- a/crates/deckproxy-model/src/simulation/clients.rs
+++ b/crates/deckproxy-model/src/simulation/clients.rs
@@ -6,7 +6,7 @@
 use crate::check::RequestKey;
 use crate::load::{Class, ClientRequest};
 use crate::scenario::RetryPolicy;
-use crate::{Micros, micros};
+use crate::{Micros, micros, saturating_u32};
 use ahash::AHashMap;
 use rand::RngExt;
 
@@ -158,7 +158,7 @@
 
     fn gateways_up_at(&self, location: usize) -> Vec<u32> {
         let first = location * self.scenario.gateways;
-        let all = (first..first + self.scenario.gateways).map(|gateway| gateway as u32);
+        let all = (first..first + self.scenario.gateways).map(saturating_u32);
         all.filter(|gateway| self.gateway(*gateway).up).collect()
     }
 
--- a/crates/deckproxy-model/src/simulation/control_feed.rs
+++ b/crates/deckproxy-model/src/simulation/control_feed.rs
@@ -7,7 +7,7 @@
 use crate::balancer::EndpointEntry;
 use crate::check::TraceEvent;
 use crate::members::{Member, MemberId, MemberKind};
-use crate::{Micros, micros, random_stream, unix_ms};
+use crate::{Micros, micros, random_stream, saturating_u32, unix_ms};
 use deckproxy::protocol::feed::Lifecycle;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
@@ -47,7 +47,7 @@
             member.site == site && (member.kind != MemberKind::Cache || member.location == location)
         };
         let members = self.members.iter().enumerate().filter(|(_, member)| serves(member));
-        members.map(|(id, _)| self.endpoint(id as MemberId)).collect()
+        members.map(|(id, _)| self.endpoint(saturating_u32(id))).collect()
     }
 
     fn endpoint(&self, id: MemberId) -> EndpointEntry {
--- a/crates/deckproxy-model/src/simulation/faults.rs
+++ b/crates/deckproxy-model/src/simulation/faults.rs
@@ -5,7 +5,7 @@
 use super::setup::random_purpose;
 use crate::members::{MemberId, MemberKind};
 use crate::scenario::{Fault, FaultKind};
-use crate::{micros, random_stream};
+use crate::{micros, random_stream, saturating_u32};
 use ahash::AHashMap;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
@@ -108,7 +108,7 @@
         let caches = members.filter(|(_, member)| {
             member.kind == MemberKind::Cache && site.is_none_or(|site| member.site == site)
         });
-        let mut caches: Vec<MemberId> = caches.map(|(id, _)| id as MemberId).collect();
+        let mut caches: Vec<MemberId> = caches.map(|(id, _)| saturating_u32(id)).collect();
         let wanted = (caches.len() as f64 * share).round() as usize;
         for position in 0..wanted.min(caches.len()) {
             let other = self.faults.rng.random_range(position..caches.len());
--- a/crates/deckproxy-model/src/simulation/mod.rs
+++ b/crates/deckproxy-model/src/simulation/mod.rs
@@ -23,7 +23,7 @@
 use crate::queue::{EventQueue, TimingWheel};
 use crate::record::Record;
 use crate::scenario::Scenario;
-use crate::{Micros, micros};
+use crate::{Micros, micros, saturating_u32};
 use ahash::AHashMap;
 use clients::Clients;
 use control_feed::ControlFeed;
@@ -161,6 +161,6 @@
     }
 
     fn gateway_indices(&self) -> std::ops::Range<u32> {
-        0..self.gateways.len() as u32
+        0..saturating_u32(self.gateways.len())
     }
 }
--- a/crates/deckproxy-model/src/simulation/setup.rs
+++ b/crates/deckproxy-model/src/simulation/setup.rs
@@ -14,7 +14,7 @@
 use crate::members::{Member, MemberId, MemberKind};
 use crate::queue::TimingWheel;
 use crate::scenario::Scenario;
-use crate::{expression, micros, random_stream};
+use crate::{expression, micros, random_stream, saturating_u32};
 use ahash::AHashMap;
 use rand::RngExt;
 
@@ -109,7 +109,7 @@
     /// The origin of a member's site.
     pub(super) fn origin_of(&self, member: MemberId) -> MemberId {
         let site = self.member(member).site;
-        ((site + 1) * members_per_site(&self.scenario) - 1) as MemberId
+        saturating_u32((site + 1) * members_per_site(&self.scenario) - 1)
     }
 }
 
@@ -121,7 +121,7 @@
 fn members(scenario: &Scenario) -> Vec<Member> {
     let mut members = Vec::new();
     let mut add = |kind, site, location| {
-        let id = members.len() as MemberId;
+        let id = saturating_u32(members.len());
         members.push(Member::new(kind, site, location, id, &scenario.members));
     };
     for site in 0..scenario.sites {
--- a/crates/deckproxy-standins/src/collector/decode.rs
+++ b/crates/deckproxy-standins/src/collector/decode.rs
@@ -86,17 +86,19 @@
             for set in packet.flowsets {
                 match set.body {
                     FlowSetBody::Data(data) => {
-                        records += data.fields.len() as u32;
+                        records += data.fields.len();
                         self.flows.extend(data.fields.iter().map(|fields| read_flow(fields)));
                     }
                     FlowSetBody::OptionsData(data) => {
-                        records += data.fields.len() as u32;
+                        records += data.fields.len();
                         data.fields.iter().for_each(|fields| self.add_option(fields));
                     }
                     FlowSetBody::NoTemplate(_) => self.undecoded += 1,
                     _ => {}
                 }
             }
+            // A message of at most 65,535 bytes has far fewer records than 2^32.
+            let records = u32::try_from(records).unwrap_or(u32::MAX);
             let gap = self.next_sequence.get(&domain).map_or(0, |next| number.wrapping_sub(*next));
             // A number from before means that the exporter restarted.
             self.missing += u64::from(if gap < 1 << 31 { gap } else { 0 });
--- a/crates/deckproxy-standins/src/link_relay.rs
+++ b/crates/deckproxy-standins/src/link_relay.rs
@@ -95,7 +95,8 @@
 
     /// Sets the delay of each direction, for bytes that are read from now on.
     pub fn set_delay(&self, one_way: Duration) {
-        self.shared.delay_us.store(one_way.as_micros() as u64, Ordering::SeqCst);
+        let delay_us = u64::try_from(one_way.as_micros()).unwrap_or(u64::MAX);
+        self.shared.delay_us.store(delay_us, Ordering::SeqCst);
     }
 
     /// Limits each direction to so many bytes a millisecond; 0 for no limit.
@@ -194,7 +195,10 @@
 
 /// Bytes that a link of so many bytes a millisecond (0: no limit) passes at once: what it carries in 5 ms.
 fn chunk_size(bytes_per_ms: u64) -> usize {
-    if bytes_per_ms > 0 { (bytes_per_ms as usize * 5).clamp(256, MAX_CHUNK) } else { MAX_CHUNK }
+    if bytes_per_ms == 0 {
+        return MAX_CHUNK;
+    }
+    usize::try_from(bytes_per_ms.saturating_mul(5)).map_or(MAX_CHUNK, |bytes| bytes.clamp(256, MAX_CHUNK))
 }
 
 /// The bytes of one direction that were read and not yet written.
--- a/crates/deckproxy-standins/src/load_client.rs
+++ b/crates/deckproxy-standins/src/load_client.rs
@@ -98,7 +98,8 @@
 
     fn connect(&self, client: usize) -> std::io::Result<TcpStream> {
         let Some(first) = self.first_address else { return TcpStream::connect(self.gateway) };
-        let address = Ipv4Addr::from(u32::from(first) + client as u32);
+        let offset = u32::try_from(client).unwrap_or(u32::MAX);
+        let address = Ipv4Addr::from(u32::from(first) + offset);
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
         if self.disconnect_share > 0.0 {
             // With a small buffer the bytes written to it differ little from those it has read.
--- a/crates/deckproxy-standins/src/record.rs
+++ b/crates/deckproxy-standins/src/record.rs
@@ -36,7 +36,7 @@
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Record {
             start: Instant::now(),
-            start_unix_ms: since_epoch.as_millis() as u64,
+            start_unix_ms: u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX),
             facts: Arc::default(),
             traffic: Arc::default(),
         }
--- a/crates/deckproxy-standins/src/record/stamp.rs
+++ b/crates/deckproxy-standins/src/record/stamp.rs
@@ -31,16 +31,9 @@
 
     /// The stamp of a body; `None` if no origin made that body.
     pub fn read(body: &[u8]) -> Option<Stamp> {
-        let number = |at: usize, size: usize| {
-            body.get(at..at + size)
-                .map(|bytes| bytes.iter().fold(0u64, |sum, byte| sum << 8 | u64::from(*byte)))
-        };
-        let stamp = Stamp {
-            object: number(0, 8)?,
-            part: number(8, 4)? as u32,
-            issued: number(12, 8)?,
-            site: number(20, 4)? as u32,
-        };
+        let u64_at = |at: usize| Some(u64::from_be_bytes(*body.get(at..)?.first_chunk()?));
+        let u32_at = |at: usize| Some(u32::from_be_bytes(*body.get(at..)?.first_chunk()?));
+        let stamp = Stamp { object: u64_at(0)?, part: u32_at(8)?, issued: u64_at(12)?, site: u32_at(20)? };
         let intact =
             body.iter().enumerate().skip(STAMP_SIZE).all(|(i, byte)| *byte == filler(stamp.object, i));
         intact.then_some(stamp)
--- a/crates/deckproxy-standins/src/site/cache.rs
+++ b/crates/deckproxy-standins/src/site/cache.rs
@@ -74,8 +74,8 @@
     let issued = store.copies.get(&lookup.part).copied()?;
     let purge_delay = Duration::from_millis(site.config.purge_delay_ms);
     let purged = site.purged.lock().unwrap().get(&lookup.part.0).copied();
-    let is_void =
-        purged.is_some_and(|at| at.elapsed() > purge_delay && now - issued > at.elapsed().as_millis() as u64);
+    let is_void = purged
+        .is_some_and(|at| at.elapsed() > purge_delay && u128::from(now - issued) > at.elapsed().as_millis());
     if is_void {
         store.copies.remove(&lookup.part);
         return None;
--- a/crates/deckproxy-standins/src/site/config.rs
+++ b/crates/deckproxy-standins/src/site/config.rs
@@ -85,6 +85,7 @@
     match object % 61 {
         0 => 180_000,
         1..5 => 60_000,
+        // At most 60.
         n => 600 + 90 * n as usize,
     }
 }
