--- a/crates/deckproxy-lab/src/error.rs
+++ b/crates/deckproxy-lab/src/error.rs
@@ -1,6 +1,7 @@
 //! Why a command of decklab could not do its work.
 
 use crate::flows::{FilterError, TimeError};
+use crate::model::SweepError;
 use deckproxy_operator::FileError;
 use plotters::drawing::DrawingAreaErrorKind;
 use std::fmt;
@@ -42,6 +43,9 @@
     /// The option `--where` is not a filter.
     #[error("--where: {0}")]
     Filter(#[from] FilterError),
+    /// The option `--sweep` is not a sweep of the experiment.
+    #[error("--sweep: {0}")]
+    Sweep(#[from] SweepError),
     /// An option is not a time.
     #[error("{name}: {source}")]
     Time {
--- a/crates/deckproxy-lab/src/model/mod.rs
+++ b/crates/deckproxy-lab/src/model/mod.rs
@@ -5,6 +5,8 @@
 mod summary;
 mod sweep;
 
+pub use sweep::SweepError;
+
 use crate::error::LabError;
 use crate::output::print_line;
 use clap::Args;
