--- a/crates/deckproxy-rig/src/plan/check.rs
+++ b/crates/deckproxy-rig/src/plan/check.rs
@@ -12,9 +12,15 @@
 }
 
 impl Finding {
-    fn new(path: &str, message: impl Into<String>) -> Self {
+    /// What is wrong with the field of a path.
+    pub(super) fn new(path: &str, message: impl Into<String>) -> Self {
         Finding { path: path.to_string(), message: message.into() }
     }
+
+    /// The finding of a fault's field, where the path began at the fault.
+    pub(super) fn in_fault(self, fault: usize) -> Self {
+        Finding { path: format!("faults[{fault}]{}", self.path), ..self }
+    }
 }
 
 impl Plan {
@@ -22,9 +28,7 @@
     pub(super) fn check(&self) -> Vec<Finding> {
         let mut findings = self.check_ranges();
         for (i, fault) in self.faults.iter().enumerate() {
-            for finding in self.check_fault(fault) {
-                findings.push(Finding { path: format!("faults[{i}]{}", finding.path), ..finding });
-            }
+            findings.extend(self.check_fault(fault).into_iter().map(|finding| finding.in_fault(i)));
         }
         findings
     }
--- a/crates/deckproxy-rig/src/plan/reader.rs
+++ b/crates/deckproxy-rig/src/plan/reader.rs
@@ -44,9 +44,7 @@
     for (i, fault) in message.faults.iter().enumerate() {
         match kind(fault) {
             Ok(kind) => faults.push(Fault { at: fault.at, duration: fault.lasts, kind }),
-            Err((field, what)) => {
-                findings.push(Finding { path: format!("faults[{i}]{field}"), message: what.to_string() });
-            }
+            Err(finding) => findings.push(finding.in_fault(i)),
         }
     }
     // Where a fault could not be read, the places of the others in the plan are not those in the file.
@@ -86,10 +84,15 @@
     }
 }
 
-/// What a fault does; the error is a field below it, and what is wrong there.
-fn kind(fault: &schema::Fault) -> Result<FaultKind, (&'static str, &'static str)> {
+/// What a fault does.
+///
+/// # Errors
+///
+/// What is missing; its path begins at the fault.
+fn kind(fault: &schema::Fault) -> Result<FaultKind, Finding> {
     use schema::fault::What;
-    Ok(match fault.what.as_ref().ok_or(("", "what goes wrong is not said"))? {
+    let missing = || Finding::new("", "what goes wrong is not said");
+    Ok(match fault.what.as_ref().ok_or_else(missing)? {
         What::Kill(instance) => FaultKind::Kill(*instance as usize),
         What::Pause(instance) => FaultKind::Pause(*instance as usize),
         What::Restart(instance) => FaultKind::Restart(*instance as usize),
@@ -116,9 +119,10 @@
     })
 }
 
-fn cache_fault(cache: &schema::Cache) -> Result<CacheFault, (&'static str, &'static str)> {
+fn cache_fault(cache: &schema::Cache) -> Result<CacheFault, Finding> {
     use schema::cache::Trouble;
-    Ok(match cache.trouble.as_ref().ok_or((".cache", "what is wrong with it is not said"))? {
+    let missing = || Finding::new(".cache", "what is wrong with it is not said");
+    Ok(match cache.trouble.as_ref().ok_or_else(missing)? {
         Trouble::Crashes(_) => CacheFault::Crashes,
         Trouble::Hangs(_) => CacheFault::Hangs,
         Trouble::Fails(share) => CacheFault::Fails(*share),
--- a/crates/deckproxy-rig/src/rig.rs
+++ b/crates/deckproxy-rig/src/rig.rs
@@ -208,7 +208,7 @@
         while !holds(self) {
             if Instant::now() > end {
                 let logs: Vec<String> = (0..self.plan.instances).map(|i| self.log(i)).collect();
-                panic!("in vain: {condition}; the instances' logs:\n{}", logs.join("\n"));
+                panic!("timed out: {condition}; the instances' logs:\n{}", logs.join("\n"));
             }
             thread::sleep(CONDITION_INTERVAL);
         }
