--- a/crates/deckproxy-sites/tests/purges.rs
+++ b/crates/deckproxy-sites/tests/purges.rs
@@ -56,8 +56,8 @@
     let all: Vec<_> = a.entries_after(20.0, 0).collect();
     assert!(b.received(30.0, 1, all[0].clone()).is_some());
     assert!(b.received(31.0, 1, all[0].clone()).is_none(), "received already");
-    let (news, number) = b.received(32.0, 1, all[1].clone()).unwrap();
-    assert_eq!((news, number), (object(1, 15.0), 2));
+    let (purge, number) = b.received(32.0, 1, all[1].clone()).unwrap();
+    assert_eq!((purge, number), (object(1, 15.0), 2));
     answer_heartbeat(&mut b, 1, 33.0, 34.0, 2);
     assert_eq!(b.check_trust(40.0, "a"), Ok(()));
     b.received(41.0, 1, all[3].clone());
