--- a/crates/deckproxy-lab/src/demo/site.rs
+++ b/crates/deckproxy-lab/src/demo/site.rs
@@ -61,15 +61,18 @@
 
 /// Waits for the run's end, and shows meanwhile what was served.
 fn show_progress(duration: Duration, record: &Record) {
-    let steps = duration.as_millis() / PROGRESS_INTERVAL.as_millis();
-    let bar = ProgressBar::new(steps as u64);
+    let steps = |span: Duration| {
+        let steps = span.as_millis() / PROGRESS_INTERVAL.as_millis();
+        u64::try_from(steps).unwrap_or(u64::MAX)
+    };
+    let bar = ProgressBar::new(steps(duration));
     if let Ok(style) = ProgressStyle::with_template("{bar:30} {msg}") {
         bar.set_style(style);
     }
     let start = Instant::now();
     while start.elapsed() < duration {
         thread::sleep(PROGRESS_INTERVAL);
-        bar.set_position((start.elapsed().as_millis() / PROGRESS_INTERVAL.as_millis()) as u64);
+        bar.set_position(steps(start.elapsed()));
         let served = record.count(|fact| matches!(fact, Fact::Answered { outcome: Outcome::Served(_), .. }));
         let hits = record.count(|fact| matches!(fact, Fact::CacheHit { .. }));
         let fills = record.count(|fact| matches!(fact, Fact::Filled { .. }));
--- a/crates/deckproxy-lab/src/drills/sites/faults.rs
+++ b/crates/deckproxy-lab/src/drills/sites/faults.rs
@@ -163,6 +163,7 @@
         }
         self.next_purge = now + Duration::from_millis(self.rng.random_range(20..120));
         let home = self.rng.random_range(0..2usize);
+        // One of two sites.
         let object = traffic::object(home as u32, self.rng.random_range(0..CHANGING_OBJECTS));
         for site in self.sites {
             site.change_object(object);
--- a/crates/deckproxy-lab/src/flows/plot.rs
+++ b/crates/deckproxy-lab/src/flows/plot.rs
@@ -146,8 +146,8 @@
 ) -> Result<(), DrawError> {
     let has_bytes = |row: &[f64]| row.iter().any(|rate| *rate > 0.0);
     let layers = (0..rates.rows.len()).rev().filter(|i| *i < keys.len() || has_bytes(&rates.rows[*i]));
-    for (row, layer) in layers.enumerate() {
-        let (x, y) = (LEGEND.0, LEGEND.1 + LEGEND_ROW * row as i32);
+    for (row, layer) in (0..).zip(layers) {
+        let (x, y) = (LEGEND.0, LEGEND.1 + LEGEND_ROW * row);
         let name = keys.get(layer).map_or("all others", |key| key).to_string();
         area.draw(&Rectangle::new([(x, y), (x + 12, y + 12)], colour(layer, keys.len()).filled()))?;
         area.draw(&Text::new(name, (x + 18, y + 1), ("sans-serif", 13)))?;
--- a/crates/deckproxy-lab/src/flows/time.rs
+++ b/crates/deckproxy-lab/src/flows/time.rs
@@ -34,7 +34,8 @@
 
 /// A time in Unix ms; 0 for times before 1970.
 pub fn unix_ms(time: SystemTime) -> u64 {
-    time.duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO).as_millis() as u64
+    let since_epoch = time.duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
+    u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX)
 }
 
 /// A time in Unix ms as RFC 3339 text with milliseconds.
--- a/crates/deckproxy-lab/src/flows/top/mod.rs
+++ b/crates/deckproxy-lab/src/flows/top/mod.rs
@@ -48,7 +48,8 @@
     let mut totals = Totals::new(selection(options)?, options.svg.is_some());
     let invalid = record_files::read_all(&options.dir, |record| totals.add(&record))?;
     let rows = totals.rows();
-    let shown = &rows[..rows.len().min(options.most as usize)];
+    let most = usize::try_from(options.most).unwrap_or(usize::MAX);
+    let shown = &rows[..rows.len().min(most)];
     if let Some(path) = &options.svg {
         let keys: Vec<String> = shown.iter().map(|(key, _)| key.clone()).collect();
         plot::stacked(path, options.by.title(), &keys, totals.spans())?;
--- a/crates/deckproxy-lab/src/measure/flows/metering.rs
+++ b/crates/deckproxy-lab/src/measure/flows/metering.rs
@@ -39,6 +39,7 @@
     );
     let mut rng = Pcg64Mcg::seed_from_u64(options.seed);
     let zipf = Zipf::new(CLIENTS, ZIPF_POWER);
+    // A client's number is below `CLIENTS`.
     let clients: Vec<u32> = (0..UPDATES).map(|_| zipf.sample(&mut rng) as u32).collect();
     let (plain, row) = measure_map(&clients);
     let mut rows = vec![row];
--- a/crates/deckproxy-lab/src/measure/flows/mod.rs
+++ b/crates/deckproxy-lab/src/measure/flows/mod.rs
@@ -39,5 +39,6 @@
 
 /// The address of the n-th client: spread out as clients of many networks are.
 fn client_address(n: usize) -> IpAddr {
+    // A multiplication modulo 2^32, for which the lower bits are enough.
     Ipv4Addr::from((n as u32).wrapping_mul(0x9e37_79b1)).into()
 }
--- a/crates/deckproxy-lab/src/measure/routes.rs
+++ b/crates/deckproxy-lab/src/measure/routes.rs
@@ -40,6 +40,7 @@
 }
 
 fn rule(i: usize) -> RouteRule {
+    // At most 7.
     let prefix_digits = 4 + (i % 4) as u32;
     let mask = u64::MAX << (64 - 4 * prefix_digits);
     RouteRule {
--- a/crates/deckproxy-lab/src/model/report.rs
+++ b/crates/deckproxy-lab/src/model/report.rs
@@ -159,10 +159,10 @@
         let label = Text::new(fault_label(&fault.kind), (from, top * 0.98), ("sans-serif", 11));
         chart.draw_series([label])?;
     }
-    for (i, (name, points)) in lines.iter().enumerate() {
+    for (row, (i, (name, points))) in (0..).zip(lines.iter().enumerate()) {
         let colour = COLOURS[i % COLOURS.len()];
         chart.draw_series(LineSeries::new(points.iter().copied(), colour.stroke_width(2)))?;
-        let y = 50 + 20 * i as i32;
+        let y = 50 + 20 * row;
         area.draw(&Rectangle::new([(880, y), (892, y + 12)], colour.filled()))?;
         area.draw(&Text::new(name.clone(), (898, y + 1), ("sans-serif", 13)))?;
     }
--- a/crates/deckproxy-recovery/src/retry_after.rs
+++ b/crates/deckproxy-recovery/src/retry_after.rs
@@ -73,7 +73,7 @@
         });
         self.slots[slot] += 1;
         // The slots ahead reach to the longest retry-after time: their index is small.
-        let begin = (self.first + slot as i64) as f64 * SLOT;
+        let begin = self.first.saturating_add(i64::try_from(slot).unwrap_or(i64::MAX)) as f64 * SLOT;
         let retry_after = begin + self.rng.random::<f64>() * SLOT - now;
         retry_after.clamp(min.max(SHORTEST).min(max), max)
     }
--- a/crates/deckproxy-rig/src/client_population/client.rs
+++ b/crates/deckproxy-rig/src/client_population/client.rs
@@ -98,7 +98,8 @@
             if left < LEAST_TIME_MS {
                 return;
             }
-            let result = self.attempt(&RequestSpec { timeout_ms: left as u32, ..request }, is_retry);
+            let timeout_ms = u32::try_from(left).unwrap_or(u32::MAX);
+            let result = self.attempt(&RequestSpec { timeout_ms, ..request }, is_retry);
             is_retry = true;
             match result {
                 AttemptResult::Served => {
--- a/crates/deckproxy-rig/src/fault_injection.rs
+++ b/crates/deckproxy-rig/src/fault_injection.rs
@@ -4,6 +4,7 @@
 use crate::plan::{CacheFault, FaultKind};
 use crate::relay::DatagramFaults;
 use crate::rig::Rig;
+use crate::saturating_u32;
 use deckproxy_standins::link_relay::LinkState;
 use deckproxy_standins::site::{NodeFault, zone_name};
 use std::thread;
@@ -65,7 +66,7 @@
         let gap = Duration::from_secs_f64(duration / self.plan.instances as f64);
         for index in 0..self.plan.instances {
             self.change_process(index, move |instance| {
-                thread::sleep(gap * instance.index as u32);
+                thread::sleep(gap * saturating_u32(instance.index));
                 instance.restart();
             });
         }
--- a/crates/deckproxy-rig/src/lib.rs
+++ b/crates/deckproxy-rig/src/lib.rs
@@ -37,3 +37,8 @@
 pub mod simulated_fleet;
 pub mod simulated_load;
 pub mod timeline;
+
+/// A small number, of instances, members or clients, at 32 bits.
+fn saturating_u32(number: usize) -> u32 {
+    u32::try_from(number).unwrap_or(u32::MAX)
+}
--- a/crates/deckproxy-rig/src/load_generator/client.rs
+++ b/crates/deckproxy-rig/src/load_generator/client.rs
@@ -37,7 +37,7 @@
         let is_at_first = at_first(number) != at_first(number + 1);
         let home = if is_at_first || instances == 1 { 0 } else { 1 + number % (instances - 1) };
         SimulatedClient {
-            address: Ipv4Addr::from(u32::from(FIRST_ADDRESS) + number as u32),
+            address: Ipv4Addr::from(u32::from(FIRST_ADDRESS) + crate::saturating_u32(number)),
             home,
             connections: HashMap::new(),
             avoided_until: HashMap::new(),
--- a/crates/deckproxy-rig/src/simulated_fleet/mod.rs
+++ b/crates/deckproxy-rig/src/simulated_fleet/mod.rs
@@ -16,6 +16,7 @@
 pub use settings::{address, name, settings};
 
 use crate::event_queue::EventQueue;
+use crate::saturating_u32;
 use deckproxy_fleet::Millis;
 use deckproxy_fleet::fleet::{Fleet, ListedMember};
 use deckproxy_fleet::instance::Name;
@@ -70,7 +71,7 @@
         seed: u64,
     ) -> Self {
         let member = |id: usize| ListedMember {
-            id: id as u32,
+            id: saturating_u32(id),
             name: Name::from(format!("m-{id}")),
             zone: Name::from(format!("z{}", id % zones)),
             kind: 0,
--- a/crates/deckproxy-rig/src/simulated_fleet/settings.rs
+++ b/crates/deckproxy-rig/src/simulated_fleet/settings.rs
@@ -16,8 +16,9 @@
 
 /// An instance's address.
 pub fn address(instance: usize) -> SocketAddr {
-    let network = (instance / INSTANCES_PER_NETWORK) as u8;
-    let host = (instance % INSTANCES_PER_NETWORK + 1) as u8;
+    // A fleet has 2048 instances at most, in 9 networks; the hosts of one are numbered from 1 to 250.
+    let network = u8::try_from(instance / INSTANCES_PER_NETWORK).unwrap_or(u8::MAX);
+    let host = u8::try_from(instance % INSTANCES_PER_NETWORK + 1).unwrap_or(u8::MAX);
     (Ipv4Addr::new(10, 0, network, host), PORT).into()
 }
 
--- a/crates/deckproxy-rig/src/timeline/charts.rs
+++ b/crates/deckproxy-rig/src/timeline/charts.rs
@@ -4,6 +4,7 @@
 use crate::fleet_view::{View, views};
 use crate::plan::Plan;
 use crate::run::RunRecord;
+use crate::saturating_u32;
 use deckproxy_standins::record::{Fact, Outcome};
 use plotters::coord::Shift;
 use plotters::coord::types::RangedCoordf64;
@@ -80,7 +81,8 @@
 /// How many others each instance hears.
 pub(super) fn draw_views(run: &RunRecord, svg: &mut String) -> Result<(), DrawingError> {
     let instances = run.plan.instances;
-    let root = SVGBackend::with_string(svg, (WIDTH, ROW_HEIGHT * instances as u32)).into_drawing_area();
+    let root =
+        SVGBackend::with_string(svg, (WIDTH, ROW_HEIGHT * saturating_u32(instances))).into_drawing_area();
     root.fill(&WHITE)?;
     for (i, area) in root.split_evenly((instances, 1)).iter().enumerate() {
         let top = instances as f64;
@@ -137,7 +139,8 @@
 /// Health checks of each member.
 pub(super) fn draw_health_checks(run: &RunRecord, svg: &mut String) -> Result<(), DrawingError> {
     let members = run.members.len();
-    let root = SVGBackend::with_string(svg, (WIDTH, ROW_HEIGHT * members as u32)).into_drawing_area();
+    let root =
+        SVGBackend::with_string(svg, (WIDTH, ROW_HEIGHT * saturating_u32(members))).into_drawing_area();
     root.fill(&WHITE)?;
     for (name, area) in run.members.iter().zip(root.split_evenly((members, 1))) {
         let is_check = |fact: &Fact| matches!(fact, Fact::HealthChecked { member } if member == name);
