--- a/crates/deckproxy-sites/src/requester/crossing.rs
+++ b/crates/deckproxy-sites/src/requester/crossing.rs
@@ -1,6 +1,6 @@
 //! Crossings: one request in flight to another site for all clients that want the same part of the same object.
 
-use super::types::{CrossingRequest, RequestToken, RetrySafety};
+use super::types::{ForwardedRequest, RequestToken, RetrySafety};
 use crate::frame::ResponseHead;
 use crate::{ConnectionId, Millis};
 use bytes::BytesMut;
@@ -19,7 +19,7 @@
 
 impl CollapseKey {
     /// The key of a request; `None` where it must not share a crossing.
-    pub(super) fn of(request: &CrossingRequest) -> Option<Self> {
+    pub(super) fn of(request: &ForwardedRequest) -> Option<Self> {
         request.may_collapse.then(|| CollapseKey {
             class: request.request.class.clone(),
             object: request.object,
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub(super) struct Waiter {
     pub(super) token: RequestToken,
-    pub(super) request: CrossingRequest,
+    pub(super) request: ForwardedRequest,
 }
 
 /// An attempt in flight.
--- a/crates/deckproxy-sites/src/requester/mod.rs
+++ b/crates/deckproxy-sites/src/requester/mod.rs
@@ -28,7 +28,7 @@
 pub mod types;
 
 pub use types::{
-    Counters, CrossingRequest, Effect, EndpointsUp, OpenCounts, Reply, RequestToken, RetrySafety,
+    Counters, Effect, EndpointsUp, ForwardedRequest, OpenCounts, Reply, RequestToken, RetrySafety,
 };
 
 use crate::frame::Hello;
--- a/crates/deckproxy-sites/src/requester/requests.rs
+++ b/crates/deckproxy-sites/src/requester/requests.rs
@@ -3,13 +3,13 @@
 use super::Requester;
 use super::crossing::{CollapseKey, Crossing, CrossingId, Waiter};
 use super::queue::TimeKey;
-use super::types::{CrossingRequest, Effect, Reply, RequestToken};
+use super::types::{Effect, ForwardedRequest, Reply, RequestToken};
 use crate::Millis;
 
 impl Requester {
     /// Accepts a request that is to cross. It joins a crossing in flight where it may, and gets one of its own
     /// otherwise.
-    pub fn request(&mut self, now: Millis, token: RequestToken, request: CrossingRequest) {
+    pub fn request(&mut self, now: Millis, token: RequestToken, request: ForwardedRequest) {
         self.counters.requests += 1;
         let key = CollapseKey::of(&request);
         if let Some(id) = key.as_ref().and_then(|key| self.collapsible.get(key).copied())
--- a/crates/deckproxy-sites/src/requester/types.rs
+++ b/crates/deckproxy-sites/src/requester/types.rs
@@ -19,7 +19,7 @@
 
 /// A client's request that is to cross to another site.
 #[derive(Clone, Debug)]
-pub struct CrossingRequest {
+pub struct ForwardedRequest {
     /// The request as it is sent; attempt number and time left are filled in for each attempt.
     pub request: Request,
     /// The object as a number.
--- a/crates/deckproxy-sites/src/site/requests.rs
+++ b/crates/deckproxy-sites/src/site/requests.rs
@@ -3,7 +3,7 @@
 use super::Site;
 use super::effects::{Destination, Effect, Unroutable};
 use crate::frame::Frame;
-use crate::requester::{CrossingRequest, Reply, RequestToken};
+use crate::requester::{ForwardedRequest, Reply, RequestToken};
 use crate::responder::{RunId, RunResult};
 use crate::{ConnectionId, Millis};
 
@@ -36,7 +36,7 @@
     }
 
     /// Accepts a request that is to cross to a site.
-    pub fn request(&mut self, now: Millis, token: RequestToken, site: &str, request: CrossingRequest) {
+    pub fn request(&mut self, now: Millis, token: RequestToken, site: &str, request: ForwardedRequest) {
         let Some(index) = self.peer_index(site) else {
             let reply = Reply::Rejected { retry_after: self.link.retry_after };
             return self.effects.push_back(Effect::Reply(token, reply));
--- a/crates/deckproxy-sites/tests/requester.rs
+++ b/crates/deckproxy-sites/tests/requester.rs
@@ -9,7 +9,7 @@
     AttemptNumbers, AttemptState, AttemptStatus, BodyChunk, GoAway, Outcome, Payload, Request, ResponseHead,
 };
 use deckproxy_sites::purges::PurgeLog;
-use deckproxy_sites::requester::{CrossingRequest, Effect, EndpointsUp, Reply, Requester, RetrySafety};
+use deckproxy_sites::requester::{Effect, EndpointsUp, ForwardedRequest, Reply, Requester, RetrySafety};
 use std::ops::Range;
 
 /// A requester with one endpoint.
@@ -18,7 +18,7 @@
     purges: PurgeLog,
 }
 
-fn crossing_request(object: u64, retry_safety: RetrySafety, deadline: f64) -> CrossingRequest {
+fn forwarded_request(object: u64, retry_safety: RetrySafety, deadline: f64) -> ForwardedRequest {
     let request = Request {
         name: format!("{object:016x}"),
         class: "page".into(),
@@ -26,7 +26,7 @@
         ..Request::default()
     };
     let may_collapse = retry_safety == RetrySafety::Idempotent;
-    CrossingRequest { request, object, deadline, retry_safety, may_collapse, priority_rank: 0.5 }
+    ForwardedRequest { request, object, deadline, retry_safety, may_collapse, priority_rank: 0.5 }
 }
 
 impl Side {
@@ -49,7 +49,7 @@
     }
 
     /// Accepts a request, and returns the number of the attempt that is sent.
-    fn request(&mut self, now: f64, token: u64, request: CrossingRequest) -> u64 {
+    fn request(&mut self, now: f64, token: u64, request: ForwardedRequest) -> u64 {
         self.requester.request(now, token, request);
         sent_attempt(&self.effects()).expect("it was sent")
     }
@@ -105,7 +105,7 @@
 #[test]
 fn after_a_lost_connection_no_attempt_is_sent_before_the_status_is_known() {
     let mut side = Side::connected();
-    let first = side.request(10.0, 1, crossing_request(5, RetrySafety::Idempotent, 900.0));
+    let first = side.request(10.0, 1, forwarded_request(5, RetrySafety::Idempotent, 900.0));
     let effects = side.reconnect(20.0, 77);
     assert_eq!(resumed_attempts(&effects), [first]);
     assert_eq!(sent_attempt(&effects), None, "the first attempt may still be in flight");
@@ -121,7 +121,7 @@
 #[test]
 fn a_running_attempt_is_reattached_and_its_response_is_passed_on() {
     let mut side = Side::connected();
-    let number = side.request(10.0, 1, crossing_request(5, RetrySafety::NotIdempotent, 900.0));
+    let number = side.request(10.0, 1, forwarded_request(5, RetrySafety::NotIdempotent, 900.0));
     side.reconnect(20.0, 77);
     side.receive(40.0, 2, status(number, AttemptState::Running));
     assert!(side.effects().is_empty());
@@ -138,7 +138,7 @@
         // Another process is there, the serving side does not know the status, or the session timed out.
         for case in 0..3 {
             let mut side = Side::connected();
-            let number = side.request(10.0, 1, crossing_request(5, retry_safety, 5000.0));
+            let number = side.request(10.0, 1, forwarded_request(5, retry_safety, 5000.0));
             let effects = match case {
                 0 => side.reconnect(20.0, 78),
                 1 => {
@@ -167,7 +167,7 @@
     side.requester.connected(5.0, 0, 2);
     side.requester.hello_received(5.0, 2, &hello(77));
     side.effects();
-    let number = side.request(10.0, 1, crossing_request(5, RetrySafety::NotIdempotent, 900.0));
+    let number = side.request(10.0, 1, forwarded_request(5, RetrySafety::NotIdempotent, 900.0));
     side.requester.disconnected(20.0, 1, &[number]);
     assert!(sent_attempt(&side.effects()).is_some_and(|second| second != number));
 }
@@ -175,13 +175,13 @@
 #[test]
 fn requests_for_one_part_collapse_and_the_next_waiter_leads_after_a_failure() {
     let mut side = Side::connected();
-    let first = side.request(10.0, 1, crossing_request(5, RetrySafety::Idempotent, 900.0));
+    let first = side.request(10.0, 1, forwarded_request(5, RetrySafety::Idempotent, 900.0));
     for token in 2..=3 {
-        side.requester.request(11.0, token, crossing_request(5, RetrySafety::Idempotent, 900.0));
+        side.requester.request(11.0, token, forwarded_request(5, RetrySafety::Idempotent, 900.0));
     }
     assert_eq!(sent_attempt(&side.effects()), None, "they wait for the first one's response");
     // The third waiter is over the limit, and crosses alone.
-    side.requester.request(11.0, 4, crossing_request(5, RetrySafety::Idempotent, 900.0));
+    side.requester.request(11.0, 4, forwarded_request(5, RetrySafety::Idempotent, 900.0));
     assert!(sent_attempt(&side.effects()).is_some());
     side.receive(20.0, 1, response(first, Outcome::Failed, 0));
     let effects = side.effects();
@@ -196,14 +196,14 @@
 #[test]
 fn a_canceled_leader_does_not_cancel_the_crossing() {
     let mut side = Side::connected();
-    let number = side.request(10.0, 1, crossing_request(5, RetrySafety::Idempotent, 900.0));
-    side.requester.request(11.0, 2, crossing_request(5, RetrySafety::Idempotent, 900.0));
+    let number = side.request(10.0, 1, forwarded_request(5, RetrySafety::Idempotent, 900.0));
+    side.requester.request(11.0, 2, forwarded_request(5, RetrySafety::Idempotent, 900.0));
     side.requester.cancel(12.0, 1);
     assert_eq!(side.effects(), [], "the other request still waits");
     side.receive(20.0, 1, response(number, Outcome::Served, 0));
     let tokens: Vec<u64> = replies(&side.effects()).iter().map(|(token, _)| *token).collect();
     assert_eq!(tokens, [2]);
-    let number = side.request(30.0, 3, crossing_request(6, RetrySafety::Idempotent, 900.0));
+    let number = side.request(30.0, 3, forwarded_request(6, RetrySafety::Idempotent, 900.0));
     side.requester.cancel(31.0, 3);
     let release = Effect::Send(1, Payload::Release(AttemptNumbers { numbers: vec![number] }));
     assert_eq!(side.effects(), [release], "no request waits: the attempt is released");
@@ -214,7 +214,7 @@
     let mut side = Side::connected();
     side.requester.disconnected(10.0, 1, &[]);
     side.effects();
-    side.requester.request(20.0, 1, crossing_request(5, RetrySafety::NotIdempotent, 900.0));
+    side.requester.request(20.0, 1, forwarded_request(5, RetrySafety::NotIdempotent, 900.0));
     assert_eq!(replies(&side.effects()), []);
     side.requester.tick(60.0, 0.0, &side.purges);
     assert_eq!(replies(&side.effects()), []);
@@ -225,7 +225,7 @@
         "{rejected:?}"
     );
     // One that is queued while an endpoint recovers is sent.
-    side.requester.request(130.0, 2, crossing_request(6, RetrySafety::NotIdempotent, 900.0));
+    side.requester.request(130.0, 2, forwarded_request(6, RetrySafety::NotIdempotent, 900.0));
     side.requester.connected(140.0, 0, 2);
     side.requester.hello_received(150.0, 2, &hello(77));
     assert!(sent_attempt(&side.effects()).is_some());
@@ -237,8 +237,8 @@
     let mut requester = Requester::new(link, 1, &[9], 0.0);
     for token in 0..40 {
         let priority_rank = if token % 2 == 0 { 0.2 } else { 0.8 };
-        let request = crossing_request(token, RetrySafety::Idempotent, 900.0);
-        requester.request(10.0, token, CrossingRequest { priority_rank, ..request });
+        let request = forwarded_request(token, RetrySafety::Idempotent, 900.0);
+        requester.request(10.0, token, ForwardedRequest { priority_rank, ..request });
     }
     requester.connected(20.0, 0, 1);
     requester.hello_received(30.0, 1, &hello(77));
@@ -268,7 +268,7 @@
 /// The connections on which requests for the given objects are sent, one after another.
 fn connections_used(requester: &mut Requester, now: f64, objects: Range<u64>) -> Vec<u64> {
     for object in objects {
-        requester.request(now, object, crossing_request(object, RetrySafety::Idempotent, now + 900.0));
+        requester.request(now, object, forwarded_request(object, RetrySafety::Idempotent, now + 900.0));
     }
     let connection = |effect: Effect| match effect {
         Effect::Send(connection, Payload::Request(_)) => Some(connection),
@@ -316,16 +316,16 @@
 fn open_crossings_are_bounded() {
     let mut side = Side::connected();
     for token in 0..4 {
-        side.request(10.0, token, crossing_request(100 + token, RetrySafety::Idempotent, 900.0));
+        side.request(10.0, token, forwarded_request(100 + token, RetrySafety::Idempotent, 900.0));
     }
-    side.requester.request(10.0, 9, crossing_request(999, RetrySafety::Idempotent, 900.0));
+    side.requester.request(10.0, 9, forwarded_request(999, RetrySafety::Idempotent, 900.0));
     assert_eq!(replies(&side.effects()), [(9, Reply::Rejected { retry_after: 50.0 })]);
 }
 
 #[test]
 fn messages_that_are_not_allowed_are_reported() {
     let mut side = Side::connected();
-    let number = side.request(10.0, 1, crossing_request(5, RetrySafety::Idempotent, 900.0));
+    let number = side.request(10.0, 1, forwarded_request(5, RetrySafety::Idempotent, 900.0));
     let chunk = |offset, bytes: &'static [u8]| {
         Payload::Chunk(BodyChunk { number, offset, bytes: Bytes::from_static(bytes) })
     };
--- a/crates/deckproxy-sites/tests/schedules/simulation.rs
+++ b/crates/deckproxy-sites/tests/schedules/simulation.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use deckproxy_sites::frame::{Frame, Outcome, Request};
 use deckproxy_sites::purges::PurgeNotice;
-use deckproxy_sites::requester::{CrossingRequest, Reply, RequestToken, RetrySafety};
+use deckproxy_sites::requester::{ForwardedRequest, Reply, RequestToken, RetrySafety};
 use deckproxy_sites::responder::{RunId, RunResult};
 use deckproxy_sites::routes::RouteRule;
 use deckproxy_sites::site::{Destination, Effect, PeerConfig, Site, SiteConfig};
@@ -424,7 +424,7 @@
         };
         self.tokens.insert((site, token), name.clone());
         self.requests.insert(name, tracked);
-        let crossing = CrossingRequest {
+        let crossing = ForwardedRequest {
             request,
             object,
             deadline,
--- a/crates/deckproxy/src/program/sites/forwarding.rs
+++ b/crates/deckproxy/src/program/sites/forwarding.rs
@@ -11,7 +11,7 @@
 use deckproxy_control::interface;
 use deckproxy_flow::meter::Outcome;
 use deckproxy_sites::frame::{Outcome as LinkOutcome, Request};
-use deckproxy_sites::requester::{CrossingRequest, Reply, RequestToken, RetrySafety};
+use deckproxy_sites::requester::{ForwardedRequest, Reply, RequestToken, RetrySafety};
 use deckproxy_sites::responder::{RunId, RunResult};
 use deckproxy_sites::site::Destination;
 
@@ -24,12 +24,12 @@
 }
 
 /// What forwarding a request to another site takes; the error says why the request can't be used.
-fn forwarding(cx: &Context<'_>, call: &Call, path: Vec<String>) -> Result<CrossingRequest, RequestError> {
+fn forwarding(cx: &Context<'_>, call: &Call, path: Vec<String>) -> Result<ForwardedRequest, RequestError> {
     let class = cx.router.validate(call)?;
     let settings = &cx.router.instance_settings().settings;
     let rules = &settings.classes[class];
     let safe = rules.idempotency == interface::Idempotency::Idempotent;
-    Ok(CrossingRequest {
+    Ok(ForwardedRequest {
         object: call.object.number,
         deadline: cx.now + call.timeout.min(rules.deadline),
         retry_safety: if safe { RetrySafety::Idempotent } else { RetrySafety::NotIdempotent },
