--- a/crates/deckproxy-sites/src/limits.rs
+++ b/crates/deckproxy-sites/src/limits.rs
@@ -16,7 +16,7 @@
     /// Credit window of one body: bytes that may be in flight.
     pub credit_window: usize,
     /// Crossings open at once.
-    pub max_crossings: usize,
+    pub max_exchanges: usize,
     /// Requests that may wait for one crossing beside its leader.
     pub max_waiters: usize,
     /// Responses retained for peers without a connection, bytes.
--- a/crates/deckproxy-sites/src/requester/requests.rs
+++ b/crates/deckproxy-sites/src/requester/requests.rs
@@ -22,7 +22,7 @@
             crossing.waiters.push_back(Waiter { token, request });
             return;
         }
-        if self.crossings.len() >= self.limits.max_crossings {
+        if self.crossings.len() >= self.limits.max_exchanges {
             self.counters.rejected_full += 1;
             let reply = Reply::Rejected { retry_after: self.limits.retry_after };
             self.effects.push_back(Effect::Reply(token, reply));
--- a/crates/deckproxy-sites/tests/common/mod.rs
+++ b/crates/deckproxy-sites/tests/common/mod.rs
@@ -9,7 +9,7 @@
     resume_timeout: 1000.0,
     chunk_size: 100,
     credit_window: 300,
-    max_crossings: 4,
+    max_exchanges: 4,
     max_waiters: 2,
     max_retained: 1000,
     recovery_ramp: 0.0,
--- a/crates/deckproxy-sites/tests/requester.rs
+++ b/crates/deckproxy-sites/tests/requester.rs
@@ -233,7 +233,7 @@
 
 #[test]
 fn the_queue_is_drained_by_priority_and_no_faster_than_a_recovered_endpoint_allows() {
-    let link = LinkLimits { recovery_ramp: 1000.0, max_crossings: 100, ..LINK };
+    let link = LinkLimits { recovery_ramp: 1000.0, max_exchanges: 100, ..LINK };
     let mut requester = Requester::new(link, 1, &[9], 0.0);
     for token in 0..40 {
         let priority_rank = if token % 2 == 0 { 0.2 } else { 0.8 };
@@ -255,7 +255,7 @@
 
 /// Two endpoints, each with one connection: 1 and 2.
 fn two_endpoints(recovery_ramp: f64) -> Requester {
-    let limits = LinkLimits { recovery_ramp, max_crossings: 1000, ..LINK };
+    let limits = LinkLimits { recovery_ramp, max_exchanges: 1000, ..LINK };
     let mut requester = Requester::new(limits, 1, &[9, 10], 0.0);
     for (endpoint, connection) in [(0, 1), (1, 2)] {
         requester.connected(0.0, endpoint, connection);
--- a/crates/deckproxy-sites/tests/schedules/simulation.rs
+++ b/crates/deckproxy-sites/tests/schedules/simulation.rs
@@ -45,7 +45,7 @@
             resume_timeout: 400.0,
             chunk_size: 64,
             credit_window: 256,
-            max_crossings: 200,
+            max_exchanges: 200,
             max_waiters: 8,
             max_retained: 2000,
             recovery_ramp: 100.0,
