--- a/crates/deckproxy-sites/src/requester/mod.rs
+++ b/crates/deckproxy-sites/src/requester/mod.rs
@@ -93,7 +93,7 @@
     /// What is open at the moment.
     pub fn open_counts(&self) -> OpenCounts {
         OpenCounts {
-            crossings: self.crossings.len(),
+            exchanges: self.crossings.len(),
             requests: self.requests.len(),
             unresolved_attempts: self.endpoints.iter().map(|endpoint| endpoint.unresolved.len()).sum(),
         }
--- a/crates/deckproxy-sites/src/requester/types.rs
+++ b/crates/deckproxy-sites/src/requester/types.rs
@@ -106,7 +106,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OpenCounts {
     /// Crossings.
-    pub crossings: usize,
+    pub exchanges: usize,
     /// Requests.
     pub requests: usize,
     /// Attempts whose connection was lost and whose status is not known.
--- a/crates/deckproxy/src/program/sites/mod.rs
+++ b/crates/deckproxy/src/program/sites/mod.rs
@@ -282,7 +282,7 @@
     let (counters, open, endpoints) = (requester.counters, requester.open_counts(), requester.endpoints_up());
     [
         Field::value("endpoints", format_args!("{}/{}", endpoints.up, endpoints.total)),
-        Field::value("in_flight", open.crossings),
+        Field::value("in_flight", open.exchanges),
         Field::value("unresolved", open.unresolved_attempts),
         Field::value("requests", counters.requests),
         Field::value("collapsed", counters.collapsed),
