--- a/crates/deckproxy-sites/src/purges/mod.rs
+++ b/crates/deckproxy-sites/src/purges/mod.rs
@@ -229,7 +229,7 @@
     }
 
     /// Takes a peer's response to a heartbeat that was sent at `sent_at`, and arrived at Unix time `unix_time`.
-    pub fn heartbeat_answered(
+    pub fn pong_received(
         &mut self,
         now: Millis,
         unix_time: Millis,
@@ -238,7 +238,7 @@
         heartbeat: &Heartbeat,
     ) {
         if let Some(peer) = self.peers.get_mut(&from_epoch) {
-            peer.heartbeat_answered(now, unix_time, sent_at, heartbeat);
+            peer.pong_received(now, unix_time, sent_at, heartbeat);
         }
     }
 
--- a/crates/deckproxy-sites/src/purges/peer.rs
+++ b/crates/deckproxy-sites/src/purges/peer.rs
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Takes the response to a heartbeat; see [`super::PurgeLog::heartbeat_answered`].
-    pub(super) fn heartbeat_answered(
+    /// Takes the response to a heartbeat; see [`super::PurgeLog::pong_received`].
+    pub(super) fn pong_received(
         &mut self,
         now: Millis,
         unix_time: Millis,
--- a/crates/deckproxy-sites/src/requester/connections.rs
+++ b/crates/deckproxy-sites/src/requester/connections.rs
@@ -101,7 +101,7 @@
         connection.last_received = now;
         match payload {
             Payload::Pong(heartbeat) => {
-                heartbeat_answered(endpoint, now, unix_time, connection_id, &heartbeat, purges);
+                pong_received(endpoint, now, unix_time, connection_id, &heartbeat, purges);
             }
             Payload::Response(head) => return self.response_head(now, index, connection_id, head, purges),
             Payload::Chunk(chunk) => return self.body_chunk(now, index, connection_id, &chunk, purges),
@@ -123,7 +123,7 @@
 }
 
 /// Takes the response to a heartbeat; earlier ones that were not answered are forgotten.
-fn heartbeat_answered(
+fn pong_received(
     endpoint: &mut Endpoint,
     now: Millis,
     unix_time: Millis,
@@ -136,7 +136,7 @@
         if pending.sequence == heartbeat.sequence {
             endpoint.estimate.record_round_trip(now - pending.sent_at);
             let epoch = endpoint.epoch.unwrap_or(0);
-            purges.heartbeat_answered(now, unix_time, epoch, pending.sent_at, heartbeat);
+            purges.pong_received(now, unix_time, epoch, pending.sent_at, heartbeat);
         }
         if pending.sequence >= heartbeat.sequence {
             break;
--- a/crates/deckproxy-sites/tests/purges.rs
+++ b/crates/deckproxy-sites/tests/purges.rs
@@ -37,7 +37,7 @@
 
 fn answer_heartbeat(log: &mut PurgeLog, from: u64, sent_at: f64, now: f64, purges: u64) {
     let unix_time = (sent_at + now) / 2.0;
-    log.heartbeat_answered(
+    log.pong_received(
         now,
         now,
         from,
@@ -89,7 +89,7 @@
 fn a_site_with_too_large_a_clock_skew_is_not_trusted() {
     let (mut a, mut b) = (log("a", 1), log("b", 2));
     exchange_hellos(&mut a, &mut b, ["a", "b"], [1, 2], 0.0);
-    b.heartbeat_answered(20.0, 20.0, 1, 10.0, &Heartbeat { unix_time: 515.0, ..Heartbeat::default() });
+    b.pong_received(20.0, 20.0, 1, 10.0, &Heartbeat { unix_time: 515.0, ..Heartbeat::default() });
     assert_eq!(b.check_trust(30.0, "a"), Err(Distrust::ClockSkew));
     assert_eq!(b.clock_skew("a"), Some(500.0));
 }
