--- a/crates/deckproxy-sites/src/site/connections.rs
+++ b/crates/deckproxy-sites/src/site/connections.rs
@@ -1,7 +1,7 @@
 //! Connections: opening, handshakes, and their end.
 
 use super::effects::{Effect, LogEvent};
-use super::{Peer, Site};
+use super::{Peer, SiteGateway};
 use crate::close::{CloseReason, HelloError};
 use crate::frame::{Goodbye, Hello, Payload, VERSION};
 use crate::{ConnectionId, Millis, saturating_u32};
@@ -36,7 +36,7 @@
     }
 }
 
-impl Site {
+impl SiteGateway {
     /// The site at the other end of a connection, once it is known.
     pub fn site_of(&self, connection: ConnectionId) -> Option<&str> {
         match self.roles.get(&connection)? {
--- a/crates/deckproxy-sites/src/site/copy_age.rs
+++ b/crates/deckproxy-sites/src/site/copy_age.rs
@@ -1,6 +1,6 @@
 //! The limit on the age of own copies while a peer is unreachable.
 
-use super::Site;
+use super::SiteGateway;
 use super::effects::{Effect, LogEvent};
 use crate::Millis;
 use crate::purges::Distrust;
@@ -8,7 +8,7 @@
 /// Share of the grace after which the limit is renewed.
 const RENEWAL_SHARE: f64 = 0.2;
 
-impl Site {
+impl SiteGateway {
     /// Limits the age of own copies to the grace while a peer that may have been notified of purges of this site's
     /// objects is unreachable: a copy within the limit is younger than any purge that must be in force by now.
     pub(super) fn limit_copy_age(&mut self, now: Millis) {
--- a/crates/deckproxy-sites/src/site/messages.rs
+++ b/crates/deckproxy-sites/src/site/messages.rs
@@ -1,6 +1,6 @@
 //! Received frames: which side takes them, and what is not allowed.
 
-use super::Site;
+use super::SiteGateway;
 use super::connections::Role;
 use super::effects::{Effect, LogEvent};
 use crate::close::CloseReason;
@@ -12,7 +12,7 @@
 /// Most sites that a request may have passed; more is not allowed whatever the configuration.
 const MAX_SITE_PATH: usize = 16;
 
-impl Site {
+impl SiteGateway {
     /// Takes a frame. `unix_time`: now, as Unix time. Frames without a known message, and those of connections that
     /// were closed, are ignored.
     pub fn receive(&mut self, now: Millis, unix_time: Millis, connection: ConnectionId, frame: Frame) {
--- a/crates/deckproxy-sites/src/site/mod.rs
+++ b/crates/deckproxy-sites/src/site/mod.rs
@@ -36,7 +36,7 @@
 
 /// A gateway between sites.
 #[derive(Debug)]
-pub struct Site {
+pub struct SiteGateway {
     #[allow(clippy::struct_field_names, reason = "tells this site from those of its peers")]
     own_site: String,
     max_hops: u32,
@@ -59,10 +59,10 @@
     pub distrusted: DistrustCounters,
 }
 
-impl Site {
+impl SiteGateway {
     /// A gateway whose process has just started. `epoch`: a number that no other process uses.
     pub fn new(config: SiteConfig, epoch: u64, now: Millis) -> Self {
-        let mut site = Site {
+        let mut site = SiteGateway {
             peers: Vec::new(),
             epoch,
             routes: RouteTable::new(&config.own_site, config.rules),
@@ -167,7 +167,7 @@
         self.close_without_hello(now);
     }
 
-    /// When [`Site::tick`] has to be called next, at the latest.
+    /// When [`SiteGateway::tick`] has to be called next, at the latest.
     pub fn next_timer(&self) -> Option<Millis> {
         self.peers.iter().filter_map(|peer| peer.requester.next_timer()).min_by(f64::total_cmp)
     }
--- a/crates/deckproxy-sites/src/site/requests.rs
+++ b/crates/deckproxy-sites/src/site/requests.rs
@@ -1,13 +1,13 @@
 //! Requests: where they are served, and those that cross over links.
 
-use super::Site;
+use super::SiteGateway;
 use super::effects::{Destination, Effect, Unroutable};
 use crate::frame::Frame;
 use crate::requester::{ForwardedRequest, Reply, RequestToken};
 use crate::responder::{RunId, RunResult};
 use crate::{ConnectionId, Millis};
 
-impl Site {
+impl SiteGateway {
     /// Where a request is served. `site_path`: the sites that forwarded it, the first one first; empty for a request
     /// of this site's own clients.
     pub fn destination(
--- a/crates/deckproxy-sites/tests/schedules/main.rs
+++ b/crates/deckproxy-sites/tests/schedules/main.rs
@@ -9,7 +9,7 @@
 
 use deckproxy_sites::frame::{AttemptNumbers, Heartbeat, Payload, Request};
 use deckproxy_sites::requester::OpenCounts;
-use deckproxy_sites::site::{Effect, Site};
+use deckproxy_sites::site::{Effect, SiteGateway};
 use simulation::{Simulation, site_config};
 use std::ops::Add;
 
@@ -97,7 +97,7 @@
         Payload::Resume(AttemptNumbers::default()),
     ];
     for payload in payloads {
-        let mut site = Site::new(site_config("b", "a"), 1, 0.0);
+        let mut site = SiteGateway::new(site_config("b", "a"), 1, 0.0);
         site.accepted(0.0, 7);
         site.receive(1.0, 1.0, 7, payload.into());
         let effects: Vec<Effect> = std::iter::from_fn(|| site.next_effect()).collect();
--- a/crates/deckproxy-sites/tests/schedules/simulation.rs
+++ b/crates/deckproxy-sites/tests/schedules/simulation.rs
@@ -9,7 +9,7 @@
 use deckproxy_sites::requester::{ForwardedRequest, Reply, RequestToken, RetrySafety};
 use deckproxy_sites::responder::{RunId, RunResult};
 use deckproxy_sites::routes::RouteRule;
-use deckproxy_sites::site::{Destination, Effect, PeerConfig, Site, SiteConfig};
+use deckproxy_sites::site::{Destination, Effect, PeerConfig, SiteConfig, SiteGateway};
 use deckproxy_sites::{LinkLimits, TrustLimits};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -67,7 +67,7 @@
 pub struct Simulation {
     rng: Pcg64Mcg,
     now: f64,
-    pub sites: Vec<Site>,
+    pub sites: Vec<SiteGateway>,
     next_epoch: u64,
     pub network: Network,
     next_number: u64,
@@ -86,8 +86,8 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let epoch: u64 = rng.random();
         let sites = vec![
-            Site::new(site_config("a", "b"), epoch, 0.0),
-            Site::new(site_config("b", "a"), epoch ^ 1, 0.0),
+            SiteGateway::new(site_config("a", "b"), epoch, 0.0),
+            SiteGateway::new(site_config("b", "a"), epoch ^ 1, 0.0),
         ];
         Simulation {
             rng,
@@ -388,7 +388,7 @@
         }
         self.next_epoch = self.next_epoch.wrapping_add(2);
         let config = site_config(SITES[index], SITES[1 - index]);
-        self.sites[index] = Site::new(config, self.next_epoch, self.now);
+        self.sites[index] = SiteGateway::new(config, self.next_epoch, self.now);
         // Its feed repeats all purges.
         for (object, all) in self.purges.clone() {
             for times in all {
--- a/crates/deckproxy/src/program/sites/mod.rs
+++ b/crates/deckproxy/src/program/sites/mod.rs
@@ -15,7 +15,7 @@
 use deckproxy_sites::purges::PurgeNotice;
 use deckproxy_sites::requester::{Reply, RequestToken, Requester};
 use deckproxy_sites::responder::RunId;
-use deckproxy_sites::site::{self, PeerConfig, Site, SiteConfig};
+use deckproxy_sites::site::{self, PeerConfig, SiteConfig, SiteGateway};
 use slog::{Logger, info, warn};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -40,7 +40,7 @@
 /// The links of one gateway.
 pub struct Sites {
     log: Logger,
-    site: Site,
+    site: SiteGateway,
     /// Addresses of the peers' gateways, by the peer's index.
     addresses: Vec<Vec<SocketAddr>>,
     /// The peers in force, by the site's name.
@@ -89,7 +89,7 @@
         let epoch = seed ^ (now * 1000.0) as u64;
         Some(Box::new(Sites {
             log: log.clone(),
-            site: Site::new(config, epoch, now),
+            site: SiteGateway::new(config, epoch, now),
             addresses: sites.peers.iter().map(addresses).collect(),
             peers: peers.collect(),
             owners: HashMap::new(),
