--- a/crates/deckproxy-sites/src/lib.rs
+++ b/crates/deckproxy-sites/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! - [`site`]: everything below together, as a gateway drives it.
 //! - [`routes`]: which site is an object's home.
-//! - [`requester`]: the side whose clients request: crossings, request collapsing, sessions, retries and reattachment.
+//! - [`requester`]: the side whose clients request: exchanges, request collapsing, sessions, retries and reattachment.
 //! - [`responder`]: the side that serves: received attempts, executions, responses retained for a lost connection.
 //! - [`purges`]: the purge log, the leases under which copies are trusted, the clock skew between sites.
 //! - [`throughput`]: what a link carries, and whether a response over it would meet its deadline.
--- a/crates/deckproxy-sites/src/limits.rs
+++ b/crates/deckproxy-sites/src/limits.rs
@@ -15,9 +15,9 @@
     pub chunk_size: usize,
     /// Credit window of one body: bytes that may be in flight.
     pub credit_window: usize,
-    /// Crossings open at once.
+    /// Exchanges open at once.
     pub max_exchanges: usize,
-    /// Requests that may wait for one crossing beside its leader.
+    /// Requests that may wait for one exchange beside its leader.
     pub max_waiters: usize,
     /// Responses retained for peers without a connection, bytes.
     pub max_retained: usize,
--- a/crates/deckproxy-sites/src/requester/attempts.rs
+++ b/crates/deckproxy-sites/src/requester/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts: choosing an endpoint, sending, queueing for an endpoint, and their end.
 
 use super::Requester;
-use super::crossing::{Attempt, CrossingId};
+use super::exchange::{Attempt, ExchangeId};
 use super::queue::TimeKey;
 use super::types::{Effect, Reply};
 use crate::Millis;
@@ -9,20 +9,20 @@
 use bytes::BytesMut;
 
 /// Time left below which nothing is sent, ms.
-const LEAST_TIME_LEFT: Millis = 5.0;
+const MIN_TIME_LEFT: Millis = 5.0;
 /// Smallest time left that is sent, ms.
-const LEAST_TIME_SENT: Millis = 1.0;
+const MIN_TIME_SENT: Millis = 1.0;
 /// Part of the expected wait on a saturated link that a rejected client gets as its retry-after.
-const SATURATION_BACKOFF: f64 = 0.5;
+const SATURATION_BACKOFF_SHARE: f64 = 0.5;
 
 impl Requester {
-    /// Sends a crossing's attempt, queues it for an endpoint, or rejects it at once where its response could not be in
+    /// Sends an exchange's attempt, queues it for an endpoint, or rejects it at once where its response could not be in
     /// time.
-    pub(super) fn send_attempt(&mut self, now: Millis, id: CrossingId) {
-        let Some(crossing) = self.crossings.get(&id) else { return };
-        let Some(leader) = crossing.waiters.front() else { return self.end_crossing(now, id) };
+    pub(super) fn send_attempt(&mut self, now: Millis, id: ExchangeId) {
+        let Some(exchange) = self.exchanges.get(&id) else { return };
+        let Some(leader) = exchange.waiters.front() else { return self.end_exchange(now, id) };
         let time_left = leader.request.deadline - now;
-        if time_left < LEAST_TIME_LEFT {
+        if time_left < MIN_TIME_LEFT {
             let reply = Reply::Rejected { retry_after: self.limits.retry_after };
             return self.reply_to_leader(now, id, &reply);
         }
@@ -33,19 +33,19 @@
         let expected_bytes = estimate.expected_bytes(leader.request.request.size_kb);
         if !estimate.meets_deadline(expected_bytes, time_left, leader.request.priority_rank) {
             self.counters.rejected_saturated += 1;
-            let backoff = estimate.expected_wait(0.0) * SATURATION_BACKOFF;
+            let backoff = estimate.expected_wait(0.0) * SATURATION_BACKOFF_SHARE;
             let reply = Reply::Rejected { retry_after: self.limits.retry_after.max(backoff) };
             return self.reply_to_leader(now, id, &reply);
         }
         self.send_to(now, id, index, expected_bytes, time_left);
     }
 
-    /// Sends a crossing's attempt to an endpoint.
-    fn send_to(&mut self, now: Millis, id: CrossingId, index: usize, expected_bytes: f64, time_left: Millis) {
+    /// Sends an exchange's attempt to an endpoint.
+    fn send_to(&mut self, now: Millis, id: ExchangeId, index: usize, expected_bytes: f64, time_left: Millis) {
         let endpoint = &mut self.endpoints[index];
         let Some(connection_id) = endpoint.least_loaded_connection() else { return };
-        let Some(crossing) = self.crossings.get_mut(&id) else { return };
-        let Some(leader) = crossing.waiters.front() else { return };
+        let Some(exchange) = self.exchanges.get_mut(&id) else { return };
+        let Some(leader) = exchange.waiters.front() else { return };
         let number = endpoint.next_attempt;
         endpoint.next_attempt += 1;
         endpoint.attempts.insert(number, id);
@@ -55,9 +55,9 @@
         }
         // The time in flight will have passed when the request arrives.
         let one_way = endpoint.estimate.round_trip() / 2.0;
-        let time_left = (time_left - one_way).max(LEAST_TIME_SENT).floor();
+        let time_left = (time_left - one_way).max(MIN_TIME_SENT).floor();
         let request = Request { number, time_left, ..leader.request.request.clone() };
-        crossing.attempt = Some(Attempt {
+        exchange.attempt = Some(Attempt {
             endpoint: index,
             number,
             connection: Some(connection_id),
@@ -70,14 +70,14 @@
             cached_tag: request.cached_tag.clone(),
         });
         self.counters.attempts += 1;
-        self.counters.retries += u64::from(crossing.is_retry);
+        self.counters.retries += u64::from(exchange.is_retry);
         self.effects.push_back(Effect::Send(connection_id, Payload::Request(request)));
     }
 
-    /// Ends a crossing's attempt, and releases it at the serving side. `response_bytes`: size of the response, where it
+    /// Ends an exchange's attempt, and releases it at the serving side. `response_bytes`: size of the response, where it
     /// is complete.
-    pub(super) fn end_attempt(&mut self, now: Millis, id: CrossingId, response_bytes: Option<usize>) {
-        let Some(attempt) = self.take_attempt(now, id, response_bytes) else { return };
+    pub(super) fn end_attempt(&mut self, now: Millis, id: ExchangeId, response_bytes: Option<usize>) {
+        let Some(attempt) = self.remove_attempt(now, id, response_bytes) else { return };
         let Some(endpoint) = self.endpoints.get(attempt.endpoint) else { return };
         let open = attempt.connection.filter(|connection| endpoint.connections.contains_key(connection));
         // The release may get lost; the heartbeats carry the lowest number that is still open.
@@ -87,14 +87,14 @@
         }
     }
 
-    /// Takes a crossing's attempt out of all accounts. The serving side is not notified.
-    pub(super) fn take_attempt(
+    /// Takes an exchange's attempt out of all accounts. The serving side is not notified.
+    pub(super) fn remove_attempt(
         &mut self,
         now: Millis,
-        id: CrossingId,
+        id: ExchangeId,
         response_bytes: Option<usize>,
     ) -> Option<Attempt> {
-        let attempt = self.crossings.get_mut(&id)?.attempt.take()?;
+        let attempt = self.exchanges.get_mut(&id)?.attempt.take()?;
         let endpoint = self.endpoints.get_mut(attempt.endpoint)?;
         endpoint.estimate.attempt_finished(attempt.expected_bytes, response_bytes);
         if attempt.is_receiving() {
@@ -116,15 +116,15 @@
         cheapest.filter(|(_, endpoint)| endpoint.has_capacity(now, ramp)).map(|(index, _)| index)
     }
 
-    /// Queues a crossing while no endpoint is up, or the recovered one has no capacity. It is rejected after the queue
+    /// Queues an exchange while no endpoint is up, or the recovered one has no capacity. It is rejected after the queue
     /// timeout.
-    fn enqueue(&mut self, now: Millis, id: CrossingId) {
-        let Some(crossing) = self.crossings.get_mut(&id) else { return };
-        let waiters = crossing.waiters.len() as u64;
-        let until = *crossing.queued_until.get_or_insert(now + self.limits.queue_timeout);
+    fn enqueue(&mut self, now: Millis, id: ExchangeId) {
+        let Some(exchange) = self.exchanges.get_mut(&id) else { return };
+        let waiters = exchange.waiters.len() as u64;
+        let until = *exchange.queued_until.get_or_insert(now + self.limits.queue_timeout);
         if TimeKey::at(until) > TimeKey::at(now) {
             self.counters.queued += waiters;
-            self.queue.push(id, crossing.priority_rank(), until);
+            self.queue.push(id, exchange.priority_rank(), until);
             return;
         }
         self.counters.rejected_unreachable += waiters;
@@ -132,7 +132,7 @@
         self.reply_to_all(now, id, &reply);
     }
 
-    /// Rejects the crossings that were queued for too long, and sends the others while an endpoint has capacity.
+    /// Rejects the exchanges that were queued for too long, and sends the others while an endpoint has capacity.
     pub(super) fn drain_queue(&mut self, now: Millis) {
         self.queue_checked_at = now;
         while let Some(id) = self.queue.pop_timed_out(now) {
@@ -144,9 +144,9 @@
         }
     }
 
-    /// Sends a crossing, unless it was sent or ended since it was queued.
-    fn send_queued(&mut self, now: Millis, id: CrossingId) {
-        if self.crossings.get(&id).is_some_and(super::crossing::Crossing::is_queued) {
+    /// Sends an exchange, unless it was sent or ended since it was queued.
+    fn send_queued(&mut self, now: Millis, id: ExchangeId) {
+        if self.exchanges.get(&id).is_some_and(super::exchange::Exchange::is_queued) {
             self.send_attempt(now, id);
         }
     }
--- a/crates/deckproxy-sites/src/requester/connections.rs
+++ b/crates/deckproxy-sites/src/requester/connections.rs
@@ -8,7 +8,7 @@
 use crate::{ConnectionId, Millis};
 
 /// How long an endpoint is not used that went away without naming a time, ms.
-const DEFAULT_UNAVAILABLE: Millis = 1000.0;
+const DEFAULT_UNAVAILABLE_TIME: Millis = 1000.0;
 
 impl Requester {
     /// The index of the endpoint that a connection leads to.
@@ -147,6 +147,6 @@
 /// Sends an endpoint no attempts for a while: it goes on with those that it has. Where it names no time, another
 /// process will come up there.
 fn suspend(endpoint: &mut Endpoint, now: Millis, go_away: &GoAway) {
-    let span = if go_away.retry_after > 0.0 { go_away.retry_after } else { DEFAULT_UNAVAILABLE };
+    let span = if go_away.retry_after > 0.0 { go_away.retry_after } else { DEFAULT_UNAVAILABLE_TIME };
     endpoint.unavailable_until = Some(now + span);
 }
--- a/crates/deckproxy-sites/src/requester/endpoint.rs
+++ b/crates/deckproxy-sites/src/requester/endpoint.rs
@@ -1,21 +1,21 @@
 //! One gateway of the other site: its connections, its session, and how much it takes after a recovery.
 
-use super::crossing::CrossingId;
+use super::exchange::ExchangeId;
 use crate::frame::{AttemptNumbers, Payload};
 use crate::throughput::LinkEstimate;
 use crate::{ConnectionId, LinkLimits, Millis};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Backoff before the first reconnect, ms.
-const FIRST_BACKOFF: Millis = 25.0;
+const INITIAL_BACKOFF: Millis = 25.0;
 /// Longest backoff before a reconnect, ms.
-const LONGEST_BACKOFF: Millis = 250.0;
+const MAX_BACKOFF: Millis = 250.0;
 /// Attempts in flight that an endpoint takes at once after a recovery.
 const RECOVERY_ATTEMPTS: f64 = 16.0;
 /// Further attempts in flight that it takes at the end of the recovery ramp; the bound ends with the ramp.
 const RAMP_ATTEMPTS: f64 = 1024.0;
 /// Share of an endpoint that has just recovered.
-const LEAST_SHARE: f64 = 0.05;
+const MIN_SHARE: f64 = 0.05;
 
 /// A heartbeat that was not answered yet.
 #[derive(Clone, Copy, Debug)]
@@ -50,7 +50,7 @@
 pub(super) struct Endpoint {
     pub(super) connections: BTreeMap<ConnectionId, Connection>,
     /// Connections to keep open.
-    pub(super) wanted_connections: usize,
+    pub(super) target_connections: usize,
     /// Connections that are being opened.
     pub(super) connecting: usize,
     pub(super) session: u64,
@@ -60,7 +60,7 @@
     /// How long both ends remember the session without a connection, ms.
     pub(super) resume_timeout: Millis,
     /// Attempts in flight, by number.
-    pub(super) attempts: BTreeMap<u64, CrossingId>,
+    pub(super) attempts: BTreeMap<u64, ExchangeId>,
     /// Attempts whose connection was lost, each with the connection on which its status was requested.
     pub(super) unresolved: BTreeMap<u64, Option<ConnectionId>>,
     /// Since when no connection is up.
@@ -76,10 +76,10 @@
 
 impl Endpoint {
     /// An endpoint without connections.
-    pub(super) fn new(session: u64, wanted_connections: usize, limits: &LinkLimits, now: Millis) -> Self {
+    pub(super) fn new(session: u64, target_connections: usize, limits: &LinkLimits, now: Millis) -> Self {
         Endpoint {
             connections: BTreeMap::new(),
-            wanted_connections,
+            target_connections,
             connecting: 0,
             session,
             next_attempt: 1,
@@ -91,7 +91,7 @@
             recovered_at: now,
             unavailable_until: None,
             next_connect_at: now,
-            backoff: FIRST_BACKOFF,
+            backoff: INITIAL_BACKOFF,
             estimate: LinkEstimate::default(),
         }
     }
@@ -108,7 +108,7 @@
 
     /// Whether connections are missing.
     pub(super) fn lacks_connections(&self) -> bool {
-        self.connections.len() + self.connecting < self.wanted_connections
+        self.connections.len() + self.connecting < self.target_connections
     }
 
     /// The connection with the fewest attempts.
@@ -136,7 +136,7 @@
 
     /// Share of its full load that it takes at this point of the recovery ramp, up to 1.
     fn share(&self, now: Millis, ramp: Millis) -> f64 {
-        if ramp <= 0.0 { 1.0 } else { ((now - self.recovered_at) / ramp).clamp(LEAST_SHARE, 1.0) }
+        if ramp <= 0.0 { 1.0 } else { ((now - self.recovered_at) / ramp).clamp(MIN_SHARE, 1.0) }
     }
 
     /// Load for its share; the next attempt goes to the endpoint where this is lowest.
@@ -161,12 +161,12 @@
         // A second connection that is lost at the same moment does not double the backoff again.
         if now >= self.next_connect_at {
             self.next_connect_at = now + self.backoff;
-            self.backoff = (self.backoff * 2.0).min(LONGEST_BACKOFF);
+            self.backoff = (self.backoff * 2.0).min(MAX_BACKOFF);
         }
     }
 
     /// Starts the backoff from its beginning.
     pub(super) fn reset_backoff(&mut self) {
-        self.backoff = FIRST_BACKOFF;
+        self.backoff = INITIAL_BACKOFF;
     }
 }
--- a/crates/deckproxy-sites/src/requester/crossing.rs
+++ b/crates/deckproxy-sites/src/requester/exchange.rs
@@ -1,4 +1,4 @@
-//! Crossings: one request in flight to another site for all clients that want the same part of the same object.
+//! Exchanges: one request in flight to another site for all clients that want the same part of the same object.
 
 use super::types::{ForwardedRequest, RequestToken, RetrySafety};
 use crate::frame::ResponseHead;
@@ -6,10 +6,10 @@
 use bytes::BytesMut;
 use std::collections::VecDeque;
 
-/// A crossing, by this side's number.
-pub(super) type CrossingId = u64;
+/// An exchange, by this side's number.
+pub(super) type ExchangeId = u64;
 
-/// Requests with the same key may share one crossing.
+/// Requests with the same key may share one exchange.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct CollapseKey {
     class: String,
@@ -18,7 +18,7 @@
 }
 
 impl CollapseKey {
-    /// The key of a request; `None` where it must not share a crossing.
+    /// The key of a request; `None` where it must not share an exchange.
     pub(super) fn of(request: &ForwardedRequest) -> Option<Self> {
         request.may_collapse.then(|| CollapseKey {
             class: request.request.class.clone(),
@@ -28,7 +28,7 @@
     }
 }
 
-/// A client's request that waits for a crossing.
+/// A client's request that waits for an exchange.
 #[derive(Debug)]
 pub(super) struct Waiter {
     pub(super) token: RequestToken,
@@ -65,9 +65,9 @@
     }
 }
 
-/// A crossing.
+/// An exchange.
 #[derive(Debug)]
-pub(super) struct Crossing {
+pub(super) struct Exchange {
     /// The key under which other requests find it.
     pub(super) key: Option<CollapseKey>,
     /// The requests that wait for it; the first one leads.
@@ -79,10 +79,10 @@
     pub(super) queued_until: Option<Millis>,
 }
 
-impl Crossing {
-    /// A crossing that is led by its only request.
+impl Exchange {
+    /// An exchange that is led by its only request.
     pub(super) fn new(key: Option<CollapseKey>, leader: Waiter) -> Self {
-        Crossing {
+        Exchange {
             key,
             waiters: VecDeque::from([leader]),
             attempt: None,
--- a/crates/deckproxy-sites/src/requester/mod.rs
+++ b/crates/deckproxy-sites/src/requester/mod.rs
@@ -1,9 +1,9 @@
-//! The requesting side: crossings to one other site, over connections to one or more of its gateways.
+//! The requesting side: exchanges to one other site, over connections to one or more of its gateways.
 //!
-//! A crossing is one request in flight for all clients that want the same part of the same object. It has at most one
+//! An exchange is one request in flight for all clients that want the same part of the same object. It has at most one
 //! attempt in flight, over whatever endpoint. When an attempt's connection is lost, the attempt's status is unknown;
 //! it is requested as soon as any connection to that endpoint is up again, and until it is known no other attempt is
-//! sent for the crossing.
+//! sent for the exchange.
 //!
 //! - [`types`]: what goes in and what comes out.
 //! - `requests`: accepting, canceling and answering clients' requests.
@@ -16,8 +16,8 @@
 
 mod attempts;
 mod connections;
-mod crossing;
 mod endpoint;
+mod exchange;
 mod queue;
 mod requests;
 mod responses;
@@ -33,29 +33,29 @@
 
 use crate::frame::Hello;
 use crate::{LinkLimits, Millis, saturating_u32};
-use crossing::{CollapseKey, Crossing, CrossingId};
 use endpoint::Endpoint;
-use queue::{CrossingQueue, TimeKey};
+use exchange::{CollapseKey, Exchange, ExchangeId};
+use queue::{ExchangeQueue, TimeKey};
 use retry_budget::RetryBudget;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// Crossings to one site.
+/// Exchanges to one site.
 #[derive(Debug)]
 pub struct Requester {
     limits: LinkLimits,
     endpoints: Vec<Endpoint>,
-    crossings: BTreeMap<CrossingId, Crossing>,
-    /// The crossings that further requests may join.
-    collapsible: HashMap<CollapseKey, CrossingId>,
-    /// The crossing that each request waits for.
-    requests: HashMap<RequestToken, CrossingId>,
+    exchanges: BTreeMap<ExchangeId, Exchange>,
+    /// The exchanges that further requests may join.
+    collapsible: HashMap<CollapseKey, ExchangeId>,
+    /// The exchange that each request waits for.
+    requests: HashMap<RequestToken, ExchangeId>,
     /// The requests by deadline.
     deadlines: BTreeSet<(TimeKey, RequestToken)>,
-    /// Crossings that wait for an endpoint.
-    queue: CrossingQueue,
+    /// Exchanges that wait for an endpoint.
+    queue: ExchangeQueue,
     /// When the queue was last looked at.
     queue_checked_at: Millis,
-    last_crossing: CrossingId,
+    last_exchange: ExchangeId,
     retry_budget: RetryBudget,
     is_closing: bool,
     effects: VecDeque<Effect>,
@@ -71,13 +71,13 @@
         Requester {
             limits,
             endpoints: sessions.iter().map(endpoint).collect(),
-            crossings: BTreeMap::new(),
+            exchanges: BTreeMap::new(),
             collapsible: HashMap::new(),
             requests: HashMap::new(),
             deadlines: BTreeSet::new(),
-            queue: CrossingQueue::default(),
+            queue: ExchangeQueue::default(),
             queue_checked_at: now,
-            last_crossing: 0,
+            last_exchange: 0,
             retry_budget: RetryBudget::new(limits.retry_ratio),
             is_closing: false,
             effects: VecDeque::new(),
@@ -93,7 +93,7 @@
     /// What is open at the moment.
     pub fn open_counts(&self) -> OpenCounts {
         OpenCounts {
-            exchanges: self.crossings.len(),
+            exchanges: self.exchanges.len(),
             requests: self.requests.len(),
             unresolved_attempts: self.endpoints.iter().map(|endpoint| endpoint.unresolved.len()).sum(),
         }
--- a/crates/deckproxy-sites/src/requester/queue.rs
+++ b/crates/deckproxy-sites/src/requester/queue.rs
@@ -1,6 +1,6 @@
-//! Crossings that wait for an endpoint, and the ordered keys of times and priorities.
+//! Exchanges that wait for an endpoint, and the ordered keys of times and priorities.
 
-use super::crossing::CrossingId;
+use super::exchange::ExchangeId;
 use crate::Millis;
 use std::collections::BTreeSet;
 
@@ -18,7 +18,7 @@
     }
 
     /// A time by which this key has surely passed, ms.
-    pub(super) fn passed_by(self) -> Millis {
+    pub(super) fn upper_bound(self) -> Millis {
         (self.0 + 1) as f64 / KEYS_PER_MS
     }
 }
@@ -28,39 +28,39 @@
     ((1.0 - rank.clamp(0.0, 1.0)) * f64::from(u32::MAX)) as u32
 }
 
-/// Crossings that wait for an endpoint. An entry may be outdated: the crossing may have been sent or have ended.
+/// Exchanges that wait for an endpoint. An entry may be outdated: the exchange may have been sent or have ended.
 #[derive(Debug, Default)]
-pub(super) struct CrossingQueue {
+pub(super) struct ExchangeQueue {
     /// By priority and then by age.
-    by_priority: BTreeSet<(u32, CrossingId)>,
+    by_priority: BTreeSet<(u32, ExchangeId)>,
     /// By the time at which they are rejected.
-    by_timeout: BTreeSet<(TimeKey, CrossingId)>,
+    by_timeout: BTreeSet<(TimeKey, ExchangeId)>,
 }
 
-impl CrossingQueue {
-    /// Adds a crossing.
-    pub(super) fn push(&mut self, crossing: CrossingId, priority_rank: f64, until: Millis) {
-        self.by_priority.insert((priority_key(priority_rank), crossing));
-        self.by_timeout.insert((TimeKey::at(until), crossing));
+impl ExchangeQueue {
+    /// Adds an exchange.
+    pub(super) fn push(&mut self, exchange: ExchangeId, priority_rank: f64, until: Millis) {
+        self.by_priority.insert((priority_key(priority_rank), exchange));
+        self.by_timeout.insert((TimeKey::at(until), exchange));
     }
 
-    /// Takes the crossing of the highest priority, the oldest first.
-    pub(super) fn pop_first(&mut self) -> Option<CrossingId> {
-        self.by_priority.pop_first().map(|(_, crossing)| crossing)
+    /// Takes the exchange of the highest priority, the oldest first.
+    pub(super) fn pop_first(&mut self) -> Option<ExchangeId> {
+        self.by_priority.pop_first().map(|(_, exchange)| exchange)
     }
 
-    /// Takes the next crossing whose timeout has passed.
-    pub(super) fn pop_timed_out(&mut self, now: Millis) -> Option<CrossingId> {
-        let (timeout, crossing) = self.by_timeout.first().copied()?;
+    /// Takes the next exchange whose timeout has passed.
+    pub(super) fn pop_timed_out(&mut self, now: Millis) -> Option<ExchangeId> {
+        let (timeout, exchange) = self.by_timeout.first().copied()?;
         if timeout > TimeKey::at(now) {
             return None;
         }
         self.by_timeout.pop_first();
-        Some(crossing)
+        Some(exchange)
     }
 
     /// The next timeout, ms.
     pub(super) fn next_timeout(&self) -> Option<Millis> {
-        self.by_timeout.first().map(|(timeout, _)| timeout.passed_by())
+        self.by_timeout.first().map(|(timeout, _)| timeout.upper_bound())
     }
 }
--- a/crates/deckproxy-sites/src/requester/requests.rs
+++ b/crates/deckproxy-sites/src/requester/requests.rs
@@ -1,61 +1,61 @@
 //! Clients' requests: accepting, collapsing, canceling and answering them.
 
 use super::Requester;
-use super::crossing::{CollapseKey, Crossing, CrossingId, Waiter};
+use super::exchange::{CollapseKey, Exchange, ExchangeId, Waiter};
 use super::queue::TimeKey;
 use super::types::{Effect, ForwardedRequest, Reply, RequestToken};
 use crate::Millis;
 
 impl Requester {
-    /// Accepts a request that is to cross. It joins a crossing in flight where it may, and gets one of its own
+    /// Accepts a request that is to cross. It joins an exchange in flight where it may, and gets one of its own
     /// otherwise.
     pub fn request(&mut self, now: Millis, token: RequestToken, request: ForwardedRequest) {
         self.counters.requests += 1;
         let key = CollapseKey::of(&request);
         if let Some(id) = key.as_ref().and_then(|key| self.collapsible.get(key).copied())
-            && let Some(crossing) = self.crossings.get_mut(&id)
-            && crossing.waiters.len() <= self.limits.max_waiters
+            && let Some(exchange) = self.exchanges.get_mut(&id)
+            && exchange.waiters.len() <= self.limits.max_waiters
         {
             self.counters.collapsed += 1;
             self.requests.insert(token, id);
             self.deadlines.insert((TimeKey::at(request.deadline), token));
-            crossing.waiters.push_back(Waiter { token, request });
+            exchange.waiters.push_back(Waiter { token, request });
             return;
         }
-        if self.crossings.len() >= self.limits.max_exchanges {
+        if self.exchanges.len() >= self.limits.max_exchanges {
             self.counters.rejected_full += 1;
             let reply = Reply::Rejected { retry_after: self.limits.retry_after };
             self.effects.push_back(Effect::Reply(token, reply));
             return;
         }
-        let id = self.open_crossing(key, Waiter { token, request });
+        let id = self.open_exchange(key, Waiter { token, request });
         self.retry_budget.deposit();
         self.send_attempt(now, id);
     }
 
-    fn open_crossing(&mut self, key: Option<CollapseKey>, leader: Waiter) -> CrossingId {
-        self.last_crossing += 1;
-        let id = self.last_crossing;
-        // Where the crossing under this key has all the waiters that it may, the new one can't be joined.
+    fn open_exchange(&mut self, key: Option<CollapseKey>, leader: Waiter) -> ExchangeId {
+        self.last_exchange += 1;
+        let id = self.last_exchange;
+        // Where the exchange under this key has all the waiters that it may, the new one can't be joined.
         let key = key.filter(|key| !self.collapsible.contains_key(key));
         if let Some(key) = &key {
             self.collapsible.insert(key.clone(), id);
         }
         self.requests.insert(leader.token, id);
         self.deadlines.insert((TimeKey::at(leader.request.deadline), leader.token));
-        self.crossings.insert(id, Crossing::new(key, leader));
+        self.exchanges.insert(id, Exchange::new(key, leader));
         id
     }
 
     /// Cancels a request: its client does not wait any more.
     pub fn cancel(&mut self, now: Millis, token: RequestToken) {
         let Some(id) = self.requests.remove(&token) else { return };
-        let Some(crossing) = self.crossings.get_mut(&id) else { return };
-        if let Some(waiter) = crossing.remove_waiter(token) {
+        let Some(exchange) = self.exchanges.get_mut(&id) else { return };
+        if let Some(waiter) = exchange.remove_waiter(token) {
             self.deadlines.remove(&(TimeKey::at(waiter.request.deadline), token));
         }
-        if crossing.waiters.is_empty() {
-            self.end_crossing(now, id);
+        if exchange.waiters.is_empty() {
+            self.end_exchange(now, id);
         }
     }
 
@@ -66,20 +66,20 @@
         self.effects.push_back(Effect::Reply(waiter.token, reply));
     }
 
-    /// Gives all requests of a crossing their final response, and ends it.
-    pub(super) fn reply_to_all(&mut self, now: Millis, id: CrossingId, reply: &Reply) {
-        let Some(crossing) = self.crossings.get_mut(&id) else { return };
-        for waiter in std::mem::take(&mut crossing.waiters) {
+    /// Gives all requests of an exchange their final response, and ends it.
+    pub(super) fn reply_to_all(&mut self, now: Millis, id: ExchangeId, reply: &Reply) {
+        let Some(exchange) = self.exchanges.get_mut(&id) else { return };
+        for waiter in std::mem::take(&mut exchange.waiters) {
             self.reply(&waiter, reply.clone());
         }
-        self.end_crossing(now, id);
+        self.end_exchange(now, id);
     }
 
-    /// Ends a crossing that no request waits for any more.
-    pub(super) fn end_crossing(&mut self, now: Millis, id: CrossingId) {
+    /// Ends an exchange that no request waits for any more.
+    pub(super) fn end_exchange(&mut self, now: Millis, id: ExchangeId) {
         self.end_attempt(now, id, None);
-        if let Some(crossing) = self.crossings.remove(&id)
-            && let Some(key) = crossing.key
+        if let Some(exchange) = self.exchanges.remove(&id)
+            && let Some(key) = exchange.key
         {
             self.collapsible.remove(&key);
         }
@@ -88,16 +88,16 @@
     /// Ends the wait of a request whose deadline has passed.
     pub(super) fn deadline_passed(&mut self, now: Millis, token: RequestToken) {
         let Some(id) = self.requests.get(&token).copied() else { return };
-        let Some(crossing) = self.crossings.get_mut(&id) else { return };
-        let Some(waiter) = crossing.remove_waiter(token) else { return };
-        let was_last = crossing.waiters.is_empty();
+        let Some(exchange) = self.exchanges.get_mut(&id) else { return };
+        let Some(waiter) = exchange.remove_waiter(token) else { return };
+        let was_last = exchange.waiters.is_empty();
         // What was never sent was not executed: a retry is harmless.
-        let was_sent = crossing.attempt.is_some() || crossing.is_retry;
+        let was_sent = exchange.attempt.is_some() || exchange.is_retry;
         let reply =
             if was_sent { Reply::Failed } else { Reply::Rejected { retry_after: self.limits.retry_after } };
         self.reply(&waiter, reply);
         if was_last {
-            self.end_crossing(now, id);
+            self.end_exchange(now, id);
         }
     }
 }
--- a/crates/deckproxy-sites/src/requester/responses.rs
+++ b/crates/deckproxy-sites/src/requester/responses.rs
@@ -1,7 +1,7 @@
 //! Responses: heads and bodies, credit windows, and what a complete response means for the requests that wait.
 
 use super::Requester;
-use super::crossing::{Attempt, CrossingId};
+use super::exchange::{Attempt, ExchangeId};
 use super::types::{Effect, Reply};
 use crate::frame::{BodyChunk, Outcome, Payload, ResponseHead, WindowUpdate};
 use crate::purges::PurgeLog;
@@ -18,19 +18,19 @@
     /// More chunks are to come; with a larger credit window where the present one is half used.
     Partial(Option<WindowUpdate>),
     /// The body is complete.
-    Complete(CrossingId),
+    Complete(ExchangeId),
 }
 
 impl Requester {
-    /// The attempt whose response may come on a connection, with its crossing.
+    /// The attempt whose response may come on a connection, with its exchange.
     fn attempt_on(
         &mut self,
         endpoint: usize,
         connection: ConnectionId,
         number: u64,
-    ) -> Option<(CrossingId, &mut Attempt)> {
+    ) -> Option<(ExchangeId, &mut Attempt)> {
         let id = *self.endpoints.get(endpoint)?.attempts.get(&number)?;
-        let attempt = self.crossings.get_mut(&id)?.attempt.as_mut()?;
+        let attempt = self.exchanges.get_mut(&id)?.attempt.as_mut()?;
         (attempt.connection == Some(connection)).then_some((id, attempt))
     }
 
@@ -103,8 +103,8 @@
     }
 
     /// Takes a complete response.
-    fn response_complete(&mut self, now: Millis, id: CrossingId, purges: &PurgeLog) {
-        let Some(attempt) = self.crossings.get_mut(&id).and_then(|crossing| crossing.attempt.as_mut()) else {
+    fn response_complete(&mut self, now: Millis, id: ExchangeId, purges: &PurgeLog) {
+        let Some(attempt) = self.exchanges.get_mut(&id).and_then(|exchange| exchange.attempt.as_mut()) else {
             return;
         };
         let Some(head) = attempt.response.take() else { return };
@@ -118,23 +118,23 @@
         self.end_attempt(now, id, Some(body.len()));
         // The copy was at least that much younger when the attempt was sent: this is the earliest time of its issue.
         let issued_at = head.copy_age.map(|age| sent_at - age);
-        let Some(crossing) = self.crossings.get(&id) else { return };
-        let Some(leader) = crossing.waiters.front() else { return self.end_crossing(now, id) };
+        let Some(exchange) = self.exchanges.get(&id) else { return };
+        let Some(leader) = exchange.waiters.front() else { return self.end_exchange(now, id) };
         let (object, group) = (leader.request.object, leader.request.request.group);
         let is_fresh = issued_at.is_none_or(|at| purges.may_serve(now, object, group, at));
         let is_copy = matches!(head.outcome(), Outcome::Served | Outcome::NotModified);
-        if is_copy && !is_fresh && crossing.is_idempotent() {
+        if is_copy && !is_fresh && exchange.is_idempotent() {
             self.counters.stale_responses += 1;
             return self.retry(now, id);
         }
-        self.answer(now, id, head, body, issued_at, cached_tag.as_deref());
+        self.deliver_response(now, id, head, body, issued_at, cached_tag.as_deref());
     }
 
     /// Passes a complete response to the requests for which it holds.
-    fn answer(
+    fn deliver_response(
         &mut self,
         now: Millis,
-        id: CrossingId,
+        id: ExchangeId,
         head: ResponseHead,
         body: Bytes,
         issued_at: Option<Millis>,
@@ -156,21 +156,21 @@
     }
 
     /// Answers the requests that have the same copy cached; for the others another attempt is sent.
-    fn not_modified(&mut self, now: Millis, id: CrossingId, cached_tag: Option<&str>, reply: &Reply) {
-        let Some(crossing) = self.crossings.get_mut(&id) else { return };
-        let waiters = std::mem::take(&mut crossing.waiters);
+    fn not_modified(&mut self, now: Millis, id: ExchangeId, cached_tag: Option<&str>, reply: &Reply) {
+        let Some(exchange) = self.exchanges.get_mut(&id) else { return };
+        let waiters = std::mem::take(&mut exchange.waiters);
         let (same, others) = waiters
             .into_iter()
             .partition(|waiter| waiter.request.request.cached_tag.as_deref() == cached_tag);
-        crossing.waiters = others;
-        let has_others = !crossing.waiters.is_empty();
+        exchange.waiters = others;
+        let has_others = !exchange.waiters.is_empty();
         for waiter in same {
             self.reply(&waiter, reply.clone());
         }
         if has_others {
             self.retry(now, id);
         } else {
-            self.end_crossing(now, id);
+            self.end_exchange(now, id);
         }
     }
 }
--- a/crates/deckproxy-sites/src/requester/resume.rs
+++ b/crates/deckproxy-sites/src/requester/resume.rs
@@ -1,7 +1,7 @@
 //! Reattachment: what becomes of attempts whose connection was lost.
 
 use super::Requester;
-use super::crossing::CrossingId;
+use super::exchange::ExchangeId;
 use super::types::{Effect, Reply};
 use crate::frame::{AttemptState, AttemptStatus};
 use crate::{ConnectionId, Millis};
@@ -17,10 +17,10 @@
         unsent: &[u64],
     ) {
         let endpoint = &mut self.endpoints[index];
-        let mut never_sent: Vec<CrossingId> = Vec::new();
+        let mut never_sent: Vec<ExchangeId> = Vec::new();
         let mut unresolved = Vec::new();
         for (number, id) in &endpoint.attempts {
-            let Some(attempt) = self.crossings.get_mut(id).and_then(|crossing| crossing.attempt.as_mut())
+            let Some(attempt) = self.exchanges.get_mut(id).and_then(|exchange| exchange.attempt.as_mut())
             else {
                 continue;
             };
@@ -50,7 +50,7 @@
             self.effects.extend(resume.map(|payload| Effect::Send(other, payload)));
         }
         for id in never_sent {
-            self.take_attempt(now, id, None);
+            self.remove_attempt(now, id, None);
             self.retry(now, id);
         }
     }
@@ -88,9 +88,9 @@
         let Some(endpoint) = self.endpoints.get_mut(index) else { return };
         endpoint.unresolved.remove(&number);
         let Some(id) = endpoint.attempts.get(&number).copied() else { return };
-        let Some(crossing) = self.crossings.get_mut(&id) else { return };
-        let is_idempotent = crossing.is_idempotent();
-        let detached = crossing.attempt.as_mut().filter(|attempt| attempt.connection.is_none());
+        let Some(exchange) = self.exchanges.get_mut(&id) else { return };
+        let is_idempotent = exchange.is_idempotent();
+        let detached = exchange.attempt.as_mut().filter(|attempt| attempt.connection.is_none());
         let Some(attempt) = detached else { return };
         match state {
             AttemptState::Running | AttemptState::Completed => {
--- a/crates/deckproxy-sites/src/requester/timers.rs
+++ b/crates/deckproxy-sites/src/requester/timers.rs
@@ -81,13 +81,13 @@
         }
     }
 
-    /// Closes silent connections, and all of them once a closing requester has no crossing left.
+    /// Closes silent connections, and all of them once a closing requester has no exchange left.
     fn close_idle_connections(&mut self, now: Millis, index: usize) {
         let silence_timeout = self.limits.silence_timeout;
         let connections = &self.endpoints[index].connections;
         let (mut to_close, others): (Vec<ConnectionId>, Vec<ConnectionId>) =
             connections.keys().partition(|id| now - connections[*id].last_received > silence_timeout);
-        if self.is_closing && self.crossings.is_empty() {
+        if self.is_closing && self.exchanges.is_empty() {
             to_close.extend(others);
         }
         let reason = if self.is_closing { CloseReason::PeerRemoved } else { CloseReason::Silent };
@@ -99,7 +99,7 @@
 
     /// When [`Requester::tick`] has to be called next, at the latest.
     pub fn next_timer(&self) -> Option<Millis> {
-        let deadline = self.deadlines.first().map(|(deadline, _)| deadline.passed_by());
+        let deadline = self.deadlines.first().map(|(deadline, _)| deadline.upper_bound());
         let endpoints = self.endpoints.iter().filter_map(|endpoint| self.next_endpoint_timer(endpoint));
         endpoints.chain(deadline).chain(self.next_queue_timer()).min_by(f64::total_cmp)
     }
--- a/crates/deckproxy-sites/src/requester/types.rs
+++ b/crates/deckproxy-sites/src/requester/types.rs
@@ -28,7 +28,7 @@
     pub deadline: Millis,
     /// Whether it may be sent again once it may have been executed.
     pub retry_safety: RetrySafety,
-    /// Whether it may share one crossing with other requests for the same part.
+    /// Whether it may share one exchange with other requests for the same part.
     pub may_collapse: bool,
     /// Rank of its class among all by priority weight, from 0 for the lowest to 1 for the highest.
     pub priority_rank: f64,
@@ -80,11 +80,11 @@
 /// Events since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counters {
-    /// Requests accepted for crossing.
+    /// Requests accepted for exchange.
     pub requests: u64,
     /// Requests that waited for an endpoint.
     pub queued: u64,
-    /// Requests that joined the crossing of another one.
+    /// Requests that joined the exchange of another one.
     pub collapsed: u64,
     /// Attempts sent.
     pub attempts: u64,
@@ -94,7 +94,7 @@
     pub rejected_unreachable: u64,
     /// Requests rejected because the response would have missed the deadline.
     pub rejected_saturated: u64,
-    /// Requests rejected because too many crossings were open.
+    /// Requests rejected because too many exchanges were open.
     pub rejected_full: u64,
     /// Responses discarded because their copy was older than a purge.
     pub stale_responses: u64,
@@ -105,7 +105,7 @@
 /// What is open at the moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OpenCounts {
-    /// Crossings.
+    /// Exchanges.
     pub exchanges: usize,
     /// Requests.
     pub requests: usize,
--- a/crates/deckproxy-sites/tests/requester.rs
+++ b/crates/deckproxy-sites/tests/requester.rs
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn a_canceled_leader_does_not_cancel_the_crossing() {
+fn a_canceled_leader_does_not_cancel_the_exchange() {
     let mut side = Side::connected();
     let number = side.request(10.0, 1, forwarded_request(5, RetrySafety::Idempotent, 900.0));
     side.requester.request(11.0, 2, forwarded_request(5, RetrySafety::Idempotent, 900.0));
@@ -313,7 +313,7 @@
 }
 
 #[test]
-fn open_crossings_are_bounded() {
+fn open_exchanges_are_bounded() {
     let mut side = Side::connected();
     for token in 0..4 {
         side.request(10.0, token, forwarded_request(100 + token, RetrySafety::Idempotent, 900.0));
