--- a/crates/deckproxy-sites/src/throughput.rs
+++ b/crates/deckproxy-sites/src/throughput.rs
@@ -16,11 +16,11 @@
 /// Share of the time left that a request of middle priority may use; see [`LinkEstimate::meets_deadline`].
 const MIDDLE_PRIORITY_SHARE: f64 = 0.75;
 /// Smallest share of the time left that a request may use.
-const LEAST_PRIORITY_SHARE: f64 = 0.5;
+const MIN_PRIORITY_SHARE: f64 = 0.5;
 /// Shortest duration of a throughput sample, ms; bounds the estimate where a sample arrives at once.
-const SHORTEST_SAMPLE: Millis = 0.1;
+const MIN_SAMPLE_DURATION: Millis = 0.1;
 /// Lowest throughput that is divided by, bytes per ms.
-const LOWEST_THROUGHPUT: f64 = 1e-3;
+const MIN_THROUGHPUT: f64 = 1e-3;
 
 /// An unfinished throughput sample.
 #[derive(Clone, Copy, Debug, Default)]
@@ -123,7 +123,7 @@
         self.sample.bytes += bytes as f64;
         let elapsed = self.sample.elapsed + now - self.receiving_since;
         if self.sample.bytes >= SAMPLE_BYTES && elapsed > 0.0 {
-            let throughput = self.sample.bytes / elapsed.max(SHORTEST_SAMPLE);
+            let throughput = self.sample.bytes / elapsed.max(MIN_SAMPLE_DURATION);
             let best = self.best_samples[0].map_or(throughput, |best| best.max(throughput));
             self.best_samples[0] = Some(best);
             self.receiving_since = now;
@@ -143,7 +143,7 @@
     pub fn expected_wait(&self, bytes: f64) -> Millis {
         let transfer = self
             .bytes_per_ms()
-            .map_or(0.0, |throughput| (self.expected_in_flight + bytes) / throughput.max(LOWEST_THROUGHPUT));
+            .map_or(0.0, |throughput| (self.expected_in_flight + bytes) / throughput.max(MIN_THROUGHPUT));
         self.round_trip() + transfer
     }
 
@@ -152,7 +152,7 @@
     /// of all classes, 1 for the highest.
     pub fn meets_deadline(&self, bytes: f64, time_left: Millis, priority_rank: f64) -> bool {
         let share = MIDDLE_PRIORITY_SHARE + (1.0 - MIDDLE_PRIORITY_SHARE) * (2.0 * priority_rank - 1.0);
-        self.expected_wait(bytes) <= time_left * share.clamp(LEAST_PRIORITY_SHARE, 1.0)
+        self.expected_wait(bytes) <= time_left * share.clamp(MIN_PRIORITY_SHARE, 1.0)
     }
 
     /// The link was lost: bodies received in part start again from their first byte.
