--- a/crates/deckproxy-sites/src/site/connections.rs
+++ b/crates/deckproxy-sites/src/site/connections.rs
@@ -60,14 +60,14 @@
         let hello = requester.fill_hello(endpoint, hello);
         let hello = self.purges.fill_hello(now, requester.epoch(endpoint), hello);
         self.effects.push_back(Effect::Send(connection, Payload::Hello(hello).into()));
-        self.take_requester_effects(peer);
+        self.collect_requester_effects(peer);
     }
 
     /// A connection to a peer's endpoint could not be opened.
     pub fn connect_failed(&mut self, now: Millis, peer: usize, endpoint: usize) {
         if let Some(entry) = self.peers.get_mut(peer) {
             entry.requester.connect_failed(now, endpoint);
-            self.take_requester_effects(peer);
+            self.collect_requester_effects(peer);
         }
     }
 
@@ -88,11 +88,11 @@
                     let site = self.peers[peer].site.clone();
                     self.log(LogEvent::EndpointDown { site, endpoint, endpoints });
                 }
-                self.take_requester_effects(peer);
+                self.collect_requester_effects(peer);
             }
             Some(Role::AwaitingHello { .. } | Role::Responder { .. }) => {
                 self.responder.disconnected(now, connection);
-                self.take_responder_effects();
+                self.collect_responder_effects();
             }
             None => {}
         }
@@ -132,7 +132,7 @@
     }
 
     /// The peer's endpoint answered this side's hello.
-    pub(super) fn hello_answered(
+    pub(super) fn receive_hello_as_requester(
         &mut self,
         now: Millis,
         connection: ConnectionId,
@@ -155,16 +155,21 @@
             let site = self.peers[peer].site.clone();
             self.log(LogEvent::EndpointUp { site, endpoint, endpoints });
         }
-        self.take_requester_effects(peer);
+        self.collect_requester_effects(peer);
     }
 
     /// A gateway that connected to this one sent its hello.
-    pub(super) fn hello_accepted(&mut self, now: Millis, connection: ConnectionId, hello: &Hello) {
+    pub(super) fn receive_hello_as_responder(
+        &mut self,
+        now: Millis,
+        connection: ConnectionId,
+        hello: &Hello,
+    ) {
         if let Err(error) = self.check_hello(hello, None) {
             return self.reject_hello(now, connection, error);
         }
         let acknowledged = self.purges.hello_received(now, hello);
-        let answer = Hello {
+        let response = Hello {
             version: VERSION,
             site: self.own_site.clone(),
             peer_site: hello.site.clone(),
@@ -173,12 +178,12 @@
             resume_timeout: self.link.resume_timeout as u32,
             ..Hello::default()
         };
-        let answer = self.purges.fill_hello(now, Some(hello.epoch), answer);
+        let response = self.purges.fill_hello(now, Some(hello.epoch), response);
         self.roles.insert(connection, Role::Responder { epoch: hello.epoch, site: hello.site.clone() });
-        self.effects.push_back(Effect::Send(connection, Payload::Hello(answer).into()));
+        self.effects.push_back(Effect::Send(connection, Payload::Hello(response).into()));
         self.send_purges_after(now, connection, acknowledged);
         self.responder.hello_received(now, connection, hello);
-        self.take_responder_effects();
+        self.collect_responder_effects();
         // A site that can connect to this one can most likely be connected to.
         if let Some(peer) = self.peer_index(&hello.site) {
             self.peers[peer].requester.reconnect_now(now);
--- a/crates/deckproxy-sites/src/site/messages.rs
+++ b/crates/deckproxy-sites/src/site/messages.rs
@@ -25,11 +25,13 @@
         }
         match role {
             Role::Requester { peer, endpoint, is_up: false } => match payload {
-                Payload::Hello(hello) => self.hello_answered(now, connection, peer, endpoint, &hello),
+                Payload::Hello(hello) => {
+                    self.receive_hello_as_requester(now, connection, peer, endpoint, &hello);
+                }
                 _ => self.close(now, connection, CloseReason::HelloMissing),
             },
             Role::AwaitingHello { .. } => match payload {
-                Payload::Hello(hello) => self.hello_accepted(now, connection, &hello),
+                Payload::Hello(hello) => self.receive_hello_as_responder(now, connection, &hello),
                 _ => self.close(now, connection, CloseReason::HelloMissing),
             },
             Role::Requester { peer, endpoint, is_up: true } => {
@@ -59,7 +61,7 @@
         if !requester.receive(now, unix_time, connection, payload, &mut self.purges) {
             self.close(now, connection, CloseReason::UnexpectedMessage);
         }
-        self.take_requester_effects(peer);
+        self.collect_requester_effects(peer);
     }
 
     fn receive_as_responder(
@@ -77,7 +79,7 @@
                 self.purge_received(now, epoch, purge);
             }
             Payload::Ping(heartbeat) => {
-                self.answer_heartbeat(now, unix_time, connection, epoch, &heartbeat);
+                self.send_pong(now, unix_time, connection, epoch, &heartbeat);
             }
             payload => {
                 let is_misrouted =
@@ -85,7 +87,7 @@
                 if is_misrouted || !self.responder.receive(now, connection, payload) {
                     self.close(now, connection, CloseReason::UnexpectedMessage);
                 }
-                self.take_responder_effects();
+                self.collect_responder_effects();
             }
         }
     }
@@ -98,7 +100,7 @@
             || path.len() > MAX_SITE_PATH
     }
 
-    fn answer_heartbeat(
+    fn send_pong(
         &mut self,
         now: Millis,
         unix_time: Millis,
@@ -108,16 +110,16 @@
     ) {
         self.responder.mark_alive(now, connection);
         self.responder.forget_below(connection, heartbeat.lowest_open_attempt);
-        self.take_responder_effects();
+        self.collect_responder_effects();
         // Messages on one connection arrive in order: all purges up to this number arrive before it.
-        let answer = Heartbeat {
+        let pong = Heartbeat {
             sequence: heartbeat.sequence,
             unix_time,
             last_purge: self.purges.last_number(),
             purges_received: self.purges.received_from(epoch),
             lowest_open_attempt: 0,
         };
-        self.effects.push_back(Effect::Send(connection, Payload::Pong(answer).into()));
+        self.effects.push_back(Effect::Send(connection, Payload::Pong(pong).into()));
     }
 
     /// Takes a relayed purge: applies it here and passes it on, if it is new.
--- a/crates/deckproxy-sites/src/site/mod.rs
+++ b/crates/deckproxy-sites/src/site/mod.rs
@@ -25,12 +25,12 @@
 use connections::Role;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// A peer and the crossings to it.
+/// A peer and the exchanges to it.
 #[derive(Debug)]
 struct Peer {
     site: String,
     requester: Requester,
-    /// It was removed from the configuration; the crossings in flight come to their end.
+    /// It was removed from the configuration; the exchanges in flight come to their end.
     is_removed: bool,
 }
 
@@ -159,10 +159,10 @@
         self.purges.tick(now);
         for index in 0..self.peers.len() {
             self.peers[index].requester.tick(now, unix_time, &self.purges);
-            self.take_requester_effects(index);
+            self.collect_requester_effects(index);
         }
         self.responder.tick(now);
-        self.take_responder_effects();
+        self.collect_responder_effects();
         self.limit_copy_age(now);
         self.close_without_hello(now);
     }
@@ -175,11 +175,11 @@
     /// The process ends soon: no new attempts are accepted over links.
     pub fn go_away(&mut self, reason: &str, retry_after: Millis) {
         self.responder.go_away(reason, retry_after);
-        self.take_responder_effects();
+        self.collect_responder_effects();
     }
 
     /// Passes on the effects of the requesting side towards a peer.
-    fn take_requester_effects(&mut self, peer: usize) {
+    fn collect_requester_effects(&mut self, peer: usize) {
         while let Some(effect) = self.peers[peer].requester.next_effect() {
             self.effects.push_back(match effect {
                 requester::Effect::Connect(endpoint) => Effect::Connect { peer, endpoint },
@@ -197,7 +197,7 @@
     }
 
     /// Passes on the effects of the serving side.
-    fn take_responder_effects(&mut self) {
+    fn collect_responder_effects(&mut self) {
         while let Some(effect) = self.responder.next_effect() {
             self.effects.push_back(match effect {
                 responder::Effect::Send(connection, payload) => Effect::Send(connection, payload.into()),
--- a/crates/deckproxy-sites/src/site/requests.rs
+++ b/crates/deckproxy-sites/src/site/requests.rs
@@ -43,14 +43,14 @@
         };
         self.requests.insert(token, index);
         self.peers[index].requester.request(now, token, request);
-        self.take_requester_effects(index);
+        self.collect_requester_effects(index);
     }
 
     /// Cancels a request that crosses: its client does not wait any more.
     pub fn cancel(&mut self, now: Millis, token: RequestToken) {
         if let Some(index) = self.requests.remove(&token) {
             self.peers[index].requester.cancel(now, token);
-            self.take_requester_effects(index);
+            self.collect_requester_effects(index);
         }
     }
 
@@ -62,7 +62,7 @@
     /// The execution of a request that was received over a link has ended.
     pub fn run_ended(&mut self, now: Millis, run: RunId, result: RunResult) {
         self.responder.run_ended(now, run, result);
-        self.take_responder_effects();
+        self.collect_responder_effects();
     }
 
     /// Takes the next chunk of a body for a connection that can send more.
