--- a/crates/deckproxy-sites/tests/purges.rs
+++ b/crates/deckproxy-sites/tests/purges.rs
@@ -35,7 +35,7 @@
     PurgeNotice { object: Some(object), group: 3, age }
 }
 
-fn answer_heartbeat(log: &mut PurgeLog, from: u64, sent_at: f64, now: f64, purges: u64) {
+fn receive_pong(log: &mut PurgeLog, from: u64, sent_at: f64, now: f64, purges: u64) {
     let unix_time = (sent_at + now) / 2.0;
     log.pong_received(
         now,
@@ -58,14 +58,14 @@
     assert!(b.received(31.0, 1, all[0].clone()).is_none(), "received already");
     let (purge, number) = b.received(32.0, 1, all[1].clone()).unwrap();
     assert_eq!((purge, number), (object(1, 15.0), 2));
-    answer_heartbeat(&mut b, 1, 33.0, 34.0, 2);
+    receive_pong(&mut b, 1, 33.0, 34.0, 2);
     assert_eq!(b.check_trust(40.0, "a"), Ok(()));
     b.received(41.0, 1, all[3].clone());
     assert_eq!((b.gaps, b.received_from(1)), (1, 4));
-    answer_heartbeat(&mut b, 1, 42.0, 43.0, 4);
+    receive_pong(&mut b, 1, 42.0, 43.0, 4);
     assert_eq!(b.check_trust(44.0, "a"), Err(Distrust::PurgesMissed));
     assert!(b.received(45.0, 1, all[2].clone()).is_none(), "too late: a later one was received");
-    answer_heartbeat(&mut b, 1, 10_042.0, 10_043.0, 4);
+    receive_pong(&mut b, 1, 10_042.0, 10_043.0, 4);
     assert_eq!(b.check_trust(10_044.0, "a"), Ok(()), "the copies that it could have voided have expired");
 }
 
@@ -74,14 +74,14 @@
     let (mut a, mut b) = (log("a", 1), log("b", 2));
     exchange_hellos(&mut a, &mut b, ["a", "b"], [1, 2], 0.0);
     assert_eq!(b.check_trust(1.0, "a"), Err(Distrust::LeaseExpired), "no heartbeat was answered yet");
-    answer_heartbeat(&mut b, 1, 100.0, 650.0, 0);
+    receive_pong(&mut b, 1, 100.0, 650.0, 0);
     assert_eq!(b.check_trust(799.0, "a"), Ok(()));
     assert_eq!(
         b.check_trust(800.0, "a"),
         Err(Distrust::LeaseExpired),
         "700 ms after the heartbeat was sent, however late the response"
     );
-    answer_heartbeat(&mut b, 1, 900.0, 910.0, 5);
+    receive_pong(&mut b, 1, 900.0, 910.0, 5);
     assert_eq!(b.check_trust(911.0, "a"), Err(Distrust::LeaseExpired), "five purges are in flight");
 }
 
@@ -100,13 +100,13 @@
     let mut a = PurgeLog::new("a", 1, short, 1000.0);
     let mut b = log("b", 2);
     exchange_hellos(&mut a, &mut b, ["a", "b"], [1, 2], 3000.0);
-    answer_heartbeat(&mut b, 1, 3000.0, 3001.0, 0);
+    receive_pong(&mut b, 1, 3000.0, 3001.0, 0);
     assert_eq!(
         b.check_trust(3002.0, "a"),
         Err(Distrust::PurgesMissed),
         "its history covers two seconds of a copy's ten"
     );
-    answer_heartbeat(&mut b, 1, 11_000.0, 11_001.0, 0);
+    receive_pong(&mut b, 1, 11_000.0, 11_001.0, 0);
     assert_eq!(b.check_trust(11_002.0, "a"), Ok(()));
 }
 
--- a/crates/deckproxy-sites/tests/schedules/main.rs
+++ b/crates/deckproxy-sites/tests/schedules/main.rs
@@ -42,7 +42,7 @@
     }
 }
 
-fn play(seed: u64) -> Responses {
+fn run_schedule(seed: u64) -> Responses {
     let _report = SeedReport(seed);
     let mut simulation = Simulation::new(seed);
     for _ in 0..STEPS[0] {
@@ -74,7 +74,7 @@
         let part = |thread| {
             move || {
                 let seeds = (thread..schedules).step_by(threads as usize);
-                seeds.map(play).fold(Responses::default(), Responses::add)
+                seeds.map(run_schedule).fold(Responses::default(), Responses::add)
             }
         };
         let threads: Vec<_> = (0..threads).map(|thread| scope.spawn(part(thread))).collect();
--- a/crates/deckproxy-sites/tests/schedules/network.rs
+++ b/crates/deckproxy-sites/tests/schedules/network.rs
@@ -16,7 +16,7 @@
     pub closes_at: Option<f64>,
 }
 
-pub struct Wire {
+pub struct Connection {
     /// The ends by index of the site, the one that connected first.
     pub ends: [usize; 2],
     pub directions: [Direction; 2],
@@ -26,10 +26,10 @@
     pub is_silent: bool,
 }
 
-impl Wire {
+impl Connection {
     pub fn new(from: usize, to: usize) -> Self {
         let directions = Default::default();
-        Wire { ends: [from, to], directions, is_open: [true, true], is_silent: false }
+        Connection { ends: [from, to], directions, is_open: [true, true], is_silent: false }
     }
 
     /// The index of a site's end.
@@ -48,22 +48,22 @@
 /// All connections between the sites.
 #[derive(Default)]
 pub struct Network {
-    pub wires: BTreeMap<u64, Wire>,
+    pub connections: BTreeMap<u64, Connection>,
     /// Connections can't be opened until then.
     pub partitioned_until: f64,
 }
 
 impl Network {
-    pub fn wire_ids(&self) -> Vec<u64> {
-        self.wires.keys().copied().collect()
+    pub fn connection_ids(&self) -> Vec<u64> {
+        self.connections.keys().copied().collect()
     }
 
     /// Writes a frame at one end, to arrive after a delay, in order.
     pub fn write(&mut self, now: f64, site: usize, id: u64, frame: Frame, delay: f64) {
-        let Some(wire) = self.wires.get_mut(&id) else { return };
-        let end = wire.end_of(site);
-        let direction = &mut wire.directions[end];
-        if wire.is_open[end] && direction.closes_at.is_none() {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let end = connection.end_of(site);
+        let direction = &mut connection.directions[end];
+        if connection.is_open[end] && direction.closes_at.is_none() {
             let last = direction.frames.back().map_or(0.0, |(arrives_at, _)| *arrives_at);
             direction.frames.push_back(((now + delay).max(last), frame));
         }
@@ -71,23 +71,23 @@
 
     /// Closes one end.
     pub fn close(&mut self, now: f64, site: usize, id: u64) {
-        if let Some(wire) = self.wires.get_mut(&id) {
-            let end = wire.end_of(site);
-            wire.is_open[end] = false;
-            wire.directions[end].closes_at = Some(now + CLOSE_DELAY);
+        if let Some(connection) = self.connections.get_mut(&id) {
+            let end = connection.end_of(site);
+            connection.is_open[end] = false;
+            connection.directions[end].closes_at = Some(now + CLOSE_DELAY);
         }
     }
 
     /// Takes what has arrived next of the direction that starts at an end.
     pub fn next_arrival(&mut self, now: f64, id: u64, end: usize) -> Option<Arrival> {
-        let wire = self.wires.get_mut(&id).filter(|wire| !wire.is_silent)?;
-        let direction = &mut wire.directions[end];
+        let connection = self.connections.get_mut(&id).filter(|connection| !connection.is_silent)?;
+        let direction = &mut connection.directions[end];
         if direction.frames.front().is_some_and(|(arrives_at, _)| *arrives_at <= now) {
             return direction.frames.pop_front().map(|(_, frame)| Arrival::Frame(Box::new(frame)));
         }
         let is_over = direction.frames.is_empty() && direction.closes_at.is_some_and(|at| at <= now);
-        if is_over && wire.is_open[1 - end] {
-            wire.is_open[1 - end] = false;
+        if is_over && connection.is_open[1 - end] {
+            connection.is_open[1 - end] = false;
             return Some(Arrival::End);
         }
         None
@@ -95,25 +95,25 @@
 
     /// Removes a connection whose end both sites have noticed.
     pub fn remove_if_closed(&mut self, id: u64) {
-        if self.wires.get(&id).is_some_and(|wire| wire.is_open == [false, false]) {
-            self.wires.remove(&id);
+        if self.connections.get(&id).is_some_and(|connection| connection.is_open == [false, false]) {
+            self.connections.remove(&id);
         }
     }
 
     /// Resets a connection: what is in flight is lost, and one end notices later than the other.
     pub fn reset(&mut self, now: f64, id: u64) {
-        let Some(wire) = self.wires.get_mut(&id) else { return };
-        for (direction, delay) in wire.directions.iter_mut().zip([0.0, RESET_DELAY]) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        for (direction, delay) in connection.directions.iter_mut().zip([0.0, RESET_DELAY]) {
             direction.frames.clear();
             direction.closes_at = Some(now + delay);
         }
-        wire.is_silent = false;
+        connection.is_silent = false;
     }
 
     /// The end that connected gives the connection up; what it wrote still arrives at the other one, late.
     pub fn abandon(&mut self, now: f64, id: u64, arrives_at: f64) {
-        let Some(wire) = self.wires.get_mut(&id) else { return };
-        let [to_server, to_client] = &mut wire.directions;
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let [to_server, to_client] = &mut connection.directions;
         to_client.frames.clear();
         to_client.closes_at = Some(now);
         for (frame_arrives_at, _) in &mut to_server.frames {
@@ -124,11 +124,11 @@
 
     /// Ends a site's side of all connections, as when its process is killed.
     pub fn kill_ends_of(&mut self, now: f64, site: usize) {
-        for wire in self.wires.values_mut() {
-            let end = wire.end_of(site);
-            wire.is_open[end] = false;
-            wire.directions[end].closes_at = Some(now + 1.0);
-            wire.directions[1 - end].frames.clear();
+        for connection in self.connections.values_mut() {
+            let end = connection.end_of(site);
+            connection.is_open[end] = false;
+            connection.directions[end].closes_at = Some(now + 1.0);
+            connection.directions[1 - end].frames.clear();
         }
     }
 }
--- a/crates/deckproxy-sites/tests/schedules/simulation.rs
+++ b/crates/deckproxy-sites/tests/schedules/simulation.rs
@@ -2,7 +2,7 @@
 
 use super::Responses;
 use super::model::{OBJECTS, PurgeTimes, Run, TrackedRequest, body, check_body, object};
-use super::network::{Arrival, Network, Wire};
+use super::network::{Arrival, Connection, Network};
 use bytes::Bytes;
 use deckproxy_sites::frame::{Frame, Outcome, Request};
 use deckproxy_sites::purges::PurgeNotice;
@@ -113,7 +113,7 @@
     pub fn step(&mut self, has_faults: bool) {
         self.now += STEP;
         if has_faults {
-            self.faults();
+            self.inject_faults();
         }
         self.end_runs();
         self.carry_out_effects();
@@ -132,10 +132,10 @@
                     is_idle = false;
                     self.carry_out(index, effect);
                 }
-                for wire in self.network.wire_ids() {
-                    while let Some(frame) = self.sites[index].next_chunk(wire) {
+                for connection in self.network.connection_ids() {
+                    while let Some(frame) = self.sites[index].next_chunk(connection) {
                         is_idle = false;
-                        self.write(index, wire, frame);
+                        self.write(index, connection, frame);
                     }
                 }
             }
@@ -145,18 +145,18 @@
         }
     }
 
-    fn write(&mut self, site: usize, wire: u64, frame: Frame) {
-        if self.network.wires.contains_key(&wire) {
+    fn write(&mut self, site: usize, connection: u64, frame: Frame) {
+        if self.network.connections.contains_key(&connection) {
             let delay = self.rng.random_range(1.0..15.0);
-            self.network.write(self.now, site, wire, frame, delay);
+            self.network.write(self.now, site, connection, frame, delay);
         }
     }
 
     fn carry_out(&mut self, site: usize, effect: Effect) {
         match effect {
             Effect::Connect { peer, endpoint } => self.connect(site, peer, endpoint),
-            Effect::Send(wire, frame) => self.write(site, wire, frame),
-            Effect::Close(wire, _) => self.network.close(self.now, site, wire),
+            Effect::Send(connection, frame) => self.write(site, connection, frame),
+            Effect::Close(connection, _) => self.network.close(self.now, site, connection),
             Effect::Reply(token, reply) => self.replied(site, token, reply),
             Effect::Run(run, request) => self.start_run(site, run, request),
             Effect::Cancel(run) => {
@@ -173,10 +173,10 @@
             return self.sites[site].connect_failed(self.now, peer, endpoint);
         }
         self.next_number += 1;
-        let wire = self.next_number;
-        self.network.wires.insert(wire, Wire::new(site, 1 - site));
-        self.sites[1 - site].accepted(self.now, wire);
-        self.sites[site].connected(self.now, peer, endpoint, wire);
+        let connection = self.next_number;
+        self.network.connections.insert(connection, Connection::new(site, 1 - site));
+        self.sites[1 - site].accepted(self.now, connection);
+        self.sites[site].connected(self.now, peer, endpoint, connection);
     }
 
     fn tracked(&mut self, request: &str) -> &mut TrackedRequest {
@@ -193,8 +193,8 @@
         let is_idempotent = tracked.is_idempotent;
         assert!(is_idempotent || tracked.executions == 1, "{name}: executed {} times", tracked.executions);
         // The time left counts from the arrival: it may exceed the true one by the time in flight, and no more.
-        let most = tracked.deadline - now + FLIGHT_MARGIN;
-        assert!(request.time_left <= most, "more time is given than there is");
+        let longest_time_left = tracked.deadline - now + FLIGHT_MARGIN;
+        assert!(request.time_left <= longest_time_left, "more time is given than there is");
         tracked.live_runs.insert((site, run));
         let longest = if self.rng.random_range(0..8) == 0 { 150.0 } else { 10.0 };
         let ends_at = now + self.rng.random_range(0.0..longest);
@@ -280,27 +280,27 @@
     }
 
     fn deliver(&mut self) {
-        for wire in self.network.wire_ids() {
+        for connection in self.network.connection_ids() {
             for end in 0..2 {
-                self.deliver_direction(wire, end);
+                self.deliver_direction(connection, end);
             }
-            self.network.remove_if_closed(wire);
+            self.network.remove_if_closed(connection);
         }
     }
 
-    fn deliver_direction(&mut self, wire: u64, end: usize) {
-        while let Some(arrival) = self.network.next_arrival(self.now, wire, end) {
+    fn deliver_direction(&mut self, connection: u64, end: usize) {
+        while let Some(arrival) = self.network.next_arrival(self.now, connection, end) {
             let receiver = 1 - end;
-            let site = self.network.wires[&wire].ends[receiver];
+            let site = self.network.connections[&connection].ends[receiver];
             match arrival {
                 Arrival::Frame(frame) => {
-                    if self.network.wires[&wire].is_open[receiver] {
-                        self.sites[site].receive(self.now, self.now, wire, *frame);
+                    if self.network.connections[&connection].is_open[receiver] {
+                        self.sites[site].receive(self.now, self.now, connection, *frame);
                         self.carry_out_effects();
                     }
                 }
                 Arrival::End => {
-                    self.sites[site].disconnected(self.now, wire, &[]);
+                    self.sites[site].disconnected(self.now, connection, &[]);
                     self.carry_out_effects();
                 }
             }
@@ -312,8 +312,8 @@
         self.rng.random_range(0..steps) == 0
     }
 
-    fn faults(&mut self) {
-        if self.one_in(60) && !self.network.wires.is_empty() {
+    fn inject_faults(&mut self) {
+        if self.one_in(60) && !self.network.connections.is_empty() {
             self.break_connection();
         }
         if self.one_in(150) {
@@ -334,13 +334,13 @@
     }
 
     fn break_connection(&mut self) {
-        let wires = self.network.wire_ids();
-        let wire = wires[self.rng.random_range(0..wires.len())];
+        let connections = self.network.connection_ids();
+        let connection = connections[self.rng.random_range(0..connections.len())];
         if self.rng.random_range(0..2) == 0 {
-            self.network.reset(self.now, wire);
+            self.network.reset(self.now, connection);
         } else {
             let arrives_at = self.now + self.rng.random_range(0.0..120.0);
-            self.network.abandon(self.now, wire, arrives_at);
+            self.network.abandon(self.now, connection, arrives_at);
         }
     }
 
@@ -348,11 +348,11 @@
     fn break_link(&mut self) {
         let is_silent = self.rng.random_range(0..2) == 0;
         self.network.partitioned_until = self.now + self.rng.random_range(20.0..700.0);
-        for wire in self.network.wire_ids() {
+        for connection in self.network.connection_ids() {
             if is_silent {
-                self.network.wires.get_mut(&wire).unwrap().is_silent = true;
+                self.network.connections.get_mut(&connection).unwrap().is_silent = true;
             } else {
-                self.network.reset(self.now, wire);
+                self.network.reset(self.now, connection);
             }
         }
     }
@@ -376,8 +376,8 @@
     fn restart(&mut self) {
         let index = self.rng.random_range(0..2usize);
         self.network.kill_ends_of(self.now, index);
-        let gone: Vec<_> = self.tokens.keys().filter(|(site, _)| *site == index).copied().collect();
-        for key in gone {
+        let lost: Vec<_> = self.tokens.keys().filter(|(site, _)| *site == index).copied().collect();
+        for key in lost {
             let request = self.tokens.remove(&key).unwrap();
             self.tracked(&request).is_answered = true;
         }
@@ -424,7 +424,7 @@
         };
         self.tokens.insert((site, token), name.clone());
         self.requests.insert(name, tracked);
-        let crossing = ForwardedRequest {
+        let forwarded = ForwardedRequest {
             request,
             object,
             deadline,
@@ -432,7 +432,7 @@
             may_collapse: is_idempotent,
             priority_rank: 0.5,
         };
-        self.sites[site].request(self.now, token, home, crossing);
+        self.sites[site].request(self.now, token, home, forwarded);
         self.carry_out_effects();
     }
 
