--- a/crates/deckproxy-sites/src/frame.rs
+++ b/crates/deckproxy-sites/src/frame.rs
@@ -1,19 +1,19 @@
-//! Messages of the link protocol: protobuf, one message per frame.
+//! Messages of the link protocol, encoded as protobuf, one per frame.
 //!
-//! The side that opens a connection requests, the side that accepted it serves. The framing (a length prefix of four
-//! bytes) and the limits on it are the gateway's `protocol::link`. Field and variant names do not appear on the wire;
-//! tags, types and enumeration numbers do, and must not change.
+//! The side that opens a connection sends requests; the side that accepts it serves them. The framing (a length prefix
+//! of four bytes) and its limits are in the gateway's `protocol::link`. Field and variant names do not appear on the
+//! wire; tags, types and enumeration numbers do, and must not change.
 
 use bytes::Bytes;
 use prost::Message;
 
-/// Version of the link protocol that this crate speaks.
+/// Version of the link protocol that this crate implements.
 pub const VERSION: u32 = 1;
 
-/// A frame: one message of the protocol.
+/// A frame, which contains one message of the protocol.
 #[derive(Clone, PartialEq, Message)]
 pub struct Frame {
-    /// The message; `None` where a later version sent a kind that is not known here.
+    /// The message; `None` for a kind that only a later version of the protocol defines.
     #[prost(oneof = "Payload", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13")]
     pub payload: Option<Payload>,
 }
@@ -21,19 +21,19 @@
 /// The kinds of messages.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Payload {
-    /// The handshake: the first message on a connection, in both directions.
+    /// The handshake: the first message in each direction of a connection.
     #[prost(message, tag = "1")]
     Hello(Hello),
-    /// The sender closes the connection; also the response to a hello that is not acceptable.
+    /// The sender closes the connection; also sent in response to a hello that is rejected.
     #[prost(message, tag = "2")]
     Goodbye(Goodbye),
-    /// A heartbeat of the requesting side.
+    /// A heartbeat from the requesting side.
     #[prost(message, tag = "3")]
     Ping(Heartbeat),
     /// The serving side's response to a `Ping`.
     #[prost(message, tag = "4")]
     Pong(Heartbeat),
-    /// An attempt of the requesting side.
+    /// An attempt from the requesting side.
     #[prost(message, tag = "5")]
     Request(Request),
     /// The response to an attempt, without its body.
@@ -45,20 +45,20 @@
     /// The requesting side extends the credit window of a body.
     #[prost(message, tag = "8")]
     WindowUpdate(WindowUpdate),
-    /// The requesting side has canceled these attempts or has their complete responses: the serving side may forget
-    /// them.
+    /// The requesting side has canceled these attempts or has received their complete responses: the serving side may
+    /// discard their state.
     #[prost(message, tag = "9")]
     Release(AttemptNumbers),
-    /// After a lost connection: the requesting side asks for the status of these attempts and reattaches to them.
+    /// After a lost connection: the requesting side requests the status of these attempts and reattaches to them.
     #[prost(message, tag = "10")]
     Resume(AttemptNumbers),
     /// The status of one attempt, in response to a `Resume`.
     #[prost(message, tag = "11")]
     Status(AttemptStatus),
-    /// A purge that the sender's site was notified of, or that it relays.
+    /// A purge from the sender's own feed, or one that it relays.
     #[prost(message, tag = "12")]
     Purge(Purge),
-    /// The serving side accepts no new attempts.
+    /// The serving side accepts no new attempts on any connection.
     #[prost(message, tag = "13")]
     GoAway(GoAway),
 }
@@ -75,7 +75,7 @@
     /// The site that the sender expects at the other end.
     #[prost(string, tag = "3")]
     pub peer_site: String,
-    /// Epoch of the sender's process; another one after a restart.
+    /// Epoch of the sender's process; it changes with a restart.
     #[prost(fixed64, tag = "4")]
     pub epoch: u64,
     /// The requesting side's session, within which attempts are numbered.
@@ -84,7 +84,7 @@
     /// Initial credit window of each body, bytes.
     #[prost(uint32, tag = "6")]
     pub credit_window: u32,
-    /// How long the sender remembers a session without a connection, ms.
+    /// How long the sender keeps a session without a connection, ms.
     #[prost(uint32, tag = "7")]
     pub resume_timeout: u32,
     /// The last purge of the other side's log that the sender has received.
@@ -93,16 +93,15 @@
     /// The epoch of the log that `purges_received` refers to.
     #[prost(fixed64, tag = "9")]
     pub purges_epoch: u64,
-    /// The requesting side's next attempt number. A serving side that does not remember the session takes no lower
-    /// number.
+    /// The requesting side's next attempt number. A serving side without state of the session accepts no lower number.
     #[prost(uint64, tag = "10")]
     pub next_attempt: u64,
-    /// Span before now for which the sender's purge log is complete, ms.
+    /// Length of time up to now for which the sender's purge log is complete, ms.
     #[prost(double, tag = "11")]
     pub purge_history: f64,
 }
 
-/// The end of a connection.
+/// Announces that the sender closes the connection.
 #[derive(Clone, PartialEq, Message)]
 pub struct Goodbye {
     /// Why the sender closes the connection, for the log.
@@ -125,12 +124,12 @@
     /// The last purge of the other side's log that the sender has received.
     #[prost(uint64, tag = "4")]
     pub purges_received: u64,
-    /// From the requesting side: attempts with lower numbers are over, and the serving side may forget them.
+    /// From the requesting side: attempts with lower numbers have ended, and the serving side may discard their state.
     #[prost(uint64, tag = "5")]
     pub lowest_open_attempt: u64,
 }
 
-/// An attempt: a request as it crosses to another site.
+/// An attempt: a request as it is sent to another site.
 #[derive(Clone, PartialEq, Message)]
 pub struct Request {
     /// Attempt number, unique within the session.
@@ -157,13 +156,13 @@
     /// The group of the object.
     #[prost(uint32, tag = "8")]
     pub group: u32,
-    /// Expected size of the response, KB, where the client gave one.
+    /// Expected size of the response, KB, if the client stated one.
     #[prost(double, optional, tag = "9")]
     pub size_kb: Option<f64>,
     /// Tag of the copy that the client has cached.
     #[prost(string, optional, tag = "10")]
     pub cached_tag: Option<String>,
-    /// The sites that forwarded the request, the first one first.
+    /// The sites that forwarded the request, in the order in which it passed them.
     #[prost(string, repeated, tag = "11")]
     pub site_path: Vec<String>,
     /// The request's body.
@@ -180,13 +179,13 @@
     /// How the attempt ended.
     #[prost(enumeration = "Outcome", tag = "2")]
     pub outcome: i32,
-    /// With `Rejected`: when the client may retry, ms; 0 gives no advice.
+    /// With `Rejected`: time after which the client may retry, ms; 0: unspecified.
     #[prost(double, tag = "3")]
     pub retry_after: f64,
     /// With `Served`: length of the body, bytes.
     #[prost(uint32, tag = "4")]
     pub body_length: u32,
-    /// With `Served` and `NotModified`: age of the copy when this was sent, ms, where it is known.
+    /// With `Served` and `NotModified`: age of the copy when the head was sent, ms, if it is known.
     #[prost(double, optional, tag = "5")]
     pub copy_age: Option<f64>,
     /// Tag of the copy.
@@ -204,7 +203,7 @@
     Served = 1,
     /// The client's cached copy is current.
     NotModified = 2,
-    /// Rejected without being executed; a retry is harmless.
+    /// Rejected without being executed; a retry is safe.
     Rejected = 3,
     /// The request is not valid.
     Invalid = 4,
@@ -224,7 +223,7 @@
     pub bytes: Bytes,
 }
 
-/// A larger credit window for one body.
+/// Extends the credit window of one body.
 #[derive(Clone, PartialEq, Message)]
 pub struct WindowUpdate {
     /// The attempt.
@@ -249,7 +248,7 @@
     /// The attempt.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// Its state at the serving side.
+    /// Its state on the serving side.
     #[prost(enumeration = "AttemptState", tag = "2")]
     pub state: i32,
 }
@@ -260,11 +259,11 @@
 pub enum AttemptState {
     /// Not known; it may have been executed.
     Unknown = 0,
-    /// It was never received, and is fenced: it will not be accepted any more.
+    /// It was never received, and is fenced: it will not be accepted if it arrives later.
     NeverReceived = 1,
     /// It is being executed.
     Running = 2,
-    /// It has ended, and its response follows.
+    /// Its execution has ended, and its response follows.
     Completed = 3,
 }
 
@@ -280,30 +279,30 @@
     /// The group.
     #[prost(uint32, tag = "3")]
     pub group: u32,
-    /// Time from the purge until this was sent, ms.
+    /// Time from the purge until this message was sent, ms.
     #[prost(double, tag = "4")]
     pub age: f64,
-    /// Time from the notification of the sender's site until this was sent, ms.
+    /// Time from the first site's notification until this message was sent, ms.
     #[prost(double, tag = "5")]
     pub notified_age: f64,
-    /// The sites that relayed it, the one that was notified first leading.
+    /// The sites that it passed before the sender's, starting with the site whose own feed reported it.
     #[prost(string, repeated, tag = "6")]
     pub site_path: Vec<String>,
-    /// Epoch of the process that was notified by its own feed. With `origin_number` it identifies the purge.
+    /// Epoch of the process whose own feed reported the purge. Identifies the purge together with `origin_number`.
     #[prost(fixed64, tag = "7")]
     pub origin_epoch: u64,
-    /// Number of the purge in the log of that process.
+    /// Number of the purge in that process's log.
     #[prost(uint64, tag = "8")]
     pub origin_number: u64,
 }
 
-/// The serving side accepts no new attempts.
+/// Announces that the serving side accepts no new attempts.
 #[derive(Clone, PartialEq, Message)]
 pub struct GoAway {
     /// Why, for the log.
     #[prost(string, tag = "1")]
     pub reason: String,
-    /// When the requesting side may retry, ms; 0: not known.
+    /// Time after which the requesting side may retry, ms; 0: not known.
     #[prost(double, tag = "2")]
     pub retry_after: f64,
 }
