--- a/crates/deckproxy-sites/src/purges/mod.rs
+++ b/crates/deckproxy-sites/src/purges/mod.rs
@@ -1,8 +1,8 @@
 //! The purge log, and the leases under which copies are trusted.
 //!
-//! Each gateway numbers all purges that it is notified of, those of its own feed and those that other sites relay, in
-//! one log. Every peer acknowledges the last number that it has received, and is sent what follows. A peer confirms
-//! with each heartbeat where its log ends. If everything up to there was received, the lease runs from the moment at
+//! Each gateway numbers all purges in one log: those from its own feed and those that other sites relay. Every peer
+//! acknowledges the last number that it has received, and is sent the later entries. Each heartbeat response carries
+//! the last number of the peer's log. If everything up to that number was received, the lease starts at the time at
 //! which the heartbeat was sent, on this side's clock: neither clock skew nor a delay on the link can make the
 //! confirmation seem more recent than it is.
 
@@ -15,11 +15,11 @@
 use peer::PeerLog;
 use std::collections::{HashMap, HashSet, VecDeque};
 
-/// Purges in the log. Should more than these come within a copy's lifetime, peers that lack the dropped ones find a
-/// gap.
+/// Most entries of the log. If more purges arrive within the lifetime of a copy, peers that lack the dropped entries
+/// detect a gap.
 const LOG_CAPACITY: usize = 65_536;
-/// Share of the grace after which a purge is enforced. The notification was in flight for an unknown time, which the
-/// lease keeps below the rest of the grace.
+/// Share of the grace period after which a purge is enforced. The notification was in flight for an unknown time, which
+/// the lease keeps below the rest of the grace period.
 const ENFORCE_AFTER_SHARE: f64 = 0.5;
 
 /// A notification of a purge.
@@ -33,7 +33,7 @@
     pub age: Millis,
 }
 
-/// Identifies a purge in all logs: epoch and number at the process that was notified by its own feed.
+/// Identifies a purge in all logs: epoch and log number of the process whose own feed reported it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct PurgeOrigin {
     epoch: u64,
@@ -58,27 +58,27 @@
     origin: PurgeOrigin,
 }
 
-/// The log of purges, and what is known of the peers' logs.
+/// The purge log, and the known state of the peers' logs.
 #[derive(Debug)]
 pub struct PurgeLog {
     limits: TrustLimits,
     own_site: String,
     epoch: u64,
-    /// Since when the log holds all purges of the own feed.
+    /// Time from which the log contains all purges of this site's feed.
     complete_since: Millis,
     next_number: u64,
     entries: VecDeque<LogEntry>,
     known_origins: HashSet<PurgeOrigin>,
     object_purges: HashMap<u64, Vec<PurgeTimes>>,
     group_purges: HashMap<u32, Vec<PurgeTimes>>,
-    /// By the epochs of the peers' processes: a site may have several gateways, each with its own log.
+    /// Peers by the epoch of their process: a site may have several gateways, each with its own log.
     peers: HashMap<u64, PeerLog>,
-    /// Gaps found in the peers' logs since the start.
+    /// Gaps detected in the peers' logs since the start.
     pub gaps: u64,
 }
 
 impl PurgeLog {
-    /// The empty log of a process that has just started.
+    /// Creates the empty log of a process that has just started.
     pub fn new(own_site: &str, epoch: u64, limits: TrustLimits, now: Millis) -> Self {
         PurgeLog {
             limits,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// The number of the last entry; 0 before the first.
+    /// The number of the last entry; 0 if there was none yet.
     pub fn last_number(&self) -> u64 {
         self.next_number - 1
     }
@@ -110,7 +110,7 @@
         self.entries.is_empty()
     }
 
-    /// Appends a purge that the site's own feed notified. Returns its number.
+    /// Appends a purge from the site's own feed. Returns its number.
     pub fn notified(&mut self, now: Millis, notice: PurgeNotice) -> u64 {
         let origin = PurgeOrigin { epoch: self.epoch, number: self.next_number };
         let times = PurgeTimes { purged_at: now - notice.age, notified_at: now };
@@ -149,7 +149,8 @@
         }
     }
 
-    /// Drops purges whose older copies have expired, and peers that were silent for long.
+    /// Drops purges after which all older copies have expired, and peers from which nothing was received for two copy
+    /// lifetimes.
     pub fn tick(&mut self, now: Millis) {
         let copy_lifetime = self.limits.copy_lifetime;
         let expired =
@@ -160,8 +161,8 @@
         self.peers.retain(|_, peer| now - peer.last_received <= 2.0 * copy_lifetime);
     }
 
-    /// Takes a purge that the peer with the given epoch relayed. Returns the notice for the own site and the number of
-    /// the new entry, or `None` where the purge is known.
+    /// Processes a purge that the peer with the given epoch sent. Returns the notice for this site and the number of
+    /// the new entry, or `None` if the purge is known already or the peer is not.
     pub fn received(&mut self, now: Millis, from_epoch: u64, purge: Purge) -> Option<(PurgeNotice, u64)> {
         let peer = self.peers.get_mut(&from_epoch)?;
         peer.last_received = now;
@@ -178,7 +179,8 @@
         if self.known_origins.contains(&origin) || purge.site_path.contains(&self.own_site) {
             return None;
         }
-        // The time in flight is unknown. Taken as zero, the purge seems more recent, and voids more copies, never less.
+        // The time in flight is unknown. Assuming zero makes the purge seem more recent: it voids more copies, never
+        // fewer.
         let notice = PurgeNotice { object: purge.object, group: purge.group, age: purge.age.max(0.0) };
         let times =
             PurgeTimes { purged_at: now - notice.age, notified_at: now - purge.notified_age.max(0.0) };
@@ -188,8 +190,8 @@
         Some((notice, number))
     }
 
-    /// The entries after a number, as they are sent now. They include those that the receiver relayed itself, so that
-    /// it finds no gap in the numbers.
+    /// The entries after a number, with their ages as of now. They include those that the receiver itself relayed, so
+    /// that it detects no gap in the numbers.
     pub fn entries_after(&self, now: Millis, number: u64) -> impl Iterator<Item = Purge> {
         let first = self.entries.partition_point(|entry| entry.number <= number);
         self.entries.range(first..).map(move |entry| Purge {
@@ -204,7 +206,7 @@
         })
     }
 
-    /// Fills in a hello's fields on purges. `to_epoch`: the epoch of the process that it goes to, where it is known.
+    /// Fills in the purge fields of a hello. `to_epoch`: the epoch of the receiving process, if it is known.
     pub fn fill_hello(&self, now: Millis, to_epoch: Option<u64>, hello: Hello) -> Hello {
         Hello {
             epoch: self.epoch,
@@ -215,11 +217,11 @@
         }
     }
 
-    /// Takes a peer's hello. Returns the number after which the peer lacks entries of this log.
+    /// Processes a peer's hello. Returns the number of the last entry of this log that the peer acknowledges.
     pub fn hello_received(&mut self, now: Millis, hello: &Hello) -> u64 {
         let copy_lifetime = self.limits.copy_lifetime;
         let peer = self.peers.entry(hello.epoch).or_insert_with(|| {
-            // A process that is new here may not know the purges from before its start.
+            // A newly seen process may lack purges from before its start.
             let unknown = (copy_lifetime - hello.purge_history.max(0.0)).max(0.0);
             PeerLog::new(hello.site.clone(), now + unknown)
         });
@@ -228,7 +230,7 @@
         acknowledged.min(self.last_number())
     }
 
-    /// Takes a peer's response to a heartbeat that was sent at `sent_at`, and arrived at Unix time `unix_time`.
+    /// Processes a peer's response, received at Unix time `unix_time`, to a heartbeat that was sent at `sent_at`.
     pub fn pong_received(
         &mut self,
         now: Millis,
@@ -242,11 +244,11 @@
         }
     }
 
-    /// Whether copies of a site's objects may be served here; if not, why. One of its gateways is enough: each is
-    /// notified of all purges of its site.
+    /// Whether this site may serve copies of another site's objects; if not, why. It is sufficient that one of the
+    /// other site's gateways is trusted: each is notified of all purges of its site.
     ///
     /// # Errors
-    /// [`Distrust`] if none of the site's gateways is trusted; [`Distrust::LeaseExpired`] if the site has none.
+    /// [`Distrust`] if none of the site's gateways is trusted; [`Distrust::LeaseExpired`] if none is known.
     pub fn check_trust(&self, now: Millis, home: &str) -> Result<(), Distrust> {
         let gateways = self.peers.values().filter(|peer| peer.site == home);
         let worst = Err(Distrust::LeaseExpired);
@@ -255,18 +257,18 @@
             .fold(worst, |found, result| if found.is_ok() { found } else { result })
     }
 
-    /// The largest known clock skew to a site's gateways, ms; positive where their clocks are ahead.
+    /// The largest known clock skew to a site's gateways, ms; positive if their clock is ahead.
     pub fn clock_skew(&self, site: &str) -> Option<f64> {
         let known = self.peers.values().filter(|peer| peer.site == site).filter_map(|peer| peer.clock_skew);
         known.max_by(|a, b| a.abs().total_cmp(&b.abs()))
     }
 
-    /// The last entry received of the log of the process with the given epoch.
+    /// Number of the last entry received from the log of the process with the given epoch; 0 if there is none.
     pub fn received_from(&self, epoch: u64) -> u64 {
         self.peers.get(&epoch).map_or(0, |peer| peer.received)
     }
 
-    /// Whether a copy that the origin issued at `issued_at` or later may be served: no purge that is in force by now
+    /// Whether a copy that the origin issued at `issued_at` or later may be served: no purge that is enforced by now
     /// voids it.
     pub fn may_serve(&self, now: Millis, object: u64, group: u32, issued_at: Millis) -> bool {
         let enforced_before = now - self.limits.purge_grace * ENFORCE_AFTER_SHARE;
@@ -279,7 +281,7 @@
     }
 }
 
-/// Removes one purge, and the complete entry with the last one.
+/// Removes the times of one purge, and the map entry once it is empty.
 fn remove_times<K: std::hash::Hash + Eq>(
     purges: &mut HashMap<K, Vec<PurgeTimes>>,
     key: &K,
--- a/crates/deckproxy-sites/src/purges/peer.rs
+++ b/crates/deckproxy-sites/src/purges/peer.rs
@@ -1,4 +1,4 @@
-//! What is known of the purge log of one peer's process.
+//! The state of one peer process's purge log, as known to this process.
 
 use crate::frame::Heartbeat;
 use crate::{Millis, TrustLimits};
@@ -11,30 +11,30 @@
 pub enum Distrust {
     /// The site did not confirm within the lease that no purge is missing.
     LeaseExpired,
-    /// Purges of the site may have been missed.
+    /// Purges from the site may have been missed.
     PurgesMissed,
     /// The clock skew to the site is too large or unknown.
     ClockSkew,
 }
 
-/// The state of a peer's log, as far as it is known here.
+/// The state of a peer's log, as known to this process.
 #[derive(Clone, Debug)]
 pub(super) struct PeerLog {
     pub(super) site: String,
-    /// When the peer last sent anything about purges.
+    /// When the last hello, purge or heartbeat response was received from the peer.
     pub(super) last_received: Millis,
-    /// The last of its entries that was received.
+    /// Number of its last entry that was received.
     pub(super) received: u64,
-    /// The last time, on this side's clock, at which its log is known to have held nothing that is missing here.
+    /// The last time, on this side's clock, at which this side is known to have had all entries of the peer's log.
     confirmed_at: Option<Millis>,
-    /// Until then, a missed purge may have left a copy.
+    /// Until this time, a copy that a missed purge voids may still be cached.
     pub(super) distrusted_until: Millis,
-    /// The peer's clock minus this side's, ms.
+    /// The peer's clock minus this side's clock, ms; averaged.
     pub(super) clock_skew: Option<f64>,
 }
 
 impl PeerLog {
-    /// The log of a process that is new here.
+    /// Creates the state of the log of a newly seen process.
     pub(super) fn new(site: String, distrusted_until: Millis) -> Self {
         PeerLog {
             site,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Takes the response to a heartbeat; see [`super::PurgeLog::pong_received`].
+    /// Processes the response to a heartbeat; see [`super::PurgeLog::pong_received`].
     pub(super) fn pong_received(
         &mut self,
         now: Millis,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Whether this log vouches for copies of the site's objects; if not, why.
+    /// Whether this log proves copies of the site's objects to be current; if not, why.
     pub(super) fn check_trust(&self, now: Millis, limits: &TrustLimits) -> Result<(), Distrust> {
         if self.confirmed_at.is_none_or(|at| now - at >= limits.lease) {
             return Err(Distrust::LeaseExpired);
