--- a/crates/deckproxy-sites/src/responder/attempts.rs
+++ b/crates/deckproxy-sites/src/responder/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: accepting, executing, resuming and forgetting them.
+//! Attempts: accepting, executing, resuming and discarding them.
 
 use super::session::{Attempt, AttemptProgress, RetainedResponse};
 use super::types::{Effect, RunId, RunResult};
@@ -6,7 +6,7 @@
 use crate::frame::{AttemptState, AttemptStatus, Outcome, Payload, Request};
 use crate::{ConnectionId, Millis};
 
-/// Attempts remembered of one session; an honest requesting side has fewer open.
+/// Most attempts kept per session; a well-behaved requesting side has fewer open.
 const MAX_ATTEMPTS: usize = 1 << 20;
 
 impl Responder {
@@ -37,7 +37,7 @@
         self.effects.push_back(Effect::Run(run, request));
     }
 
-    /// An execution has ended.
+    /// Records the end of an execution: retains its response and sends the head.
     pub fn run_ended(&mut self, now: Millis, run: RunId, result: RunResult) {
         let Some(RunOrigin { session: key, attempt: number }) = self.runs.remove(&run) else { return };
         let Some(session) = self.sessions.get_mut(&key) else { return };
@@ -50,7 +50,7 @@
         self.evict();
     }
 
-    /// The requesting side needs nothing more of an attempt.
+    /// Releases an attempt: the requesting side needs nothing further of it.
     pub(super) fn release(&mut self, connection: ConnectionId, number: u64) {
         let Some(peer) = self.peers.get(&connection) else { return };
         let Some(session) = self.sessions.get_mut(&peer.session) else { return };
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Reports the status of an attempt whose connection was lost, and attaches it to the present one.
+    /// Reports the status of an attempt whose connection was lost, and attaches it to the current connection.
     pub(super) fn resume(&mut self, now: Millis, connection: ConnectionId, number: u64) {
         let Some(peer) = self.peers.get(&connection) else { return };
         let key = peer.session.clone();
@@ -86,7 +86,7 @@
                 match &mut attempt.progress {
                     AttemptProgress::Running(_) => AttemptState::Running,
                     AttemptProgress::Completed(response) => {
-                        // The response is sent from its start, with the window of a new one.
+                        // The response is sent again from its start, with the initial credit window.
                         response.credit_limit = credit_window;
                         AttemptState::Completed
                     }
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Takes the requesting side's lowest open attempt: lower numbers are over, whatever was said of them before. They
-    /// are forgotten, and should one still arrive on some connection, it is not accepted.
+    /// Processes the requesting side's lowest open attempt number: attempts with lower numbers have ended, whatever
+    /// their last known state. They are discarded, and are not accepted if they arrive later.
     pub fn forget_below(&mut self, connection: ConnectionId, lowest_open_attempt: u64) {
         let Some(peer) = self.peers.get(&connection) else { return };
         let Some(session) = self.sessions.get_mut(&peer.session) else { return };
@@ -115,7 +115,8 @@
         }
     }
 
-    /// Takes an attempt that was removed from its session out of the other accounts.
+    /// Releases the resources of an attempt that was removed from its session: cancels its execution or drops its
+    /// response.
     pub(super) fn forget(&mut self, progress: AttemptProgress) {
         match progress {
             AttemptProgress::Running(run) => {
--- a/crates/deckproxy-sites/src/responder/connections.rs
+++ b/crates/deckproxy-sites/src/responder/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of requesting sides: handshake, loss, received messages and timeouts.
+//! Connections of requesting sides: handshakes, loss, received messages and timeouts.
 
 use super::session::{Session, SessionKey};
 use super::types::Effect;
@@ -8,22 +8,22 @@
 use crate::{ConnectionId, Millis};
 use std::collections::VecDeque;
 
-/// Largest credit window that a peer may ask for, bytes.
+/// Largest credit window that a peer may request, bytes.
 const MAX_CREDIT_WINDOW: usize = 1 << 30;
-/// Numbers that are read of one message; the rest is ignored.
+/// Most attempt numbers processed per message; the rest are ignored.
 const MAX_NUMBERS: usize = 1 << 16;
 
 /// A connection that completed its handshake.
 #[derive(Debug)]
 pub(super) struct Peer {
     pub(super) session: SessionKey,
-    /// Attempts whose bodies are being sent, in turn.
+    /// Attempts whose bodies are being sent, in round-robin order.
     pub(super) send_queue: VecDeque<u64>,
     last_received: Millis,
 }
 
 impl Responder {
-    /// A peer's hello was received, and is acceptable.
+    /// Processes a peer's hello that passed validation: attaches the connection to its session.
     pub fn hello_received(&mut self, now: Millis, connection: ConnectionId, hello: &Hello) {
         let key = SessionKey { site: hello.site.clone(), session: hello.session };
         let credit_window = (hello.credit_window as usize).clamp(1, MAX_CREDIT_WINDOW);
@@ -39,7 +39,7 @@
         }
     }
 
-    /// A connection has ended.
+    /// Records the end of a connection: detaches its attempts.
     pub fn disconnected(&mut self, now: Millis, connection: ConnectionId) {
         let Some(peer) = self.peers.remove(&connection) else { return };
         let has_others = self.peers.values().any(|other| other.session == peer.session);
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Takes a message from a connection that completed its handshake. Returns whether the message is allowed there.
+    /// Processes a message from a connection that completed its handshake. Returns whether the message is allowed.
     pub fn receive(&mut self, now: Millis, connection: ConnectionId, payload: Payload) -> bool {
         let Some(peer) = self.peers.get_mut(&connection) else { return false };
         peer.last_received = now;
@@ -74,14 +74,14 @@
         true
     }
 
-    /// Something was received on a connection that needs no decision here.
+    /// Records that bytes were received on a connection, which restarts its silence timeout.
     pub fn mark_alive(&mut self, now: Millis, connection: ConnectionId) {
         if let Some(peer) = self.peers.get_mut(&connection) {
             peer.last_received = now;
         }
     }
 
-    /// Closes silent connections, and forgets sessions that were without a connection for too long.
+    /// Closes silent connections, and discards sessions that had no connection for the resume timeout.
     pub fn tick(&mut self, now: Millis) {
         let silence_timeout = self.limits.silence_timeout;
         let silent = self.peers.iter().filter(|(_, peer)| now - peer.last_received > silence_timeout);
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Accepts no new attempts any more: tells all requesting sides to go elsewhere.
+    /// Announces to all requesting sides, present and future, that no new attempts are accepted.
     pub fn go_away(&mut self, reason: &str, retry_after: Millis) {
         let shutdown = Shutdown { reason: reason.to_string(), retry_after };
         for connection in self.peers.keys() {
--- a/crates/deckproxy-sites/src/responder/mod.rs
+++ b/crates/deckproxy-sites/src/responder/mod.rs
@@ -1,14 +1,14 @@
 //! The serving side: attempts received over links, by session and number.
 //!
-//! A number is executed at most once, whatever connection it arrives on and however often. An execution continues when
-//! its connection is lost; its response is retained until the requesting side releases it, until the session is
-//! forgotten, or until it is evicted to bound the memory. A number whose status is requested in a session that does not
-//! know it was never received, and is fenced: should it still arrive on an old connection, it is dropped.
+//! An attempt number is executed at most once, whatever connections it arrives on and however often. An execution
+//! continues when its connection is lost; its response is retained until the requesting side releases it, until the
+//! session expires, or until it is evicted to bound the memory. If the status of an attempt that was never received is
+//! requested, its number is fenced: if the attempt still arrives on an old connection, it is dropped.
 //!
-//! - [`types`]: what goes in and what comes out.
-//! - `session`: what is remembered of sessions and attempts.
+//! - [`types`]: inputs and outputs.
+//! - `session`: state of sessions and attempts.
 //! - `connections`: handshake, loss, received messages and timeouts.
-//! - `attempts`: accepting, executing, resuming and forgetting attempts.
+//! - `attempts`: accepting, executing, resuming and discarding attempts.
 //! - `responses`: response heads and bodies, with flow control and eviction.
 
 mod attempts;
@@ -24,7 +24,7 @@
 use session::{Session, SessionKey};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Where an execution's response goes.
+/// The attempt to which an execution belongs.
 #[derive(Clone, Debug)]
 struct RunOrigin {
     session: SessionKey,
@@ -38,7 +38,7 @@
     retry_after: Millis,
 }
 
-/// All that is served over links.
+/// The serving side of all links.
 #[derive(Debug)]
 pub struct Responder {
     limits: LinkLimits,
@@ -46,18 +46,18 @@
     peers: BTreeMap<ConnectionId, Peer>,
     runs: BTreeMap<RunId, RunOrigin>,
     last_run: RunId,
-    /// Responses that are not released yet, bytes.
+    /// Bytes of responses that are not released yet.
     retained_bytes: usize,
     shutdown: Option<Shutdown>,
     effects: VecDeque<Effect>,
-    /// Attempts that were received a second time or after they were fenced, since the start.
+    /// Attempts received since the start that were duplicates, were fenced or had ended before.
     pub duplicates: u64,
     /// Responses evicted to bound the memory, since the start.
     pub evicted: u64,
 }
 
 impl Responder {
-    /// A responder without connections.
+    /// Creates a responder without connections.
     pub fn new(limits: LinkLimits) -> Self {
         Responder {
             limits,
@@ -73,12 +73,12 @@
         }
     }
 
-    /// Takes the next effect that the caller has to carry out.
+    /// Removes and returns the next effect for the caller to execute.
     pub fn next_effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
 
-    /// What is in memory.
+    /// Counts the objects in memory.
     pub fn usage(&self) -> Usage {
         Usage {
             runs: self.runs.len(),
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Attempts whose response the requesting side still lacks, at least in part.
+    /// Number of attempts that are running, or whose response is not completely sent on their connection.
     pub fn unfinished_attempts(&self) -> usize {
         let attempts = self.sessions.values().flat_map(|session| session.attempts.values());
         attempts.filter(|attempt| attempt.is_unfinished()).count()
--- a/crates/deckproxy-sites/src/responder/responses.rs
+++ b/crates/deckproxy-sites/src/responder/responses.rs
@@ -7,7 +7,7 @@
 use crate::{ConnectionId, Millis, saturating_u32};
 
 impl Responder {
-    /// Sends the head of an attempt's response, if there is a connection for it, and queues its body from the start.
+    /// Sends the head of an attempt's response, if the attempt has a connection, and queues its body from the start.
     pub(super) fn send_head(&mut self, now: Millis, key: &SessionKey, number: u64) {
         let Some(session) = self.sessions.get_mut(key) else { return };
         let Some(attempt) = session.attempts.get_mut(&number) else { return };
@@ -30,8 +30,8 @@
         }
     }
 
-    /// Takes the next chunk for a connection that can send more. The bodies of a connection take turns, chunk by
-    /// chunk; one without credit leaves the turns until its window is extended.
+    /// Returns the next chunk for a connection that can send more. The bodies of a connection are sent in round-robin
+    /// order, one chunk each; a body without credit leaves the queue until its window is extended.
     pub fn next_chunk(&mut self, connection: ConnectionId) -> Option<Payload> {
         let peer = self.peers.get_mut(&connection)?;
         let session = self.sessions.get_mut(&peer.session)?;
@@ -56,7 +56,7 @@
         None
     }
 
-    /// Extends the credit window of a body, and gives the body its turn again.
+    /// Extends the credit window of a body, and queues the body again if it can be sent.
     pub(super) fn extend_window(&mut self, connection: ConnectionId, update: &WindowUpdate) {
         let Some(peer) = self.peers.get_mut(&connection) else { return };
         let Some(session) = self.sessions.get_mut(&peer.session) else { return };
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Evicts the oldest responses without a connection while too many bytes are retained. Those that are being sent
-    /// stay: their end is bounded by the requesting side's window and time.
+    /// Evicts the oldest responses without a connection while too many bytes are retained. Responses with a connection
+    /// are kept: the requesting side's credit window and deadline bound how long they are retained.
     pub(super) fn evict(&mut self) {
         while self.retained_bytes > self.limits.max_retained {
             let Some((key, number)) = self.oldest_evictable() else { return };
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The attempt whose response has been evictable for longest.
+    /// The attempt whose evictable response was completed first.
     fn oldest_evictable(&self) -> Option<(SessionKey, u64)> {
         let attempts = self.sessions.iter().flat_map(|(key, session)| {
             session.attempts.iter().map(move |(number, attempt)| (key, *number, attempt))
--- a/crates/deckproxy-sites/src/responder/session.rs
+++ b/crates/deckproxy-sites/src/responder/session.rs
@@ -1,10 +1,10 @@
-//! Sessions and their attempts, as the serving side remembers them.
+//! The serving side's state of sessions and their attempts.
 
 use super::types::{RunId, RunResult};
 use crate::{ConnectionId, Millis};
 use std::collections::BTreeMap;
 
-/// Identifies a session: the requesting site and its number there.
+/// Identifies a session: the requesting site and the session number that it assigned.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct SessionKey {
     pub(super) site: String,
@@ -34,29 +34,29 @@
 pub(super) enum AttemptProgress {
     /// Being executed.
     Running(RunId),
-    /// It has ended; the response is retained.
+    /// The execution has ended; the response is retained.
     Completed(RetainedResponse),
-    /// It must not be accepted, should it still be received.
+    /// It must not be accepted if it arrives later.
     Fenced,
-    /// It has ended, and its response was evicted.
+    /// The execution has ended, and the response was evicted.
     Evicted,
 }
 
 /// A received attempt.
 #[derive(Debug)]
 pub(super) struct Attempt {
-    /// The connection for its response; `None`: that connection was lost.
+    /// The connection for its response; `None` if that connection was lost.
     pub(super) connection: Option<ConnectionId>,
     pub(super) progress: AttemptProgress,
 }
 
 impl Attempt {
-    /// A number that must not be accepted any more.
+    /// Creates the state of an attempt that must not be accepted if it arrives later.
     pub(super) fn fenced() -> Self {
         Attempt { connection: None, progress: AttemptProgress::Fenced }
     }
 
-    /// Whether the requesting side still lacks its response or a part of it.
+    /// Whether it is running, or its response is not completely sent on its connection.
     pub(super) fn is_unfinished(&self) -> bool {
         match &self.progress {
             AttemptProgress::Running(_) => true,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Since when its response could be evicted: it has a body, and no connection to send it on.
+    /// When its response was completed, if that can be evicted: it has a body, and no connection to send it on.
     pub(super) fn evictable_since(&self) -> Option<Millis> {
         match &self.progress {
             AttemptProgress::Completed(response)
@@ -84,16 +84,16 @@
 #[derive(Debug)]
 pub(super) struct Session {
     pub(super) attempts: BTreeMap<u64, Attempt>,
-    /// Lower numbers are over, or were used before the session was known here.
+    /// Attempts with lower numbers have ended, or were sent before this state was created.
     pub(super) lowest_open_attempt: u64,
-    /// Since when it has no connection.
+    /// When it lost its last connection; `None` while it has one.
     pub(super) detached_since: Option<Millis>,
     /// Initial credit window of each body, bytes.
     pub(super) credit_window: usize,
 }
 
 impl Session {
-    /// A session that is new here.
+    /// Creates the state of a newly seen session.
     pub(super) fn new(next_attempt: u64, credit_window: usize) -> Self {
         Session {
             attempts: BTreeMap::new(),
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Whether an attempt number was used already, or must not be used any more.
+    /// Whether an attempt number was received before, or is fenced.
     pub(super) fn is_used(&self, number: u64) -> bool {
         number < self.lowest_open_attempt || self.attempts.contains_key(&number)
     }
--- a/crates/deckproxy-sites/src/responder/types.rs
+++ b/crates/deckproxy-sites/src/responder/types.rs
@@ -1,23 +1,23 @@
-//! What goes into the serving side and what comes out of it.
+//! Inputs and outputs of the serving side.
 
 use crate::close::CloseReason;
 use crate::frame::{Outcome, Payload, Request};
 use crate::{ConnectionId, Millis};
 use bytes::Bytes;
 
-/// An execution of a request, by this side's number.
+/// Identifies an execution of a request; assigned by the serving side.
 pub type RunId = u64;
 
-/// How an execution ended.
+/// The result of an execution.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunResult {
     /// How it ended.
     pub outcome: Outcome,
-    /// With `Rejected`: when the client may retry, ms; 0 gives no advice.
+    /// With `Rejected`: time after which the client may retry, ms; 0: unspecified.
     pub retry_after: Millis,
     /// The body.
     pub body: Bytes,
-    /// When the origin issued the copy, on this side's clock, where it is known.
+    /// When the origin issued the copy, on this side's clock, if it is known.
     pub issued_at: Option<Millis>,
     /// The copy's tag.
     pub tag: String,
@@ -30,20 +30,20 @@
     }
 }
 
-/// What the caller has to do.
+/// An action for the caller to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Send a message on a connection.
     Send(ConnectionId, Payload),
-    /// Close a connection once everything before is sent.
+    /// Close a connection once all earlier messages are sent.
     Close(ConnectionId, CloseReason),
     /// Execute a request.
     Run(RunId, Request),
-    /// Cancel an execution: no one waits for it any more.
+    /// Cancel an execution: the requesting side no longer waits for it.
     Cancel(RunId),
 }
 
-/// What the serving side has in memory.
+/// Memory use of the serving side.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
     /// Executions.
@@ -52,6 +52,6 @@
     pub sessions: usize,
     /// Connections.
     pub connections: usize,
-    /// Responses that are not released yet, bytes.
+    /// Bytes of responses that are not released yet.
     pub retained_bytes: usize,
 }
