--- a/crates/deckproxy-sites/src/requester/attempts.rs
+++ b/crates/deckproxy-sites/src/requester/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: choosing an endpoint, sending, queueing for an endpoint, and their end.
+//! Attempts: selecting an endpoint, sending, queueing for an endpoint, and ending them.
 
 use super::Requester;
 use super::exchange::{Attempt, ExchangeId};
@@ -8,16 +8,16 @@
 use crate::frame::{AttemptNumbers, Payload, Request};
 use bytes::BytesMut;
 
-/// Time left below which nothing is sent, ms.
+/// Time left below which no attempt is sent, ms.
 const MIN_TIME_LEFT: Millis = 5.0;
-/// Smallest time left that is sent, ms.
+/// Smallest time left written into an attempt, ms.
 const MIN_TIME_SENT: Millis = 1.0;
-/// Part of the expected wait on a saturated link that a rejected client gets as its retry-after.
+/// Retry-after of a client rejected because of a saturated link, as a share of the expected wait on that link.
 const SATURATION_BACKOFF_SHARE: f64 = 0.5;
 
 impl Requester {
-    /// Sends an exchange's attempt, queues it for an endpoint, or rejects it at once where its response could not be in
-    /// time.
+    /// Sends an attempt for an exchange, queues the exchange for an endpoint, or rejects the leader if the response
+    /// would miss its deadline.
     pub(super) fn send_attempt(&mut self, now: Millis, id: ExchangeId) {
         let Some(exchange) = self.exchanges.get(&id) else { return };
         let Some(leader) = exchange.waiters.front() else { return self.end_exchange(now, id) };
@@ -40,7 +40,7 @@
         self.send_to(now, id, index, expected_bytes, time_left);
     }
 
-    /// Sends an exchange's attempt to an endpoint.
+    /// Sends an attempt for an exchange to an endpoint.
     fn send_to(&mut self, now: Millis, id: ExchangeId, index: usize, expected_bytes: f64, time_left: Millis) {
         let endpoint = &mut self.endpoints[index];
         let Some(connection_id) = endpoint.least_loaded_connection() else { return };
@@ -53,7 +53,7 @@
         if let Some(connection) = endpoint.connections.get_mut(&connection_id) {
             connection.attempts += 1;
         }
-        // The time in flight will have passed when the request arrives.
+        // Accounts for the time that the request spends in flight.
         let one_way = endpoint.estimate.round_trip() / 2.0;
         let time_left = (time_left - one_way).max(MIN_TIME_SENT).floor();
         let request = Request { number, time_left, ..leader.request.request.clone() };
@@ -74,20 +74,21 @@
         self.effects.push_back(Effect::Send(connection_id, Payload::Request(request)));
     }
 
-    /// Ends an exchange's attempt, and releases it at the serving side. `response_bytes`: size of the response, where it
-    /// is complete.
+    /// Ends the attempt of an exchange, and releases it on the serving side. `response_bytes`: size of the response, if
+    /// it is complete.
     pub(super) fn end_attempt(&mut self, now: Millis, id: ExchangeId, response_bytes: Option<usize>) {
         let Some(attempt) = self.remove_attempt(now, id, response_bytes) else { return };
         let Some(endpoint) = self.endpoints.get(attempt.endpoint) else { return };
         let open = attempt.connection.filter(|connection| endpoint.connections.contains_key(connection));
-        // The release may get lost; the heartbeats carry the lowest number that is still open.
+        // The release may be lost: as a backstop, heartbeats carry the lowest open attempt number.
         if let Some(connection) = open.or_else(|| endpoint.least_loaded_connection()) {
             let released = AttemptNumbers { numbers: vec![attempt.number] };
             self.effects.push_back(Effect::Send(connection, Payload::Release(released)));
         }
     }
 
-    /// Takes an exchange's attempt out of all accounts. The serving side is not notified.
+    /// Removes the attempt of an exchange from the endpoint, its connection and the link estimate, without notifying
+    /// the serving side.
     pub(super) fn remove_attempt(
         &mut self,
         now: Millis,
@@ -108,7 +109,7 @@
         Some(attempt)
     }
 
-    /// The endpoint for the next attempt: the available one of the lowest cost, if it has capacity.
+    /// The endpoint for the next attempt: the available one with the lowest cost, if it has capacity.
     fn endpoint_with_capacity(&self, now: Millis) -> Option<usize> {
         let ramp = self.limits.recovery_ramp;
         let available = self.endpoints.iter().enumerate().filter(|(_, endpoint)| endpoint.is_available(now));
@@ -116,8 +117,8 @@
         cheapest.filter(|(_, endpoint)| endpoint.has_capacity(now, ramp)).map(|(index, _)| index)
     }
 
-    /// Queues an exchange while no endpoint is up, or the recovered one has no capacity. It is rejected after the queue
-    /// timeout.
+    /// Queues an exchange while no endpoint is available, or the one with the lowest cost has no capacity. It is
+    /// rejected after the queue timeout.
     fn enqueue(&mut self, now: Millis, id: ExchangeId) {
         let Some(exchange) = self.exchanges.get_mut(&id) else { return };
         let waiters = exchange.waiters.len() as u64;
@@ -132,7 +133,8 @@
         self.reply_to_all(now, id, &reply);
     }
 
-    /// Rejects the exchanges that were queued for too long, and sends the others while an endpoint has capacity.
+    /// Rejects the exchanges whose queue timeout has passed, and sends attempts for the others while an endpoint has
+    /// capacity.
     pub(super) fn drain_queue(&mut self, now: Millis) {
         self.queue_checked_at = now;
         while let Some(id) = self.queue.pop_timed_out(now) {
@@ -144,7 +146,7 @@
         }
     }
 
-    /// Sends an exchange, unless it was sent or ended since it was queued.
+    /// Sends an attempt for an exchange, unless one was sent or the exchange has ended since it was queued.
     fn send_queued(&mut self, now: Millis, id: ExchangeId) {
         if self.exchanges.get(&id).is_some_and(super::exchange::Exchange::is_queued) {
             self.send_attempt(now, id);
--- a/crates/deckproxy-sites/src/requester/connections.rs
+++ b/crates/deckproxy-sites/src/requester/connections.rs
@@ -1,4 +1,4 @@
-//! Connections: handshake, loss, and the messages that are received.
+//! Connections: handshakes, loss and received messages.
 
 use super::Requester;
 use super::endpoint::{Connection, Endpoint};
@@ -7,16 +7,16 @@
 use crate::purges::PurgeLog;
 use crate::{ConnectionId, Millis};
 
-/// How long an endpoint is not used that went away without naming a time, ms.
+/// How long an endpoint is not used after a `GoAway` without a retry time, ms.
 const DEFAULT_UNAVAILABLE_TIME: Millis = 1000.0;
 
 impl Requester {
-    /// The index of the endpoint that a connection leads to.
+    /// The index of the endpoint at the other end of a connection.
     fn endpoint_of(&self, connection: ConnectionId) -> Option<usize> {
         self.endpoints.iter().position(|endpoint| endpoint.connections.contains_key(&connection))
     }
 
-    /// A requested connection is open; the other side's hello was not received yet.
+    /// Records that a requested connection was opened; the other side's hello is still to be received.
     pub fn connected(&mut self, now: Millis, endpoint: usize, connection: ConnectionId) {
         if let Some(endpoint) = self.endpoints.get_mut(endpoint) {
             endpoint.connecting = endpoint.connecting.saturating_sub(1);
@@ -24,7 +24,7 @@
         }
     }
 
-    /// A requested connection could not be opened.
+    /// Records that a requested connection could not be opened.
     pub fn connect_failed(&mut self, now: Millis, endpoint: usize) {
         if let Some(endpoint) = self.endpoints.get_mut(endpoint) {
             endpoint.connecting = endpoint.connecting.saturating_sub(1);
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The other side's hello was received, and is acceptable: the connection is up.
+    /// Processes the other side's hello, which passed validation: the connection is up.
     pub fn hello_received(&mut self, now: Millis, connection_id: ConnectionId, hello: &Hello) {
         let Some(index) = self.endpoint_of(connection_id) else { return };
         let endpoint = &mut self.endpoints[index];
@@ -45,7 +45,7 @@
         endpoint.reset_backoff();
         endpoint.unavailable_until = None;
         endpoint.resume_timeout = self.limits.resume_timeout.min(f64::from(hello.resume_timeout));
-        // The other end has forgotten the session, or is another process that never knew it.
+        // The session has expired at the other end, or the other end is another process, without its state.
         let is_forgotten = endpoint.epoch.is_some_and(|epoch| epoch != hello.epoch)
             || endpoint.down_since.is_some_and(|since| now - since > endpoint.resume_timeout);
         endpoint.epoch = Some(hello.epoch);
@@ -62,7 +62,7 @@
         self.drain_queue(now);
     }
 
-    /// Ends the backoff of all endpoints that are down: the other site was seen to be reachable.
+    /// Ends the backoff of all endpoints that are down, because the other site is known to be reachable.
     pub fn reconnect_now(&mut self, now: Millis) {
         for endpoint in self.endpoints.iter_mut().filter(|endpoint| !endpoint.is_up()) {
             endpoint.next_connect_at = now;
@@ -70,7 +70,7 @@
         }
     }
 
-    /// A connection has ended. `unsent`: attempts of which no byte was written to it.
+    /// Records the end of a connection. `unsent`: attempts of which no byte was written to it.
     pub fn disconnected(&mut self, now: Millis, connection_id: ConnectionId, unsent: &[u64]) {
         let Some(index) = self.endpoint_of(connection_id) else { return };
         let endpoint = &mut self.endpoints[index];
@@ -84,8 +84,8 @@
         self.detach_attempts(now, index, connection_id, unsent);
     }
 
-    /// Takes a message from a connection that is up. Returns whether the message is allowed there. `unix_time`: now,
-    /// as Unix time.
+    /// Processes a message from a connection. Returns whether the message is allowed: the connection is up, and the
+    /// message is valid. `unix_time`: the current Unix time.
     pub fn receive(
         &mut self,
         now: Millis,
@@ -112,7 +112,7 @@
         true
     }
 
-    /// Something was received on a connection that needs no decision here.
+    /// Records that bytes were received on a connection, which restarts its silence timeout.
     pub fn mark_alive(&mut self, now: Millis, connection_id: ConnectionId) {
         let mut endpoints = self.endpoints.iter_mut();
         if let Some(connection) = endpoints.find_map(|endpoint| endpoint.connections.get_mut(&connection_id))
@@ -122,7 +122,7 @@
     }
 }
 
-/// Takes the response to a heartbeat; earlier ones that were not answered are forgotten.
+/// Processes the response to a heartbeat; earlier pending heartbeats are discarded.
 fn pong_received(
     endpoint: &mut Endpoint,
     now: Millis,
@@ -144,8 +144,8 @@
     }
 }
 
-/// Sends an endpoint no attempts for a while: it goes on with those that it has. Where it names no time, another
-/// process will come up there.
+/// Sends an endpoint no new attempts for a while; it finishes those that it received. An endpoint that names no time
+/// is about to be replaced by another process.
 fn suspend(endpoint: &mut Endpoint, now: Millis, go_away: &GoAway) {
     let span = if go_away.retry_after > 0.0 { go_away.retry_after } else { DEFAULT_UNAVAILABLE_TIME };
     endpoint.unavailable_until = Some(now + span);
--- a/crates/deckproxy-sites/src/requester/endpoint.rs
+++ b/crates/deckproxy-sites/src/requester/endpoint.rs
@@ -1,4 +1,4 @@
-//! One gateway of the other site: its connections, its session, and how much it takes after a recovery.
+//! One gateway of the other site: its connections, its session, and its capacity after a recovery.
 
 use super::exchange::ExchangeId;
 use crate::frame::{AttemptNumbers, Payload};
@@ -10,14 +10,14 @@
 const INITIAL_BACKOFF: Millis = 25.0;
 /// Longest backoff before a reconnect, ms.
 const MAX_BACKOFF: Millis = 250.0;
-/// Attempts in flight that an endpoint takes at once after a recovery.
+/// Attempts in flight allowed to an endpoint immediately after a recovery.
 const RECOVERY_ATTEMPTS: f64 = 16.0;
-/// Further attempts in flight that it takes at the end of the recovery ramp; the bound ends with the ramp.
+/// Additional attempts in flight allowed at the end of the recovery ramp, after which there is no limit.
 const RAMP_ATTEMPTS: f64 = 1024.0;
-/// Share of an endpoint that has just recovered.
+/// Load share of an endpoint that has just recovered.
 const MIN_SHARE: f64 = 0.05;
 
-/// A heartbeat that was not answered yet.
+/// A heartbeat whose response was not received yet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingHeartbeat {
     pub(super) sequence: u64,
@@ -27,19 +27,19 @@
 /// A connection to an endpoint.
 #[derive(Debug, Default)]
 pub(super) struct Connection {
-    /// The other side's hello was received.
+    /// Whether the other side's hello was received.
     pub(super) is_up: bool,
     pub(super) last_received: Millis,
     /// Sequence number of the last heartbeat.
     pub(super) last_heartbeat: u64,
     pub(super) pending_heartbeats: VecDeque<PendingHeartbeat>,
     pub(super) next_heartbeat_at: Millis,
-    /// Attempts whose response comes on this connection.
+    /// Number of attempts whose response arrives on this connection.
     pub(super) attempts: usize,
 }
 
 impl Connection {
-    /// A connection that was opened just now.
+    /// Creates the state of a connection that was just opened.
     pub(super) fn opened(now: Millis) -> Self {
         Connection { last_received: now, next_heartbeat_at: now, ..Connection::default() }
     }
@@ -49,25 +49,25 @@
 #[derive(Debug)]
 pub(super) struct Endpoint {
     pub(super) connections: BTreeMap<ConnectionId, Connection>,
-    /// Connections to keep open.
+    /// Number of connections to keep open.
     pub(super) target_connections: usize,
-    /// Connections that are being opened.
+    /// Number of connections that are being opened.
     pub(super) connecting: usize,
     pub(super) session: u64,
     pub(super) next_attempt: u64,
-    /// Epoch of the process that was last seen at the other end.
+    /// Epoch in the last hello from the other end.
     pub(super) epoch: Option<u64>,
-    /// How long both ends remember the session without a connection, ms.
+    /// How long both ends keep the session without a connection, ms.
     pub(super) resume_timeout: Millis,
     /// Attempts in flight, by number.
     pub(super) attempts: BTreeMap<u64, ExchangeId>,
-    /// Attempts whose connection was lost, each with the connection on which its status was requested.
+    /// Attempts whose connection was lost, each with the connection on which its status was requested, if any.
     pub(super) unresolved: BTreeMap<u64, Option<ConnectionId>>,
-    /// Since when no connection is up.
+    /// Time since which no connection is up; `None` while one is up.
     pub(super) down_since: Option<Millis>,
-    /// When it came up last; its share grows from there.
+    /// When it last came up; its load share grows from then on.
     pub(super) recovered_at: Millis,
-    /// It accepts no attempts until then.
+    /// Time until which it accepts no attempts.
     pub(super) unavailable_until: Option<Millis>,
     pub(super) next_connect_at: Millis,
     backoff: Millis,
@@ -75,7 +75,7 @@
 }
 
 impl Endpoint {
-    /// An endpoint without connections.
+    /// Creates an endpoint without connections.
     pub(super) fn new(session: u64, target_connections: usize, limits: &LinkLimits, now: Millis) -> Self {
         Endpoint {
             connections: BTreeMap::new(),
@@ -106,23 +106,24 @@
         self.is_up() && self.unavailable_until.is_none_or(|until| now >= until)
     }
 
-    /// Whether connections are missing.
+    /// Whether fewer connections are open or being opened than intended.
     pub(super) fn lacks_connections(&self) -> bool {
         self.connections.len() + self.connecting < self.target_connections
     }
 
-    /// The connection with the fewest attempts.
+    /// The established connection with the fewest attempts.
     pub(super) fn least_loaded_connection(&self) -> Option<ConnectionId> {
         let up = self.connections.iter().filter(|(_, connection)| connection.is_up);
         up.min_by_key(|(id, connection)| (connection.attempts, **id)).map(|(id, _)| *id)
     }
 
-    /// The lowest attempt number that is still open, or the next one where none is.
+    /// The lowest number of an open attempt, or the next number if none is open.
     pub(super) fn lowest_open_attempt(&self) -> u64 {
         self.attempts.keys().next().copied().unwrap_or(self.next_attempt)
     }
 
-    /// Requests on a connection the status of all attempts for which it is not requested on another.
+    /// Builds the request, to be sent on the given connection, for the status of all unresolved attempts whose status
+    /// is not requested on another connection.
     pub(super) fn resume_on(&mut self, connection: ConnectionId) -> Option<Payload> {
         let mut numbers = Vec::new();
         for (number, requested_on) in &mut self.unresolved {
@@ -134,18 +135,18 @@
         (!numbers.is_empty()).then(|| Payload::Resume(AttemptNumbers { numbers }))
     }
 
-    /// Share of its full load that it takes at this point of the recovery ramp, up to 1.
+    /// Share of its full load at this point of the recovery ramp, up to 1.
     fn share(&self, now: Millis, ramp: Millis) -> f64 {
         if ramp <= 0.0 { 1.0 } else { ((now - self.recovered_at) / ramp).clamp(MIN_SHARE, 1.0) }
     }
 
-    /// Load for its share; the next attempt goes to the endpoint where this is lowest.
+    /// Load and round trip time relative to its share; the next attempt is sent to the endpoint with the lowest cost.
     pub(super) fn cost(&self, now: Millis, ramp: Millis) -> f64 {
         (self.attempts.len() as f64 + 1.0) * (1.0 + self.estimate.round_trip()) / self.share(now, ramp)
     }
 
-    /// Whether another attempt may be in flight. Few are allowed after a recovery, so that what queued up meanwhile
-    /// does not arrive all at once; after the ramp there is no bound.
+    /// Whether another attempt may be sent. Few may be in flight after a recovery, so that the attempts queued during
+    /// the outage do not arrive in one burst; after the ramp there is no limit.
     pub(super) fn has_capacity(&self, now: Millis, ramp: Millis) -> bool {
         let share = self.share(now, ramp);
         let capacity = if share >= 1.0 {
@@ -158,14 +159,14 @@
 
     /// Postpones the next connection attempt, and doubles the backoff.
     pub(super) fn back_off(&mut self, now: Millis) {
-        // A second connection that is lost at the same moment does not double the backoff again.
+        // If several connections are lost at the same time, the backoff is doubled only once.
         if now >= self.next_connect_at {
             self.next_connect_at = now + self.backoff;
             self.backoff = (self.backoff * 2.0).min(MAX_BACKOFF);
         }
     }
 
-    /// Starts the backoff from its beginning.
+    /// Resets the backoff to its initial value.
     pub(super) fn reset_backoff(&mut self) {
         self.backoff = INITIAL_BACKOFF;
     }
--- a/crates/deckproxy-sites/src/requester/exchange.rs
+++ b/crates/deckproxy-sites/src/requester/exchange.rs
@@ -1,4 +1,4 @@
-//! Exchanges: one request in flight to another site for all clients that want the same part of the same object.
+//! Exchanges: one forwarded request and its response, shared by all clients that request the same part of an object.
 
 use super::types::{ForwardedRequest, RequestToken, RetrySafety};
 use crate::frame::ResponseHead;
@@ -6,10 +6,10 @@
 use bytes::BytesMut;
 use std::collections::VecDeque;
 
-/// An exchange, by this side's number.
+/// Identifies an exchange; assigned by the requesting side.
 pub(super) type ExchangeId = u64;
 
-/// Requests with the same key may share one exchange.
+/// The key of an exchange: requests with the same key may share it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct CollapseKey {
     class: String,
@@ -18,7 +18,7 @@
 }
 
 impl CollapseKey {
-    /// The key of a request; `None` where it must not share an exchange.
+    /// The key of a request; `None` if it must not share an exchange.
     pub(super) fn of(request: &ForwardedRequest) -> Option<Self> {
         request.may_collapse.then(|| CollapseKey {
             class: request.request.class.clone(),
@@ -28,7 +28,7 @@
     }
 }
 
-/// A client's request that waits for an exchange.
+/// A client's request that waits for the response of an exchange.
 #[derive(Debug)]
 pub(super) struct Waiter {
     pub(super) token: RequestToken,
@@ -41,7 +41,7 @@
     /// The endpoint that it was sent to.
     pub(super) endpoint: usize,
     pub(super) number: u64,
-    /// The connection that its response comes on; `None`: that connection was lost.
+    /// The connection on which its response arrives; `None` if that connection was lost.
     pub(super) connection: Option<ConnectionId>,
     pub(super) sent_at: Millis,
     /// Expected size of the response, bytes.
@@ -50,37 +50,37 @@
     pub(super) response: Option<ResponseHead>,
     /// The body received so far.
     pub(super) body: BytesMut,
-    /// Whether the body comes in several chunks.
+    /// Whether the body arrives in several chunks.
     pub(super) is_chunked: bool,
     /// Credit window: offset up to which the serving side may send the body, bytes.
     pub(super) credit_limit: usize,
-    /// Tag of the cached copy that the request named.
+    /// Tag of the cached copy in the request.
     pub(super) cached_tag: Option<String>,
 }
 
 impl Attempt {
-    /// Whether a part of a body of several chunks has been received.
+    /// Whether a body of several chunks is partially received.
     pub(super) fn is_receiving(&self) -> bool {
         self.is_chunked && !self.body.is_empty()
     }
 }
 
-/// An exchange.
+/// An exchange: one forwarded request and its response.
 #[derive(Debug)]
 pub(super) struct Exchange {
-    /// The key under which other requests find it.
+    /// The key under which other requests join it; `None` if none may.
     pub(super) key: Option<CollapseKey>,
-    /// The requests that wait for it; the first one leads.
+    /// The requests that wait for its response; the first one is the leader.
     pub(super) waiters: VecDeque<Waiter>,
     pub(super) attempt: Option<Attempt>,
-    /// Whether an attempt was sent before.
+    /// Whether its next attempt is a retry.
     pub(super) is_retry: bool,
-    /// Set once it was queued for an endpoint: when it is rejected instead.
+    /// When it is rejected; set once it is queued for an endpoint.
     pub(super) queued_until: Option<Millis>,
 }
 
 impl Exchange {
-    /// An exchange that is led by its only request.
+    /// Creates an exchange whose only request is its leader.
     pub(super) fn new(key: Option<CollapseKey>, leader: Waiter) -> Self {
         Exchange {
             key,
@@ -91,12 +91,12 @@
         }
     }
 
-    /// Whether it waits for an endpoint.
+    /// Whether it is queued for an endpoint.
     pub(super) fn is_queued(&self) -> bool {
         self.attempt.is_none() && self.queued_until.is_some()
     }
 
-    /// Whether its leader may be executed twice.
+    /// Whether its leader's request is idempotent.
     pub(super) fn is_idempotent(&self) -> bool {
         self.waiters.front().is_some_and(|leader| leader.request.retry_safety == RetrySafety::Idempotent)
     }
--- a/crates/deckproxy-sites/src/requester/mod.rs
+++ b/crates/deckproxy-sites/src/requester/mod.rs
@@ -1,15 +1,15 @@
-//! The requesting side: exchanges to one other site, over connections to one or more of its gateways.
+//! The requesting side: exchanges with one other site, over connections to one or more of its gateways.
 //!
-//! An exchange is one request in flight for all clients that want the same part of the same object. It has at most one
-//! attempt in flight, over whatever endpoint. When an attempt's connection is lost, the attempt's status is unknown;
-//! it is requested as soon as any connection to that endpoint is up again, and until it is known no other attempt is
-//! sent for the exchange.
+//! An exchange is one forwarded request and its response, shared by all clients that request the same part of the same
+//! object. It has at most one attempt in flight, on one endpoint. When an attempt's connection is lost, the attempt's
+//! status is unknown; the status is requested as soon as any connection to that endpoint is up again, and until it is
+//! known no other attempt is sent for the exchange.
 //!
-//! - [`types`]: what goes in and what comes out.
-//! - `requests`: accepting, canceling and answering clients' requests.
-//! - `attempts`: choosing an endpoint, sending attempts, queueing for an endpoint, ending attempts.
-//! - `retries`: what follows an attempt that did not serve its request.
-//! - `connections`: handshake, lost connections, received messages.
+//! - [`types`]: inputs and outputs.
+//! - `requests`: accepting, collapsing, canceling and replying to clients' requests.
+//! - `attempts`: selecting an endpoint, sending attempts, queueing for an endpoint, ending attempts.
+//! - `retries`: retries and rejections after an attempt that did not serve its request.
+//! - `connections`: handshakes, lost connections, received messages.
 //! - `resume`: reattachment to attempts after a lost connection.
 //! - `responses`: response heads and bodies, with flow control.
 //! - `timers`: deadlines, heartbeats and timeouts.
@@ -39,7 +39,7 @@
 use retry_budget::RetryBudget;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// Exchanges to one site.
+/// The requesting side of the links to one site.
 #[derive(Debug)]
 pub struct Requester {
     limits: LinkLimits,
@@ -53,7 +53,7 @@
     deadlines: BTreeSet<(TimeKey, RequestToken)>,
     /// Exchanges that wait for an endpoint.
     queue: ExchangeQueue,
-    /// When the queue was last looked at.
+    /// When the queue was last checked.
     queue_checked_at: Millis,
     last_exchange: ExchangeId,
     retry_budget: RetryBudget,
@@ -64,8 +64,8 @@
 }
 
 impl Requester {
-    /// A requester without connections. `connections`: how many to keep open to each endpoint. `sessions`: a session
-    /// number for each endpoint, such as no other process uses.
+    /// Creates a requester without connections. `connections`: how many to keep open to each endpoint. `sessions`: one
+    /// globally unique session number for each endpoint.
     pub fn new(limits: LinkLimits, connections: usize, sessions: &[u64], now: Millis) -> Self {
         let endpoint = |session: &u64| Endpoint::new(*session, connections, &limits, now);
         Requester {
@@ -85,12 +85,12 @@
         }
     }
 
-    /// Takes the next effect that the caller has to carry out.
+    /// Removes and returns the next effect for the caller to execute.
     pub fn next_effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
 
-    /// What is open at the moment.
+    /// Counts the open exchanges, requests and unresolved attempts.
     pub fn open_counts(&self) -> OpenCounts {
         OpenCounts {
             exchanges: self.exchanges.len(),
@@ -105,7 +105,7 @@
         EndpointsUp { up, total: self.endpoints.len() }
     }
 
-    /// Fills in a hello's fields on the session with an endpoint.
+    /// Fills in the session fields of a hello to an endpoint.
     pub fn fill_hello(&self, endpoint: usize, hello: Hello) -> Hello {
         let Some(endpoint) = self.endpoints.get(endpoint) else { return hello };
         Hello {
@@ -117,12 +117,12 @@
         }
     }
 
-    /// Epoch of the process that was last seen at an endpoint.
+    /// Epoch in the last hello from an endpoint.
     pub fn epoch(&self, endpoint: usize) -> Option<u64> {
         self.endpoints.get(endpoint).and_then(|endpoint| endpoint.epoch)
     }
 
-    /// Opens no further connections, and closes those that are open once nothing crosses any more.
+    /// Stops opening connections, and closes the open ones once no exchange is open.
     pub fn close(&mut self) {
         self.is_closing = true;
     }
--- a/crates/deckproxy-sites/src/requester/queue.rs
+++ b/crates/deckproxy-sites/src/requester/queue.rs
@@ -1,4 +1,4 @@
-//! Exchanges that wait for an endpoint, and the ordered keys of times and priorities.
+//! The queue of exchanges that wait for an endpoint, and the ordered keys of times and priorities.
 
 use super::exchange::ExchangeId;
 use crate::Millis;
@@ -17,7 +17,7 @@
         TimeKey((time.max(0.0) * KEYS_PER_MS) as u64)
     }
 
-    /// A time by which this key has surely passed, ms.
+    /// The earliest time later than every time with this key, ms.
     pub(super) fn upper_bound(self) -> Millis {
         (self.0 + 1) as f64 / KEYS_PER_MS
     }
@@ -28,7 +28,8 @@
     ((1.0 - rank.clamp(0.0, 1.0)) * f64::from(u32::MAX)) as u32
 }
 
-/// Exchanges that wait for an endpoint. An entry may be outdated: the exchange may have been sent or have ended.
+/// Exchanges that wait for an endpoint. Entries may be outdated: an attempt may have been sent since, or the exchange
+/// may have ended.
 #[derive(Debug, Default)]
 pub(super) struct ExchangeQueue {
     /// By priority and then by age.
@@ -44,12 +45,12 @@
         self.by_timeout.insert((TimeKey::at(until), exchange));
     }
 
-    /// Takes the exchange of the highest priority, the oldest first.
+    /// Removes and returns the exchange of the highest priority, and of these the oldest.
     pub(super) fn pop_first(&mut self) -> Option<ExchangeId> {
         self.by_priority.pop_first().map(|(_, exchange)| exchange)
     }
 
-    /// Takes the next exchange whose timeout has passed.
+    /// Removes and returns the next exchange whose timeout has passed.
     pub(super) fn pop_timed_out(&mut self, now: Millis) -> Option<ExchangeId> {
         let (timeout, exchange) = self.by_timeout.first().copied()?;
         if timeout > TimeKey::at(now) {
--- a/crates/deckproxy-sites/src/requester/requests.rs
+++ b/crates/deckproxy-sites/src/requester/requests.rs
@@ -1,4 +1,4 @@
-//! Clients' requests: accepting, collapsing, canceling and answering them.
+//! Clients' requests: accepting, collapsing, canceling and replying to them.
 
 use super::Requester;
 use super::exchange::{CollapseKey, Exchange, ExchangeId, Waiter};
@@ -7,8 +7,8 @@
 use crate::Millis;
 
 impl Requester {
-    /// Accepts a request that is to cross. It joins an exchange in flight where it may, and gets one of its own
-    /// otherwise.
+    /// Accepts a request to be forwarded. It joins an exchange in flight if possible; otherwise an exchange is opened
+    /// for it.
     pub fn request(&mut self, now: Millis, token: RequestToken, request: ForwardedRequest) {
         self.counters.requests += 1;
         let key = CollapseKey::of(&request);
@@ -36,7 +36,7 @@
     fn open_exchange(&mut self, key: Option<CollapseKey>, leader: Waiter) -> ExchangeId {
         self.last_exchange += 1;
         let id = self.last_exchange;
-        // Where the exchange under this key has all the waiters that it may, the new one can't be joined.
+        // If the exchange under this key has reached its limit of waiters, the new exchange can't be joined.
         let key = key.filter(|key| !self.collapsible.contains_key(key));
         if let Some(key) = &key {
             self.collapsible.insert(key.clone(), id);
@@ -47,7 +47,7 @@
         id
     }
 
-    /// Cancels a request: its client does not wait any more.
+    /// Cancels a request whose client no longer waits.
     pub fn cancel(&mut self, now: Millis, token: RequestToken) {
         let Some(id) = self.requests.remove(&token) else { return };
         let Some(exchange) = self.exchanges.get_mut(&id) else { return };
@@ -59,14 +59,14 @@
         }
     }
 
-    /// Gives one request its final response.
+    /// Sends one request its final response.
     pub(super) fn reply(&mut self, waiter: &Waiter, reply: Reply) {
         self.requests.remove(&waiter.token);
         self.deadlines.remove(&(TimeKey::at(waiter.request.deadline), waiter.token));
         self.effects.push_back(Effect::Reply(waiter.token, reply));
     }
 
-    /// Gives all requests of an exchange their final response, and ends it.
+    /// Sends all requests of an exchange their final response, and ends the exchange.
     pub(super) fn reply_to_all(&mut self, now: Millis, id: ExchangeId, reply: &Reply) {
         let Some(exchange) = self.exchanges.get_mut(&id) else { return };
         for waiter in std::mem::take(&mut exchange.waiters) {
@@ -75,7 +75,7 @@
         self.end_exchange(now, id);
     }
 
-    /// Ends an exchange that no request waits for any more.
+    /// Ends an exchange that no request waits for.
     pub(super) fn end_exchange(&mut self, now: Millis, id: ExchangeId) {
         self.end_attempt(now, id, None);
         if let Some(exchange) = self.exchanges.remove(&id)
@@ -85,13 +85,13 @@
         }
     }
 
-    /// Ends the wait of a request whose deadline has passed.
+    /// Ends a request whose deadline has passed.
     pub(super) fn deadline_passed(&mut self, now: Millis, token: RequestToken) {
         let Some(id) = self.requests.get(&token).copied() else { return };
         let Some(exchange) = self.exchanges.get_mut(&id) else { return };
         let Some(waiter) = exchange.remove_waiter(token) else { return };
         let was_last = exchange.waiters.is_empty();
-        // What was never sent was not executed: a retry is harmless.
+        // A request that was never sent was not executed: a retry is safe.
         let was_sent = exchange.attempt.is_some() || exchange.is_retry;
         let reply =
             if was_sent { Reply::Failed } else { Reply::Rejected { retry_after: self.limits.retry_after } };
--- a/crates/deckproxy-sites/src/requester/responses.rs
+++ b/crates/deckproxy-sites/src/requester/responses.rs
@@ -1,4 +1,4 @@
-//! Responses: heads and bodies, credit windows, and what a complete response means for the requests that wait.
+//! Responses: heads and bodies, credit windows, and the delivery of complete responses to the requests that wait.
 
 use super::Requester;
 use super::exchange::{Attempt, ExchangeId};
@@ -11,18 +11,18 @@
 /// Largest body that is accepted, bytes.
 const MAX_BODY: usize = 16 * 1024 * 1024;
 
-/// What a chunk means for the body that it belongs to.
+/// The state of a body after one of its chunks.
 enum BodyProgress {
-    /// The attempt does not wait for it any more.
+    /// The attempt has ended, or is attached to another connection.
     Ignored,
-    /// More chunks are to come; with a larger credit window where the present one is half used.
+    /// More chunks follow; with a window update if at most half of the credit window is left.
     Partial(Option<WindowUpdate>),
     /// The body is complete.
     Complete(ExchangeId),
 }
 
 impl Requester {
-    /// The attempt whose response may come on a connection, with its exchange.
+    /// The attempt whose response may arrive on a connection, with its exchange.
     fn attempt_on(
         &mut self,
         endpoint: usize,
@@ -34,7 +34,7 @@
         (attempt.connection == Some(connection)).then_some((id, attempt))
     }
 
-    /// Takes a response's head. Returns whether it is acceptable.
+    /// Processes the head of a response. Returns whether it is valid.
     pub(super) fn response_head(
         &mut self,
         now: Millis,
@@ -57,7 +57,7 @@
         true
     }
 
-    /// Takes a chunk of a response's body. Returns whether it is acceptable.
+    /// Processes a chunk of a response's body. Returns whether it is valid.
     pub(super) fn body_chunk(
         &mut self,
         now: Millis,
@@ -85,7 +85,7 @@
             };
         }
         if let Some(endpoint) = self.endpoints.get_mut(endpoint_index) {
-            // The first chunk was in flight before: it says nothing about the throughput.
+            // The first chunk only starts the sample: the time in which it was received is not known.
             if is_first_of_several {
                 endpoint.estimate.body_started(now);
             } else {
@@ -102,7 +102,7 @@
         true
     }
 
-    /// Takes a complete response.
+    /// Processes a complete response: retries if its copy is stale, and delivers it otherwise.
     fn response_complete(&mut self, now: Millis, id: ExchangeId, purges: &PurgeLog) {
         let Some(attempt) = self.exchanges.get_mut(&id).and_then(|exchange| exchange.attempt.as_mut()) else {
             return;
@@ -116,7 +116,7 @@
             endpoint.estimate.body_ended(now);
         }
         self.end_attempt(now, id, Some(body.len()));
-        // The copy was at least that much younger when the attempt was sent: this is the earliest time of its issue.
+        // The head was sent after the attempt, so the copy was issued at this time at the earliest.
         let issued_at = head.copy_age.map(|age| sent_at - age);
         let Some(exchange) = self.exchanges.get(&id) else { return };
         let Some(leader) = exchange.waiters.front() else { return self.end_exchange(now, id) };
@@ -130,7 +130,7 @@
         self.deliver_response(now, id, head, body, issued_at, cached_tag.as_deref());
     }
 
-    /// Passes a complete response to the requests for which it holds.
+    /// Delivers a complete response to the requests to which it applies.
     fn deliver_response(
         &mut self,
         now: Millis,
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Answers the requests that have the same copy cached; for the others another attempt is sent.
+    /// Replies to the requests that have the same copy cached; for the others another attempt is sent.
     fn not_modified(&mut self, now: Millis, id: ExchangeId, cached_tag: Option<&str>, reply: &Reply) {
         let Some(exchange) = self.exchanges.get_mut(&id) else { return };
         let waiters = std::mem::take(&mut exchange.waiters);
--- a/crates/deckproxy-sites/src/requester/resume.rs
+++ b/crates/deckproxy-sites/src/requester/resume.rs
@@ -1,4 +1,4 @@
-//! Reattachment: what becomes of attempts whose connection was lost.
+//! Reattachment: resolves the status of attempts whose connection was lost.
 
 use super::Requester;
 use super::exchange::ExchangeId;
@@ -7,7 +7,7 @@
 use crate::{ConnectionId, Millis};
 
 impl Requester {
-    /// Detaches all attempts from a lost connection. Those of which no byte was written are sent again at once; the
+    /// Detaches all attempts from a lost connection. Those of which no byte was written are retried immediately; the
     /// status of the others is requested on another connection.
     pub(super) fn detach_attempts(
         &mut self,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Takes the status of an attempt, if it was requested on this connection.
+    /// Processes the status of an attempt, if it was requested on this connection.
     pub(super) fn status_received(
         &mut self,
         now: Millis,
@@ -68,15 +68,15 @@
         }
     }
 
-    /// The serving side can't tell the status of any attempt any more.
+    /// Resolves all attempts as unknown: the serving side has no state of the session.
     pub(super) fn resolve_all_as_unknown(&mut self, now: Millis, index: usize, connection: ConnectionId) {
         for number in std::mem::take(&mut self.endpoints[index].unresolved).into_keys() {
             self.resolve(now, index, number, AttemptState::Unknown, connection);
         }
     }
 
-    /// Takes the status of an attempt whose connection was lost. `connection`: where its response comes, if there will
-    /// be one.
+    /// Acts on the status of an attempt whose connection was lost. `connection`: where its response arrives, if one
+    /// follows.
     pub(super) fn resolve(
         &mut self,
         now: Millis,
@@ -100,7 +100,7 @@
                     connection.attempts += 1;
                 }
             }
-            // The attempt is fenced: the same as if it had never been sent.
+            // The attempt is fenced, so that it will not be executed: a retry is safe.
             AttemptState::NeverReceived => {
                 self.end_attempt(now, id, None);
                 self.retry(now, id);
--- a/crates/deckproxy-sites/src/requester/retries.rs
+++ b/crates/deckproxy-sites/src/requester/retries.rs
@@ -1,17 +1,18 @@
-//! What follows an attempt that did not serve its request: retries within the budget, and retry-after advice.
+//! Retries within the budget after an attempt that did not serve its request, and retry-after times.
 
 use super::Requester;
 use super::exchange::ExchangeId;
 use super::types::Reply;
 use crate::Millis;
 
-/// Multiplier that spreads the low bits of exchange numbers (2^64 divided by the golden ratio).
+/// Multiplier of Fibonacci hashing (2^64 divided by the golden ratio), applied to exchange numbers.
 const JITTER_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Bits of the spread that are used.
+/// Bits of the hash used as jitter.
 const JITTER_BITS: u32 = 24;
 
 impl Requester {
-    /// Gives the leader a response that holds for it alone; the next waiter leads, if the retry budget allows it.
+    /// Sends the leader a response that applies to it alone. The next waiter becomes the leader if the retry budget
+    /// allows another attempt; otherwise the waiters are rejected.
     pub(super) fn reply_to_leader(&mut self, now: Millis, id: ExchangeId, reply: &Reply) {
         let Some(exchange) = self.exchanges.get_mut(&id) else { return };
         let Some(leader) = exchange.waiters.pop_front() else { return self.end_exchange(now, id) };
@@ -27,8 +28,8 @@
         self.send_attempt(now, id);
     }
 
-    /// Sends another attempt for the same leader, if the retry budget allows it. The caller has checked that a second
-    /// execution does no harm or that there was none.
+    /// Sends another attempt for the same leader if the retry budget allows it, and rejects all requests of the
+    /// exchange otherwise. The caller has checked that the request is idempotent or was not executed.
     pub(super) fn retry(&mut self, now: Millis, id: ExchangeId) {
         if !self.retry_budget.withdraw() {
             return self.reject_all(now, id);
@@ -45,7 +46,8 @@
         self.reply_to_all(now, id, &reply);
     }
 
-    /// Retry-after while no endpoint is up, ms: past the next connection attempt, spread by the exchange's number.
+    /// Retry-after while no endpoint is available, ms: after the next connection attempt, with jitter derived from the
+    /// exchange's number.
     pub(super) fn retry_after_reconnect(&self, now: Millis, id: ExchangeId) -> Millis {
         let next_connects = self
             .endpoints
--- a/crates/deckproxy-sites/src/requester/retry_budget.rs
+++ b/crates/deckproxy-sites/src/requester/retry_budget.rs
@@ -1,28 +1,28 @@
-//! The budget of retries: each first attempt earns a fraction of one.
+//! The retry budget: each first attempt adds a fraction of a retry.
 
-/// Retries that can be saved up, and that are available at the start.
+/// Most retries that accumulate; also the number available at the start.
 const CAPACITY: f64 = 20.0;
 
-/// A token bucket that is filled by first attempts.
+/// A token bucket that first attempts refill.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RetryBudget {
     available: f64,
-    /// Retries earned by one first attempt.
+    /// Retries added by one first attempt.
     ratio: f64,
 }
 
 impl RetryBudget {
-    /// A full budget.
+    /// Creates a full budget.
     pub(super) fn new(ratio: f64) -> Self {
         RetryBudget { available: CAPACITY, ratio }
     }
 
-    /// Earns the fraction of a first attempt.
+    /// Adds the fraction for a first attempt.
     pub(super) fn deposit(&mut self) {
         self.available = (self.available + self.ratio).min(CAPACITY);
     }
 
-    /// Spends one retry; `false` where none is available.
+    /// Consumes one retry; returns `false` if none is available.
     pub(super) fn withdraw(&mut self) -> bool {
         if self.available < 1.0 {
             return false;
--- a/crates/deckproxy-sites/src/requester/timers.rs
+++ b/crates/deckproxy-sites/src/requester/timers.rs
@@ -1,4 +1,4 @@
-//! Timers: deadlines, the queue, heartbeats, silent connections, reconnects and the resume timeout.
+//! Timers: deadlines, the queue, heartbeats, silence timeouts, reconnects and the resume timeout.
 
 use super::Requester;
 use super::endpoint::{Endpoint, PendingHeartbeat};
@@ -10,15 +10,15 @@
 use crate::{ConnectionId, Millis};
 use std::collections::BTreeMap;
 
-/// Interval at which the queue is looked at while an endpoint is up: its capacity grows along the recovery ramp, ms.
+/// Interval at which the queue is checked while an endpoint is up, ms: its capacity grows during the recovery ramp.
 const QUEUE_INTERVAL: Millis = 10.0;
-/// Margin after which a timeout has surely passed, ms.
+/// Margin added to a timeout so that it has passed when its timer fires, ms.
 const TIMEOUT_MARGIN: Millis = 1.0;
-/// Stands for no connection where an attempt is resolved without one.
+/// Placeholder for an attempt that is resolved without a connection.
 const NO_CONNECTION: ConnectionId = 0;
 
 impl Requester {
-    /// Carries out what is due. `unix_time`: now, as Unix time.
+    /// Processes expired timers. `unix_time`: the current Unix time.
     pub fn tick(&mut self, now: Millis, unix_time: Millis, purges: &PurgeLog) {
         while let Some((deadline, token)) = self.deadlines.first().copied()
             && deadline <= TimeKey::at(now)
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Carries out what is due at one endpoint. Returns the attempts whose status can't be learned any more.
+    /// Processes the expired timers of one endpoint. Returns the attempts whose status can no longer be determined.
     fn tick_endpoint(&mut self, now: Millis, unix_time: Millis, index: usize, purges: &PurgeLog) -> Vec<u64> {
         let endpoint = &mut self.endpoints[index];
         endpoint.estimate.tick(now);
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Closes silent connections, and all of them once a closing requester has no exchange left.
+    /// Closes silent connections, and all connections once a closing requester has no open exchange.
     fn close_idle_connections(&mut self, now: Millis, index: usize) {
         let silence_timeout = self.limits.silence_timeout;
         let connections = &self.endpoints[index].connections;
@@ -97,7 +97,7 @@
         }
     }
 
-    /// When [`Requester::tick`] has to be called next, at the latest.
+    /// The time by which [`Requester::tick`] must be called next.
     pub fn next_timer(&self) -> Option<Millis> {
         let deadline = self.deadlines.first().map(|(deadline, _)| deadline.upper_bound());
         let endpoints = self.endpoints.iter().filter_map(|endpoint| self.next_endpoint_timer(endpoint));
