--- a/crates/deckproxy-sites/src/site/config.rs
+++ b/crates/deckproxy-sites/src/site/config.rs
@@ -1,32 +1,32 @@
-//! How a gateway between sites is set up.
+//! The configuration of a gateway between sites.
 
 use crate::routes::RouteRule;
 use crate::{LinkLimits, TrustLimits};
 
-/// A peer: another site to which links are opened.
+/// A peer: another site to which this site opens links.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerConfig {
-    /// The site.
+    /// The peer's site name.
     pub site: String,
-    /// Number of its gateways; their addresses are the caller's.
+    /// Number of its gateways; their addresses are known to the caller only.
     pub endpoints: usize,
-    /// Connections to keep open to each of them.
+    /// Number of connections to keep open to each gateway.
     pub connections: usize,
 }
 
 /// The configuration of a gateway between sites.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SiteConfig {
-    /// This site.
+    /// This site's name.
     pub own_site: String,
-    /// The sites to which links are opened.
+    /// The peers to which links are opened.
     pub peers: Vec<PeerConfig>,
     /// The routes.
     pub rules: Vec<RouteRule>,
-    /// Sites that a request may pass.
+    /// Most sites that a request may pass.
     pub max_hops: u32,
     /// Limits of the links.
     pub link: LinkLimits,
-    /// Limits of the trust in copies.
+    /// Conditions under which copies are trusted.
     pub trust: TrustLimits,
 }
--- a/crates/deckproxy-sites/src/site/connections.rs
+++ b/crates/deckproxy-sites/src/site/connections.rs
@@ -1,4 +1,4 @@
-//! Connections: opening, handshakes, and their end.
+//! Connections: opening, handshakes and closing.
 
 use super::effects::{Effect, LogEvent};
 use super::{Peer, SiteGateway};
@@ -6,17 +6,17 @@
 use crate::frame::{Goodbye, Hello, Payload, VERSION};
 use crate::{ConnectionId, Millis, saturating_u32};
 
-/// Longest site name that is accepted in a hello, bytes.
+/// Longest site name accepted in a hello, bytes.
 const MAX_SITE_NAME: usize = 63;
 
 /// Which side opened a connection, and the state of its handshake.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Role {
-    /// This side opened it, to request over it.
+    /// This side opened it, and sends requests on it.
     Requester {
         peer: usize,
         endpoint: usize,
-        /// The peer's hello was accepted.
+        /// Whether the peer's hello was accepted.
         is_up: bool,
     },
     /// The other side opened it, and has not sent its hello yet.
@@ -37,7 +37,7 @@
 }
 
 impl SiteGateway {
-    /// The site at the other end of a connection, once it is known.
+    /// The site at the other end of a connection; `None` until it is known.
     pub fn site_of(&self, connection: ConnectionId) -> Option<&str> {
         match self.roles.get(&connection)? {
             Role::Requester { peer, .. } => self.peers.get(*peer).map(|peer| &*peer.site),
@@ -46,7 +46,7 @@
         }
     }
 
-    /// A connection to a peer's endpoint is open: sends the hello.
+    /// Records that a connection to a peer's endpoint was opened, and sends the hello.
     pub fn connected(&mut self, now: Millis, peer: usize, endpoint: usize, connection: ConnectionId) {
         let Some(Peer { site, requester, .. }) = self.peers.get_mut(peer) else { return };
         requester.connected(now, endpoint, connection);
@@ -63,7 +63,7 @@
         self.collect_requester_effects(peer);
     }
 
-    /// A connection to a peer's endpoint could not be opened.
+    /// Records that a connection to a peer's endpoint could not be opened.
     pub fn connect_failed(&mut self, now: Millis, peer: usize, endpoint: usize) {
         if let Some(entry) = self.peers.get_mut(peer) {
             entry.requester.connect_failed(now, endpoint);
@@ -71,12 +71,12 @@
         }
     }
 
-    /// A connection was accepted.
+    /// Records that a connection was accepted.
     pub fn accepted(&mut self, now: Millis, connection: ConnectionId) {
         self.roles.insert(connection, Role::AwaitingHello { since: now });
     }
 
-    /// A connection has ended. `unsent`: attempts of which no byte was written to it.
+    /// Records the end of a connection. `unsent`: attempts of which no byte was written to it.
     pub fn disconnected(&mut self, now: Millis, connection: ConnectionId, unsent: &[u64]) {
         match self.roles.remove(&connection) {
             Some(Role::Requester { peer, endpoint, is_up }) => {
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Bytes were received on a connection, though perhaps no complete frame: on a slow link one chunk of a body can
-    /// take longer than the silence timeout.
+    /// Records that bytes were received on a connection, even if no complete frame was: on a slow link one chunk of a
+    /// body can take longer than the silence timeout.
     pub fn mark_alive(&mut self, now: Millis, connection: ConnectionId) {
         match self.roles.get(&connection) {
             Some(Role::Requester { peer, is_up: true, .. }) => {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Checks a hello. `expected_site`: the site that is configured at the other end, where one is.
+    /// Validates a hello. `expected_site`: the site that is configured at the other end, if any.
     fn check_hello(&self, hello: &Hello, expected_site: Option<&str>) -> Result<(), HelloError> {
         let own = &self.own_site;
         if hello.version != VERSION {
@@ -131,7 +131,7 @@
         }
     }
 
-    /// The peer's endpoint answered this side's hello.
+    /// Processes the hello that a peer's endpoint sent in response to this side's.
     pub(super) fn receive_hello_as_requester(
         &mut self,
         now: Millis,
@@ -145,7 +145,7 @@
         }
         let acknowledged = self.purges.hello_received(now, hello);
         self.roles.insert(connection, Role::Requester { peer, endpoint, is_up: true });
-        // Purges first: what is requested on this connection is requested after them.
+        // Purges are sent first, so that the other side receives them before any request on this connection.
         self.send_purges_after(now, connection, acknowledged);
         let requester = &mut self.peers[peer].requester;
         let before = requester.endpoints_up();
@@ -158,7 +158,7 @@
         self.collect_requester_effects(peer);
     }
 
-    /// A gateway that connected to this one sent its hello.
+    /// Processes the hello of a gateway that connected to this one, and responds with this side's.
     pub(super) fn receive_hello_as_responder(
         &mut self,
         now: Millis,
@@ -184,13 +184,13 @@
         self.send_purges_after(now, connection, acknowledged);
         self.responder.hello_received(now, connection, hello);
         self.collect_responder_effects();
-        // A site that can connect to this one can most likely be connected to.
+        // A site that can connect to this one is most likely reachable from here.
         if let Some(peer) = self.peer_index(&hello.site) {
             self.peers[peer].requester.reconnect_now(now);
         }
     }
 
-    /// Sends a connection the purges that its other side lacks.
+    /// Sends the purges after the given number on a connection.
     fn send_purges_after(&mut self, now: Millis, connection: ConnectionId, number: u64) {
         let missing = self.purges.entries_after(now, number);
         self.effects.extend(missing.map(|purge| Effect::Send(connection, Payload::Purge(purge).into())));
@@ -214,7 +214,7 @@
         self.close(now, connection, CloseReason::HelloRejected(error));
     }
 
-    /// Closes the connections whose other side did not send its hello in time.
+    /// Closes the accepted connections on which no hello was received within the silence timeout.
     pub(super) fn close_without_hello(&mut self, now: Millis) {
         let silence_timeout = self.link.silence_timeout;
         let is_late =
@@ -231,7 +231,7 @@
         self.disconnected(now, connection, &[]);
     }
 
-    /// Writes a line for the operators.
+    /// Queues a log line.
     pub(super) fn log(&mut self, event: LogEvent) {
         self.effects.push_back(Effect::Log(event));
     }
--- a/crates/deckproxy-sites/src/site/copy_age.rs
+++ b/crates/deckproxy-sites/src/site/copy_age.rs
@@ -1,16 +1,17 @@
-//! The limit on the age of own copies while a peer is unreachable.
+//! The age limit on this site's copies while a peer is unreachable.
 
 use super::SiteGateway;
 use super::effects::{Effect, LogEvent};
 use crate::Millis;
 use crate::purges::Distrust;
 
-/// Share of the grace after which the limit is renewed.
+/// Share of the grace period after which the limit is renewed.
 const RENEWAL_SHARE: f64 = 0.2;
 
 impl SiteGateway {
-    /// Limits the age of own copies to the grace while a peer that may have been notified of purges of this site's
-    /// objects is unreachable: a copy within the limit is younger than any purge that must be in force by now.
+    /// Limits the age of this site's copies to the grace period while a peer that may have been notified of purges of
+    /// this site's objects is unreachable: a copy within the limit is younger than any purge that must be enforced by
+    /// now.
     pub(super) fn limit_copy_age(&mut self, now: Millis) {
         let unreachable = self.unreachable_peer(now).filter(|_| !self.trust.serve_when_partitioned);
         let Some(site) = unreachable else {
@@ -26,12 +27,12 @@
         if self.copy_age_limited_at.is_none_or(|at| now - at >= grace * RENEWAL_SHARE) {
             self.copy_age_limited_at = Some(now);
             self.copy_age_limits += 1;
-            // Copies grow older until the next renewal; another interval is left as a margin.
+            // Copies age until the next renewal; a second interval is left as a margin.
             self.effects.push_back(Effect::LimitCopyAge(grace * (1.0 - 2.0 * RENEWAL_SHARE)));
         }
     }
 
-    /// The first peer whose purges may be missing here.
+    /// The first peer whose purges this site may lack.
     fn unreachable_peer(&self, now: Millis) -> Option<String> {
         let is_unreachable = |site: &str| {
             let trust = self.purges.check_trust(now, site);
--- a/crates/deckproxy-sites/src/site/effects.rs
+++ b/crates/deckproxy-sites/src/site/effects.rs
@@ -1,4 +1,4 @@
-//! What a gateway between sites decides: destinations, effects, log lines.
+//! Outputs of a gateway between sites: destinations, effects and log events.
 
 use crate::close::{CloseReason, HelloError};
 use crate::frame::{Frame, Request};
@@ -11,20 +11,20 @@
 /// Where a request is served.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Destination {
-    /// At this site.
+    /// On this site.
     Local,
-    /// Over the links to that site.
+    /// On that site, over the links to it.
     Remote(String),
-    /// Nowhere.
+    /// It can't be routed.
     Unroutable(Unroutable),
 }
 
 /// Why a request can't be routed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unroutable {
-    /// It would return to a site that it passed.
+    /// It would return to a site that it has passed.
     Loop,
-    /// It passed the most sites that it may.
+    /// It has passed as many sites as it may.
     TooManyHops,
 }
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// What the caller has to do.
+/// An action for the caller to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Open a connection to a peer's gateway.
@@ -50,23 +50,23 @@
     },
     /// Send a frame on a connection.
     Send(ConnectionId, Frame),
-    /// Close a connection once everything before is written.
+    /// Close a connection once all earlier frames are written.
     Close(ConnectionId, CloseReason),
-    /// Pass the final response to the client of a request that crossed.
+    /// Pass the final response to the client of a forwarded request.
     Reply(RequestToken, Reply),
     /// Execute a request that was received over a link.
     Run(RunId, Request),
-    /// Cancel an execution: no one waits for it any more.
+    /// Cancel an execution: the requesting side no longer waits for it.
     Cancel(RunId),
-    /// Apply a purge that another site notified.
+    /// Apply a purge that another site relayed.
     Purge(PurgeNotice),
-    /// Purges may be missing: serve no copy that is older than this, ms.
+    /// Serve no copy older than this, ms, because purges may be missing.
     LimitCopyAge(Millis),
-    /// Write a line for the operators.
+    /// Write a log line.
     Log(LogEvent),
 }
 
-/// A line for the operators. Its text is part of the operators' manual.
+/// An event for the operators' log. The operators' manual lists the texts.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogEvent {
     /// A peer's endpoint came up.
@@ -75,7 +75,7 @@
         site: String,
         /// Index of the endpoint.
         endpoint: usize,
-        /// How many of the peer's endpoints are up now.
+        /// The number of the peer's endpoints that are up now.
         endpoints: EndpointsUp,
     },
     /// A peer's endpoint lost its last connection.
@@ -84,23 +84,23 @@
         site: String,
         /// Index of the endpoint.
         endpoint: usize,
-        /// How many of the peer's endpoints are up now.
+        /// The number of the peer's endpoints that are up now.
         endpoints: EndpointsUp,
     },
-    /// The other side's hello is not acceptable.
+    /// The other side's hello was rejected.
     HelloRejected(HelloError),
-    /// The other side closes a connection, and why.
+    /// The other side closes a connection, for the given reason.
     Goodbye(String),
-    /// There is a gap in a peer's purge log.
+    /// A gap was detected in a peer's purge log.
     PurgesMissing,
-    /// Own copies may be served up to an age only.
+    /// This site's copies are served only up to an age.
     CopyAgeLimited {
         /// The site that is unreachable.
         site: String,
         /// The largest age, ms.
         max_age: Millis,
     },
-    /// Own copies of any age may be served again.
+    /// This site's copies are served at any age again.
     CopyAgeUnlimited,
 }
 
@@ -129,7 +129,7 @@
     }
 }
 
-/// Requests for copies that were sent to the home, by why the copies were not trusted.
+/// Requests sent to the home because copies were not trusted, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DistrustCounters {
     /// The lease had expired.
@@ -141,7 +141,7 @@
 }
 
 impl DistrustCounters {
-    /// Counts a request.
+    /// Counts a request that is sent to the home.
     pub(super) fn count(&mut self, distrust: Distrust) {
         match distrust {
             Distrust::LeaseExpired => self.lease_expired += 1,
--- a/crates/deckproxy-sites/src/site/messages.rs
+++ b/crates/deckproxy-sites/src/site/messages.rs
@@ -1,4 +1,4 @@
-//! Received frames: which side takes them, and what is not allowed.
+//! Received frames: dispatch to the requesting or the serving side, and rejection of messages that are not allowed.
 
 use super::SiteGateway;
 use super::connections::Role;
@@ -7,14 +7,14 @@
 use crate::frame::{Frame, Heartbeat, Payload, Purge, Request};
 use crate::{ConnectionId, Millis};
 
-/// Characters of a goodbye's reason that are logged.
+/// Most characters of a goodbye's reason that are logged.
 const MAX_REASON: usize = 200;
-/// Most sites that a request may have passed; more is not allowed whatever the configuration.
+/// Most sites that a received request may have passed, whatever the configuration.
 const MAX_SITE_PATH: usize = 16;
 
 impl SiteGateway {
-    /// Takes a frame. `unix_time`: now, as Unix time. Frames without a known message, and those of connections that
-    /// were closed, are ignored.
+    /// Processes a frame. `unix_time`: the current Unix time. Frames without a known message, and those from closed
+    /// connections, are ignored.
     pub fn receive(&mut self, now: Millis, unix_time: Millis, connection: ConnectionId, frame: Frame) {
         let Some(payload) = frame.payload else { return };
         let Some(role) = self.roles.get(&connection).cloned() else { return };
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Whether a request from a site can't have been forwarded as it says.
+    /// Whether the site path of a request is invalid for one that the given site forwarded.
     fn is_misrouted(&self, from_site: &str, request: &Request) -> bool {
         let path = &request.site_path;
         path.last().is_none_or(|last| last != from_site)
@@ -111,7 +111,7 @@
         self.responder.mark_alive(now, connection);
         self.responder.forget_below(connection, heartbeat.lowest_open_attempt);
         self.collect_responder_effects();
-        // Messages on one connection arrive in order: all purges up to this number arrive before it.
+        // Messages on one connection arrive in order: all purges up to this number arrive before this response.
         let pong = Heartbeat {
             sequence: heartbeat.sequence,
             unix_time,
@@ -122,7 +122,7 @@
         self.effects.push_back(Effect::Send(connection, Payload::Pong(pong).into()));
     }
 
-    /// Takes a relayed purge: applies it here and passes it on, if it is new.
+    /// Processes a relayed purge: if it is new, applies it on this site and relays it.
     fn purge_received(&mut self, now: Millis, from_epoch: u64, purge: Purge) {
         let gaps_before = self.purges.gaps;
         if let Some((notice, number)) = self.purges.received(now, from_epoch, purge) {
--- a/crates/deckproxy-sites/src/site/mod.rs
+++ b/crates/deckproxy-sites/src/site/mod.rs
@@ -1,9 +1,9 @@
-//! One gateway between sites: the routes, a requesting side for each peer, the serving side, and the purge log.
+//! One gateway between sites: the routes, a requesting side for each peer, the serving side and the purge log.
 //!
-//! - [`config`]: how it is set up.
-//! - [`effects`]: what it decides.
-//! - `requests`: destinations, and requests that cross.
-//! - `connections`: connections, handshakes and their end.
+//! - [`config`]: the configuration.
+//! - [`effects`]: destinations, effects and log events.
+//! - `requests`: routing and forwarding of requests.
+//! - `connections`: opening, handshakes and closing of connections.
 //! - `messages`: received frames.
 //! - `copy_age`: the limit on the age of own copies while a peer is unreachable.
 
@@ -25,19 +25,18 @@
 use connections::Role;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// A peer and the exchanges to it.
+/// A peer and the requesting side towards it.
 #[derive(Debug)]
 struct Peer {
     site: String,
     requester: Requester,
-    /// It was removed from the configuration; the exchanges in flight come to their end.
+    /// Whether it was removed from the configuration; open exchanges are completed.
     is_removed: bool,
 }
 
 /// A gateway between sites.
 #[derive(Debug)]
 pub struct SiteGateway {
-    #[allow(clippy::struct_field_names, reason = "tells this site from those of its peers")]
     own_site: String,
     max_hops: u32,
     link: LinkLimits,
@@ -48,19 +47,19 @@
     responder: Responder,
     purges: PurgeLog,
     roles: BTreeMap<ConnectionId, Role>,
-    /// The peer that each request crosses to.
+    /// The index of the peer that each request is forwarded to.
     requests: HashMap<RequestToken, usize>,
     effects: VecDeque<Effect>,
-    /// When the age of own copies was limited last; `None` while it is not.
+    /// When the age of this site's copies was last limited; `None` while it is not.
     copy_age_limited_at: Option<Millis>,
-    /// How often the age of own copies was limited since the start.
+    /// How often the age of this site's copies was limited since the start.
     pub copy_age_limits: u64,
-    /// Requests for copies that were sent to the home since the start.
+    /// Requests sent to the home since the start because copies were not trusted.
     pub distrusted: DistrustCounters,
 }
 
 impl SiteGateway {
-    /// A gateway whose process has just started. `epoch`: a number that no other process uses.
+    /// Creates a gateway whose process has just started. `epoch`: a number that no other process uses.
     pub fn new(config: SiteConfig, epoch: u64, now: Millis) -> Self {
         let mut site = SiteGateway {
             peers: Vec::new(),
@@ -85,7 +84,7 @@
         site
     }
 
-    /// Takes the next effect that the caller has to carry out.
+    /// Removes and returns the next effect for the caller to execute.
     pub fn next_effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
@@ -100,7 +99,7 @@
         &self.link
     }
 
-    /// The limits of the trust in copies.
+    /// The conditions under which copies are trusted.
     pub fn trust_limits(&self) -> &TrustLimits {
         &self.trust
     }
@@ -135,7 +134,7 @@
         index
     }
 
-    /// Removes a peer: nothing new crosses to it, and its links close once nothing is in flight on them.
+    /// Removes a peer: no new requests are forwarded to it, and its links are closed once no exchange is open on them.
     pub fn remove_peer(&mut self, peer: usize) {
         if let Some(peer) = self.peers.get_mut(peer) {
             peer.requester.close();
@@ -143,18 +142,18 @@
         }
     }
 
-    /// The index of a site that is a peer.
+    /// The index of the peer with the given site name.
     fn peer_index(&self, site: &str) -> Option<usize> {
         self.peers.iter().position(|peer| peer.site == site && !peer.is_removed)
     }
 
-    /// The site's own feed notified a purge.
+    /// Processes a purge from the site's own feed: logs it and sends it to the peers.
     pub fn purge_notified(&mut self, now: Millis, notice: PurgeNotice) {
         let number = self.purges.notified(now, notice);
         self.broadcast_purge(now, number);
     }
 
-    /// Carries out what is due. `unix_time`: now, as Unix time.
+    /// Processes expired timers. `unix_time`: the current Unix time.
     pub fn tick(&mut self, now: Millis, unix_time: Millis) {
         self.purges.tick(now);
         for index in 0..self.peers.len() {
@@ -167,18 +166,19 @@
         self.close_without_hello(now);
     }
 
-    /// When [`SiteGateway::tick`] has to be called next, at the latest.
+    /// The time by which [`SiteGateway::tick`] must be called next for the timers of the requesting sides. The timeouts
+    /// of the serving side, of handshakes and of the copy age limit are not included.
     pub fn next_timer(&self) -> Option<Millis> {
         self.peers.iter().filter_map(|peer| peer.requester.next_timer()).min_by(f64::total_cmp)
     }
 
-    /// The process ends soon: no new attempts are accepted over links.
+    /// Announces on all links that this process accepts no new attempts.
     pub fn go_away(&mut self, reason: &str, retry_after: Millis) {
         self.responder.go_away(reason, retry_after);
         self.collect_responder_effects();
     }
 
-    /// Passes on the effects of the requesting side towards a peer.
+    /// Queues the effects of the requesting side towards a peer.
     fn collect_requester_effects(&mut self, peer: usize) {
         while let Some(effect) = self.peers[peer].requester.next_effect() {
             self.effects.push_back(match effect {
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Passes on the effects of the serving side.
+    /// Queues the effects of the serving side.
     fn collect_responder_effects(&mut self) {
         while let Some(effect) = self.responder.next_effect() {
             self.effects.push_back(match effect {
@@ -212,12 +212,12 @@
     }
 }
 
-/// A session number for one endpoint of a peer, such as no other process uses.
+/// Derives the session number for one endpoint of a peer, which no other process uses.
 fn session_number(epoch: u64, peer: usize, endpoint: usize) -> u64 {
     mix_bits(epoch ^ mix_bits((peer as u64) << 32 | endpoint as u64))
 }
 
-/// Spreads a number's bits (the finalizer of `SplitMix64`).
+/// Mixes the bits of a number (the finalizer of `SplitMix64`).
 fn mix_bits(number: u64) -> u64 {
     let number = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let number = (number ^ (number >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/deckproxy-sites/src/site/requests.rs
+++ b/crates/deckproxy-sites/src/site/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: where they are served, and those that cross over links.
+//! Requests: routing, forwarding over links, and the results of received ones.
 
 use super::SiteGateway;
 use super::effects::{Destination, Effect, Unroutable};
@@ -8,8 +8,8 @@
 use crate::{ConnectionId, Millis};
 
 impl SiteGateway {
-    /// Where a request is served. `site_path`: the sites that forwarded it, the first one first; empty for a request
-    /// of this site's own clients.
+    /// Decides where a request is served. `site_path`: the sites that forwarded it, in the order in which it passed
+    /// them; empty for a request from this site's own clients.
     pub fn destination(
         &mut self,
         now: Millis,
@@ -35,7 +35,7 @@
         Destination::Remote(next_site.to_string())
     }
 
-    /// Accepts a request that is to cross to a site.
+    /// Accepts a request to be forwarded to a site.
     pub fn request(&mut self, now: Millis, token: RequestToken, site: &str, request: ForwardedRequest) {
         let Some(index) = self.peer_index(site) else {
             let reply = Reply::Rejected { retry_after: self.link.retry_after };
@@ -46,7 +46,7 @@
         self.collect_requester_effects(index);
     }
 
-    /// Cancels a request that crosses: its client does not wait any more.
+    /// Cancels a forwarded request whose client no longer waits.
     pub fn cancel(&mut self, now: Millis, token: RequestToken) {
         if let Some(index) = self.requests.remove(&token) {
             self.peers[index].requester.cancel(now, token);
@@ -54,18 +54,18 @@
         }
     }
 
-    /// Requests that wait for a response over a link.
+    /// Number of requests that wait for a response over a link.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// The execution of a request that was received over a link has ended.
+    /// Records the result of executing a request that was received over a link.
     pub fn run_ended(&mut self, now: Millis, run: RunId, result: RunResult) {
         self.responder.run_ended(now, run, result);
         self.collect_responder_effects();
     }
 
-    /// Takes the next chunk of a body for a connection that can send more.
+    /// Returns the next chunk of a body for a connection that can send more.
     pub fn next_chunk(&mut self, connection: ConnectionId) -> Option<Frame> {
         self.responder.next_chunk(connection).map(Frame::from)
     }
