--- a/crates/deckproxy-sites/src/routes/mod.rs
+++ b/crates/deckproxy-sites/src/routes/mod.rs
@@ -1,7 +1,7 @@
-//! Routes: which site is an object's home, and over which site a request reaches it.
+//! Routes: which site is an object's home, and to which site a request is forwarded to reach it.
 //!
 //! - [`rule`]: one route.
-//! - [`table`]: the index that requests are looked up in.
+//! - [`table`]: the index for looking up requests.
 //! - [`validation`]: errors within one site's routes, and between several sites'.
 
 pub mod rule;
--- a/crates/deckproxy-sites/src/routes/rule.rs
+++ b/crates/deckproxy-sites/src/routes/rule.rs
@@ -1,19 +1,19 @@
-//! One route, and the linear search that the index is compared with.
+//! One route, and the linear search that serves as a reference for the index.
 
-/// A route as it is configured.
+/// A configured route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteRule {
     /// The request class; `None` matches all.
     pub class: Option<String>,
-    /// Prefix of the object's number, left-aligned with zeros below.
+    /// Prefix of the object's number, left-aligned and padded with zeros.
     pub prefix: u64,
-    /// Hex digits of the prefix, 0 to 16.
+    /// Number of hex digits of the prefix, 0 to 16.
     pub prefix_digits: u32,
     /// First and last group, both included.
     pub groups: (u32, u32),
     /// The site that is the home of the objects.
     pub home: String,
-    /// The site that requests are forwarded to, where that is not the home itself.
+    /// The site that requests are forwarded to, if that is not the home itself.
     pub via: Option<String>,
     /// Whether this site's caches may serve copies of the objects.
     pub copies_allowed: bool,
@@ -48,7 +48,7 @@
     }
 }
 
-/// Finds a request's route by a linear search: the reference that the index is tested and measured against.
+/// Finds a request's route by a linear search: the reference for tests and benchmarks of the index.
 pub fn find_linear<'a>(
     own_site: &str,
     rules: &'a [RouteRule],
--- a/crates/deckproxy-sites/src/routes/table.rs
+++ b/crates/deckproxy-sites/src/routes/table.rs
@@ -1,8 +1,9 @@
 //! The route index.
 //!
-//! A prefix of hex digits is a range of object numbers, and two such ranges are disjoint or one contains the other. So
-//! the numbers fall into segments, each with one innermost prefix, which links to the next prefix around it. A look-up
-//! is one binary search over the segments' first numbers and a short walk outwards.
+//! A prefix of hex digits covers a range of object numbers, and two such ranges are disjoint or one contains the other.
+//! This divides the object numbers into segments, each with one innermost prefix, which refers to the prefix that
+//! encloses it. A look-up is one binary search over the segments' first numbers, followed by a short walk to the
+//! enclosing prefixes.
 
 use super::rule::RouteRule;
 use crate::saturating_u32;
@@ -11,9 +12,9 @@
 struct Prefix {
     /// The last object number with this prefix.
     last_object: u64,
-    /// The next prefix around this one.
+    /// The innermost prefix that encloses this one.
     enclosing: Option<u32>,
-    /// Indexes of its rules, those that name a class first.
+    /// Indexes of its rules; those for a single class are first.
     rules: Vec<u32>,
 }
 
@@ -30,16 +31,16 @@
 }
 
 impl RouteTable {
-    /// Builds the index; the rules have passed [`super::validate`].
+    /// Builds the index. The rules must have passed [`super::validate`].
     pub fn new(own_site: &str, rules: Vec<RouteRule>) -> Self {
-        // Outer prefixes before inner ones, and of the same prefix the rules that name a class first.
+        // Outer prefixes before inner ones; within a prefix, the rules for a single class first.
         let mut order: Vec<u32> = (0..saturating_u32(rules.len())).collect();
         order.sort_by_key(|index| {
             let rule = &rules[*index as usize];
             (rule.prefix, rule.prefix_digits, rule.class.is_none())
         });
         let mut table = RouteTable { own_site: own_site.to_string(), rules, ..RouteTable::default() };
-        // The prefixes around the current rule, the innermost last.
+        // The prefixes that enclose the current rule, the innermost last.
         let mut enclosing: Vec<u32> = Vec::new();
         let mut previous: Option<(u64, u32)> = None;
         for index in order {
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Closes the prefixes that no further rule lies behind.
+    /// Closes the prefixes that are still open after the last rule.
     fn close_remaining_prefixes(&mut self, mut enclosing: Vec<u32>) {
         while let Some(inner) = enclosing.pop() {
             if let Some(next_object) = self.prefixes[inner as usize].last_object.checked_add(1) {
@@ -95,7 +96,7 @@
         self.innermost.push(innermost);
     }
 
-    /// Finds a request's route to another site; `None`: the object's home is this site.
+    /// Finds a request's route to another site; `None` if the object's home is this site.
     pub fn find(&self, class: &str, group: u32, object: u64) -> Option<&RouteRule> {
         let segment = self.segment_starts.partition_point(|start| *start <= object).checked_sub(1)?;
         let mut current = self.innermost[segment];
@@ -110,7 +111,7 @@
         None
     }
 
-    /// Memory of the index without the rules, bytes.
+    /// Memory used by the index without the rules, bytes.
     pub fn index_bytes(&self) -> usize {
         let rules: usize = self.prefixes.iter().map(|prefix| prefix.rules.capacity() * 4).sum();
         self.segment_starts.capacity() * 8
--- a/crates/deckproxy-sites/src/routes/validation.rs
+++ b/crates/deckproxy-sites/src/routes/validation.rs
@@ -1,17 +1,17 @@
-//! Errors in routes: within one site's rules, and between the rules of several sites.
+//! Validation of routes: within one site's rules, and across the rules of several sites.
 
 use super::rule::RouteRule;
 use super::table::RouteTable;
 use std::collections::{BTreeMap, HashMap};
 use thiserror::Error;
 
-/// An error in a route of one site; its text does not name the place.
+/// An error in a route of one site; its text names neither the route nor the field.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{fault}")]
 pub struct RouteError {
     /// Index of the route in the list.
     pub route: usize,
-    /// The field of the operator file.
+    /// The field in the operator file.
     pub field: &'static str,
     /// What is wrong.
     pub fault: RouteFault,
@@ -20,25 +20,25 @@
 /// What is wrong with a route of one site.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RouteFault {
-    /// An earlier route matches some of the same requests.
+    /// An earlier route with the same class and prefix matches some of the same groups.
     #[error("matches the same as sites.routes[{other}]")]
     Overlap {
         /// Index of the earlier route.
         other: usize,
     },
-    /// A route of the site's own objects names a next site.
+    /// A route for the site's own objects names a next site.
     #[error("this site's own objects need no way")]
     ViaForOwnObjects,
     /// The next site is this site.
     #[error("the way comes back to this site")]
     ViaOwnSite,
-    /// The next site is not one that this site has links to.
+    /// The next site is not a peer of this site.
     #[error("no peer is named {next_site:?}")]
     UnknownPeer {
         /// The next site.
         next_site: String,
     },
-    /// A route of the site's own objects allows copies.
+    /// A route for the site's own objects allows copies.
     #[error("COPIES is for another site's objects")]
     CopiesOfOwnObjects,
 }
@@ -63,7 +63,7 @@
     Loop {
         /// Number of the object.
         object: u64,
-        /// The sites passed; the last one is there twice.
+        /// The sites passed; the last one appears twice.
         path: Vec<String>,
     },
     /// The request would pass more sites than the first site allows.
@@ -71,7 +71,7 @@
     TooManyHops {
         /// Number of the object.
         object: u64,
-        /// The most hops that the first site allows.
+        /// Largest number of hops that the first site allows.
         max_hops: u32,
         /// The sites passed.
         path: Vec<String>,
@@ -85,15 +85,15 @@
     pub site: String,
     /// Its routes.
     pub rules: Vec<RouteRule>,
-    /// Sites that a request may pass.
+    /// Most sites that a request may pass.
     pub max_hops: u32,
 }
 
-/// Finds the errors within one site's routes: rules that match the same requests, sites without a link, routes that
-/// lead back to this site.
+/// Finds the errors within one site's routes: overlapping rules, next sites that are not peers, routes that lead back
+/// to this site, and forwarding or copy settings on the site's own objects.
 pub fn validate(own_site: &str, peers: &[&str], rules: &[RouteRule]) -> Vec<RouteError> {
     type Matched<'a> = (Option<&'a str>, u64, u32);
-    // By class and prefix: the last group and the index of each rule, by its first group.
+    // For each class and prefix: the last group and the index of each rule, keyed by its first group.
     let mut group_ranges: HashMap<Matched<'_>, BTreeMap<u32, (u32, usize)>> = HashMap::new();
     let mut errors = Vec::new();
     for (route, rule) in rules.iter().enumerate() {
@@ -118,7 +118,7 @@
     errors
 }
 
-/// Errors in where one rule leads.
+/// Finds the errors in the destination and the mode of one rule.
 fn destination_errors(own_site: &str, peers: &[&str], route: usize, rule: &RouteRule) -> Vec<RouteError> {
     let mut errors = Vec::new();
     let mut error = |field, fault| errors.push(RouteError { route, field, fault });
@@ -137,7 +137,7 @@
 }
 
 /// Follows requests through the routes of several sites. Returns each route on which a request would pass a site twice
-/// or take too many hops.
+/// or exceed the hop limit.
 pub fn validate_together(sites: &[SiteRoutes]) -> Vec<ForwardingError> {
     let tables: Vec<RouteTable> =
         sites.iter().map(|site| RouteTable::new(&site.site, site.rules.clone())).collect();
@@ -152,8 +152,8 @@
     errors
 }
 
-/// Follows requests that one rule matches. Samples every combination of object and group at which any site's routes
-/// change within the rule, and returns the first fault.
+/// Follows requests that one rule matches, and returns the first fault. Samples every combination of object and group
+/// within the rule at which a rule of any site starts.
 fn first_forwarding_fault(
     sites: &[SiteRoutes],
     tables: &[RouteTable],
@@ -193,7 +193,7 @@
     loop {
         let Some(rule) = tables[current].find(class, group, object) else { return Ok(()) };
         let Some(next) = sites.iter().position(|site| site.site == rule.next_site()) else {
-            // The routes of that site were not given.
+            // The routes of that site are not among those to validate.
             return Ok(());
         };
         let is_loop = visited.contains(&next);
