--- a/crates/deckproxy-sites/src/close.rs
+++ b/crates/deckproxy-sites/src/close.rs
@@ -3,22 +3,22 @@
 use crate::frame::VERSION;
 use std::fmt;
 
-/// A reason to close a connection. Its text is for the log.
+/// The reason for closing a connection. Its text is written to the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CloseReason {
     /// Nothing was received within the silence timeout.
     Silent,
-    /// The peer was removed from the configuration and nothing is open any more.
+    /// The peer was removed from the configuration and no exchange is open.
     PeerRemoved,
     /// The other side sent a goodbye.
     Goodbye,
-    /// The other side sent a message that is not allowed there.
+    /// The other side sent a message that is not allowed in the connection's current state.
     UnexpectedMessage,
-    /// The other side sent something else before its hello.
+    /// The other side's first message was not a hello.
     HelloMissing,
     /// The other side sent no hello within the silence timeout.
     HelloTimeout,
-    /// The other side's hello is not acceptable.
+    /// The other side's hello was rejected.
     HelloRejected(HelloError),
 }
 
@@ -36,30 +36,30 @@
     }
 }
 
-/// What is wrong with a hello.
+/// Why a hello was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HelloError {
-    /// The other side speaks this version of the protocol.
+    /// The other side uses this unsupported version of the protocol.
     Version(u32),
-    /// The other side expects another site here.
+    /// The other side expects to connect to another site.
     WrongDestination {
         /// This site.
         own: String,
-        /// The site that the other side expects.
+        /// The site that the other side expects to connect to.
         expected: String,
     },
     /// The other side's site name is this site's own, empty or too long.
     InvalidSite {
         /// This site.
         own: String,
-        /// The name given.
+        /// The name in the hello.
         site: String,
     },
-    /// Another site than the configured one is at the other end.
+    /// The other end is not the configured site.
     WrongSite {
-        /// The site that is configured.
+        /// The configured site.
         expected: String,
-        /// The site that is there.
+        /// The site in the hello.
         site: String,
     },
 }
--- a/crates/deckproxy-sites/src/lib.rs
+++ b/crates/deckproxy-sites/src/lib.rs
@@ -1,15 +1,15 @@
-//! Decisions of a gateway between sites, without I/O and without a clock.
+//! Decision logic of a gateway between sites, without I/O and without a clock.
 //!
-//! - [`site`]: everything below together, as a gateway drives it.
+//! - [`site`]: the gateway, which combines the modules below.
 //! - [`routes`]: which site is an object's home.
-//! - [`requester`]: the side whose clients request: exchanges, request collapsing, sessions, retries and reattachment.
-//! - [`responder`]: the side that serves: received attempts, executions, responses retained for a lost connection.
+//! - [`requester`]: the requesting side: exchanges, request collapsing, sessions, retries and reattachment.
+//! - [`responder`]: the serving side: received attempts, executions, responses retained after a lost connection.
 //! - [`purges`]: the purge log, the leases under which copies are trusted, the clock skew between sites.
-//! - [`throughput`]: what a link carries, and whether a response over it would meet its deadline.
+//! - [`throughput`]: throughput estimates of a link, and whether a response over it would meet its deadline.
 //! - [`frame`]: the messages of the link protocol.
 //!
-//! Events and the time are passed in; each state machine queues typed effects for the caller to carry out. All times
-//! are milliseconds on the caller's clock; only differences of them count.
+//! The caller passes in events and the time; each state machine queues typed effects for the caller to execute. All
+//! times are milliseconds on the caller's clock; only their differences matter.
 #![forbid(unsafe_code)]
 
 pub mod close;
@@ -27,10 +27,10 @@
 /// Milliseconds.
 pub type Millis = f64;
 
-/// A connection, by the caller's number.
+/// Identifies a connection; assigned by the caller.
 pub type ConnectionId = u64;
 
-/// A number, a length or an offset as a field of 32 bits. Where one may be over the limit, the limit stands for it.
+/// Converts a count, length or offset to a 32-bit field, saturating at the maximum.
 fn saturating_u32(number: usize) -> u32 {
     u32::try_from(number).unwrap_or(u32::MAX)
 }
--- a/crates/deckproxy-sites/src/limits.rs
+++ b/crates/deckproxy-sites/src/limits.rs
@@ -1,4 +1,4 @@
-//! Limits and timeouts of links and of the trust in copies.
+//! Limits and timeouts of links, and of the trust in cached copies.
 
 use crate::Millis;
 
@@ -7,19 +7,19 @@
 pub struct LinkLimits {
     /// Interval between heartbeats, ms.
     pub heartbeat_interval: Millis,
-    /// Silence after which a connection counts as lost, ms.
+    /// Time without received bytes after which a connection is considered lost, ms.
     pub silence_timeout: Millis,
-    /// How long both ends remember a session without a connection, ms.
+    /// How long both ends keep a session without a connection, ms.
     pub resume_timeout: Millis,
     /// Size of a body chunk, bytes.
     pub chunk_size: usize,
-    /// Credit window of one body: bytes that may be in flight.
+    /// Credit window of one body: largest number of bytes in flight.
     pub credit_window: usize,
-    /// Exchanges open at once.
+    /// Most exchanges open at a time.
     pub max_exchanges: usize,
-    /// Requests that may wait for one exchange beside its leader.
+    /// Most requests that wait for one exchange, in addition to its leader.
     pub max_waiters: usize,
-    /// Responses retained for peers without a connection, bytes.
+    /// Most bytes of responses retained for peers without a connection.
     pub max_retained: usize,
     /// Time over which a recovered endpoint's share grows to its full size, ms.
     pub recovery_ramp: Millis,
@@ -27,23 +27,24 @@
     pub queue_timeout: Millis,
     /// Retry budget: retries allowed per first attempt.
     pub retry_ratio: f64,
-    /// Retry-after of a rejected client where nothing better is known, ms.
+    /// Retry-after of a rejected client unless a longer one is estimated, ms.
     pub retry_after: Millis,
 }
 
-/// Limits of the trust in copies.
+/// Limits of the trust in cached copies.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TrustLimits {
-    /// Time from the notification of a purge until no older copy may be served, ms.
+    /// Time after the notification of a purge from which no older copy may be served, ms.
     pub purge_grace: Millis,
-    /// How long a peer's confirmation that no purge is missing is valid, ms.
+    /// How long a peer's confirmation that no purge is missing remains valid, ms.
     pub lease: Millis,
-    /// Span before the start of this process for which its purge log is complete, ms.
+    /// Time before the start of this process that its purge log covers completely, ms.
     pub known_purge_history: Millis,
-    /// Serve this site's own objects from copies of any age while a peer that may relay purges is unreachable.
+    /// Whether copies of this site's own objects are served at any age while a peer that may relay purges is
+    /// unreachable.
     pub serve_when_partitioned: bool,
     /// Largest clock skew between two sites, ms.
     pub max_clock_skew: Millis,
-    /// Time after a purge by which every older copy has expired by itself, ms.
+    /// Time after a purge by which every older copy has expired, ms.
     pub copy_lifetime: Millis,
 }
--- a/crates/deckproxy-sites/src/throughput.rs
+++ b/crates/deckproxy-sites/src/throughput.rs
@@ -1,25 +1,28 @@
-//! What the link to an endpoint carries: its round trip, its throughput, and whether a response would be in time.
+//! Estimates of the link to an endpoint: its round trip time, its throughput, and whether a response would meet its
+//! deadline.
 
 use crate::Millis;
 
-/// Weight of a new sample in the moving average of the round trip.
+/// Weight of a new sample in the moving average of the round trip time.
 const ROUND_TRIP_WEIGHT: f64 = 0.2;
-/// Bytes that make one throughput sample.
+/// Bytes received per throughput sample.
 const SAMPLE_BYTES: f64 = 64.0 * 1024.0;
-/// The estimate is the best sample of this window and the one before, ms: a lower sample may only mean that the sender
-/// was idle. After two windows without a sample the throughput is unknown.
+/// Length of a sample window, ms. The estimate is the highest sample of the current and the previous window: a lower
+/// sample may only mean that the sender was idle. After two windows without a sample the throughput is unknown.
 const SAMPLE_WINDOW: Millis = 5000.0;
-/// Initial estimate of the size of a response whose request gives none, bytes.
+/// Initial estimate of the response size for requests that state none, bytes.
 const INITIAL_TYPICAL_SIZE: f64 = 8.0 * 1024.0;
 /// Weight of a new response in the moving average of response sizes.
 const TYPICAL_SIZE_WEIGHT: f64 = 0.05;
-/// Share of the time left that a request of middle priority may use; see [`LinkEstimate::meets_deadline`].
+/// Share of the time left that the response to a request of middle priority may take; see
+/// [`LinkEstimate::meets_deadline`].
 const MIDDLE_PRIORITY_SHARE: f64 = 0.75;
-/// Smallest share of the time left that a request may use.
+/// Smallest share of the time left that a response may take, whatever the priority.
 const MIN_PRIORITY_SHARE: f64 = 0.5;
-/// Shortest duration of a throughput sample, ms; bounds the estimate where a sample arrives at once.
+/// Shortest duration of a throughput sample, ms; bounds the estimate when all bytes of a sample arrive at the same
+/// time.
 const MIN_SAMPLE_DURATION: Millis = 0.1;
-/// Lowest throughput that is divided by, bytes per ms.
+/// Lowest throughput used as a divisor, bytes per ms.
 const MIN_THROUGHPUT: f64 = 1e-3;
 
 /// An unfinished throughput sample.
@@ -35,15 +38,15 @@
 #[derive(Clone, Debug)]
 pub struct LinkEstimate {
     round_trip: Option<Millis>,
-    /// The best samples, bytes per ms, of the current window and of the one before.
+    /// The highest samples of the current and the previous window, bytes per ms.
     best_samples: [Option<f64>; 2],
     window_start: Millis,
     /// Typical size of a response, bytes.
     typical_size: f64,
     /// Expected bytes of all responses in flight.
     expected_in_flight: f64,
-    /// Bodies that were received in part. While there is one, the other side has the rest at hand, and the rate at
-    /// which bytes arrive is the link's throughput.
+    /// Partially received bodies. While there is one, the other side has more to send, so the rate at which bytes
+    /// arrive is the link's throughput.
     bodies_in_progress: usize,
     receiving_since: Millis,
     sample: Sample,
@@ -65,33 +68,33 @@
 }
 
 impl LinkEstimate {
-    /// Takes the round trip of a heartbeat, ms.
+    /// Records the round trip time of a heartbeat, ms.
     pub fn record_round_trip(&mut self, sample: Millis) {
         let average = self.round_trip.map_or(sample, |old| old + ROUND_TRIP_WEIGHT * (sample - old));
         self.round_trip = Some(average);
     }
 
-    /// The average round trip, ms; 0 where it is not known.
+    /// The average round trip time, ms; 0 if it is not known yet.
     pub fn round_trip(&self) -> Millis {
         self.round_trip.unwrap_or(0.0)
     }
 
-    /// The throughput, bytes per ms, where there was a recent sample.
+    /// The throughput, bytes per ms; `None` without a recent sample.
     pub fn bytes_per_ms(&self) -> Option<f64> {
         self.best_samples.iter().flatten().copied().max_by(f64::total_cmp)
     }
 
-    /// Expected size of a response, bytes. `size_kb`: the size that the request gives, KB.
+    /// Expected size of a response, bytes. `size_kb`: the size stated in the request, KB.
     pub fn expected_bytes(&self, size_kb: Option<f64>) -> f64 {
         size_kb.map_or(self.typical_size, |kb| kb * 1024.0)
     }
 
-    /// An attempt was sent whose response has the given expected size.
+    /// Records that an attempt was sent whose response has the given expected size.
     pub fn attempt_sent(&mut self, expected_bytes: f64) {
         self.expected_in_flight += expected_bytes;
     }
 
-    /// An attempt is over. `response_bytes`: the size of its response, where that is complete.
+    /// Records the end of an attempt. `response_bytes`: the size of its response, if that is complete.
     pub fn attempt_finished(&mut self, expected_bytes: f64, response_bytes: Option<usize>) {
         self.expected_in_flight = (self.expected_in_flight - expected_bytes).max(0.0);
         if let Some(size) = response_bytes {
@@ -99,7 +102,7 @@
         }
     }
 
-    /// The first of several chunks of a body was received.
+    /// Records that the first of several chunks of a body was received.
     pub fn body_started(&mut self, now: Millis) {
         if self.bodies_in_progress == 0 {
             self.receiving_since = now;
@@ -107,7 +110,7 @@
         self.bodies_in_progress += 1;
     }
 
-    /// A body of several chunks is complete or canceled.
+    /// Records that a body of several chunks is complete or canceled.
     pub fn body_ended(&mut self, now: Millis) {
         self.bodies_in_progress = self.bodies_in_progress.saturating_sub(1);
         if self.bodies_in_progress == 0 {
@@ -115,7 +118,7 @@
         }
     }
 
-    /// Bytes of bodies were received.
+    /// Records received bytes of bodies.
     pub fn bytes_received(&mut self, now: Millis, bytes: usize) {
         if self.bodies_in_progress == 0 {
             return;
@@ -131,7 +134,7 @@
         }
     }
 
-    /// Starts a new sample window when the current one is over.
+    /// Starts a new sample window once the current one has ended.
     pub fn tick(&mut self, now: Millis) {
         if now - self.window_start >= SAMPLE_WINDOW {
             self.best_samples = [None, self.best_samples[0]];
@@ -139,7 +142,7 @@
         }
     }
 
-    /// Expected time until a response of the given size has arrived, ms.
+    /// Expected time until a response of the given size is completely received, ms.
     pub fn expected_wait(&self, bytes: f64) -> Millis {
         let transfer = self
             .bytes_per_ms()
@@ -147,15 +150,15 @@
         self.round_trip() + transfer
     }
 
-    /// Whether a response of the given size would be in time. A request of high priority may use a larger share of the
-    /// time left, so that a saturated link sheds the requests of low priority first. `priority_rank`: 0 for the lowest
-    /// of all classes, 1 for the highest.
+    /// Whether a response of the given size would meet its deadline. The response to a request of high priority may
+    /// take a larger share of the time left, so that a saturated link sheds requests of low priority first.
+    /// `priority_rank`: 0 for the class of lowest priority, 1 for the highest.
     pub fn meets_deadline(&self, bytes: f64, time_left: Millis, priority_rank: f64) -> bool {
         let share = MIDDLE_PRIORITY_SHARE + (1.0 - MIDDLE_PRIORITY_SHARE) * (2.0 * priority_rank - 1.0);
         self.expected_wait(bytes) <= time_left * share.clamp(MIN_PRIORITY_SHARE, 1.0)
     }
 
-    /// The link was lost: bodies received in part start again from their first byte.
+    /// Records the loss of the link: partially received bodies restart from their first byte.
     pub fn connection_lost(&mut self) {
         self.bodies_in_progress = 0;
         self.sample = Sample::default();
