--- a/crates/deckproxy-sites/tests/common/mod.rs
+++ b/crates/deckproxy-sites/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Limits and messages that the tests of both sides share.
+//! Limits and messages shared by the tests of the requesting and the serving side.
 
 use deckproxy_sites::frame::Hello;
 use deckproxy_sites::{LinkLimits, TrustLimits};
@@ -18,7 +18,7 @@
     retry_after: 50.0,
 };
 
-#[allow(dead_code, reason = "the serving side has no part in trust")]
+#[allow(dead_code, reason = "the tests of the serving side do not use it")]
 pub const TRUST: TrustLimits = TrustLimits {
     purge_grace: 1000.0,
     lease: 700.0,
@@ -28,7 +28,7 @@
     copy_lifetime: 60_000.0,
 };
 
-/// A hello of site b to site a.
+/// A hello from site b to site a.
 pub fn hello(epoch: u64) -> Hello {
     Hello {
         version: 1,
--- a/crates/deckproxy-sites/tests/frame.rs
+++ b/crates/deckproxy-sites/tests/frame.rs
@@ -1,4 +1,4 @@
-//! Each message's encoding, byte for byte: peers of other versions read it.
+//! The exact encoding of each message: it must remain compatible with peers of other versions.
 
 use deckproxy_sites::frame::{
     AttemptNumbers, AttemptState, AttemptStatus, BodyChunk, Frame, GoAway, Goodbye, Heartbeat, Hello,
--- a/crates/deckproxy-sites/tests/purges.rs
+++ b/crates/deckproxy-sites/tests/purges.rs
@@ -1,4 +1,4 @@
-//! The purge log: numbers, gaps, relays, and the lease.
+//! The purge log: numbering, gaps, relaying and the lease.
 
 use deckproxy_sites::TrustLimits;
 use deckproxy_sites::frame::{Heartbeat, Hello};
@@ -17,7 +17,7 @@
     PurgeLog::new(site, epoch, TRUST, 0.0)
 }
 
-/// Exchanges hellos. Returns for each side the number after which the other one lacks its purges.
+/// Exchanges hellos. Returns for each side the number of its last purge that the other side acknowledged.
 fn exchange_hellos(
     a: &mut PurgeLog,
     b: &mut PurgeLog,
@@ -123,7 +123,7 @@
     let [from, _] = exchange_hellos(&mut a, &mut b, ["a", "b"], [1, 2], 500.0);
     let rest: Vec<u64> = a.entries_after(500.0, from).map(|p| p.number).collect();
     assert_eq!(rest, [3]);
-    // Another process of that site has no purges yet.
+    // A new process of that site has received no purges.
     let mut new = log("b", 3);
     let [from, _] = exchange_hellos(&mut a, &mut new, ["a", "b"], [1, 3], 600.0);
     assert_eq!(a.entries_after(600.0, from).count(), 3);
--- a/crates/deckproxy-sites/tests/requester.rs
+++ b/crates/deckproxy-sites/tests/requester.rs
@@ -1,4 +1,4 @@
-//! Single steps of the requesting side: lost connections, collapsing, queueing, endpoints, limits.
+//! The requesting side: lost connections, collapsing, queueing, endpoint selection and limits.
 
 mod common;
 
@@ -30,7 +30,7 @@
 }
 
 impl Side {
-    /// With one connection, 1, that is up.
+    /// With one established connection, 1.
     fn connected() -> Self {
         let mut requester = Requester::new(LINK, 1, &[9], 0.0);
         requester.connected(0.0, 0, 1);
@@ -48,13 +48,13 @@
         self.requester.receive(now, now, connection, payload, &mut self.purges)
     }
 
-    /// Accepts a request, and returns the number of the attempt that is sent.
+    /// Passes in a request, and returns the number of the attempt that is sent.
     fn request(&mut self, now: f64, token: u64, request: ForwardedRequest) -> u64 {
         self.requester.request(now, token, request);
         sent_attempt(&self.effects()).expect("it was sent")
     }
 
-    /// The connection is lost, and another one, 2, comes up.
+    /// Loses the connection and establishes another one, 2.
     fn reconnect(&mut self, now: f64, epoch: u64) -> Vec<Effect> {
         self.requester.disconnected(now, 1, &[]);
         self.effects();
@@ -135,7 +135,7 @@
 #[test]
 fn an_attempt_of_unknown_status_fails_unless_the_request_is_idempotent() {
     for (retry_safety, is_retried) in [(RetrySafety::NotIdempotent, false), (RetrySafety::Idempotent, true)] {
-        // Another process is there, the serving side does not know the status, or the session timed out.
+        // The endpoint's process was replaced, the serving side does not know the status, or the session timed out.
         for case in 0..3 {
             let mut side = Side::connected();
             let number = side.request(10.0, 1, forwarded_request(5, retry_safety, 5000.0));
@@ -180,7 +180,7 @@
         side.requester.request(11.0, token, forwarded_request(5, RetrySafety::Idempotent, 900.0));
     }
     assert_eq!(sent_attempt(&side.effects()), None, "they wait for the first one's response");
-    // The third waiter is over the limit, and crosses alone.
+    // The third waiter is over the limit, and is forwarded in an exchange of its own.
     side.requester.request(11.0, 4, forwarded_request(5, RetrySafety::Idempotent, 900.0));
     assert!(sent_attempt(&side.effects()).is_some());
     side.receive(20.0, 1, response(first, Outcome::Failed, 0));
@@ -224,7 +224,7 @@
         matches!(rejected[..], [(1, Reply::Rejected { retry_after })] if retry_after >= 50.0),
         "{rejected:?}"
     );
-    // One that is queued while an endpoint recovers is sent.
+    // A request that is queued while an endpoint recovers is sent.
     side.requester.request(130.0, 2, forwarded_request(6, RetrySafety::NotIdempotent, 900.0));
     side.requester.connected(140.0, 0, 2);
     side.requester.hello_received(150.0, 2, &hello(77));
@@ -253,7 +253,7 @@
     assert!(sent.len() < 40, "not all at once: {}", sent.len());
 }
 
-/// Two endpoints, each with one connection: 1 and 2.
+/// A requester with two endpoints, each with one connection: 1 and 2.
 fn two_endpoints(recovery_ramp: f64) -> Requester {
     let limits = LinkLimits { recovery_ramp, max_exchanges: 1000, ..LINK };
     let mut requester = Requester::new(limits, 1, &[9, 10], 0.0);
@@ -282,12 +282,13 @@
     let mut requester = two_endpoints(0.0);
     let used = connections_used(&mut requester, 10.0, 0..40);
     assert_eq!(used.iter().filter(|connection| **connection == 1).count(), 20, "{used:?}");
-    // One goes away: all new requests take the other.
+    // One sends a GoAway: all new requests are sent to the other.
     let mut purges = PurgeLog::new("a", 1, TRUST, 0.0);
     let go_away = GoAway { reason: "a planned end".into(), retry_after: 100.0 };
     requester.receive(20.0, 20.0, 1, Payload::GoAway(go_away), &mut purges);
     assert_eq!(connections_used(&mut requester, 30.0, 100..120), [2; 20]);
-    // It is back, and the other one is lost: what was in flight there waits, new requests take the first.
+    // It is available again, and the other one is lost: attempts in flight there wait, new requests are sent to the
+    // first.
     requester.disconnected(140.0, 2, &[]);
     requester.tick(140.0, 140.0, &purges);
     assert_eq!(connections_used(&mut requester, 141.0, 200..220), [1; 20]);
@@ -298,7 +299,7 @@
 #[test]
 fn the_share_of_a_recovered_endpoint_grows_along_the_ramp() {
     let mut requester = two_endpoints(1000.0);
-    // Both were up long enough to have their full shares.
+    // Both have been up long enough to have their full shares.
     requester.disconnected(2000.0, 2, &[]);
     requester.connected(2050.0, 1, 3);
     requester.hello_received(2050.0, 3, &hello(72));
--- a/crates/deckproxy-sites/tests/responder.rs
+++ b/crates/deckproxy-sites/tests/responder.rs
@@ -1,4 +1,4 @@
-//! Single steps of the serving side: duplicates and fences, resumption, flow control, eviction.
+//! The serving side: duplicate and fenced attempts, resumption, flow control and eviction.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use deckproxy_sites::frame::{AttemptNumbers, AttemptState, Hello, Outcome, Payload, Request, WindowUpdate};
 use deckproxy_sites::responder::{Effect, Responder, RunResult, Usage};
 
-/// A responder with one connection, 1, that is up.
+/// A responder with one established connection, 1.
 fn connected() -> Responder {
     let mut responder = Responder::new(LINK);
     responder.hello_received(0.0, 1, &hello(1));
--- a/crates/deckproxy-sites/tests/routes.rs
+++ b/crates/deckproxy-sites/tests/routes.rs
@@ -1,4 +1,4 @@
-//! `RouteTable`: the index against a walk over all rules, and what is refused.
+//! `RouteTable`: the index compared with a linear search, and the validation of rules.
 
 use deckproxy_sites::routes::{
     ForwardingError, RouteRule, RouteTable, SiteRoutes, find_linear, validate, validate_together,
@@ -35,7 +35,7 @@
 
     #[test]
     fn the_index_finds_the_route_of_a_linear_search(rules in rules(), others in prop::collection::vec(any::<u64>(), 8)) {
-        // Those that the validate refuses are left out, one by one.
+        // Rules that `validate` rejects are left out, one at a time.
         let mut valid: Vec<RouteRule> = Vec::new();
         for rule in rules {
             valid.push(rule);
@@ -119,7 +119,8 @@
     assert_eq!(validate_together(&line), []);
     line[0].max_hops = 1;
     assert!(validate_together(&line)[0].to_string().contains("over 1 hops"));
-    // Only a part of what the first site routes loops: a longer prefix at the second one causes that.
+    // Only some of the requests that the first site's route matches loop, because of a longer prefix on the second
+    // site.
     let mut partial = ring;
     partial[1].rules = vec![
         rule(None, 7 << 60, 1, (0, 255), "c"),
--- a/crates/deckproxy-sites/tests/schedules/main.rs
+++ b/crates/deckproxy-sites/tests/schedules/main.rs
@@ -1,7 +1,7 @@
-//! Both ends of a link, joined by a network that loses connections, under thousands of seeded schedules, against a
-//! model of the guarantees: one response to each request, never two executions at once, at most one execution of a
-//! request that is not idempotent, no copy older than a purge that was notified longer ago than the grace, and nothing
-//! left over at the end.
+//! Simulates both ends of a link over a network that loses connections, under thousands of seeded schedules, and checks
+//! the guarantees against a model: one response to each request, never two concurrent executions, at most one execution
+//! of a request that is not idempotent, no copy older than a purge that was notified more than the grace period ago,
+//! and no state left at the end.
 
 mod model;
 mod network;
@@ -13,10 +13,10 @@
 use simulation::{Simulation, site_config};
 use std::ops::Add;
 
-/// Steps with faults, and steps after them in which everything has to come to its end.
+/// Number of steps with faults, and of steps after them in which all requests must end.
 const STEPS: [usize; 2] = [600, 400];
 
-/// Responses that the clients of a schedule got.
+/// Responses that the clients of a schedule received.
 #[derive(Clone, Copy, Default)]
 struct Responses {
     served: usize,
@@ -31,7 +31,7 @@
     }
 }
 
-/// Prints the seed of a schedule that violates a guarantee.
+/// Prints the seed of a schedule if its thread panics because a guarantee is violated.
 struct SeedReport(u64);
 
 impl Drop for SeedReport {
@@ -67,7 +67,7 @@
 
 #[test]
 fn the_guarantees_hold_under_any_schedule() {
-    // More of them: DECKPROXY_SCHEDULES=100000 cargo test --release -p deckproxy-sites
+    // To run more schedules: DECKPROXY_SCHEDULES=100000 cargo test --release -p deckproxy-sites
     let schedules = std::env::var("DECKPROXY_SCHEDULES").ok().and_then(|n| n.parse().ok()).unwrap_or(2000);
     let threads = std::thread::available_parallelism().map_or(4, usize::from) as u64;
     let Responses { served, failed } = std::thread::scope(|scope| {
@@ -84,11 +84,12 @@
             .fold(Responses::default(), Responses::add)
     });
     assert!(served as u64 > schedules * 100, "too little was served to mean anything: {served}");
-    // Some fail on purpose or because their time is over; many more would mean that something is awaited in vain.
+    // Some fail by design or because their deadline passes; many more would mean that requests wait for events that
+    // never occur.
     assert!(failed * 4 < served, "{failed} failed beside {served} served");
 }
 
-/// A message of each kind that a serving side must not accept before the hello.
+/// A serving side must accept no other message before the hello.
 #[test]
 fn nothing_is_accepted_before_the_hello() {
     let payloads = [
--- a/crates/deckproxy-sites/tests/schedules/model.rs
+++ b/crates/deckproxy-sites/tests/schedules/model.rs
@@ -1,21 +1,21 @@
-//! The model: what each request may get, the purges, and the copies at the home.
+//! The model: requests, executions, purges, and the bodies of objects.
 
 use bytes::Bytes;
 use deckproxy_sites::responder::RunId;
 use std::collections::BTreeSet;
 
-/// Objects of each home.
+/// Number of objects of each home.
 pub const OBJECTS: u64 = 12;
 
-/// A request, and what has become of it.
+/// A request and its state.
 pub struct TrackedRequest {
     pub is_idempotent: bool,
     pub object: u64,
     pub deadline: f64,
     pub is_answered: bool,
-    /// Executions so far, those that were rejected excepted.
+    /// Number of executions so far, without those that were rejected.
     pub executions: usize,
-    /// Executions in progress, by the site.
+    /// Executions in progress, with the index of the executing site.
     pub live_runs: BTreeSet<(usize, RunId)>,
 }
 
@@ -28,7 +28,7 @@
     pub is_idempotent: bool,
 }
 
-/// A purge, by when it was and when a site was notified.
+/// The times of a purge and of its notification of a site.
 #[derive(Clone, Copy, Debug)]
 pub struct PurgeTimes {
     pub purged_at: f64,
@@ -45,7 +45,7 @@
     16 + (object & 0xff) as usize * 90
 }
 
-/// An object's body: its number, when the copy was issued, and a pattern.
+/// An object's body: its number, the time at which the copy was issued, and a pattern.
 pub fn body(object: u64, issued_at: f64) -> Bytes {
     let mut bytes = object.to_be_bytes().to_vec();
     bytes.extend(issued_at.to_be_bytes());
@@ -53,7 +53,7 @@
     bytes.into()
 }
 
-/// Checks that a body is complete, and returns when its copy was issued.
+/// Checks that a body is complete, and returns the time at which its copy was issued.
 pub fn check_body(body: &[u8], expected_object: u64) -> f64 {
     let object = u64::from_be_bytes(body[..8].try_into().unwrap());
     assert_eq!(object, expected_object, "another object's body");
--- a/crates/deckproxy-sites/tests/schedules/network.rs
+++ b/crates/deckproxy-sites/tests/schedules/network.rs
@@ -1,28 +1,28 @@
-//! The network between two sites: connections that delay, lose and break.
+//! The simulated network between two sites: connections that delay frames, lose them and break.
 
 use deckproxy_sites::frame::Frame;
 use std::collections::{BTreeMap, VecDeque};
 
-/// How long a close takes to be noticed at the other end, ms.
+/// Time until the other end detects a close, ms.
 pub const CLOSE_DELAY: f64 = 10.0;
-/// How long the end that did not break a connection takes to notice, ms.
+/// Time until the second end detects a reset, ms.
 const RESET_DELAY: f64 = 30.0;
 
-/// One direction of a connection: frames in order, each with the time of its arrival.
+/// One direction of a connection: frames in order, each with its arrival time.
 #[derive(Default)]
 pub struct Direction {
     pub frames: VecDeque<(f64, Frame)>,
-    /// What was written before the close still arrives, then the end.
+    /// When the close arrives; frames written before it arrive first.
     pub closes_at: Option<f64>,
 }
 
 pub struct Connection {
-    /// The ends by index of the site, the one that connected first.
+    /// The index of the site at each end, starting with the site that opened the connection.
     pub ends: [usize; 2],
     pub directions: [Direction; 2],
-    /// Whether each end has not noticed the connection's end yet.
+    /// Whether each end still considers the connection open.
     pub is_open: [bool; 2],
-    /// Nothing passes any more, and neither end notices.
+    /// Whether all frames are held back without either end detecting it.
     pub is_silent: bool,
 }
 
@@ -38,18 +38,18 @@
     }
 }
 
-/// What the front of one direction holds at a time.
+/// An arrival at the receiving end of one direction.
 pub enum Arrival {
     Frame(Box<Frame>),
     /// The other end's close.
     End,
 }
 
-/// All connections between the sites.
+/// All connections between the two sites.
 #[derive(Default)]
 pub struct Network {
     pub connections: BTreeMap<u64, Connection>,
-    /// Connections can't be opened until then.
+    /// Time until which no connection can be opened.
     pub partitioned_until: f64,
 }
 
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Takes what has arrived next of the direction that starts at an end.
+    /// Removes and returns the next arrival of the direction that starts at the given end.
     pub fn next_arrival(&mut self, now: f64, id: u64, end: usize) -> Option<Arrival> {
         let connection = self.connections.get_mut(&id).filter(|connection| !connection.is_silent)?;
         let direction = &mut connection.directions[end];
@@ -93,14 +93,14 @@
         None
     }
 
-    /// Removes a connection whose end both sites have noticed.
+    /// Removes a connection that both sites consider closed.
     pub fn remove_if_closed(&mut self, id: u64) {
         if self.connections.get(&id).is_some_and(|connection| connection.is_open == [false, false]) {
             self.connections.remove(&id);
         }
     }
 
-    /// Resets a connection: what is in flight is lost, and one end notices later than the other.
+    /// Resets a connection: frames in flight are lost, and one end detects it later than the other.
     pub fn reset(&mut self, now: f64, id: u64) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         for (direction, delay) in connection.directions.iter_mut().zip([0.0, RESET_DELAY]) {
@@ -110,7 +110,7 @@
         connection.is_silent = false;
     }
 
-    /// The end that connected gives the connection up; what it wrote still arrives at the other one, late.
+    /// Closes the connection for the end that opened it; the frames that it wrote still arrive at the other end, late.
     pub fn abandon(&mut self, now: f64, id: u64, arrives_at: f64) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let [to_server, to_client] = &mut connection.directions;
@@ -122,7 +122,7 @@
         to_server.closes_at = Some(arrives_at);
     }
 
-    /// Ends a site's side of all connections, as when its process is killed.
+    /// Closes a site's end of all connections, as if its process was killed.
     pub fn kill_ends_of(&mut self, now: f64, site: usize) {
         for connection in self.connections.values_mut() {
             let end = connection.end_of(site);
--- a/crates/deckproxy-sites/tests/schedules/simulation.rs
+++ b/crates/deckproxy-sites/tests/schedules/simulation.rs
@@ -15,12 +15,12 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Time of one step, ms.
+/// Duration of one step, ms.
 const STEP: f64 = 5.0;
 const PURGE_GRACE: f64 = 200.0;
-/// Age of a purge after which its copies have expired at the home, ms.
+/// Age of a purge after which the copies that it voids have expired at the home, ms.
 const COPY_EXPIRY: f64 = 1500.0;
-/// Time in flight that a request's time left may not account for, ms.
+/// Largest time in flight that a request's time left may fail to account for, ms.
 const FLIGHT_MARGIN: f64 = 160.0;
 const SITES: [&str; 2] = ["a", "b"];
 
@@ -75,7 +75,7 @@
     pub tokens: BTreeMap<(usize, RequestToken), String>,
     requests: BTreeMap<String, TrackedRequest>,
     pub runs: BTreeMap<(usize, RunId), Run>,
-    /// When the copy of an object at its home was issued.
+    /// When the home's copy of each object was issued.
     copies: HashMap<u64, f64>,
     purges: BTreeMap<u64, Vec<PurgeTimes>>,
     pub responses: Responses,
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Requests that got no response.
+    /// Requests without a response.
     pub fn unanswered(&self) -> Vec<&String> {
         self.requests.iter().filter(|(_, request)| !request.is_answered).map(|(name, _)| name).collect()
     }
@@ -192,7 +192,7 @@
         tracked.executions += 1;
         let is_idempotent = tracked.is_idempotent;
         assert!(is_idempotent || tracked.executions == 1, "{name}: executed {} times", tracked.executions);
-        // The time left counts from the arrival: it may exceed the true one by the time in flight, and no more.
+        // The time left is counted from the arrival: it may exceed the true one by at most the time in flight.
         let longest_time_left = tracked.deadline - now + FLIGHT_MARGIN;
         assert!(request.time_left <= longest_time_left, "more time is given than there is");
         tracked.live_runs.insert((site, run));
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Ends the executions that are due.
+    /// Ends the executions whose end time has passed.
     fn end_runs(&mut self) {
         let due = self.runs.iter().filter(|(_, run)| run.ends_at <= self.now);
         for key in due.map(|(key, _)| *key).collect::<Vec<_>>() {
@@ -243,7 +243,7 @@
             };
             let is_served = outcome == Outcome::Served;
             let body = if is_served { body(run.object, issued_at) } else { Bytes::new() };
-            // A request that failed was executed all the same; one that was rejected was not.
+            // A failed request counts as executed; a rejected one does not.
             if outcome == Outcome::Rejected {
                 self.tracked(&run.request).executions -= 1;
             }
@@ -253,12 +253,12 @@
         }
     }
 
-    /// When the copy was issued that an execution serves. The home has one copy of an object, which the purges that it
-    /// knows void; now and then it is issued anew.
+    /// The issue time of the copy that an execution serves. The home has one copy of each object, which is replaced
+    /// when a purge that the home knows voids it, and at random.
     fn issue_copy(&mut self, run: &Run) -> f64 {
         let is_forced = !run.is_idempotent || self.rng.random_range(0..4) == 0;
         let known = self.last_known_purge(run.site, run.object);
-        // Whichever site was notified, the copy expires by itself in its time.
+        // Copies older than a purge expire after a time, whichever site was notified.
         let purges = self.purges.get(&run.object).into_iter().flatten();
         let purged_at = purges.map(|purge| purge.purged_at);
         let expired = purged_at.filter(|purged_at| self.now - purged_at > COPY_EXPIRY).fold(0.0, f64::max);
@@ -270,7 +270,7 @@
         *copy
     }
 
-    /// When the last purge of an object was that is in a site's log, as its gateway would know it at once.
+    /// The time of the last purge of an object that a site's log contains, without the delay of its enforcement.
     fn last_known_purge(&self, site: usize, object: u64) -> Option<f64> {
         let notified = self.purges.get(&object)?.iter().filter(|purge| purge.notified_at <= self.now);
         notified
@@ -307,7 +307,7 @@
         }
     }
 
-    /// Whether an event happens that occurs once in so many steps on average.
+    /// Whether an event occurs in this step that occurs once in the given number of steps on average.
     fn one_in(&mut self, steps: u32) -> bool {
         self.rng.random_range(0..steps) == 0
     }
@@ -344,7 +344,7 @@
         }
     }
 
-    /// All connections fall silent or are reset, and none can be opened for a while.
+    /// All connections become silent or are reset, and none can be opened for a while.
     fn break_link(&mut self) {
         let is_silent = self.rng.random_range(0..2) == 0;
         self.network.partitioned_until = self.now + self.rng.random_range(20.0..700.0);
@@ -372,7 +372,7 @@
         self.sites[site].purge_notified(self.now, PurgeNotice { object: Some(object), group: 0, age });
     }
 
-    /// One site's process is killed and starts again: its clients and its executions are gone.
+    /// One site's process is killed and restarted: its clients' requests and its executions are lost.
     fn restart(&mut self) {
         let index = self.rng.random_range(0..2usize);
         self.network.kill_ends_of(self.now, index);
@@ -389,7 +389,7 @@
         self.next_epoch = self.next_epoch.wrapping_add(2);
         let config = site_config(SITES[index], SITES[1 - index]);
         self.sites[index] = SiteGateway::new(config, self.next_epoch, self.now);
-        // Its feed repeats all purges.
+        // Its feed sends all purges again.
         for (object, all) in self.purges.clone() {
             for times in all {
                 self.notify(index, object, times);
@@ -436,7 +436,7 @@
         self.carry_out_effects();
     }
 
-    /// The client of the first open request gives up.
+    /// Cancels the first open request.
     fn cancel(&mut self) {
         if let Some(((site, token), request)) = self.tokens.pop_first() {
             self.tracked(&request).is_answered = true;
