--- a/crates/deckproxy-sites/src/requester/connections.rs
+++ b/crates/deckproxy-sites/src/requester/connections.rs
@@ -46,14 +46,14 @@
         endpoint.unavailable_until = None;
         endpoint.resume_timeout = self.limits.resume_timeout.min(f64::from(hello.resume_timeout));
         // The session has expired at the other end, or the other end is another process, without its state.
-        let is_forgotten = endpoint.epoch.is_some_and(|epoch| epoch != hello.epoch)
+        let is_session_lost = endpoint.epoch.is_some_and(|epoch| epoch != hello.epoch)
             || endpoint.down_since.is_some_and(|since| now - since > endpoint.resume_timeout);
         endpoint.epoch = Some(hello.epoch);
         if was_down {
             endpoint.recovered_at = now;
             endpoint.down_since = None;
         }
-        if is_forgotten {
+        if is_session_lost {
             self.resolve_all_as_unknown(now, index, connection_id);
         } else {
             let resume = endpoint.resume_on(connection_id);
--- a/crates/deckproxy-sites/src/requester/timers.rs
+++ b/crates/deckproxy-sites/src/requester/timers.rs
@@ -41,8 +41,9 @@
     fn tick_endpoint(&mut self, now: Millis, unix_time: Millis, index: usize, purges: &PurgeLog) -> Vec<u64> {
         let endpoint = &mut self.endpoints[index];
         endpoint.estimate.tick(now);
-        let is_forgotten = endpoint.down_since.is_some_and(|since| now - since > endpoint.resume_timeout);
-        let timed_out = if is_forgotten { std::mem::take(&mut endpoint.unresolved) } else { BTreeMap::new() };
+        let is_session_lost = endpoint.down_since.is_some_and(|since| now - since > endpoint.resume_timeout);
+        let timed_out =
+            if is_session_lost { std::mem::take(&mut endpoint.unresolved) } else { BTreeMap::new() };
         endpoint.unavailable_until.take_if(|until| now >= *until);
         let heartbeat = Heartbeat {
             sequence: 0,
--- a/crates/deckproxy-sites/src/responder/attempts.rs
+++ b/crates/deckproxy-sites/src/responder/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::session::{Attempt, AttemptProgress, RetainedResponse};
 use super::types::{Effect, RunId, RunResult};
-use super::{Responder, RunOrigin};
+use super::{AttemptKey, Responder};
 use crate::frame::{AttemptState, AttemptStatus, Outcome, Payload, Request};
 use crate::{ConnectionId, Millis};
 
@@ -33,13 +33,13 @@
         let run = self.last_run;
         let progress = AttemptProgress::Running(run);
         session.attempts.insert(number, Attempt { connection: Some(connection), progress });
-        self.runs.insert(run, RunOrigin { session: key, attempt: number });
+        self.runs.insert(run, AttemptKey { session: key, attempt: number });
         self.effects.push_back(Effect::Run(run, request));
     }
 
     /// Records the end of an execution: retains its response and sends the head.
     pub fn run_ended(&mut self, now: Millis, run: RunId, result: RunResult) {
-        let Some(RunOrigin { session: key, attempt: number }) = self.runs.remove(&run) else { return };
+        let Some(AttemptKey { session: key, attempt: number }) = self.runs.remove(&run) else { return };
         let Some(session) = self.sessions.get_mut(&key) else { return };
         let Some(attempt) = session.attempts.get_mut(&number) else { return };
         self.retained_bytes += result.body.len();
@@ -65,7 +65,7 @@
             session.attempts.insert(number, Attempt::fenced());
         }
         if let Some(progress) = removed {
-            self.forget(progress);
+            self.discard(progress);
         }
     }
 
@@ -111,13 +111,13 @@
         let open = session.attempts.split_off(&session.lowest_open_attempt);
         let over = std::mem::replace(&mut session.attempts, open);
         for attempt in over.into_values() {
-            self.forget(attempt.progress);
+            self.discard(attempt.progress);
         }
     }
 
     /// Releases the resources of an attempt that was removed from its session: cancels its execution or drops its
     /// response.
-    pub(super) fn forget(&mut self, progress: AttemptProgress) {
+    pub(super) fn discard(&mut self, progress: AttemptProgress) {
         match progress {
             AttemptProgress::Running(run) => {
                 self.runs.remove(&run);
--- a/crates/deckproxy-sites/src/responder/connections.rs
+++ b/crates/deckproxy-sites/src/responder/connections.rs
@@ -96,7 +96,7 @@
         for key in over.map(|(key, _)| key.clone()).collect::<Vec<_>>() {
             let Some(session) = self.sessions.remove(&key) else { continue };
             for attempt in session.attempts.into_values() {
-                self.forget(attempt.progress);
+                self.discard(attempt.progress);
             }
         }
     }
--- a/crates/deckproxy-sites/src/responder/mod.rs
+++ b/crates/deckproxy-sites/src/responder/mod.rs
@@ -26,7 +26,7 @@
 
 /// The attempt to which an execution belongs.
 #[derive(Clone, Debug)]
-struct RunOrigin {
+struct AttemptKey {
     session: SessionKey,
     attempt: u64,
 }
@@ -44,7 +44,7 @@
     limits: LinkLimits,
     sessions: BTreeMap<SessionKey, Session>,
     peers: BTreeMap<ConnectionId, Peer>,
-    runs: BTreeMap<RunId, RunOrigin>,
+    runs: BTreeMap<RunId, AttemptKey>,
     last_run: RunId,
     /// Bytes of responses that are not released yet.
     retained_bytes: usize,
--- a/crates/deckproxy-sites/src/responder/responses.rs
+++ b/crates/deckproxy-sites/src/responder/responses.rs
@@ -76,7 +76,7 @@
             let session = self.sessions.get_mut(&key);
             let Some(attempt) = session.and_then(|session| session.attempts.get_mut(&number)) else { return };
             let evicted = std::mem::replace(&mut attempt.progress, AttemptProgress::Evicted);
-            self.forget(evicted);
+            self.discard(evicted);
             self.evicted += 1;
         }
     }
--- a/crates/deckproxy-sites/tests/responder.rs
+++ b/crates/deckproxy-sites/tests/responder.rs
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_response_is_retained_without_a_connection_until_the_session_is_forgotten() {
+fn a_response_is_retained_without_a_connection_until_the_session_expires() {
     let mut responder = connected();
     responder.receive(1.0, 1, request(1));
     let run = started_run(&mut responder).unwrap();
@@ -84,27 +84,27 @@
     responder.hello_received(2000.0, 3, &Hello { next_attempt: 2, ..hello(1) });
     responder.receive(2001.0, 3, resume(vec![1]));
     let expected = [(1, AttemptState::Unknown)];
-    assert_eq!(statuses(&effects(&mut responder)), expected, "the session was forgotten");
+    assert_eq!(statuses(&effects(&mut responder)), expected, "the session has expired");
 }
 
 #[test]
-fn bodies_take_turns_within_their_credit_windows() {
+fn bodies_are_sent_round_robin_within_their_credit_windows() {
     let mut responder = connected();
     for number in 1..=2 {
         responder.receive(1.0, 1, request(number));
         let run = started_run(&mut responder).unwrap();
         responder.run_ended(2.0, run, served(if number == 1 { 1000 } else { 150 }));
     }
-    let turns = |responder: &mut Responder| -> Vec<u64> {
+    let chunk_order = |responder: &mut Responder| -> Vec<u64> {
         std::iter::from_fn(|| match responder.next_chunk(1) {
             Some(Payload::Chunk(chunk)) => Some(chunk.number),
             _ => None,
         })
         .collect()
     };
-    assert_eq!(turns(&mut responder), [1, 2, 1, 2, 1], "300 bytes of the first may be in flight");
+    assert_eq!(chunk_order(&mut responder), [1, 2, 1, 2, 1], "300 bytes of the first may be in flight");
     responder.receive(3.0, 1, Payload::WindowUpdate(WindowUpdate { number: 1, limit: 450 }));
-    assert_eq!(turns(&mut responder), [1, 1]);
+    assert_eq!(chunk_order(&mut responder), [1, 1]);
 }
 
 #[test]
--- a/crates/deckproxy-sites/tests/schedules/simulation.rs
+++ b/crates/deckproxy-sites/tests/schedules/simulation.rs
@@ -194,7 +194,7 @@
         assert!(is_idempotent || tracked.executions == 1, "{name}: executed {} times", tracked.executions);
         // The time left is counted from the arrival: it may exceed the true one by at most the time in flight.
         let longest_time_left = tracked.deadline - now + FLIGHT_MARGIN;
-        assert!(request.time_left <= longest_time_left, "more time is given than there is");
+        assert!(request.time_left <= longest_time_left, "the time left exceeds the time to the deadline");
         tracked.live_runs.insert((site, run));
         let longest = if self.rng.random_range(0..8) == 0 { 150.0 } else { 10.0 };
         let ends_at = now + self.rng.random_range(0.0..longest);
