--- a/crates/deckproxy-sites/src/responder/attempts.rs
+++ b/crates/deckproxy-sites/src/responder/attempts.rs
@@ -104,7 +104,7 @@
 
     /// Processes the requesting side's lowest open attempt number: attempts with lower numbers have ended, whatever
     /// their last known state. They are discarded, and are not accepted if they arrive later.
-    pub fn forget_below(&mut self, connection: ConnectionId, lowest_open_attempt: u64) {
+    pub fn discard_attempts_below(&mut self, connection: ConnectionId, lowest_open_attempt: u64) {
         let Some(peer) = self.peers.get(&connection) else { return };
         let Some(session) = self.sessions.get_mut(&peer.session) else { return };
         session.lowest_open_attempt = session.lowest_open_attempt.max(lowest_open_attempt);
--- a/crates/deckproxy-sites/src/site/messages.rs
+++ b/crates/deckproxy-sites/src/site/messages.rs
@@ -109,7 +109,7 @@
         heartbeat: &Heartbeat,
     ) {
         self.responder.mark_alive(now, connection);
-        self.responder.forget_below(connection, heartbeat.lowest_open_attempt);
+        self.responder.discard_attempts_below(connection, heartbeat.lowest_open_attempt);
         self.collect_responder_effects();
         // Messages on one connection arrive in order: all purges up to this number arrive before this response.
         let pong = Heartbeat {
--- a/crates/deckproxy-sites/tests/responder.rs
+++ b/crates/deckproxy-sites/tests/responder.rs
@@ -58,7 +58,7 @@
     responder.receive(5.0, 1, request(2));
     assert_eq!(started_run(&mut responder), None, "it was reported as never received: it is fenced");
     assert_eq!(responder.duplicates, 2);
-    responder.forget_below(2, 3);
+    responder.discard_attempts_below(2, 3);
     assert_eq!(effects(&mut responder), [Effect::Cancel(1)], "it is over for the requesting side");
     responder.receive(6.0, 1, request(1));
     responder.receive(6.0, 1, request(2));
