--- a/crates/deckproxy-sites/src/routes/validation.rs
+++ b/crates/deckproxy-sites/src/routes/validation.rs
@@ -27,10 +27,10 @@
         other: usize,
     },
     /// A route for the site's own objects names a next site.
-    #[error("this site's own objects need no way")]
+    #[error("this site's own objects are not forwarded")]
     ViaForOwnObjects,
     /// The next site is this site.
-    #[error("the way comes back to this site")]
+    #[error("the next site is this site itself")]
     ViaOwnSite,
     /// The next site is not a peer of this site.
     #[error("no peer is named {next_site:?}")]
