--- a/crates/deckproxy-adapter/src/wire/event.rs
+++ b/crates/deckproxy-adapter/src/wire/event.rs
@@ -201,10 +201,10 @@
         3 => FillNote::FilledByOrigin,
         4 => FillNote::Joined,
         5 => FillNote::Stale,
-        6 => FillNote::SourceRefused,
+        6 => FillNote::SourceRejected,
         7 => FillNote::SourceFailed,
-        8 => FillNote::SourceLacks,
-        9 => FillNote::NoPlace,
+        8 => FillNote::SourceMiss,
+        9 => FillNote::NoCapacity,
         10 => FillNote::OriginFailed,
         _ => FillNote::None,
     }
--- a/crates/deckproxy-control/src/control/attempt_outcomes.rs
+++ b/crates/deckproxy-control/src/control/attempt_outcomes.rs
@@ -39,7 +39,7 @@
         if is_lookup_miss {
             return self.handle_lookup_miss(&request, &attempt, result.note);
         }
-        if result.note == FillNote::SourceLacks {
+        if result.note == FillNote::SourceMiss {
             return self.give_up(id);
         }
         self.retry(&request, &attempt, &result, is_request_suspect);
--- a/crates/deckproxy-control/src/control/outcome_accounting.rs
+++ b/crates/deckproxy-control/src/control/outcome_accounting.rs
@@ -13,7 +13,7 @@
     pub(super) fn member_at_fault(&self, attempt: &Attempt) -> MemberId {
         use AttemptEnding::{Cancelled, ConnectFailed, Reset};
         let is_cache_at_fault =
-            matches!(self.ending, ConnectFailed | Reset | Cancelled) || self.note == FillNote::NoPlace;
+            matches!(self.ending, ConnectFailed | Reset | Cancelled) || self.note == FillNote::NoCapacity;
         let is_source_at_fault = attempt.plan.kind == AttemptKind::Fill && !is_cache_at_fault;
         attempt.plan.source.filter(|_| is_source_at_fault).unwrap_or(attempt.plan.member)
     }
@@ -178,7 +178,7 @@
 /// The member whose failure an attempt shows, if it shows one.
 fn failed_member(attempt: &Attempt, result: &AttemptResult, is_origin_endpoint: bool) -> Option<MemberId> {
     use AttemptEnding::{Cancelled, ConnectFailed, NotSent, Rejected, Reset, Timeout};
-    use FillNote::{NoPlace, OriginFailed, SourceLacks};
+    use FillNote::{NoCapacity, OriginFailed, SourceMiss};
     let source = attempt.other_source();
     match result.ending {
         NotSent | Cancelled => None,
@@ -186,7 +186,7 @@
         Timeout if !attempt.is_trial && result.note == FillNote::None && !is_origin_endpoint => None,
         Rejected if !attempt.is_trial && source.is_none() => None,
         ConnectFailed | Reset => Some(attempt.plan.member),
-        _ if matches!(result.note, NoPlace | SourceLacks | OriginFailed) => None,
+        _ if matches!(result.note, NoCapacity | SourceMiss | OriginFailed) => None,
         // A fill that failed: nearly always its source, as the cache had room to look up.
         _ => Some(source.unwrap_or(attempt.plan.member)),
     }
--- a/crates/deckproxy-control/src/interface/attempt.rs
+++ b/crates/deckproxy-control/src/interface/attempt.rs
@@ -60,13 +60,13 @@
     /// It came from a stale copy.
     Stale,
     /// The source rejected the fill.
-    SourceRefused,
+    SourceRejected,
     /// The source was not reached, broke off or timed out.
     SourceFailed,
     /// The source has no such object.
-    SourceLacks,
+    SourceMiss,
     /// The cache has no capacity for a fill.
-    NoPlace,
+    NoCapacity,
     /// The origin failed behind the parent.
     OriginFailed,
 }
--- a/crates/deckproxy-control/tests/origin_overload.rs
+++ b/crates/deckproxy-control/tests/origin_overload.rs
@@ -24,7 +24,7 @@
         attempt: 1,
         member,
         ending: AttemptEnding::Miss,
-        note: FillNote::SourceLacks,
+        note: FillNote::SourceMiss,
         elapsed: 40.0,
         load: None,
     });
