--- a/crates/deckproxy-control/src/control.rs
+++ b/crates/deckproxy-control/src/control.rs
@@ -105,7 +105,7 @@
 impl Control {
     /// A router that has just started. The seed is for decisions by chance, of which there are none so far.
     pub fn new(settings: Settings, _seed: u64) -> Self {
-        let class_sending_times = settings.classes.iter().map(ClassSendingTime::first_estimate).collect();
+        let class_sending_times = settings.classes.iter().map(ClassSendingTime::initial_estimate).collect();
         Control { settings, class_sending_times, ..Control::default() }
     }
 
--- a/crates/deckproxy-control/src/control/attempt_outcomes.rs
+++ b/crates/deckproxy-control/src/control/attempt_outcomes.rs
@@ -19,7 +19,7 @@
         is_finished: bool,
     ) {
         let Some(pending) = self.pending.get_mut(&id) else { return };
-        let Some(attempt) = pending.take_attempt(attempt_number, result.member) else { return };
+        let Some(attempt) = pending.remove_attempt(attempt_number, result.member) else { return };
         pending.has_ended |= is_finished || result.ending == AttemptEnding::Served;
         if result.may_have_run() && pending.possible_run.is_none() {
             let (sent_at, member) = (attempt.sent_at, attempt.plan.member);
@@ -33,7 +33,7 @@
             return self.end_request(&request, &attempt, &result);
         }
         let is_lookup_miss = result.ending == AttemptEnding::Miss && attempt.plan.kind == AttemptKind::Lookup;
-        if self.is_left_to_other_attempt(id, is_lookup_miss) {
+        if self.awaits_other_outcome(id, is_lookup_miss) {
             return;
         }
         if is_lookup_miss {
@@ -60,7 +60,7 @@
 
     /// Whether the request waits, or another of its attempts decides. After a missed look-up only a fill
     /// does.
-    fn is_left_to_other_attempt(&self, id: RequestId, is_lookup_miss: bool) -> bool {
+    fn awaits_other_outcome(&self, id: RequestId, is_lookup_miss: bool) -> bool {
         let Some(pending) = self.pending.get(&id) else { return true };
         let decides = |other: &Attempt| !is_lookup_miss || other.plan.kind == AttemptKind::Fill;
         pending.waiting_since.is_some() || pending.in_flight.iter().any(decides)
@@ -83,7 +83,7 @@
         let is_filling_elsewhere = note == FillNote::Joined && !self.settings.join_fills;
         is_filling_elsewhere
             && pending.sends < WAITING_SENDS_MAX
-            && !self.has_time_for_one_attempt(pending)
+            && !self.has_time_for_only_one_attempt(pending)
             && !self.collapsed_fills.contains_key(&FillKey::of(request))
     }
 
@@ -92,11 +92,11 @@
         let Some(pending) = self.pending.get_mut(&request.id) else { return };
         pending.failed_members.push(result.member_at_fault(attempt));
         let failed = pending.failed_members.clone();
-        let is_hopeless = is_suspect && failed.len() > ERROR_MEMBERS_MAX;
-        if !self.retry_budget.is_available() || self.now >= request.deadline || is_hopeless {
+        let is_request_faulty = is_suspect && failed.len() > ERROR_MEMBERS_MAX;
+        if !self.retry_budget.is_available() || self.now >= request.deadline || is_request_faulty {
             return self.give_up(request.id);
         }
-        self.retry_budget.take();
+        self.retry_budget.withdraw();
         if attempt.plan.kind != AttemptKind::Fill {
             return self.route(request.id);
         }
--- a/crates/deckproxy-control/src/control/attempt_sending.rs
+++ b/crates/deckproxy-control/src/control/attempt_sending.rs
@@ -9,16 +9,16 @@
 impl Control {
     /// Sends an attempt if all rules allow it; tells whether it was sent.
     pub(super) fn try_send(&mut self, plan: AttemptPlan) -> bool {
-        let open = plan.endpoints().all(|member| self.accepts_attempts(member));
-        let Some(pending) = self.pending.get(&plan.request).filter(|_| open) else { return false };
+        let accepted = plan.endpoints().all(|member| self.accepts_attempts(member));
+        let Some(pending) = self.pending.get(&plan.request).filter(|_| accepted) else { return false };
         if !self.is_permitted(pending, &plan) {
             return false;
         }
         let attempt = self.new_attempt(pending, plan);
-        let action = self.action_of(pending, &plan);
+        let action = self.action_for(pending, &plan);
         let cost = self.slow_start_cost(pending.request.class);
         self.actions.push(action);
-        self.book_send(&plan, cost);
+        self.record_send(&plan, cost);
         self.add_link_transfers(attempt.link_transfers());
         if let Some(pending) = self.pending.get_mut(&plan.request) {
             pending.in_flight.push(attempt);
@@ -39,7 +39,7 @@
             sent_at: self.now,
             member_load,
             sending_time,
-            sending_time_known: self.knows_sending_time(&pending.request),
+            sending_time_known: self.is_sending_time_known(&pending.request),
             is_trial: plan.endpoints().any(|member| self.members[&member].health.is_half_open),
             uses_link: plan.kind == AttemptKind::Direct || leads_fill,
             late_at: self.now + LATE_MULTIPLE * expected,
@@ -48,7 +48,7 @@
     }
 
     /// A plain look-up where no purge binds the copy, and at the origin; else a get with its options.
-    fn action_of(&self, pending: &PendingRequest, plan: &AttemptPlan) -> Action {
+    fn action_for(&self, pending: &PendingRequest, plan: &AttemptPlan) -> Action {
         let AttemptPlan { request, member, kind, .. } = *plan;
         let deadline = pending.request.deadline;
         let target = &self.members[&member].listed;
@@ -67,7 +67,7 @@
             max_age: purge_max_age.map_or(0.0, |age| allowed_age(age, class.freshness_lifetime)),
             options: GetOptions {
                 join: self.settings.join_fills && kind != AttemptKind::Lookup,
-                cached_only: self.spares_origin(pending, plan),
+                cached_only: self.is_cached_only(pending, plan),
                 ..GetOptions::default()
             },
         }
@@ -75,17 +75,17 @@
 
     /// Whether the parent is asked only for what it has cached, as the origin or the location's link is
     /// overloaded. What it lacks is given up at once.
-    fn spares_origin(&self, pending: &PendingRequest, plan: &AttemptPlan) -> bool {
+    fn is_cached_only(&self, pending: &PendingRequest, plan: &AttemptPlan) -> bool {
         let is_parent = plan.source.is_some_and(|source| self.is_parent(&self.members[&source].listed));
         if plan.kind != AttemptKind::Fill || !is_parent {
             return false;
         }
-        let leads_over_full_link = self.is_leader(plan.request) && self.is_link_overloaded(pending);
-        self.is_origin_too_slow(pending) || leads_over_full_link
+        let leads_on_overloaded_link = self.is_leader(plan.request) && self.is_link_overloaded(pending);
+        self.is_origin_too_slow(pending) || leads_on_overloaded_link
     }
 
     /// Books a send at the member and its source.
-    fn book_send(&mut self, plan: &AttemptPlan, slow_start_cost: Millis) {
+    fn record_send(&mut self, plan: &AttemptPlan, slow_start_cost: Millis) {
         let now = self.now;
         for id in plan.endpoints() {
             let Some(state) = self.members.get_mut(&id) else { continue };
--- a/crates/deckproxy-control/src/control/capacity_estimate.rs
+++ b/crates/deckproxy-control/src/control/capacity_estimate.rs
@@ -2,7 +2,7 @@
 
 use super::Control;
 use super::decay::decay_factor;
-use super::tuning::{BUSY_SHARE_MIN, CAPACITY_LEARNING_TIME, OBSERVATION_SPAN};
+use super::tuning::{BUSY_SHARE_MIN, CAPACITY_LEARNING_TIME, OBSERVATION_TIME_CONSTANT};
 use crate::interface::{Member, MemberId, Millis};
 
 /// What one member of a kind serves, the other routers' part estimated from this router's. All sums decay.
@@ -31,7 +31,7 @@
     }
 
     fn decay_to(&mut self, now: Millis) {
-        let kept = decay_factor(now - self.updated_at, OBSERVATION_SPAN);
+        let kept = decay_factor(now - self.updated_at, OBSERVATION_TIME_CONSTANT);
         self.served *= kept;
         self.busy_share_sum *= kept;
         self.busy_share_reports *= kept;
@@ -41,7 +41,8 @@
     /// Answers at full rate that explain the throughput: those in flight on average over the busy share.
     /// Without reports of the busy share it is the least that the member must have.
     fn capacity(&self, now: Millis) -> Option<f64> {
-        let span = OBSERVATION_SPAN * (1.0 - decay_factor(self.updated_at - self.since, OBSERVATION_SPAN));
+        let span = OBSERVATION_TIME_CONSTANT
+            * (1.0 - decay_factor(self.updated_at - self.since, OBSERVATION_TIME_CONSTANT));
         let reported = self.busy_share_reports > 0.0;
         let busy_share = if reported { self.busy_share_sum / self.busy_share_reports } else { 1.0 };
         let learned = now - self.since > CAPACITY_LEARNING_TIME;
--- a/crates/deckproxy-control/src/control/collapsing.rs
+++ b/crates/deckproxy-control/src/control/collapsing.rs
@@ -42,7 +42,7 @@
     pub(super) fn handle_miss(&mut self, id: RequestId, cache: MemberId) {
         let Some(pending) = self.pending.get(&id) else { return };
         let is_large = self.sending_time(&pending.request) >= LARGE_SENDING_TIME;
-        let cannot_wait = self.settings.join_fills && is_large || self.has_time_for_one_attempt(pending);
+        let cannot_wait = self.settings.join_fills && is_large || self.has_time_for_only_one_attempt(pending);
         let new = CollapsedFill { leader: id, cache, waiters: VecDeque::new() };
         let fill = self.collapsed_fills.entry(FillKey::of(&pending.request)).or_insert(new);
         if fill.leader == id || cannot_wait || fill.waiters.len() >= WAITERS_MAX {
@@ -61,7 +61,7 @@
     }
 
     /// Whether a request has no more time than one attempt needs, so that it cannot wait for the next timer.
-    pub(super) fn has_time_for_one_attempt(&self, pending: &PendingRequest) -> bool {
+    pub(super) fn has_time_for_only_one_attempt(&self, pending: &PendingRequest) -> bool {
         let attempt_time = LATE_MULTIPLE * (self.sending_time(&pending.request) + HOP_ALLOWANCE);
         pending.request.deadline - self.now <= attempt_time + TIMER_PERIOD
     }
@@ -75,14 +75,14 @@
         }
         // On an overloaded link nothing comes from the origin, and where notes do not tell what does, nothing
         // at all.
-        let spares_link = self.is_leader(id) && self.is_link_overloaded(pending);
-        if spares_link && !self.origin_latency.has_observations() {
+        let avoids_origin = self.is_leader(id) && self.is_link_overloaded(pending);
+        if avoids_origin && !self.origin_latency.has_observations() {
             return self.give_up(id);
         }
         let mut sources = self.responsive_sources(id);
-        sources.retain(|source| !spares_link || self.origin() != Some(*source));
+        sources.retain(|source| !avoids_origin || self.origin() != Some(*source));
         match self.send_fill(&request, cache, &sources) {
-            Some(filled) => self.set_leaders_cache(&request, filled),
+            Some(filled) => self.set_fill_cache(&request, filled),
             None => self.send_past_caches(id),
         }
     }
@@ -100,7 +100,7 @@
     }
 
     /// Records where a leader fills.
-    fn set_leaders_cache(&mut self, request: &Request, cache: MemberId) {
+    fn set_fill_cache(&mut self, request: &Request, cache: MemberId) {
         let fill = self.collapsed_fills.get_mut(&FillKey::of(request));
         if let Some(fill) = fill.filter(|fill| fill.leader == request.id) {
             fill.cache = cache;
@@ -109,7 +109,7 @@
 
     /// A request that was served by a cache leads no longer: its waiters look the object up there.
     pub(super) fn complete_fill(&mut self, id: RequestId, key: FillKey, cache: MemberId) {
-        if !self.leave_waiters(id, key) {
+        if !self.remove_waiter(id, key) {
             return;
         }
         let waiters = self.collapsed_fills.remove(&key).map(|fill| fill.waiters).unwrap_or_default();
@@ -124,7 +124,7 @@
     /// A request that was not served stops waiting or leading. If it led, its oldest waiter leads, without
     /// the members that failed the request.
     pub(super) fn release_fill(&mut self, id: RequestId, key: FillKey, failed: Vec<MemberId>) {
-        if !self.leave_waiters(id, key) {
+        if !self.remove_waiter(id, key) {
             return;
         }
         let Some(fill) = self.collapsed_fills.get_mut(&key) else { return };
@@ -142,7 +142,7 @@
     }
 
     /// Removes a request from a fill's waiters; tells whether it leads that fill.
-    fn leave_waiters(&mut self, id: RequestId, key: FillKey) -> bool {
+    fn remove_waiter(&mut self, id: RequestId, key: FillKey) -> bool {
         let Some(fill) = self.collapsed_fills.get_mut(&key) else { return false };
         fill.waiters.retain(|waiter| *waiter != id);
         fill.leader == id
--- a/crates/deckproxy-control/src/control/decay.rs
+++ b/crates/deckproxy-control/src/control/decay.rs
@@ -2,9 +2,9 @@
 
 use crate::interface::Millis;
 
-/// Share of a value that is left after `elapsed` ms when it decays with the time constant `span`.
-pub(super) fn decay_factor(elapsed: Millis, span: Millis) -> f64 {
-    (-elapsed / span).exp()
+/// Share of a value that is left after `elapsed` ms when it decays with the time constant `time_constant`.
+pub(super) fn decay_factor(elapsed: Millis, time_constant: Millis) -> f64 {
+    (-elapsed / time_constant).exp()
 }
 
 /// A value and the clock time at which it was reported.
@@ -22,14 +22,14 @@
 }
 
 impl DecayingSum {
-    /// What is left of the sum when it decays with the time constant `span`.
-    pub(super) fn value(&self, now: Millis, span: Millis) -> f64 {
-        self.amount * decay_factor(now - self.updated_at, span)
+    /// What is left of the sum when it decays with the time constant `time_constant`.
+    pub(super) fn value(&self, now: Millis, time_constant: Millis) -> f64 {
+        self.amount * decay_factor(now - self.updated_at, time_constant)
     }
 
     /// Adds an amount to what is left of the sum.
-    pub(super) fn add(&mut self, amount: f64, now: Millis, span: Millis) {
-        *self = DecayingSum { amount: self.value(now, span) + amount, updated_at: now };
+    pub(super) fn add(&mut self, amount: f64, now: Millis, time_constant: Millis) {
+        *self = DecayingSum { amount: self.value(now, time_constant) + amount, updated_at: now };
     }
 
     /// When something was last added.
--- a/crates/deckproxy-control/src/control/dispatch.rs
+++ b/crates/deckproxy-control/src/control/dispatch.rs
@@ -5,7 +5,7 @@
 use super::request_state::{AttemptPlan, PendingRequest};
 use super::sending_times::fill_time;
 use super::tuning::{
-    DEMAND_SPAN, OBJECTS_MAX, RETRY_AFTER_SHARE, SLOW_SOURCE_RETRY_DELAY, SLOW_SOURCE_RETRY_SHARE,
+    DEMAND_TIME_CONSTANT, OBJECTS_MAX, RETRY_AFTER_SHARE, SLOW_SOURCE_RETRY_DELAY, SLOW_SOURCE_RETRY_SHARE,
 };
 use crate::interface::{Action, Group, Idempotency, MemberId, Millis, Request, RequestId};
 
@@ -16,7 +16,7 @@
             self.actions.push(Action::Fail { request: request.id });
             return;
         }
-        self.retry_budget.earn();
+        self.retry_budget.deposit();
         self.record_demand(&request);
         let pending = PendingRequest { request, arrived_at: self.now, ..PendingRequest::default() };
         self.pending.insert(request.id, pending);
@@ -28,10 +28,10 @@
         if request.size.is_some() {
             self.class_sending_times[request.class].learn(sending_time);
         }
-        self.demand.add(sending_time, now, DEMAND_SPAN);
+        self.demand.add(sending_time, now, DEMAND_TIME_CONSTANT);
         if self.objects.len() < OBJECTS_MAX || self.objects.contains_key(&request.object) {
             let stats = self.objects.entry(request.object).or_default();
-            stats.demand.add(sending_time, now, DEMAND_SPAN);
+            stats.demand.add(sending_time, now, DEMAND_TIME_CONSTANT);
         }
     }
 
@@ -42,8 +42,8 @@
             return self.send_past_caches(id);
         }
         // Where a fill of this router runs, the object is looked up there.
-        let filling = self.collapsed_fills.get(&FillKey::of(&pending.request)).map(|fill| fill.cache);
-        let caches: Vec<MemberId> = filling.into_iter().chain(self.caches_for(&pending.request)).collect();
+        let fill_cache = self.collapsed_fills.get(&FillKey::of(&pending.request)).map(|fill| fill.cache);
+        let caches: Vec<MemberId> = fill_cache.into_iter().chain(self.caches_for(&pending.request)).collect();
         if pending.sends == 0 && self.are_caches_overloaded(pending, &caches) {
             return self.give_up(id);
         }
--- a/crates/deckproxy-control/src/control/latency_inflation.rs
+++ b/crates/deckproxy-control/src/control/latency_inflation.rs
@@ -12,9 +12,9 @@
 }
 
 impl LatencyInflation {
-    /// Takes one observation; earlier ones decay with the time constant `span`.
-    pub(super) fn record(&mut self, observed: f64, expected: f64, span: Millis, now: Millis) {
-        let kept = decay_factor(now - self.updated_at, span);
+    /// Takes one observation; earlier ones decay with the time constant `time_constant`.
+    pub(super) fn record(&mut self, observed: f64, expected: f64, time_constant: Millis, now: Millis) {
+        let kept = decay_factor(now - self.updated_at, time_constant);
         *self = LatencyInflation {
             observed: self.observed * kept + observed,
             expected: self.expected * kept + expected,
@@ -28,8 +28,8 @@
     }
 
     /// Observed over expected time, with `prior` of both assumed beside: 1 without recent observations.
-    pub(super) fn ratio(&self, prior: f64, span: Millis, now: Millis) -> f64 {
-        let kept = decay_factor(now - self.updated_at, span);
+    pub(super) fn ratio(&self, prior: f64, time_constant: Millis, now: Millis) -> f64 {
+        let kept = decay_factor(now - self.updated_at, time_constant);
         (prior + self.observed * kept) / (prior + self.expected * kept)
     }
 }
--- a/crates/deckproxy-control/src/control/load.rs
+++ b/crates/deckproxy-control/src/control/load.rs
@@ -37,8 +37,8 @@
     /// Transfers that fit the location's link, where its rate is told.
     pub(super) fn link_capacity(&self) -> Option<f64> {
         let rate = self.settings.zone_link_rate.get(self.settings.zone as usize).copied()?;
-        let is_told = rate > 0.0 && self.settings.transfer_rate > 0.0;
-        is_told.then(|| (rate / self.settings.transfer_rate / FILL_RATE_MULTIPLE).max(1.0))
+        let is_known = rate > 0.0 && self.settings.transfer_rate > 0.0;
+        is_known.then(|| (rate / self.settings.transfer_rate / FILL_RATE_MULTIPLE).max(1.0))
     }
 
     /// Load of the location's link with one more transfer: over those that fit it where its rate is told,
@@ -49,7 +49,7 @@
                 let routers = self.routers_in(self.settings.zone);
                 (self.link.total(routers, self.now) + 1.0) / capacity
             }
-            None => self.link.faded_report(self.now),
+            None => self.link.decayed_report(self.now),
         }
     }
 
@@ -69,7 +69,7 @@
     pub(super) fn record_load_report(&mut self, id: MemberId, report: LoadReport) {
         let Some(state) = self.members.get(&id) else { return };
         let member = state.listed;
-        let in_flight = report.in_flight.or_else(|| self.in_flight_by_busy_share(state, &report));
+        let in_flight = report.in_flight.or_else(|| self.in_flight_from_busy_share(state, &report));
         let now = self.now;
         if let Some(state) = self.members.get_mut(&id) {
             state.busy_share =
@@ -79,16 +79,16 @@
             }
         }
         self.record_throughput(id, 0.0, report.busy_share);
-        if let Some(fullness) = report.link.filter(|_| self.is_local_cache(&member)) {
+        if let Some(utilization) = report.link.filter(|_| self.is_local_cache(&member)) {
             let capacity = self.link_capacity();
-            let transfers = capacity.map_or(fullness + self.link.own(), |capacity| fullness * capacity);
+            let transfers = capacity.map_or(utilization + self.link.own(), |capacity| utilization * capacity);
             self.link.report(transfers, now);
         }
     }
 
     /// Attempts in flight as a member's busy share tells them, where its size is listed. A saturated member
     /// may have more, so its share is only taken as a lower bound.
-    fn in_flight_by_busy_share(&self, state: &MemberState, report: &LoadReport) -> Option<f64> {
+    fn in_flight_from_busy_share(&self, state: &MemberState, report: &LoadReport) -> Option<f64> {
         let busy_share = report.busy_share.filter(|_| self.settings.weights_are_sizes)?;
         let in_flight = busy_share * state.listed.weight;
         let estimated = state.in_flight.total(self.routers_sharing(&state.listed), self.now);
--- a/crates/deckproxy-control/src/control/member_list.rs
+++ b/crates/deckproxy-control/src/control/member_list.rs
@@ -77,11 +77,11 @@
     /// The other ready members that stand in for a member: of its kind, or of its location for a cache.
     pub(super) fn pool_of(&self, member: &Member) -> impl Iterator<Item = &MemberState> {
         let (id, kind, zone, is_cache) = (member.id, member.kind, member.zone, self.is_cache(member));
-        let stands_in = move |other: &Member| {
+        let is_substitute = move |other: &Member| {
             if is_cache { self.is_cache(other) && other.zone == zone } else { other.kind == kind }
         };
         let ready = self.members.values().filter(|state| state.listed.lifecycle == Lifecycle::Ready);
-        ready.filter(move |state| state.listed.id != id && stands_in(&state.listed))
+        ready.filter(move |state| state.listed.id != id && is_substitute(&state.listed))
     }
 
     /// The origin, where one is listed as ready.
--- a/crates/deckproxy-control/src/control/member_order.rs
+++ b/crates/deckproxy-control/src/control/member_order.rs
@@ -3,7 +3,8 @@
 use super::Control;
 use super::rendezvous_hash::{mix64, rendezvous_score};
 use super::tuning::{
-    CACHE_SPILL_LOAD, DEMAND_SPAN, HOT_OBJECT_DEMAND, HOT_OBJECT_SHARE, PARENT_SPILL_LOAD, SPILL_OVER_MEAN,
+    CACHE_SPILL_LOAD, DEMAND_TIME_CONSTANT, HOT_OBJECT_DEMAND, HOT_OBJECT_SHARE, PARENT_SPILL_LOAD,
+    SPILL_OVER_MEAN,
 };
 use crate::interface::{Lifecycle, Member, MemberId, Request};
 use std::cmp::Ordering;
@@ -61,9 +62,9 @@
     /// Whether an object draws so much work that its parts are spread over the location's caches.
     fn is_hot(&self, request: &Request) -> bool {
         let object = self.objects.get(&request.object);
-        let object_demand = object.map_or(0.0, |stats| stats.demand.value(self.now, DEMAND_SPAN));
+        let object_demand = object.map_or(0.0, |stats| stats.demand.value(self.now, DEMAND_TIME_CONSTANT));
         let caches = self.members.values().filter(|state| self.is_local_cache(&state.listed)).count();
-        let demand = self.demand.value(self.now, DEMAND_SPAN);
+        let demand = self.demand.value(self.now, DEMAND_TIME_CONSTANT);
         demand > HOT_OBJECT_DEMAND && object_demand * caches as f64 > HOT_OBJECT_SHARE * demand
     }
 }
--- a/crates/deckproxy-control/src/control/member_state.rs
+++ b/crates/deckproxy-control/src/control/member_state.rs
@@ -4,7 +4,9 @@
 use super::latency_inflation::LatencyInflation;
 use super::shared_load::SharedLoad;
 use super::slow_start::SlowStartBudget;
-use super::tuning::{BUSY_SHARE_SATURATED, LOAD_REPORT_SPAN, MEMBER_LATENCY_PRIOR, OBSERVATION_SPAN};
+use super::tuning::{
+    BUSY_SHARE_SATURATED, LOAD_REPORT_TIME_CONSTANT, MEMBER_LATENCY_PRIOR, OBSERVATION_TIME_CONSTANT,
+};
 use crate::interface::{Lifecycle, Member, Millis};
 
 /// Signs of a member's health, and its ejection.
@@ -59,18 +61,19 @@
 
     /// Whether it reported lately that its cores have time left.
     pub(super) fn reports_spare_capacity(&self, now: Millis) -> bool {
-        let is_spare =
-            |share: TimedValue| share.value < BUSY_SHARE_SATURATED && now - share.at < LOAD_REPORT_SPAN;
+        let is_spare = |share: TimedValue| {
+            share.value < BUSY_SHARE_SATURATED && now - share.at < LOAD_REPORT_TIME_CONSTANT
+        };
         self.busy_share.is_some_and(is_spare)
     }
 
     /// Takes the latency inflation of one answer.
     pub(super) fn record_inflation(&mut self, inflation: f64, now: Millis) {
-        self.latency.record(inflation, 1.0, OBSERVATION_SPAN, now);
+        self.latency.record(inflation, 1.0, OBSERVATION_TIME_CONSTANT, now);
     }
 
     /// The latency inflation to be expected; it tends to 1 without observations.
     pub(super) fn inflation(&self, now: Millis) -> f64 {
-        self.latency.ratio(MEMBER_LATENCY_PRIOR, OBSERVATION_SPAN, now)
+        self.latency.ratio(MEMBER_LATENCY_PRIOR, OBSERVATION_TIME_CONSTANT, now)
     }
 }
--- a/crates/deckproxy-control/src/control/outcome_accounting.rs
+++ b/crates/deckproxy-control/src/control/outcome_accounting.rs
@@ -4,7 +4,9 @@
 use super::latency_inflation::LatencyInflation;
 use super::request_state::{Attempt, AttemptKind, AttemptResult};
 use super::sending_times::fill_time;
-use super::tuning::{LATE_INFLATION, ORIGIN_LATENCY_SPAN, RECOVERED_FILL_SHARE, SLOW_SOURCE_INFLATION};
+use super::tuning::{
+    LATE_INFLATION, ORIGIN_LATENCY_TIME_CONSTANT, RECOVERED_FILL_SHARE, SLOW_SOURCE_INFLATION,
+};
 use crate::interface::{AttemptEnding, FillNote, MemberId, Millis, Request};
 
 impl AttemptResult {
@@ -76,7 +78,7 @@
     fn record_served(&mut self, attempt: &Attempt, request: &Request, result: &AttemptResult) {
         let member = attempt.plan.member;
         self.record_served_latency(attempt, request, result);
-        if shows_link_load(attempt, result) {
+        if indicates_link_load(attempt, result) {
             self.infer_link_load(result.elapsed, fill_time(attempt.sending_time));
         }
         if request.size.is_none() && attempt.plan.kind == AttemptKind::Lookup {
@@ -108,14 +110,14 @@
     }
 
     /// Books an answer by way of the origin. One in time ends the origin's slow time; what was late was
-    /// booked already, up to the moment at which it became late.
+    /// recorded already, up to the moment at which it became late.
     fn record_origin_latency(&mut self, attempt: &Attempt, elapsed: Millis) {
-        let booked = if attempt.is_late { attempt.late_at - attempt.sent_at } else { 0.0 };
+        let recorded = if attempt.is_late { attempt.late_at - attempt.sent_at } else { 0.0 };
         let expected = if attempt.is_late { 0.0 } else { fill_time(attempt.sending_time) };
         if elapsed < expected {
             self.origin_latency = LatencyInflation::default();
         }
-        self.origin_latency.record(elapsed - booked, expected, ORIGIN_LATENCY_SPAN, self.now);
+        self.origin_latency.record(elapsed - recorded, expected, ORIGIN_LATENCY_TIME_CONSTANT, self.now);
     }
 
     /// Books the latency inflation that an attempt shows, computed from the time it should have taken.
@@ -124,8 +126,8 @@
         let Some(state) = self.members.get_mut(&shown.member) else { return };
         let inflation = inflation(shown.expected);
         // A fill that is quicker than it should be ends its source's slow time.
-        let is_quick_fill = attempt.plan.kind == AttemptKind::Fill && inflation < RECOVERED_FILL_SHARE;
-        if is_quick_fill && state.inflation(self.now) > SLOW_SOURCE_INFLATION {
+        let is_fast_fill = attempt.plan.kind == AttemptKind::Fill && inflation < RECOVERED_FILL_SHARE;
+        if is_fast_fill && state.inflation(self.now) > SLOW_SOURCE_INFLATION {
             state.latency = LatencyInflation::default();
         }
         state.record_inflation(inflation, self.now);
@@ -141,8 +143,8 @@
         if is_fill && !origin.is_endpoint && origin.is_failing {
             return;
         }
-        let is_crowding = matches!(result.ending, Timeout | Rejected);
-        if is_crowding && attempt.plan.kind != AttemptKind::Lookup && !attempt.is_late {
+        let is_overload = matches!(result.ending, Timeout | Rejected);
+        if is_overload && attempt.plan.kind != AttemptKind::Lookup && !attempt.is_late {
             self.record_latency(attempt, |_| LATE_INFLATION);
             if result.ending == Rejected && is_fill {
                 self.record_failure(attempt.other_source().unwrap_or(attempt.plan.member));
@@ -169,7 +171,7 @@
 
 /// Whether the time of a served fill tells the load of the location's link: it came from a parent's copy, its
 /// size is known, and the cache does not report the link itself.
-fn shows_link_load(attempt: &Attempt, result: &AttemptResult) -> bool {
+fn indicates_link_load(attempt: &Attempt, result: &AttemptResult) -> bool {
     let is_from_copy = !matches!(result.note, FillNote::FilledByOrigin | FillNote::Joined);
     let is_unreported = result.load.is_none_or(|report| report.link.is_none());
     attempt.plan.kind == AttemptKind::Fill && is_unreported && attempt.sending_time_known && is_from_copy
--- a/crates/deckproxy-control/src/control/outlier_ejection.rs
+++ b/crates/deckproxy-control/src/control/outlier_ejection.rs
@@ -3,8 +3,8 @@
 use super::Control;
 use super::member_state::MemberState;
 use super::tuning::{
-    EJECTION_FAILURES, EJECTION_FIRST, EJECTION_MAX, EJECTION_RELIEF, LOG_LINES_MAX, MEDIAN_INFLATION_MIN,
-    OUTLIER_RATIO,
+    EJECTION_FAILURES, EJECTION_RECOVERY_FACTOR, EJECTION_TIME_MAX, EJECTION_TIME_MIN, LOG_LINES_MAX,
+    MEDIAN_INFLATION_MIN, OUTLIER_RATIO,
 };
 use crate::interface::{Action, Member, MemberId};
 
@@ -16,7 +16,7 @@
         if self.now < health.ejected_until {
             return;
         }
-        health.ejection_span = (health.ejection_span * 2.0).clamp(EJECTION_FIRST, EJECTION_MAX);
+        health.ejection_span = (health.ejection_span * 2.0).clamp(EJECTION_TIME_MIN, EJECTION_TIME_MAX);
         health.ejected_until = self.now + health.ejection_span;
         health.is_half_open = true;
         health.trial_in_flight = false;
@@ -41,7 +41,7 @@
         health.consecutive_failures = 0;
         if health.is_half_open {
             health.is_half_open = false;
-            health.ejection_span *= EJECTION_RELIEF;
+            health.ejection_span *= EJECTION_RECOVERY_FACTOR;
         }
     }
 
--- a/crates/deckproxy-control/src/control/periodic_timer.rs
+++ b/crates/deckproxy-control/src/control/periodic_timer.rs
@@ -6,8 +6,8 @@
 use super::request_state::{Attempt, AttemptKind, AttemptPlan, PendingRequest};
 use super::sending_times::fill_time;
 use super::tuning::{
-    LATE_INFLATION, OBJECT_IDLE_TIME, OBJECTS_MAX, ORIGIN_LATENCY_SPAN, OWN_PAUSE, SILENT_SENDS, SILENT_TIME,
-    SILENT_TRIAL_SENDS, SLOW_SOURCE_INFLATION, TIMER_PERIOD, WAITER_TIMEOUT,
+    LATE_INFLATION, OBJECT_IDLE_TIME, OBJECTS_MAX, ORIGIN_LATENCY_TIME_CONSTANT, ROUTER_STALL_TIME,
+    SILENT_SENDS, SILENT_TIME, SILENT_TRIAL_SENDS, SLOW_SOURCE_INFLATION, TIMER_PERIOD, WAITER_TIMEOUT,
 };
 use super::{PERIODIC_TIMER, TimerState};
 use crate::interface::{Action, MemberId, RequestId};
@@ -32,7 +32,7 @@
     /// One run of the periodic timer.
     pub(super) fn run_periodic_tasks(&mut self) {
         self.timer.is_armed = false;
-        self.forgive_own_pause();
+        self.reset_silence_after_stall();
         self.forget_idle_objects();
         let late = self.mark_late_attempts();
         for attempt in &late.all {
@@ -44,8 +44,8 @@
     }
 
     /// A router that stood still itself received no answers: silence is counted anew.
-    fn forgive_own_pause(&mut self) {
-        if self.now - self.timer.due_at > OWN_PAUSE {
+    fn reset_silence_after_stall(&mut self) {
+        if self.now - self.timer.due_at > ROUTER_STALL_TIME {
             for state in self.members.values_mut() {
                 state.health.unanswered_since = self.now;
             }
@@ -89,7 +89,7 @@
         let is_source_slow = source.is_none_or(|state| state.inflation(now) > SLOW_SOURCE_INFLATION);
         if is_fill && !is_source_slow && self.origin_latency.has_observations() {
             let expected = fill_time(attempt.sending_time);
-            self.origin_latency.record(now - attempt.sent_at, expected, ORIGIN_LATENCY_SPAN, now);
+            self.origin_latency.record(now - attempt.sent_at, expected, ORIGIN_LATENCY_TIME_CONSTANT, now);
         }
         let shown = attempt.latency_expectation().filter(|_| is_fill && attempt.sending_time_known);
         if let Some(state) = shown.and_then(|shown| self.members.get_mut(&shown.member)) {
@@ -109,7 +109,7 @@
         for plan in plans {
             let may_hedge = self.settings.hedged_requests && self.retry_budget.is_available();
             if may_hedge && self.try_send(plan) {
-                self.retry_budget.take();
+                self.retry_budget.withdraw();
             }
         }
     }
@@ -157,7 +157,9 @@
 
     fn is_wait_over(&self, pending: &PendingRequest) -> bool {
         let timed_out = |since: f64| self.now - since >= WAITER_TIMEOUT;
-        pending.waiting_since.is_some_and(|since| timed_out(since) || self.has_time_for_one_attempt(pending))
+        pending
+            .waiting_since
+            .is_some_and(|since| timed_out(since) || self.has_time_for_only_one_attempt(pending))
     }
 
     fn resume_waiter(&mut self, id: RequestId) {
--- a/crates/deckproxy-control/src/control/purge_bounds.rs
+++ b/crates/deckproxy-control/src/control/purge_bounds.rs
@@ -23,13 +23,13 @@
         self.purges.retain(|_, at| self.now <= *at + self.settings.purge_settle_time);
     }
 
-    /// Greatest age in ms of a copy that may answer a request, where a purge binds it. It grows with time, so
+    /// Greatest age in ms of a copy that may answer a request, where a purge applies it. It grows with time, so
     /// it is computed at each send.
     pub(super) fn purge_max_age(&self, request: &Request) -> Option<Millis> {
         let targets = [PurgeTarget::Object(request.object), PurgeTarget::Group(request.group)];
         let purged_at = targets.iter().filter_map(|target| self.purges.get(target));
         let last = purged_at.copied().fold(f64::MIN, f64::max);
-        let binds = self.now <= last + self.settings.purge_settle_time;
-        binds.then(|| (self.now - last - PURGE_AGE_MARGIN).max(PURGE_AGE_MIN))
+        let applies = self.now <= last + self.settings.purge_settle_time;
+        applies.then(|| (self.now - last - PURGE_AGE_MARGIN).max(PURGE_AGE_MIN))
     }
 }
--- a/crates/deckproxy-control/src/control/request_state.rs
+++ b/crates/deckproxy-control/src/control/request_state.rs
@@ -129,7 +129,7 @@
 
 impl PendingRequest {
     /// Removes an attempt from those in flight.
-    pub(super) fn take_attempt(&mut self, number: u32, member: MemberId) -> Option<Attempt> {
+    pub(super) fn remove_attempt(&mut self, number: u32, member: MemberId) -> Option<Attempt> {
         let matches = |attempt: &Attempt| attempt.number == number && attempt.plan.member == member;
         let index = self.in_flight.iter().position(matches)?;
         Some(self.in_flight.remove(index))
--- a/crates/deckproxy-control/src/control/retry_budget.rs
+++ b/crates/deckproxy-control/src/control/retry_budget.rs
@@ -1,6 +1,6 @@
 //! The budget of retries and hedged requests.
 
-use super::tuning::{RETRIES_EARNED, RETRIES_MAX};
+use super::tuning::{RETRY_TOKENS_MAX, RETRY_TOKENS_PER_REQUEST};
 
 /// Tokens for retries and hedged requests: each client request earns a part of one.
 #[derive(Clone, Copy, Debug)]
@@ -10,14 +10,14 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        RetryBudget { tokens: RETRIES_MAX }
+        RetryBudget { tokens: RETRY_TOKENS_MAX }
     }
 }
 
 impl RetryBudget {
     /// Adds what one client request earns.
-    pub(super) fn earn(&mut self) {
-        self.tokens = (self.tokens + RETRIES_EARNED).min(RETRIES_MAX);
+    pub(super) fn deposit(&mut self) {
+        self.tokens = (self.tokens + RETRY_TOKENS_PER_REQUEST).min(RETRY_TOKENS_MAX);
     }
 
     /// Whether one more retry or hedged request is allowed.
@@ -26,7 +26,7 @@
     }
 
     /// Takes one token.
-    pub(super) fn take(&mut self) {
+    pub(super) fn withdraw(&mut self) {
         self.tokens -= 1.0;
     }
 }
--- a/crates/deckproxy-control/src/control/sending_times.rs
+++ b/crates/deckproxy-control/src/control/sending_times.rs
@@ -4,7 +4,7 @@
 use super::decay::DecayingSum;
 use super::request_state::Attempt;
 use super::tuning::{
-    FIRST_ESTIMATE_DIVISOR, FIRST_ESTIMATE_WEIGHT, HOP_ALLOWANCE, MEAN_ANSWERS_MAX, QUICKER_HIT_WEIGHT,
+    FASTER_HIT_WEIGHT, HOP_ALLOWANCE, INITIAL_ESTIMATE_DIVISOR, INITIAL_ESTIMATE_WEIGHT, MEAN_ANSWERS_MAX,
     SLOWER_HIT_WEIGHT,
 };
 use crate::interface::{Class, Millis, Request};
@@ -28,8 +28,8 @@
 
 impl ClassSendingTime {
     /// The first estimate, from the class's deadline.
-    pub(super) fn first_estimate(class: &Class) -> Self {
-        ClassSendingTime { mean: class.deadline / FIRST_ESTIMATE_DIVISOR, answers: 0.0 }
+    pub(super) fn initial_estimate(class: &Class) -> Self {
+        ClassSendingTime { mean: class.deadline / INITIAL_ESTIMATE_DIVISOR, answers: 0.0 }
     }
 
     /// The mean, in ms.
@@ -40,7 +40,7 @@
     /// Takes one more answer into the mean.
     pub(super) fn learn(&mut self, sending_time: Millis) {
         self.answers = (self.answers + 1.0).min(MEAN_ANSWERS_MAX);
-        self.mean += (sending_time - self.mean) / (self.answers + FIRST_ESTIMATE_WEIGHT);
+        self.mean += (sending_time - self.mean) / (self.answers + INITIAL_ESTIMATE_WEIGHT);
     }
 }
 
@@ -64,7 +64,7 @@
 
     /// Whether the sending time of a request's answer is told or learned of its object, not only of its
     /// class.
-    pub(super) fn knows_sending_time(&self, request: &Request) -> bool {
+    pub(super) fn is_sending_time_known(&self, request: &Request) -> bool {
         let learned = |stats: &ObjectStats| stats.sending_time.is_some();
         request.size.is_some() || self.objects.get(&request.object).is_some_and(learned)
     }
@@ -75,7 +75,7 @@
         self.class_sending_times[request.class].learn(sending_time);
         if let Some(stats) = self.objects.get_mut(&request.object) {
             let previous = stats.sending_time.unwrap_or(sending_time);
-            let weight = if sending_time < previous { QUICKER_HIT_WEIGHT } else { SLOWER_HIT_WEIGHT };
+            let weight = if sending_time < previous { FASTER_HIT_WEIGHT } else { SLOWER_HIT_WEIGHT };
             stats.sending_time = Some(previous + weight * (sending_time - previous));
         }
     }
--- a/crates/deckproxy-control/src/control/shared_load.rs
+++ b/crates/deckproxy-control/src/control/shared_load.rs
@@ -1,7 +1,9 @@
 //! The load that several routers put on one member or link together.
 
 use super::decay::{TimedValue, decay_factor};
-use super::tuning::{LOAD_REPORT_SMOOTHING, LOAD_REPORT_SPAN, LOAD_REPORT_WEIGHT, OWN_LOAD_SPAN};
+use super::tuning::{
+    LOAD_REPORT_SMOOTHING, LOAD_REPORT_TIME_CONSTANT, LOAD_REPORT_WEIGHT, OWN_LOAD_TIME_CONSTANT,
+};
 use crate::interface::Millis;
 
 /// Attempts in flight at a member or over a link: this router's own, and an estimate of the other routers'.
@@ -45,7 +47,7 @@
         let estimate = (routers - 1.0) * self.own_mean_at(now);
         let others = match self.others_reported.filter(|_| routers > 1.0) {
             Some(report) => {
-                let weight = LOAD_REPORT_WEIGHT * decay_factor(now - report.at, LOAD_REPORT_SPAN);
+                let weight = LOAD_REPORT_WEIGHT * decay_factor(now - report.at, LOAD_REPORT_TIME_CONSTANT);
                 estimate + (report.value - estimate) * weight
             }
             None => estimate,
@@ -54,12 +56,13 @@
     }
 
     /// The others' load as reported, fading with the report's age; 0 without a report.
-    pub(super) fn faded_report(&self, now: Millis) -> f64 {
-        let faded = |report: TimedValue| report.value * decay_factor(now - report.at, LOAD_REPORT_SPAN);
-        self.others_reported.map_or(0.0, faded)
+    pub(super) fn decayed_report(&self, now: Millis) -> f64 {
+        let decayed =
+            |report: TimedValue| report.value * decay_factor(now - report.at, LOAD_REPORT_TIME_CONSTANT);
+        self.others_reported.map_or(0.0, decayed)
     }
 
     fn own_mean_at(&self, now: Millis) -> f64 {
-        self.own + (self.own_mean - self.own) * decay_factor(now - self.updated_at, OWN_LOAD_SPAN)
+        self.own + (self.own_mean - self.own) * decay_factor(now - self.updated_at, OWN_LOAD_TIME_CONSTANT)
     }
 }
--- a/crates/deckproxy-control/src/control/slow_start.rs
+++ b/crates/deckproxy-control/src/control/slow_start.rs
@@ -12,9 +12,9 @@
     /// This router's position among all.
     pub(super) position: u32,
     /// This router's part of the member's capacity, in answers at full rate.
-    pub(super) capacity_part: f64,
+    pub(super) capacity_share: f64,
     /// Cost of the dearest class's send, ms.
-    pub(super) dearest_send: Millis,
+    pub(super) max_send_cost: Millis,
 }
 
 /// This router's part of a member's slow-start budget, in ms of sending time.
@@ -42,20 +42,20 @@
     /// holds the dearest send, and lapses a window later, so that lulls save nothing up. The first balances
     /// are spread by the golden ratio, so that the turns of any run of router positions come one after the
     /// other.
-    pub(super) fn has_turn(&mut self, member: &Member, terms: &SlowStartTerms, now: Millis) -> bool {
-        let SlowStartTerms { rule, position, capacity_part, dearest_send } = *terms;
+    pub(super) fn allows_send(&mut self, member: &Member, terms: &SlowStartTerms, now: Millis) -> bool {
+        let SlowStartTerms { rule, position, capacity_share, max_send_cost } = *terms;
         let age = (now - member.started.unwrap_or(now)).max(0.0);
         let capacity = rule.initial_share + (1.0 - rule.initial_share) * age / rule.duration;
-        let rate = SLOW_START_SHARE * rule.overload_multiple * capacity * capacity_part;
-        let member_shift = mix64(u64::from(member.id)) as f64 / u64::MAX as f64;
-        let first = dearest_send * (f64::from(position) * GOLDEN_FRACTION + member_shift).fract();
-        let earned = rate * (now - self.updated_at).max(0.0);
-        let balance = self.balance.unwrap_or(first) + earned;
-        let lapsed_turns = ((balance - rate * rule.overload_window) / dearest_send).floor().max(0.0);
-        let balance = balance - lapsed_turns * dearest_send;
+        let rate = SLOW_START_SHARE * rule.overload_multiple * capacity * capacity_share;
+        let member_offset = mix64(u64::from(member.id)) as f64 / u64::MAX as f64;
+        let first = max_send_cost * (f64::from(position) * GOLDEN_FRACTION + member_offset).fract();
+        let refill = rate * (now - self.updated_at).max(0.0);
+        let balance = self.balance.unwrap_or(first) + refill;
+        let expired_sends = ((balance - rate * rule.overload_window) / max_send_cost).floor().max(0.0);
+        let balance = balance - expired_sends * max_send_cost;
         self.balance = Some(balance);
         self.updated_at = now.max(self.updated_at);
-        balance >= dearest_send
+        balance >= max_send_cost
     }
 }
 
@@ -88,13 +88,13 @@
         let terms = SlowStartTerms {
             rule: self.slow_start_rule(&member),
             position: self.settings.position,
-            capacity_part: self.capacity(&member).unwrap_or(1.0) / self.routers_sharing(&member),
-            dearest_send: (0..self.class_sending_times.len())
+            capacity_share: self.capacity(&member).unwrap_or(1.0) / self.routers_sharing(&member),
+            max_send_cost: (0..self.class_sending_times.len())
                 .map(|class| self.slow_start_cost(class))
                 .fold(1.0, f64::max),
         };
         let now = self.now;
         let state = self.members.get_mut(&id);
-        state.is_some_and(|state| state.slow_start_budget.has_turn(&member, &terms, now))
+        state.is_some_and(|state| state.slow_start_budget.allows_send(&member, &terms, now))
     }
 }
--- a/crates/deckproxy-control/tests/common/mod.rs
+++ b/crates/deckproxy-control/tests/common/mod.rs
@@ -4,19 +4,19 @@
 use deckproxy_control::Control;
 use deckproxy_control::interface::*;
 
-pub const CACHE: u32 = 0;
-pub const PARENT: u32 = 1;
-pub const ORIGIN: u32 = 2;
+pub const CACHE_KIND: u32 = 0;
+pub const PARENT_KIND: u32 = 1;
+pub const ORIGIN_KIND: u32 = 2;
 pub const CACHES: [MemberId; 3] = [101, 102, 103];
 pub const PARENTS: [MemberId; 2] = [201, 202];
-pub const THE_ORIGIN: MemberId = 301;
-pub const HERE: u32 = 2;
+pub const ORIGIN_ID: MemberId = 301;
+pub const LOCAL_ZONE: u32 = 2;
 
 /// Classes: small and safe, large and safe, a keyed write, an unsafe write.
 pub const SMALL: usize = 0;
 pub const LARGE: usize = 1;
 pub const KEYED: usize = 2;
-pub const UNSAFE: usize = 3;
+pub const NOT_IDEMPOTENT: usize = 3;
 /// KB of one part, by class; at 1000 KB/s these are the sending times in ms.
 pub const SIZES: [f64; 4] = [50.0, 400.0, 20.0, 20.0];
 
@@ -46,13 +46,13 @@
             class(700.0, 6000.0, Idempotency::Keyed, true),
             class(700.0, 6000.0, Idempotency::NotIdempotent, true),
         ],
-        zone: HERE,
+        zone: LOCAL_ZONE,
         zone_routers: vec![0, 0, 1, 1],
         zone_link_rate: vec![0.0; 4],
         routers: 2,
         position: 0,
-        parent_kind: Some(PARENT),
-        origin_kind: Some(ORIGIN),
+        parent_kind: Some(PARENT_KIND),
+        origin_kind: Some(ORIGIN_KIND),
         cache_bypass: true,
         join_fills: true,
         siblings: Siblings::None,
@@ -83,16 +83,16 @@
 
 pub fn member(id: MemberId) -> Member {
     let (kind, zone, weight) = match id {
-        101..=103 => (CACHE, HERE, 4.0),
-        201 => (PARENT, 0, 12.0),
-        202 => (PARENT, 1, 12.0),
-        _ => (ORIGIN, 0, 4.0),
+        101..=103 => (CACHE_KIND, LOCAL_ZONE, 4.0),
+        201 => (PARENT_KIND, 0, 12.0),
+        202 => (PARENT_KIND, 1, 12.0),
+        _ => (ORIGIN_KIND, 0, 4.0),
     };
     Member { id, lifecycle: Lifecycle::Ready, started: None, weight, kind, zone, cell: 0 }
 }
 
-pub fn everyone() -> Vec<Member> {
-    CACHES.into_iter().chain(PARENTS).chain([THE_ORIGIN]).map(member).collect()
+pub fn all_members() -> Vec<Member> {
+    CACHES.into_iter().chain(PARENTS).chain([ORIGIN_ID]).map(member).collect()
 }
 
 /// An attempt that the router sent.
@@ -117,23 +117,24 @@
 }
 
 /// A router with its clock and the actions of its last step.
-pub struct Rig {
+pub struct Harness {
     pub control: Control,
     pub now: Millis,
     pub actions: Vec<Action>,
     pub next: RequestId,
 }
 
-impl Rig {
-    pub fn with(settings: Settings, members: Vec<Member>) -> Rig {
-        let mut rig = Rig { control: Control::new(settings, 1), now: 1000.0, actions: vec![], next: 1 };
-        rig.event(Event::Started);
-        rig.event(Event::MemberList(ListKind::Cached, members));
-        rig
+impl Harness {
+    pub fn with(settings: Settings, members: Vec<Member>) -> Harness {
+        let mut harness =
+            Harness { control: Control::new(settings, 1), now: 1000.0, actions: vec![], next: 1 };
+        harness.event(Event::Started);
+        harness.event(Event::MemberList(ListKind::Cached, members));
+        harness
     }
 
-    pub fn new() -> Rig {
-        Rig::with(settings(), everyone())
+    pub fn new() -> Harness {
+        Harness::with(settings(), all_members())
     }
 
     /// Handles one event; its actions are in `actions`.
@@ -231,7 +232,7 @@
     }
 
     /// Runs the periodic timer every 20 ms until `end`; all actions are in `actions`.
-    pub fn sweep_until(&mut self, end: Millis) {
+    pub fn run_timer_until(&mut self, end: Millis) {
         let mut all = vec![];
         while self.now < end {
             self.now = (self.now + 20.0).min(end);
@@ -241,7 +242,7 @@
     }
 
     /// Runs the periodic timer once, at that time.
-    pub fn sweep_at(&mut self, now: Millis) {
+    pub fn run_timer_at(&mut self, now: Millis) {
         self.now = now;
         self.event(Event::Timer(0));
     }
@@ -273,10 +274,10 @@
         .collect()
 }
 
-pub fn rejected(actions: &[Action], id: RequestId) -> bool {
+pub fn is_rejected(actions: &[Action], id: RequestId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { request, .. } if *request == id))
 }
 
-pub fn failed(actions: &[Action], id: RequestId) -> bool {
+pub fn is_failed(actions: &[Action], id: RequestId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { request } if *request == id))
 }
--- a/crates/deckproxy-control/tests/link_overload.rs
+++ b/crates/deckproxy-control/tests/link_overload.rs
@@ -4,17 +4,17 @@
 use common::*;
 use deckproxy_control::interface::*;
 
-/// A link that everyone fills lets nobody through.
+/// A link that every router fills serves no request in time.
 #[test]
 fn an_overloaded_link_sheds_large_requests_first() {
     let mut s = settings();
     s.zone_link_rate = vec![0.0, 0.0, 8000.0, 0.0];
-    let mut rig = Rig::with(s, everyone());
+    let mut harness = Harness::with(s, all_members());
     let mut fills = vec![];
     let mut shed = None;
     for object in 0..200 {
-        let (id, cache) = rig.request_and_miss(LARGE, object);
-        if rejected(&rig.actions, id) {
+        let (id, cache) = harness.request_and_miss(LARGE, object);
+        if is_rejected(&harness.actions, id) {
             shed = Some(object);
             break;
         }
@@ -22,39 +22,39 @@
     }
     let shed = shed.expect("the link holds no end of fills");
     assert!(shed >= 8, "it sheds while there is capacity: {shed}");
-    let (small, _) = rig.request_and_miss(SMALL, 900);
+    let (small, _) = harness.request_and_miss(SMALL, 900);
     assert!(
-        !rejected(&rig.actions, small) && rig.sends().len() == 1,
+        !is_rejected(&harness.actions, small) && harness.sends().len() == 1,
         "a small one still gets through in time"
     );
     for (id, cache) in fills {
-        rig.end(id, 1, cache, AttemptEnding::Served);
+        harness.end(id, 1, cache, AttemptEnding::Served);
     }
-    let (id, _) = rig.request_and_miss(LARGE, 901);
-    assert!(!rejected(&rig.actions, id), "its capacity is available again");
+    let (id, _) = harness.request_and_miss(LARGE, 901);
+    assert!(!is_rejected(&harness.actions, id), "its capacity is available again");
 }
 
 #[test]
 fn an_idle_link_of_unknown_rate_sheds_nothing() {
-    let mut rig = Rig::new();
+    let mut harness = Harness::new();
     for object in 0..20 {
-        let (id, _) = rig.request_and_miss(LARGE, object);
-        assert!(!rejected(&rig.actions, id));
+        let (id, _) = harness.request_and_miss(LARGE, object);
+        assert!(!is_rejected(&harness.actions, id));
     }
 }
 
 /// Where the settings do not give the link's rate, load reports decide.
 #[test]
-fn a_link_of_unknown_rate_is_as_full_as_reported() {
-    let mut rig = Rig::new();
+fn a_link_of_unknown_rate_uses_the_reported_load() {
+    let mut harness = Harness::new();
     let mut rejections = 0;
     for object in 0..120 {
-        let (id, _) = rig.request_and_miss(LARGE, object);
-        rejections += usize::from(rejected(&rig.actions, id));
-        let probe = rig.request(SMALL, 5000 + object, 0);
-        let member = rig.sends()[0].member;
+        let (id, _) = harness.request_and_miss(LARGE, object);
+        rejections += usize::from(is_rejected(&harness.actions, id));
+        let probe = harness.request(SMALL, 5000 + object, 0);
+        let member = harness.sends()[0].member;
         let load = Some(LoadReport { link: Some(object as f64 / 2.0), ..LoadReport::default() });
-        rig.answer(AttemptAnswer {
+        harness.answer(AttemptAnswer {
             request: probe,
             attempt: 0,
             member,
@@ -72,34 +72,42 @@
 fn late_fills_do_not_count_on_the_link() {
     let mut s = settings();
     s.zone_link_rate = vec![0.0, 0.0, 8000.0, 0.0];
-    let mut rig = Rig::with(s, everyone());
+    let mut harness = Harness::with(s, all_members());
     for object in 0..60 {
-        rig.request_and_miss(LARGE, object);
+        harness.request_and_miss(LARGE, object);
     }
-    let (id, _) = rig.request_and_miss(LARGE, 900);
-    assert!(rejected(&rig.actions, id), "the link is full");
+    let (id, _) = harness.request_and_miss(LARGE, 900);
+    assert!(is_rejected(&harness.actions, id), "the link is full");
     for _ in 0..200 {
-        rig.now += 20.0;
-        let now = rig.now;
-        rig.sweep_at(now);
+        harness.now += 20.0;
+        let now = harness.now;
+        harness.run_timer_at(now);
     }
-    let (id, _) = rig.request_and_miss(LARGE, 901);
-    assert!(!rejected(&rig.actions, id) && rig.sends().len() == 1);
+    let (id, _) = harness.request_and_miss(LARGE, 901);
+    assert!(!is_rejected(&harness.actions, id) && harness.sends().len() == 1);
 }
 
 /// Fills that wait for a slow origin must not shed what parents have cached.
 #[test]
 fn on_an_overloaded_link_parents_answer_from_cache_where_notes_are_known() {
     for notes in [false, true] {
-        let mut rig =
-            Rig::with(Settings { zone_link_rate: vec![0.0, 0.0, 3000.0, 0.0], ..settings() }, everyone());
-        let (request, member) = rig.request_and_miss(SMALL, 1);
-        rig.serve(request, 1, member, 100.0, if notes { FillNote::FilledByOrigin } else { FillNote::None });
+        let mut harness = Harness::with(
+            Settings { zone_link_rate: vec![0.0, 0.0, 3000.0, 0.0], ..settings() },
+            all_members(),
+        );
+        let (request, member) = harness.request_and_miss(SMALL, 1);
+        harness.serve(
+            request,
+            1,
+            member,
+            100.0,
+            if notes { FillNote::FilledByOrigin } else { FillNote::None },
+        );
         let (mut unrestricted, mut cached_only, mut rejections) = (0, 0, 0);
         for object in 10..40 {
-            let (id, _) = rig.request_and_miss(LARGE, object);
-            rejections += u32::from(rejected(&rig.actions, id));
-            let get = rig.cached_only();
+            let (id, _) = harness.request_and_miss(LARGE, object);
+            rejections += u32::from(is_rejected(&harness.actions, id));
+            let get = harness.cached_only();
             unrestricted += u32::from(get == Some(false));
             cached_only += u32::from(get == Some(true));
         }
@@ -114,14 +122,15 @@
 
 #[test]
 fn on_an_overloaded_link_nothing_is_filled_from_the_origin() {
-    let list = everyone().into_iter().filter(|m| m.kind != PARENT).collect();
-    let mut rig = Rig::with(Settings { zone_link_rate: vec![0.0, 0.0, 3000.0, 0.0], ..settings() }, list);
-    let (request, member) = rig.request_and_miss(SMALL, 1);
-    rig.serve(request, 1, member, 100.0, FillNote::FilledByOrigin);
+    let list = all_members().into_iter().filter(|m| m.kind != PARENT_KIND).collect();
+    let mut harness =
+        Harness::with(Settings { zone_link_rate: vec![0.0, 0.0, 3000.0, 0.0], ..settings() }, list);
+    let (request, member) = harness.request_and_miss(SMALL, 1);
+    harness.serve(request, 1, member, 100.0, FillNote::FilledByOrigin);
     let fills: Vec<bool> = (10..40)
         .map(|object| {
-            rig.request_and_miss(LARGE, object);
-            rig.cached_only().is_some()
+            harness.request_and_miss(LARGE, object);
+            harness.cached_only().is_some()
         })
         .collect();
     assert!(fills[0] && !fills[10..].contains(&true), "{fills:?}");
@@ -130,7 +139,7 @@
 /// A report without the link's load does not replace the evidence of fill times; a fill of unknown size is no
 /// evidence, as the object may just be large.
 #[test]
-fn fill_times_of_known_sizes_show_link_load_beside_other_reports() {
+fn fill_times_of_known_sizes_indicate_link_load_without_a_link_report() {
     let sheds_fills = |size: Option<f64>, fills: u64, elapsed: Millis, note: FillNote, link: Option<f64>| {
         let set = Settings {
             zone_link_rate: vec![0.0, 0.0, 30_000.0, 0.0],
@@ -138,21 +147,21 @@
             ..settings()
         };
         // Caches that are never crowded themselves.
-        let list = everyone().into_iter().map(|m| Member { weight: 400.0, ..m }).collect();
-        let mut rig = Rig::with(set, list);
-        let miss = |rig: &mut Rig, object| {
-            let id = rig.request_of_size(LARGE, object, 0, size);
-            let member = rig.sends()[0].member;
-            rig.end(id, 0, member, AttemptEnding::Miss);
+        let list = all_members().into_iter().map(|m| Member { weight: 400.0, ..m }).collect();
+        let mut harness = Harness::with(set, list);
+        let miss = |harness: &mut Harness, object| {
+            let id = harness.request_of_size(LARGE, object, 0, size);
+            let member = harness.sends()[0].member;
+            harness.end(id, 0, member, AttemptEnding::Miss);
             (id, member)
         };
         (0..fills).for_each(|object| {
-            miss(&mut rig, object);
+            miss(&mut harness, object);
         });
-        rig.now += 3000.0;
-        let (id, member) = miss(&mut rig, 100);
+        harness.now += 3000.0;
+        let (id, member) = miss(&mut harness, 100);
         let load = Some(LoadReport { busy_share: Some(0.3), link, ..LoadReport::default() });
-        rig.answer(AttemptAnswer {
+        harness.answer(AttemptAnswer {
             request: id,
             attempt: 1,
             member,
@@ -161,8 +170,8 @@
             elapsed,
             load,
         });
-        miss(&mut rig, 101);
-        rig.cached_only() != Some(false)
+        miss(&mut harness, 101);
+        harness.cached_only() != Some(false)
     };
     assert!(sheds_fills(Some(400.0), 4, 1350.0, FillNote::Filled, None));
     assert!(
--- a/crates/deckproxy-control/tests/load_estimates.rs
+++ b/crates/deckproxy-control/tests/load_estimates.rs
@@ -7,14 +7,15 @@
 
 /// Whether an object spills from its home after load reports of that many attempts in flight there.
 fn spills_after_report(in_flight: f64, routers: u32) -> bool {
-    let mut rig = Rig::with(Settings { zone_routers: vec![0, 0, routers], ..settings() }, everyone());
-    let first = rig.home_of(5);
+    let mut harness =
+        Harness::with(Settings { zone_routers: vec![0, 0, routers], ..settings() }, all_members());
+    let first = harness.home_of(5);
     for _ in 0..4 {
-        let request = rig.request(SMALL, 5, 0);
-        let member = rig.sends()[0].member;
+        let request = harness.request(SMALL, 5, 0);
+        let member = harness.sends()[0].member;
         let load = Some(LoadReport { in_flight: Some(in_flight), ..LoadReport::default() })
             .filter(|_| member == first);
-        rig.answer(AttemptAnswer {
+        harness.answer(AttemptAnswer {
             request,
             attempt: 0,
             member,
@@ -24,35 +25,35 @@
             load,
         });
     }
-    rig.home_of(5) != first
+    harness.home_of(5) != first
 }
 
 /// With class means alone small objects would be shed and large ones admitted.
 #[test]
 fn sending_times_are_learned_by_object_where_sizes_are_unknown() {
-    let mut rig = Rig::new();
-    let send_request = |rig: &mut Rig, object: u64| {
-        let id = rig.next;
-        rig.next += 1;
-        let deadline = rig.now + 5000.0;
+    let mut harness = Harness::new();
+    let send_request = |harness: &mut Harness, object: u64| {
+        let id = harness.next;
+        harness.next += 1;
+        let deadline = harness.now + 5000.0;
         let r = Request { id, object, part: 0, group: 0, size: None, class: SMALL, deadline };
-        rig.event(Event::Request(r));
+        harness.event(Event::Request(r));
         id
     };
     for _ in 0..10 {
         for (object, elapsed) in [(1, 20.0), (2, 900.0)] {
-            let id = send_request(&mut rig, object);
-            let member = rig.sends()[0].member;
-            rig.serve(id, 0, member, elapsed, FillNote::None);
+            let id = send_request(&mut harness, object);
+            let member = harness.sends()[0].member;
+            harness.serve(id, 0, member, elapsed, FillNote::None);
         }
     }
     // A small one waits for the leader, a large one joins at once.
     for (object, waits) in [(1, true), (2, false)] {
         for turn in 0..2 {
-            let id = send_request(&mut rig, object);
-            let member = rig.sends()[0].member;
-            rig.end(id, 0, member, AttemptEnding::Miss);
-            assert_eq!(rig.sends().is_empty(), waits && turn == 1, "{object}");
+            let id = send_request(&mut harness, object);
+            let member = harness.sends()[0].member;
+            harness.end(id, 0, member, AttemptEnding::Miss);
+            assert_eq!(harness.sends().is_empty(), waits && turn == 1, "{object}");
         }
     }
 }
@@ -60,43 +61,43 @@
 /// Other objects are not spread, nor is this one when its demand is over.
 #[test]
 fn a_hot_object_is_spread_by_its_parts() {
-    let mut rig = Rig::new();
+    let mut harness = Harness::new();
     for object in 100..400 {
-        rig.home_of(object);
+        harness.home_of(object);
     }
-    let parts = |rig: &mut Rig, object: u64| {
+    let parts = |harness: &mut Harness, object: u64| {
         let mut at = vec![];
         for part in 0..12 {
-            let id = rig.request(SMALL, object, part);
-            at.push(rig.sends()[0].member);
-            rig.end(id, 0, at[at.len() - 1], AttemptEnding::Served);
+            let id = harness.request(SMALL, object, part);
+            at.push(harness.sends()[0].member);
+            harness.end(id, 0, at[at.len() - 1], AttemptEnding::Served);
         }
         at.sort_unstable();
         at.dedup();
         at.len()
     };
-    assert_eq!(parts(&mut rig, 5), 1);
+    assert_eq!(parts(&mut harness, 5), 1);
     for _ in 0..20 {
-        parts(&mut rig, 6);
+        parts(&mut harness, 6);
     }
-    assert!(parts(&mut rig, 6) > 1);
+    assert!(parts(&mut harness, 6) > 1);
     // It ends when the object is no longer requested.
-    rig.now += 20_000.0;
+    harness.now += 20_000.0;
     for object in 100..400 {
-        rig.home_of(object);
+        harness.home_of(object);
     }
-    assert_eq!(parts(&mut rig, 6), 1);
+    assert_eq!(parts(&mut harness, 6), 1);
 }
 
 #[test]
 fn an_overloaded_home_spills_to_the_next_cache() {
-    let mut rig = Rig::new();
-    let objects: Vec<u64> = (0..200).filter(|o| rig.home_of(*o) == 101).take(30).collect();
+    let mut harness = Harness::new();
+    let objects: Vec<u64> = (0..200).filter(|o| harness.home_of(*o) == 101).take(30).collect();
     let at: Vec<MemberId> = objects
         .into_iter()
         .filter_map(|object| {
-            rig.request(SMALL, object, 0);
-            rig.sends().first().map(|sent| sent.member)
+            harness.request(SMALL, object, 0);
+            harness.sends().first().map(|sent| sent.member)
         })
         .collect();
     assert!(at[..5].iter().all(|m| *m == 101), "{at:?}");
@@ -107,16 +108,17 @@
 #[test]
 fn a_cache_with_waiting_fills_and_spare_cores_takes_lookups_only() {
     let rejections = |busy_share: f64| {
-        let mut rig = Rig::with(Settings { zone_routers: vec![0, 0, 20, 1], ..settings() }, everyone());
+        let mut harness =
+            Harness::with(Settings { zone_routers: vec![0, 0, 20, 1], ..settings() }, all_members());
         for object in 0..30 {
-            let request = rig.request(SMALL, object, 0);
-            let Some(SentAttempt { member, .. }) = rig.sends().first().copied() else { continue };
+            let request = harness.request(SMALL, object, 0);
+            let Some(SentAttempt { member, .. }) = harness.sends().first().copied() else { continue };
             let load = Some(LoadReport {
                 in_flight: Some(80.0),
                 busy_share: Some(busy_share),
                 ..LoadReport::default()
             });
-            rig.answer(AttemptAnswer {
+            harness.answer(AttemptAnswer {
                 request,
                 attempt: 0,
                 member,
@@ -126,12 +128,12 @@
                 load,
             });
         }
-        let request = rig.request(SMALL, 100, 0);
-        let Some(SentAttempt { member, .. }) = rig.sends().first().copied() else {
-            return (rejected(&rig.actions, request), false);
+        let request = harness.request(SMALL, 100, 0);
+        let Some(SentAttempt { member, .. }) = harness.sends().first().copied() else {
+            return (is_rejected(&harness.actions, request), false);
         };
-        rig.end(request, 0, member, AttemptEnding::Miss);
-        (false, rejected(&rig.actions, request))
+        harness.end(request, 0, member, AttemptEnding::Miss);
+        (false, is_rejected(&harness.actions, request))
     };
     assert_eq!(rejections(1.0), (true, false), "its link is full");
     assert_eq!(rejections(0.4), (false, true), "its link is idle, its fills wait");
@@ -141,24 +143,24 @@
 #[test]
 fn an_unknown_capacity_is_estimated_from_throughput() {
     let simulate = |weights_are_sizes: bool, busy_share: f64| {
-        let list = everyone().into_iter().map(|m| Member { weight: 1.0, ..m }).collect();
-        let mut rig = Rig::with(Settings { weights_are_sizes, ..settings() }, list);
+        let list = all_members().into_iter().map(|m| Member { weight: 1.0, ..m }).collect();
+        let mut harness = Harness::with(Settings { weights_are_sizes, ..settings() }, list);
         let mut in_flight: VecDeque<SentAttempt> = VecDeque::new();
         let (mut rejections, mut first) = (0, None);
         for object in 0..2000 {
-            rig.now += 10.0;
-            let request = rig.request(SMALL, object, 0);
-            if rejected(&rig.actions, request) {
+            harness.now += 10.0;
+            let request = harness.request(SMALL, object, 0);
+            if is_rejected(&harness.actions, request) {
                 rejections += 1;
                 first = first.or(Some(object * 10));
             }
-            in_flight.extend(rig.sends().first().copied());
+            in_flight.extend(harness.sends().first().copied());
             // Fifty attempts are in flight at any time, over three caches.
             if in_flight.len() > 50
                 && let Some(SentAttempt { request, member, .. }) = in_flight.pop_front()
             {
                 let load = Some(LoadReport { busy_share: Some(busy_share), ..LoadReport::default() });
-                rig.answer(AttemptAnswer {
+                harness.answer(AttemptAnswer {
                     request,
                     attempt: 0,
                     member,
@@ -193,12 +195,12 @@
 #[test]
 fn weights_that_are_no_sizes_do_not_move_homes() {
     let moved = |weights_are_sizes: bool| {
-        let mut rig = Rig::with(Settings { weights_are_sizes, ..settings() }, everyone());
-        let before: Vec<_> = (0..60).map(|object| rig.home_of(object)).collect();
+        let mut harness = Harness::with(Settings { weights_are_sizes, ..settings() }, all_members());
+        let before: Vec<_> = (0..60).map(|object| harness.home_of(object)).collect();
         let list =
-            everyone().into_iter().map(|m| Member { weight: f64::from(m.id % 10) * 3.0, ..m }).collect();
-        rig.event(Event::MemberList(ListKind::Full, list));
-        (0..60).zip(before).filter(|(object, at)| rig.home_of(*object) != *at).count()
+            all_members().into_iter().map(|m| Member { weight: f64::from(m.id % 10) * 3.0, ..m }).collect();
+        harness.event(Event::MemberList(ListKind::Full, list));
+        (0..60).zip(before).filter(|(object, at)| harness.home_of(*object) != *at).count()
     };
     assert!(moved(true) > 5);
     assert_eq!(moved(false), 0);
@@ -208,12 +210,13 @@
 #[test]
 fn a_busy_share_is_a_lower_bound_of_the_load() {
     let spills = |busy: Option<f64>| {
-        let mut rig = Rig::with(Settings { zone_routers: vec![0, 0, 20, 1], ..settings() }, everyone());
-        let requests = [rig.request(SMALL, 5, 0), rig.request(SMALL, 5, 0)];
-        let first = rig.sends()[0].member;
-        rig.now += 380.0;
+        let mut harness =
+            Harness::with(Settings { zone_routers: vec![0, 0, 20, 1], ..settings() }, all_members());
+        let requests = [harness.request(SMALL, 5, 0), harness.request(SMALL, 5, 0)];
+        let first = harness.sends()[0].member;
+        harness.now += 380.0;
         let load = busy.map(|cpu| LoadReport { busy_share: Some(cpu), ..LoadReport::default() });
-        rig.answer(AttemptAnswer {
+        harness.answer(AttemptAnswer {
             request: requests[1],
             attempt: 0,
             member: first,
@@ -222,8 +225,8 @@
             elapsed: 60.0,
             load,
         });
-        rig.request(SMALL, 5, 0);
-        rig.sends()[0].member != first
+        harness.request(SMALL, 5, 0);
+        harness.sends()[0].member != first
     };
     assert!(spills(None), "by the guess it is crowded");
     assert!(!spills(Some(0.3)));
--- a/crates/deckproxy-control/tests/member_drain.rs
+++ b/crates/deckproxy-control/tests/member_drain.rs
@@ -8,13 +8,13 @@
 fn a_draining_or_gone_member_takes_no_attempts_and_is_no_source() {
     for lifecycle in [Lifecycle::Draining, Lifecycle::Gone] {
         for draining in [101, 201] {
-            let mut rig = Rig::new();
-            rig.event(Event::MemberList(ListKind::Delta, vec![Member { lifecycle, ..member(draining) }]));
+            let mut harness = Harness::new();
+            harness.event(Event::MemberList(ListKind::Delta, vec![Member { lifecycle, ..member(draining) }]));
             for object in 0..60 {
-                let (id, cache) = rig.request_and_miss(SMALL, object);
-                let fill = rig.sends()[0];
+                let (id, cache) = harness.request_and_miss(SMALL, object);
+                let fill = harness.sends()[0];
                 assert!(cache != draining && fill.member != draining && fill.source != Some(draining));
-                rig.end(id, 1, cache, AttemptEnding::Served);
+                harness.end(id, 1, cache, AttemptEnding::Served);
             }
         }
     }
@@ -22,29 +22,29 @@
 
 #[test]
 fn waiters_are_not_released_to_a_draining_cache() {
-    let mut rig = Rig::new();
-    let (leader, cache) = rig.request_and_miss(SMALL, 5);
-    rig.request_and_miss(SMALL, 5);
+    let mut harness = Harness::new();
+    let (leader, cache) = harness.request_and_miss(SMALL, 5);
+    harness.request_and_miss(SMALL, 5);
     let draining = Member { lifecycle: Lifecycle::Draining, ..member(cache) };
-    rig.event(Event::MemberList(ListKind::Delta, vec![draining]));
-    let late = rig.request(SMALL, 5, 0);
+    harness.event(Event::MemberList(ListKind::Delta, vec![draining]));
+    let late = harness.request(SMALL, 5, 0);
     assert!(
-        rig.sends().iter().all(|sent| sent.member != cache),
+        harness.sends().iter().all(|sent| sent.member != cache),
         "nor is a new request looked up where the fill runs"
     );
-    rig.event(Event::ClientGone(late));
-    rig.end(leader, 1, cache, AttemptEnding::Served);
-    assert_eq!(rig.sends().len(), 1);
-    assert_ne!(rig.sends()[0].member, cache);
+    harness.event(Event::ClientGone(late));
+    harness.end(leader, 1, cache, AttemptEnding::Served);
+    assert_eq!(harness.sends().len(), 1);
+    assert_ne!(harness.sends()[0].member, cache);
 }
 
 #[test]
 fn a_member_missing_from_a_full_list_is_gone_and_its_fills_are_retried() {
-    let mut rig = Rig::new();
-    let (id, cache) = rig.request_and_miss(SMALL, 5);
-    let left = everyone().into_iter().filter(|m| m.id != cache).collect();
-    rig.event(Event::MemberList(ListKind::Full, left));
-    rig.end(id, 1, cache, AttemptEnding::Reset);
-    assert!(rig.sends().iter().all(|sent| sent.member != cache));
-    assert_eq!(rig.sends().len(), 1);
+    let mut harness = Harness::new();
+    let (id, cache) = harness.request_and_miss(SMALL, 5);
+    let left = all_members().into_iter().filter(|m| m.id != cache).collect();
+    harness.event(Event::MemberList(ListKind::Full, left));
+    harness.end(id, 1, cache, AttemptEnding::Reset);
+    assert!(harness.sends().iter().all(|sent| sent.member != cache));
+    assert_eq!(harness.sends().len(), 1);
 }
--- a/crates/deckproxy-control/tests/outlier_ejection.rs
+++ b/crates/deckproxy-control/tests/outlier_ejection.rs
@@ -7,70 +7,70 @@
 /// Requests go on to the next cache in the object's order, and a half-open trial recovers the member.
 #[test]
 fn a_silent_member_is_ejected_and_its_attempts_are_cancelled() {
-    let mut rig = Rig::new();
-    let silent = rig.home_of(5);
-    let requests: Vec<RequestId> = (0..5).map(|_| rig.request(SMALL, 5, 0)).collect();
-    let start = rig.now;
-    rig.sweep_until(start + 600.0);
-    assert!(!rig.actions.iter().any(|a| matches!(a, Action::Cancel { .. })), "not yet");
-    rig.sweep_until(start + 1000.0);
-    let cancelled = rig.actions.iter().filter(|a| matches!(a, Action::Cancel { .. })).count();
+    let mut harness = Harness::new();
+    let silent = harness.home_of(5);
+    let requests: Vec<RequestId> = (0..5).map(|_| harness.request(SMALL, 5, 0)).collect();
+    let start = harness.now;
+    harness.run_timer_until(start + 600.0);
+    assert!(!harness.actions.iter().any(|a| matches!(a, Action::Cancel { .. })), "not yet");
+    harness.run_timer_until(start + 1000.0);
+    let cancelled = harness.actions.iter().filter(|a| matches!(a, Action::Cancel { .. })).count();
     assert_eq!(cancelled, requests.len());
-    rig.end(requests[0], 0, silent, AttemptEnding::Cancelled);
-    assert!(rig.sends()[0].member != silent);
-    assert_ne!(rig.home_of(5), silent, "others go to the next in the object's order");
+    harness.end(requests[0], 0, silent, AttemptEnding::Cancelled);
+    assert!(harness.sends()[0].member != silent);
+    assert_ne!(harness.home_of(5), silent, "others go to the next in the object's order");
     // After a while one request at a time tries it.
-    rig.now += 1001.0;
-    let trial = rig.request(SMALL, 5, 0);
-    assert_eq!(rig.sends()[0].member, silent);
-    rig.request(SMALL, 5, 0);
-    assert_ne!(rig.sends()[0].member, silent);
-    rig.end(trial, 0, silent, AttemptEnding::Served);
-    assert_eq!(rig.home_of(5), silent);
+    harness.now += 1001.0;
+    let trial = harness.request(SMALL, 5, 0);
+    assert_eq!(harness.sends()[0].member, silent);
+    harness.request(SMALL, 5, 0);
+    assert_ne!(harness.sends()[0].member, silent);
+    harness.end(trial, 0, silent, AttemptEnding::Served);
+    assert_eq!(harness.home_of(5), silent);
 }
 
 /// A broken connection ends many attempts at once; that is one failure.
 #[test]
 fn failures_of_one_instant_count_once() {
-    let mut rig = Rig::new();
-    let member = rig.home_of(5);
-    let requests: Vec<RequestId> = (0..8).map(|_| rig.request(SMALL, 5, 0)).collect();
-    rig.now += 20.0;
+    let mut harness = Harness::new();
+    let member = harness.home_of(5);
+    let requests: Vec<RequestId> = (0..8).map(|_| harness.request(SMALL, 5, 0)).collect();
+    harness.now += 20.0;
     for id in &requests {
-        rig.end(*id, 0, member, AttemptEnding::Reset);
+        harness.end(*id, 0, member, AttemptEnding::Reset);
     }
-    assert_eq!(rig.home_of(5), member, "it still gets requests");
+    assert_eq!(harness.home_of(5), member, "it still gets requests");
     // Failures one after another still eject it.
     let mut members = Vec::new();
     for _ in 0..8 {
-        rig.now += 20.0;
-        let id = rig.request(SMALL, 5, 0);
-        members.push(rig.sends()[0].member);
-        rig.end(id, 0, members[members.len() - 1], AttemptEnding::Reset);
+        harness.now += 20.0;
+        let id = harness.request(SMALL, 5, 0);
+        members.push(harness.sends()[0].member);
+        harness.end(id, 0, members[members.len() - 1], AttemptEnding::Reset);
     }
     assert!(members[0] == member && members[7] != member, "{members:?}");
 }
 
 /// Else one bad request would eject the origin and use up the retry budget of good ones.
 #[test]
-fn a_request_that_fails_everywhere_ejects_nobody_and_is_given_up() {
-    let mut rig = Rig::new();
+fn a_request_that_fails_at_every_member_ejects_none_and_is_given_up() {
+    let mut harness = Harness::new();
     for object in 0..40 {
-        let id = rig.request(SMALL, object, 0);
+        let id = harness.request(SMALL, object, 0);
         let mut attempts = 0;
-        while let Some(SentAttempt { member, .. }) = rig.sends().first().copied() {
-            rig.end(id, attempts, member, AttemptEnding::Error);
+        while let Some(SentAttempt { member, .. }) = harness.sends().first().copied() {
+            harness.end(id, attempts, member, AttemptEnding::Error);
             attempts += 1;
         }
-        assert!(attempts <= 3 && rejected(&rig.actions, id), "{attempts}");
+        assert!(attempts <= 3 && is_rejected(&harness.actions, id), "{attempts}");
         // Good ones pass between them.
-        rig.home_of(object + 100);
-        rig.now += 50.0;
+        harness.home_of(object + 100);
+        harness.now += 50.0;
     }
-    let id = rig.request(KEYED, 5, 0);
+    let id = harness.request(KEYED, 5, 0);
     assert_eq!(
-        rig.sends(),
-        [SentAttempt { request: id, member: THE_ORIGIN, source: None }],
+        harness.sends(),
+        [SentAttempt { request: id, member: ORIGIN_ID, source: None }],
         "the origin is not ejected"
     );
 }
@@ -78,94 +78,98 @@
 /// Clients that cancel early must not eject members.
 #[test]
 fn attempts_cancelled_before_they_are_late_do_not_show_silence() {
-    let mut rig = Rig::new();
-    let member = rig.home_of(5);
+    let mut harness = Harness::new();
+    let member = harness.home_of(5);
     for _ in 0..40 {
-        let id = rig.request(SMALL, 5, 0);
-        rig.now += 60.0;
-        rig.event(Event::ClientGone(id));
-        rig.end(id, 0, member, AttemptEnding::Cancelled);
-        let logged = rig.event(Event::Timer(0)).iter().any(|a| matches!(a, Action::Log(_)));
+        let id = harness.request(SMALL, 5, 0);
+        harness.now += 60.0;
+        harness.event(Event::ClientGone(id));
+        harness.end(id, 0, member, AttemptEnding::Cancelled);
+        let logged = harness.event(Event::Timer(0)).iter().any(|a| matches!(a, Action::Log(_)));
         assert!(!logged, "{member} is ejected");
     }
-    assert_eq!(rig.home_of(5), member);
+    assert_eq!(harness.home_of(5), member);
 }
 
 /// Nobody stands in for the origin: without it writes could not run.
 #[test]
 fn a_failing_origin_is_never_ejected() {
-    let mut rig = Rig::new();
+    let mut harness = Harness::new();
     for _ in 0..10 {
-        let id = rig.request(KEYED, 5, 0);
-        assert_eq!(rig.sends(), [SentAttempt { request: id, member: THE_ORIGIN, source: None }]);
-        rig.end(id, 0, THE_ORIGIN, AttemptEnding::Reset);
-        rig.now += 50.0;
+        let id = harness.request(KEYED, 5, 0);
+        assert_eq!(harness.sends(), [SentAttempt { request: id, member: ORIGIN_ID, source: None }]);
+        harness.end(id, 0, ORIGIN_ID, AttemptEnding::Reset);
+        harness.now += 50.0;
     }
 }
 
 #[test]
 fn a_member_that_answers_other_requests_is_not_silent() {
-    let mut rig = Rig::new();
-    let member = rig.home_of(5);
+    let mut harness = Harness::new();
+    let member = harness.home_of(5);
     for _ in 0..5 {
-        rig.request(LARGE, 5, 0);
+        harness.request(LARGE, 5, 0);
     }
-    rig.now += 500.0;
-    let id = rig.request(SMALL, 5, 0);
-    rig.end(id, 0, member, AttemptEnding::Served);
-    let now = rig.now;
-    rig.sweep_until(now + 600.0);
-    assert!(!rig.actions.iter().any(|a| matches!(a, Action::Cancel { .. })));
+    harness.now += 500.0;
+    let id = harness.request(SMALL, 5, 0);
+    harness.end(id, 0, member, AttemptEnding::Served);
+    let now = harness.now;
+    harness.run_timer_until(now + 600.0);
+    assert!(!harness.actions.iter().any(|a| matches!(a, Action::Cancel { .. })));
 }
 
 /// Where all caches are silent, requests go to the parents.
 #[test]
 fn a_silent_location_is_bypassed() {
-    let mut rig = Rig::new();
+    let mut harness = Harness::new();
     for object in 0..40 {
-        rig.request(SMALL, object, 0);
+        harness.request(SMALL, object, 0);
     }
-    let start = rig.now;
-    rig.sweep_until(start + 1000.0);
-    rig.request(SMALL, 5, 0);
-    assert!(PARENTS.contains(&rig.sends()[0].member));
+    let start = harness.now;
+    harness.run_timer_until(start + 1000.0);
+    harness.request(SMALL, 5, 0);
+    assert!(PARENTS.contains(&harness.sends()[0].member));
 }
 
 /// Failures spread over all members show no outlier; ejections in turn would move homes.
 #[test]
-fn scattered_failures_eject_nobody() {
-    let mut rig = Rig::new();
+fn scattered_failures_eject_no_member() {
+    let mut harness = Harness::new();
     for object in 0..400 {
-        let id = rig.request(SMALL, object, 0);
-        let at = rig.sends()[0].member;
+        let id = harness.request(SMALL, object, 0);
+        let at = harness.sends()[0].member;
         let how = if object % 4 == 0 { AttemptEnding::Reset } else { AttemptEnding::Served };
-        rig.end(id, 0, at, how);
-        assert!(!rig.actions.iter().any(|a| matches!(a, Action::Log(_))), "{object}: {:?}", rig.actions);
+        harness.end(id, 0, at, how);
+        assert!(
+            !harness.actions.iter().any(|a| matches!(a, Action::Log(_))),
+            "{object}: {:?}",
+            harness.actions
+        );
         if how == AttemptEnding::Reset {
-            let next = rig.sends()[0].member;
-            rig.end(id, 1, next, AttemptEnding::Served);
+            let next = harness.sends()[0].member;
+            harness.end(id, 1, next, AttemptEnding::Served);
         }
     }
-    assert!(!rig.actions.iter().any(|a| matches!(a, Action::Log(_))));
-    let homes: Vec<MemberId> = (0..40).map(|o| rig.home_of(o)).collect();
+    assert!(!harness.actions.iter().any(|a| matches!(a, Action::Log(_))));
+    let homes: Vec<MemberId> = (0..40).map(|o| harness.home_of(o)).collect();
     assert!(CACHES.iter().all(|c| homes.contains(c)));
 }
 
 /// After its own pause a router has heard of no member; that is not their silence.
 #[test]
-fn a_router_that_paused_itself_ejects_nobody() {
+fn a_router_that_stalled_ejects_no_member() {
     for (is_paused, cancels) in [(true, false), (false, true)] {
-        let mut rig = Rig::new();
+        let mut harness = Harness::new();
         for object in 0..40 {
-            rig.request(SMALL, object, 0);
+            harness.request(SMALL, object, 0);
         }
         let mut cancelled = false;
-        let end = rig.now + 1000.0;
-        while rig.now < end {
-            rig.now += if is_paused { 1000.0 } else { 20.0 };
-            let now = rig.now;
-            rig.sweep_at(now);
-            cancelled |= rig.actions.iter().any(|a| matches!(a, Action::Cancel { .. }));
+        let end = harness.now + 1000.0;
+        while harness.now < end {
+            harness.now += if is_paused { 1000.0 } else { 20.0 };
+            let now = harness.now;
+            harness.run_timer_at(now);
+            cancelled |= harness.actions.iter().any(|a| matches!(a, Action::Cancel { .. }));
         }
         assert_eq!(cancelled, cancels);
     }
@@ -174,45 +178,51 @@
 /// Fills go on to the origin without using up the retry budget.
 #[test]
 fn sources_that_reject_every_fill_are_bypassed() {
-    let mut rig = Rig::new();
+    let mut harness = Harness::new();
     for object in 0..60 {
-        let (id, cache) = rig.request_and_miss(SMALL, object);
+        let (id, cache) = harness.request_and_miss(SMALL, object);
         let mut attempt = 1;
-        while let Some(SentAttempt { source: Some(source), .. }) = rig.sends().first().copied() {
+        while let Some(SentAttempt { source: Some(source), .. }) = harness.sends().first().copied() {
             let how = if PARENTS.contains(&source) { AttemptEnding::Rejected } else { AttemptEnding::Served };
-            rig.end(id, attempt, cache, how);
+            harness.end(id, attempt, cache, how);
             attempt += 1;
         }
     }
-    let (_, _) = rig.request_and_miss(SMALL, 999);
-    assert_eq!(rig.sends()[0].source, Some(THE_ORIGIN), "straight from the origin");
+    let (_, _) = harness.request_and_miss(SMALL, 999);
+    assert_eq!(harness.sends()[0].source, Some(ORIGIN_ID), "straight from the origin");
 }
 
 /// The origin rejects requests of parents; their own copies still serve.
 #[test]
 fn parents_are_not_ejected_while_the_origin_fails() {
     for (origin_fails, source_is_parent) in [(true, true), (false, false)] {
-        let mut rig = Rig::new();
+        let mut harness = Harness::new();
         for object in 0..80 {
-            let write = rig.request(KEYED, object, 0);
-            rig.end(
+            let write = harness.request(KEYED, object, 0);
+            harness.end(
                 write,
                 0,
-                THE_ORIGIN,
+                ORIGIN_ID,
                 if origin_fails { AttemptEnding::Rejected } else { AttemptEnding::Served },
             );
-            rig.event(Event::ClientGone(write));
-            let (id, cache) = rig.request_and_miss(SMALL, object);
+            harness.event(Event::ClientGone(write));
+            let (id, cache) = harness.request_and_miss(SMALL, object);
             let mut attempt = 1;
-            while let Some(SentAttempt { source: Some(source), .. }) = rig.sends().first().copied() {
-                let ok = source == THE_ORIGIN && !origin_fails;
-                rig.end(id, attempt, cache, if ok { AttemptEnding::Served } else { AttemptEnding::Rejected });
+            while let Some(SentAttempt { source: Some(source), .. }) = harness.sends().first().copied() {
+                let ok = source == ORIGIN_ID && !origin_fails;
+                harness.end(
+                    id,
+                    attempt,
+                    cache,
+                    if ok { AttemptEnding::Served } else { AttemptEnding::Rejected },
+                );
                 attempt += 1;
             }
         }
-        rig.request_and_miss(SMALL, 999);
+        harness.request_and_miss(SMALL, 999);
         assert_eq!(
-            rig.sends()
+            harness
+                .sends()
                 .first()
                 .is_some_and(|sent| sent.source.is_some_and(|source| PARENTS.contains(&source))),
             source_is_parent
--- a/crates/deckproxy-control/tests/properties.rs
+++ b/crates/deckproxy-control/tests/properties.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Wait(u16),
-    SendRequest { class: u8, object: u8, patience: u16 },
+    SendRequest { class: u8, object: u8, timeout: u16 },
     EndAttempt { index: u16, ending_choice: u8 },
     EndNearDeadline { index: u16, left: u8, ending_choice: u8 },
     Burst(u8),
@@ -21,7 +21,7 @@
 fn any_step() -> impl Strategy<Value = Step> {
     prop_oneof![
         3 => (1u16..400).prop_map(Step::Wait),
-        6 => (0u8..4, 0u8..6, 300u16..5000).prop_map(|(class, object, patience)| Step::SendRequest { class, object, patience }),
+        6 => (0u8..4, 0u8..6, 300u16..5000).prop_map(|(class, object, timeout)| Step::SendRequest { class, object, timeout }),
         9 => (any::<u16>(), 0u8..12).prop_map(|(index, ending_choice)| Step::EndAttempt { index, ending_choice }),
         2 => (any::<u16>(), 0u8..30, 4u8..12).prop_map(|(index, left, ending_choice)| Step::EndNearDeadline { index, left, ending_choice }),
         1 => any::<u8>().prop_map(Step::Burst),
@@ -60,7 +60,7 @@
 }
 
 impl Purge {
-    fn concerns(&self, request: &Request) -> bool {
+    fn matches_request(&self, request: &Request) -> bool {
         match self.object {
             Some(object) => object == request.object,
             None => self.group == request.group,
@@ -76,7 +76,7 @@
 
 /// The rules, checked from the outside.
 struct RulesModel {
-    rig: Rig,
+    harness: Harness,
     pending: BTreeMap<RequestId, ModelRequest>,
     ended: u32,
     accepted: u32,
@@ -89,9 +89,9 @@
 
 impl RulesModel {
     fn new() -> RulesModel {
-        let members = everyone().into_iter().map(|m| (m.id, m)).collect();
+        let members = all_members().into_iter().map(|m| (m.id, m)).collect();
         RulesModel {
-            rig: Rig::new(),
+            harness: Harness::new(),
             pending: BTreeMap::new(),
             ended: 0,
             accepted: 0,
@@ -103,7 +103,7 @@
     }
 
     fn event(&mut self, event: Event) {
-        let acts = self.rig.event(event).to_vec();
+        let acts = self.harness.event(event).to_vec();
         for act in acts {
             match act {
                 Action::Lookup { request, member, deadline } => {
@@ -133,7 +133,7 @@
                     assert_eq!(in_flight.number, attempt);
                 }
                 Action::Timer { token, at } => {
-                    assert!(at > self.rig.now);
+                    assert!(at > self.harness.now);
                     self.timers.push(PendingTimer { at, token });
                 }
                 _ => {}
@@ -149,7 +149,7 @@
         source: Option<MemberId>,
         age: Option<f64>,
     ) {
-        let now = self.rig.now;
+        let now = self.harness.now;
         let pending = self.pending.get_mut(&id).expect("a send for a request that has ended");
         let r = pending.request;
         let class = &settings().classes[r.class];
@@ -163,12 +163,12 @@
                 Idempotency::NotIdempotent => panic!("an unsafe request sent again"),
             }
         }
-        let is_origin = to == THE_ORIGIN;
+        let is_origin = to == ORIGIN_ID;
         for m in [Some(to), source.filter(|s| *s != to)].into_iter().flatten() {
             let listed = self.members.get(&m).expect("a member that is not listed");
             assert_eq!(listed.lifecycle, Lifecycle::Ready, "sent to a draining member");
-            if let Some(started) = listed.started.filter(|_| m != THE_ORIGIN) {
-                let cache = listed.kind == CACHE;
+            if let Some(started) = listed.started.filter(|_| m != ORIGIN_ID) {
+                let cache = listed.kind == CACHE_KIND;
                 let rule = if cache { settings().cache_slow_start } else { settings().parent_slow_start };
                 let share = (rule.initial_share
                     + (1.0 - rule.initial_share) * (now - started) / rule.duration)
@@ -183,11 +183,11 @@
                 assert!(share >= 1.0 || load <= most, "{m} pushed over: {load} of {most}");
             }
         }
-        let purges = self.purges.iter().filter(|purge| purge.concerns(&r));
+        let purges = self.purges.iter().filter(|purge| purge.matches_request(&r));
         let newest = purges
             .map(|purge| purge.at)
             .filter(|at| now <= at + settings().purge_settle_time)
-            .fold(None, |latest, at| Some(newer(latest, at)));
+            .fold(None, |latest, at| Some(latest_of(latest, at)));
         if let Some(at) = newest.filter(|_| !is_origin) {
             let age = age.expect("a look-up without a bound after a purge");
             assert!(age > 0.0 && age <= now - at + 0.0011, "a copy of {age} ms may be older than the purge");
@@ -198,7 +198,7 @@
     }
 
     fn end(&mut self, id: RequestId, ending: AttemptEnding) {
-        let now = self.rig.now;
+        let now = self.harness.now;
         let Some(pending) = self.pending.get_mut(&id) else { return };
         let Some(in_flight) = pending.in_flight.take() else { return };
         let never =
@@ -227,7 +227,7 @@
 
     /// Lets time pass; timers and time-outs come when they are due.
     fn wait(&mut self, span: Millis) {
-        let end = self.rig.now + span;
+        let end = self.harness.now + span;
         loop {
             let timer = self.timers.iter().map(|timer| timer.at).fold(f64::MAX, f64::min);
             let in_flight = self
@@ -239,7 +239,7 @@
             if next > end {
                 break;
             }
-            self.rig.now = self.rig.now.max(next);
+            self.harness.now = self.harness.now.max(next);
             if in_flight.0 <= timer {
                 self.end(in_flight.1, AttemptEnding::Timeout);
             } else {
@@ -247,16 +247,16 @@
                 let PendingTimer { token, .. } = self.timers.remove(i);
                 self.event(Event::Timer(token));
             }
-            self.overdue();
+            self.assert_none_overdue();
         }
-        self.rig.now = end;
-        self.overdue();
+        self.harness.now = end;
+        self.assert_none_overdue();
     }
 
-    fn overdue(&self) {
+    fn assert_none_overdue(&self) {
         for pending in self.pending.values() {
             assert!(
-                self.rig.now <= pending.request.deadline + 0.001,
+                self.harness.now <= pending.request.deadline + 0.001,
                 "no final answer in time: {:?}",
                 pending.request
             );
@@ -267,11 +267,11 @@
     fn step(&mut self, step: Step) {
         match step {
             Step::Wait(span) => self.wait(f64::from(span)),
-            Step::SendRequest { class, object, patience } => {
+            Step::SendRequest { class, object, timeout } => {
                 let class = usize::from(class);
-                let id = self.rig.next;
-                self.rig.next += 1;
-                let deadline = self.rig.now + f64::from(patience);
+                let id = self.harness.next;
+                self.harness.next += 1;
+                let deadline = self.harness.now + f64::from(timeout);
                 // An object has one class and one group.
                 let object = u64::from(object) * 4 + class as u64;
                 let group = (object % 2) as u32;
@@ -303,7 +303,7 @@
                     self.step(Step::SendRequest {
                         class: 1,
                         object: seed.wrapping_mul(31).wrapping_add(n),
-                        patience: 4000,
+                        timeout: 4000,
                     });
                     self.step(Step::EndAttempt { index: u16::from(n), ending_choice: 4 + n % 2 * 4 });
                 }
@@ -318,7 +318,7 @@
                     .collect();
                 if !in_flight.is_empty() {
                     let at = in_flight[usize::from(index) % in_flight.len()] - f64::from(left) / 2.0;
-                    self.wait((at - self.rig.now).max(0.0));
+                    self.wait((at - self.harness.now).max(0.0));
                     self.step(Step::EndAttempt { index, ending_choice });
                 }
             }
@@ -331,7 +331,7 @@
                     if let Some(in_flight) = pending.in_flight {
                         let (attempt, member) = (in_flight.number, in_flight.member);
                         let (ending, elapsed, note) =
-                            (AttemptEnding::Cancelled, self.rig.now - in_flight.at, FillNote::None);
+                            (AttemptEnding::Cancelled, self.harness.now - in_flight.at, FillNote::None);
                         let load = None;
                         self.event(Event::AttemptEnded {
                             request: *id,
@@ -347,7 +347,7 @@
                 }
             }
             Step::ChangeMember { index, change } => {
-                let id = everyone()[usize::from(index)].id;
+                let id = all_members()[usize::from(index)].id;
                 if change == 4 {
                     // It leaves the list and comes back to it as the same process.
                     let Some(same) = self.members.get(&id).copied() else { return };
@@ -359,7 +359,7 @@
                 let new = match change {
                     0 => Member { lifecycle: Lifecycle::Draining, ..member(id) },
                     1 => Member { lifecycle: Lifecycle::Gone, ..member(id) },
-                    2 => Member { started: Some(self.rig.now - 500.0), ..member(id) },
+                    2 => Member { started: Some(self.harness.now - 500.0), ..member(id) },
                     _ => member(id),
                 };
                 self.warming_sends.retain(|sent| sent.member != id);
@@ -375,14 +375,14 @@
                 let object = u64::from(object);
                 let (object, group) =
                     if whole_group { (None, (object % 2) as u32) } else { (Some(object), 0) };
-                self.purges.push(Purge { object, group, at: self.rig.now - age });
+                self.purges.push(Purge { object, group, at: self.harness.now - age });
                 self.event(Event::Purged { object, group, age });
             }
         }
     }
 }
 
-fn newer(a: Option<f64>, b: f64) -> f64 {
+fn latest_of(a: Option<f64>, b: f64) -> f64 {
     a.map_or(b, |a| a.max(b))
 }
 
--- a/crates/deckproxy-control/tests/purges.rs
+++ b/crates/deckproxy-control/tests/purges.rs
@@ -8,46 +8,51 @@
 fn a_purge_binds_every_kind_of_attempt_until_copies_are_gone() {
     let done = settings().purge_settle_time;
     for (object, group) in [(Some(5), 0), (None, 7)] {
-        let mut rig = Rig::new();
-        rig.event(Event::Purged { object, group, age: 100.0 });
-        let purged = rig.now - 100.0;
-        let id = rig.request(SMALL, 5, 0);
-        let Action::Get { member, source, max_age, options, .. } = rig.actions[0] else { panic!("no bound") };
+        let mut harness = Harness::new();
+        harness.event(Event::Purged { object, group, age: 100.0 });
+        let purged = harness.now - 100.0;
+        let id = harness.request(SMALL, 5, 0);
+        let Action::Get { member, source, max_age, options, .. } = harness.actions[0] else {
+            panic!("no bound")
+        };
         assert_eq!(member, source, "still only a look-up");
-        assert!(!options.join && max_age > 0.0 && max_age <= rig.now - purged);
-        rig.now += 40.0;
-        rig.end(id, 0, member, AttemptEnding::Miss);
-        let Action::Get { max_age, source, .. } = rig.actions[0] else { panic!("no fill") };
+        assert!(!options.join && max_age > 0.0 && max_age <= harness.now - purged);
+        harness.now += 40.0;
+        harness.end(id, 0, member, AttemptEnding::Miss);
+        let Action::Get { max_age, source, .. } = harness.actions[0] else { panic!("no fill") };
         assert!(
-            PARENTS.contains(&source) && max_age > 0.0 && max_age <= rig.now - purged,
+            PARENTS.contains(&source) && max_age > 0.0 && max_age <= harness.now - purged,
             "judged at its send"
         );
-        rig.now = purged + done + 1.0;
-        rig.request(SMALL, 5, 1);
-        assert!(matches!(rig.actions[0], Action::Lookup { .. }), "past it, copies are gone by themselves");
+        harness.now = purged + done + 1.0;
+        harness.request(SMALL, 5, 1);
+        assert!(
+            matches!(harness.actions[0], Action::Lookup { .. }),
+            "past it, copies are gone by themselves"
+        );
         // Others are not bound.
-        rig.now = purged + 200.0;
-        rig.event(Event::Purged { object: Some(6), group: 3, age: 0.0 });
+        harness.now = purged + 200.0;
+        harness.event(Event::Purged { object: Some(6), group: 3, age: 0.0 });
     }
 }
 
 #[test]
 fn a_purge_of_this_instant_gives_a_maximum_age_above_zero() {
-    let mut rig = Rig::new();
-    rig.event(Event::Purged { object: Some(5), group: 7, age: 0.0 });
-    rig.request(LARGE, 5, 0);
-    let Action::Get { max_age, .. } = rig.actions[0] else { panic!("no bound") };
+    let mut harness = Harness::new();
+    harness.event(Event::Purged { object: Some(5), group: 7, age: 0.0 });
+    harness.request(LARGE, 5, 0);
+    let Action::Get { max_age, .. } = harness.actions[0] else { panic!("no bound") };
     assert!(max_age >= 0.001, "0 would mean any max_age");
 }
 
 #[test]
 fn an_older_purge_notified_later_does_not_loosen_a_newer_one() {
-    let mut rig = Rig::new();
-    rig.event(Event::Purged { object: Some(5), group: 7, age: 0.0 });
-    rig.event(Event::Purged { object: Some(5), group: 7, age: 4000.0 });
-    rig.now += 50.0;
-    rig.request(SMALL, 5, 0);
-    let Action::Get { max_age, .. } = rig.actions[0] else { panic!("no bound") };
+    let mut harness = Harness::new();
+    harness.event(Event::Purged { object: Some(5), group: 7, age: 0.0 });
+    harness.event(Event::Purged { object: Some(5), group: 7, age: 4000.0 });
+    harness.now += 50.0;
+    harness.request(SMALL, 5, 0);
+    let Action::Get { max_age, .. } = harness.actions[0] else { panic!("no bound") };
     assert!(max_age <= 50.0);
 }
 
@@ -55,18 +60,19 @@
 fn the_maximum_age_never_exceeds_the_freshness_lifetime() {
     let mut s = settings();
     s.classes[SMALL].freshness_lifetime = 30.0;
-    let mut rig = Rig::with(s, everyone());
-    rig.event(Event::Purged { object: Some(5), group: 7, age: 1000.0 });
-    rig.request(SMALL, 5, 0);
-    let Action::Get { max_age, .. } = rig.actions[0] else { panic!("no bound") };
+    let mut harness = Harness::with(s, all_members());
+    harness.event(Event::Purged { object: Some(5), group: 7, age: 1000.0 });
+    harness.request(SMALL, 5, 0);
+    let Action::Get { max_age, .. } = harness.actions[0] else { panic!("no bound") };
     assert!(max_age <= 30.0);
 }
 
 #[test]
 fn a_purge_binds_direct_attempts_to_a_parent() {
-    let mut rig = Rig::with(settings(), everyone().into_iter().filter(|m| m.kind != CACHE).collect());
-    rig.event(Event::Purged { object: Some(5), group: 7, age: 10.0 });
-    rig.request(SMALL, 5, 0);
-    let Action::Get { max_age, member, .. } = rig.actions[0] else { panic!("no bound") };
+    let mut harness =
+        Harness::with(settings(), all_members().into_iter().filter(|m| m.kind != CACHE_KIND).collect());
+    harness.event(Event::Purged { object: Some(5), group: 7, age: 10.0 });
+    harness.request(SMALL, 5, 0);
+    let Action::Get { max_age, member, .. } = harness.actions[0] else { panic!("no bound") };
     assert!(PARENTS.contains(&member) && max_age > 0.0 && max_age <= 10.0);
 }
--- a/crates/deckproxy-control/tests/slow_start.rs
+++ b/crates/deckproxy-control/tests/slow_start.rs
@@ -22,7 +22,7 @@
 
 /// Routers of one location, of unequal traffic, with one warming member among those that serve it.
 struct Fleet {
-    rigs: Vec<Rig>,
+    harnesses: Vec<Harness>,
     settings: Settings,
     warming: Member,
     checker: SlowStartChecker,
@@ -40,52 +40,54 @@
             parent_slow_start,
             ..set
         };
-        let rigs = (0..routers)
-            .map(|position| Rig::with(Settings { position, ..settings.clone() }, Self::others(&warming)))
+        let harnesses = (0..routers)
+            .map(|position| Harness::with(Settings { position, ..settings.clone() }, Self::others(&warming)))
             .collect();
-        Fleet { rigs, settings, warming, checker: SlowStartChecker::default(), object: 10_000 }
+        Fleet { harnesses, settings, warming, checker: SlowStartChecker::default(), object: 10_000 }
     }
 
     /// Where the member is a cache, another takes what it rejects; its parents are warm, or it is the only
     /// one.
     fn others(warming: &Member) -> Vec<Member> {
         let all = [member(101), member(102), member(201), member(301)];
-        all.into_iter().filter(|m| m.kind != warming.kind || m.id != warming.id && m.kind == CACHE).collect()
+        all.into_iter()
+            .filter(|m| m.kind != warming.kind || m.id != warming.id && m.kind == CACHE_KIND)
+            .collect()
     }
 
     fn at(&mut self, now: Millis) {
-        self.rigs.iter_mut().for_each(|rig| rig.now = now);
+        self.harnesses.iter_mut().for_each(|harness| harness.now = now);
     }
 
     fn notify(&mut self, i: usize) {
         let warming = self.warming;
-        self.rigs[i].event(Event::MemberList(ListKind::Delta, vec![warming]));
+        self.harnesses[i].event(Event::MemberList(ListKind::Delta, vec![warming]));
     }
 
     /// The process restarts: it knows the member list, but nothing of what it sent before.
     fn restart(&mut self, i: usize) {
         let mut list = Self::others(&self.warming);
         list.push(self.warming);
-        let now = self.rigs[i].now;
+        let now = self.harnesses[i].now;
         let position = u32::try_from(i).unwrap();
-        let mut rig = Rig::with(Settings { position, ..self.settings.clone() }, Vec::new());
-        rig.now = now;
-        rig.event(Event::MemberList(ListKind::Cached, list));
-        self.rigs[i] = rig;
+        let mut harness = Harness::with(Settings { position, ..self.settings.clone() }, Vec::new());
+        harness.now = now;
+        harness.event(Event::MemberList(ListKind::Cached, list));
+        self.harnesses[i] = harness;
     }
 
     /// One request through a router, with all its attempts; a parent's fills count.
     fn request(&mut self, i: usize) {
         self.object += 1;
         let class = if self.object.is_multiple_of(3) { LARGE } else { SMALL };
-        let id = self.rigs[i].request(class, self.object, 0);
+        let id = self.harnesses[i].request(class, self.object, 0);
         let mut attempt = 0;
-        while let Some(SentAttempt { member: to, source, .. }) = self.rigs[i].sends().first().copied() {
+        while let Some(SentAttempt { member: to, source, .. }) = self.harnesses[i].sends().first().copied() {
             if to == self.warming.id || source == Some(self.warming.id) {
-                self.checker.record_call(self.rigs[i].now, SIZES[class]);
+                self.checker.record_call(self.harnesses[i].now, SIZES[class]);
             }
             let fills = source.is_some_and(|s| s != to);
-            self.rigs[i].end(
+            self.harnesses[i].end(
                 id,
                 attempt,
                 to,
@@ -143,7 +145,7 @@
 
 /// Saved turns of 24 routers would all come at once.
 #[test]
-fn a_lull_saves_no_budget_for_the_surge_after_it() {
+fn a_lull_accumulates_no_budget_for_the_surge_after_it() {
     for (warming, rule) in cases() {
         let mut fleet = Fleet::of(24, warming);
         fleet.at(1000.0);
@@ -176,17 +178,17 @@
 
 /// It is empty: a look-up would be a miss and weigh as much as the fill.
 #[test]
-fn a_cache_that_warms_up_is_asked_for_a_fill_at_once() {
+fn a_cache_that_warms_up_is_sent_fills_without_a_lookup() {
     let warming = |m: Member| Member { started: (m.id == CACHES[0]).then_some(0.0), ..m };
-    let mut rig = Rig::with(settings(), everyone().into_iter().map(warming).collect());
+    let mut harness = Harness::with(settings(), all_members().into_iter().map(warming).collect());
     let mut fills = 0;
     for object in 0..200 {
-        rig.now += 20.0;
-        let id = rig.request(SMALL, object, 0);
-        let SentAttempt { member: at, source, .. } = rig.sends()[0];
+        harness.now += 20.0;
+        let id = harness.request(SMALL, object, 0);
+        let SentAttempt { member: at, source, .. } = harness.sends()[0];
         assert_eq!(source.is_some(), at == CACHES[0], "the others are looked up at first");
         fills += u32::from(source.is_some());
-        rig.end(id, 0, at, AttemptEnding::Served);
+        harness.end(id, 0, at, AttemptEnding::Served);
     }
     assert!(fills > 5, "{fills}");
 }
--- a/crates/deckproxy-control/tests/slow_start_budget.rs
+++ b/crates/deckproxy-control/tests/slow_start_budget.rs
@@ -18,23 +18,23 @@
 
 /// Sends as many requests as it can for ten seconds and returns when each reached the member, as target or
 /// as source.
-fn sends_under_pressure(rig: &mut Rig, id: MemberId, class: usize) -> Vec<Millis> {
+fn send_times_under_load(harness: &mut Harness, id: MemberId, class: usize) -> Vec<Millis> {
     let mut times = vec![];
-    let end = rig.now + 10_000.0;
+    let end = harness.now + 10_000.0;
     let mut object = 1000;
-    while rig.now < end {
+    while harness.now < end {
         object += 1;
-        let request = rig.request(class, object, 0);
+        let request = harness.request(class, object, 0);
         let mut attempt = 0;
-        while let Some(SentAttempt { member: to, source, .. }) = rig.sends().first().copied() {
+        while let Some(SentAttempt { member: to, source, .. }) = harness.sends().first().copied() {
             if to == id || source == Some(id) {
-                times.push(rig.now);
+                times.push(harness.now);
             }
             let how = if attempt == 0 { AttemptEnding::Miss } else { AttemptEnding::Served };
-            rig.end(request, attempt, to, how);
+            harness.end(request, attempt, to, how);
             attempt += 1;
         }
-        rig.now += 4.0;
+        harness.now += 4.0;
     }
     times
 }
@@ -46,8 +46,8 @@
     {
         for class in [SMALL, LARGE] {
             let warming = |m: Member| Member { started: (m.id == id).then_some(900.0), ..m };
-            let mut rig = Rig::with(settings(), everyone().into_iter().map(warming).collect());
-            let times = sends_under_pressure(&mut rig, id, class);
+            let mut harness = Harness::with(settings(), all_members().into_iter().map(warming).collect());
+            let times = send_times_under_load(&mut harness, id, class);
             assert!(!times.is_empty(), "it gets its share");
             for (i, end) in times.iter().enumerate() {
                 let sent = times[..=i].iter().filter(|t| **t > end - rule.overload_window).count() as f64;
@@ -69,23 +69,23 @@
         let settings = Settings { routers, zone_routers: vec![0, 0, routers], ..settings() };
         let parent = Member { started: Some(900.0), weight, ..member(201) };
         let list: Vec<Member> = [member(101), parent].into();
-        let mut rigs: Vec<Rig> = (0..routers)
-            .map(|position| Rig::with(Settings { position, ..settings.clone() }, list[..1].to_vec()))
+        let mut harnesses: Vec<Harness> = (0..routers)
+            .map(|position| Harness::with(Settings { position, ..settings.clone() }, list[..1].to_vec()))
             .collect();
         let mut calls: Vec<Call> = vec![];
         for step in 0..36_u32 {
-            for (i, rig) in rigs.iter_mut().enumerate() {
-                rig.now = 1000.0 + 250.0 * f64::from(step);
+            for (i, harness) in harnesses.iter_mut().enumerate() {
+                harness.now = 1000.0 + 250.0 * f64::from(step);
                 // Some are notified of it late.
                 if step == 12 * (i as u32 % 3) {
-                    rig.event(Event::MemberList(ListKind::Delta, vec![parent]));
+                    harness.event(Event::MemberList(ListKind::Delta, vec![parent]));
                 }
                 let class = if step % 2 == 0 { SMALL } else { LARGE };
-                let (id, cache) = rig.request_and_miss(class, 5000 + 100 * i as u64 + u64::from(step));
-                if let Some(SentAttempt { source: Some(201), .. }) = rig.sends().first() {
-                    calls.push(Call { at: rig.now, sending_time: SIZES[class] });
+                let (id, cache) = harness.request_and_miss(class, 5000 + 100 * i as u64 + u64::from(step));
+                if let Some(SentAttempt { source: Some(201), .. }) = harness.sends().first() {
+                    calls.push(Call { at: harness.now, sending_time: SIZES[class] });
                 }
-                rig.end(id, 1, cache, AttemptEnding::Served);
+                harness.end(id, 1, cache, AttemptEnding::Served);
             }
         }
         assert!(calls.len() > 4, "{routers}: it gets work, {}", calls.len());
@@ -104,23 +104,23 @@
     let rule = settings().cache_slow_start;
     for (here, weight) in [(13, 6.0), (40, 3.0)] {
         let warming = Member { started: Some(900.0), weight, ..member(101) };
-        let mut rigs: Vec<Rig> = (100..100 + here)
+        let mut harnesses: Vec<Harness> = (100..100 + here)
             .map(|position| {
                 let zone_routers = vec![0, 0, here, 300 - here];
                 let set = Settings { position, routers: 300, zone_routers, ..settings() };
-                Rig::with(set, vec![warming, member(102), member(201)])
+                Harness::with(set, vec![warming, member(102), member(201)])
             })
             .collect();
         let mut calls: Vec<Call> = vec![];
         for step in 0..1200_u32 {
-            let rig = &mut rigs[(step % here) as usize];
-            rig.now = 1000.0 + 5.0 * f64::from(step);
-            let id = rig.request(LARGE, u64::from(step), 0);
-            let at = rig.sends()[0].member;
+            let harness = &mut harnesses[(step % here) as usize];
+            harness.now = 1000.0 + 5.0 * f64::from(step);
+            let id = harness.request(LARGE, u64::from(step), 0);
+            let at = harness.sends()[0].member;
             if at == 101 {
-                calls.push(Call { at: rig.now, sending_time: SIZES[LARGE] });
+                calls.push(Call { at: harness.now, sending_time: SIZES[LARGE] });
             }
-            rig.end(id, 0, at, AttemptEnding::Served);
+            harness.end(id, 0, at, AttemptEnding::Served);
         }
         let load: f64 = calls.iter().map(|call| call.sending_time).sum();
         let least = rule.overload_multiple * rule.initial_share * weight * 6000.0;
@@ -138,15 +138,15 @@
 
 /// A restarted router does not know what it sent in that window before.
 #[test]
-fn a_router_that_just_started_leaves_warming_members_alone_for_a_window() {
+fn a_router_that_just_started_sends_nothing_to_warming_members_for_a_window() {
     let warming = Member { started: Some(900.0), ..member(201) };
-    let mut rig = Rig::with(settings(), vec![member(101), warming]);
-    let (id, cache) = rig.request_and_miss(SMALL, 1);
-    assert!(rig.sends().iter().all(|sent| sent.source != Some(201)));
-    rig.end(id, 1, cache, AttemptEnding::Served);
-    rig.now = 2.0 * settings().parent_slow_start.overload_window;
-    rig.request_and_miss(SMALL, 2);
-    assert_eq!(rig.sends()[0].source, Some(201));
+    let mut harness = Harness::with(settings(), vec![member(101), warming]);
+    let (id, cache) = harness.request_and_miss(SMALL, 1);
+    assert!(harness.sends().iter().all(|sent| sent.source != Some(201)));
+    harness.end(id, 1, cache, AttemptEnding::Served);
+    harness.now = 2.0 * settings().parent_slow_start.overload_window;
+    harness.request_and_miss(SMALL, 2);
+    assert_eq!(harness.sends()[0].source, Some(201));
 }
 
 #[test]
@@ -154,19 +154,19 @@
     let rule = settings().cache_slow_start;
     let count = |started: Millis| {
         let warm = |m: Member| Member { started: (m.id == 101).then_some(started), ..m };
-        let mut rig = Rig::with(settings(), everyone().into_iter().map(warm).collect());
-        sends_under_pressure(&mut rig, 101, SMALL).len()
+        let mut harness = Harness::with(settings(), all_members().into_iter().map(warm).collect());
+        send_times_under_load(&mut harness, 101, SMALL).len()
     };
     assert!(count(1000.0 - rule.duration) > 3 * count(1000.0));
 }
 
 #[test]
 fn a_restarted_member_has_a_new_budget() {
-    let mut rig = Rig::new();
-    let before = sends_under_pressure(&mut rig, 101, SMALL).len();
-    let again = Member { started: Some(rig.now), ..member(101) };
-    rig.event(Event::MemberList(ListKind::Delta, vec![again]));
-    assert!(sends_under_pressure(&mut rig, 101, SMALL).len() < before / 2);
+    let mut harness = Harness::new();
+    let before = send_times_under_load(&mut harness, 101, SMALL).len();
+    let again = Member { started: Some(harness.now), ..member(101) };
+    harness.event(Event::MemberList(ListKind::Delta, vec![again]));
+    assert!(send_times_under_load(&mut harness, 101, SMALL).len() < before / 2);
 }
 
 /// Else a member that comes and goes in the list would have a full budget each time.
@@ -174,21 +174,21 @@
 fn a_warming_member_that_leaves_and_returns_keeps_its_spent_budget() {
     let warming = |m: Member| Member { started: (m.id == 101).then_some(900.0), ..m };
     for whole in [false, true] {
-        let mut rig = Rig::with(settings(), everyone().into_iter().map(warming).collect());
+        let mut harness = Harness::with(settings(), all_members().into_iter().map(warming).collect());
         let mut sent = 0;
         for object in 0..400 {
-            let id = rig.request(SMALL, object, 0);
-            let at = rig.sends()[0].member;
+            let id = harness.request(SMALL, object, 0);
+            let at = harness.sends()[0].member;
             sent += u32::from(at == 101);
-            rig.end(id, 0, at, AttemptEnding::Served);
+            harness.end(id, 0, at, AttemptEnding::Served);
             if whole {
-                let others = everyone().into_iter().filter(|m| m.id != 101).collect();
-                rig.event(Event::MemberList(ListKind::Full, others));
+                let others = all_members().into_iter().filter(|m| m.id != 101).collect();
+                harness.event(Event::MemberList(ListKind::Full, others));
             } else {
                 let gone = Member { lifecycle: Lifecycle::Gone, ..warming(member(101)) };
-                rig.event(Event::MemberList(ListKind::Delta, vec![gone]));
+                harness.event(Event::MemberList(ListKind::Delta, vec![gone]));
             }
-            rig.event(Event::MemberList(ListKind::Delta, vec![warming(member(101))]));
+            harness.event(Event::MemberList(ListKind::Delta, vec![warming(member(101))]));
         }
         let rule = settings().cache_slow_start;
         let most =
