--- a/crates/deckproxy-control/src/control.rs
+++ b/crates/deckproxy-control/src/control.rs
@@ -1,10 +1,10 @@
 //! Every decision of the router. Types, events and actions are in `interface.rs`; read that file first.
 //!
-//! The ordinary path: a request is looked up at the cache that a shared hash of its object picks in the
-//! location. After a miss one request per object and part leads a fill from the parent that the same hash
-//! picks over all listed parents, and the others wait for it. Everything else handles faults and overload.
-//! `dispatch` is where a request begins, `attempt_sending` the one way out for attempts, `attempt_outcomes`
-//! what follows their end.
+//! The ordinary path: a request is looked up at the cache of the location that a shared rendezvous hash
+//! of its object selects. After a miss one request per object and part leads a fill from the parent that
+//! the same hash selects among all listed parents; the other requests wait for it. The rest of the code
+//! handles faults and overload. Requests enter in `dispatch`, all attempts are sent by `attempt_sending`,
+//! and `attempt_outcomes` decides what follows the end of an attempt.
 
 mod admission;
 mod attempt_limits;
@@ -50,25 +50,25 @@
 /// Token of the timer that renews a broken subscription to the member list.
 const WATCH_TIMER: u64 = 1;
 
-/// The periodic timer.
+/// State of the periodic timer.
 #[derive(Default)]
 struct TimerState {
     is_armed: bool,
     due_at: Millis,
 }
 
-/// Entries in the tables that grow with members and traffic.
+/// Numbers of entries in the tables that grow with members and traffic.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TableSizes {
-    /// Members that are listed, or remembered while they warm up.
+    /// Members that are listed, and members that left while they were warming up.
     pub members: usize,
-    /// Requests without a final answer, or with an attempt in flight.
+    /// Requests without a final answer or with an attempt in flight.
     pub requests: usize,
-    /// Fills that a request leads.
+    /// Fills that have a leader.
     pub fills: usize,
-    /// Objects whose demand and sending time are known.
+    /// Objects whose demand and sending time are tracked.
     pub objects: usize,
-    /// Purges whose copies may not all be gone yet.
+    /// Purges after which older copies may still exist.
     pub purges: usize,
 }
 
@@ -76,25 +76,25 @@
 #[derive(Default)]
 pub struct Control {
     settings: Settings,
-    /// Clock time of the event that is handled.
+    /// Clock time of the event being handled.
     now: Millis,
-    /// Actions decided on so far for that event.
+    /// Actions for that event so far.
     actions: Vec<Action>,
     members: BTreeMap<MemberId, MemberState>,
     /// By class.
     class_sending_times: Vec<ClassSendingTime>,
     pending: BTreeMap<RequestId, PendingRequest>,
     collapsed_fills: BTreeMap<FillKey, CollapsedFill>,
-    /// Clock time of the last purge, by what it voids.
+    /// Clock time of the latest purge, by its target.
     purges: BTreeMap<PurgeTarget, Millis>,
-    /// Sending time requested lately of all objects, in ms.
+    /// Decaying sum of the sending times of all requests, in ms.
     demand: DecayingSum,
     objects: BTreeMap<u64, ObjectStats>,
-    /// By kind of member, where the list does not tell sizes.
+    /// By kind of member; used when the member list does not give sizes.
     kind_throughput: BTreeMap<u32, KindThroughput>,
-    /// Latency inflation of answers by way of the origin.
+    /// Latency inflation of answers that were fetched from the origin.
     origin_latency: LatencyInflation,
-    /// Attempts in flight that draw on the location's link.
+    /// Transfers in flight over the location's link.
     link: SharedLoad,
     retry_budget: RetryBudget,
     timer: TimerState,
@@ -103,13 +103,14 @@
 }
 
 impl Control {
-    /// A router that has just started. The seed is for decisions by chance, of which there are none so far.
+    /// Creates a router that has just started. The seed is reserved for random decisions; there are none
+    /// so far.
     pub fn new(settings: Settings, _seed: u64) -> Self {
         let class_sending_times = settings.classes.iter().map(ClassSendingTime::initial_estimate).collect();
         Control { settings, class_sending_times, ..Control::default() }
     }
 
-    /// Takes one event at clock time `now` and appends the actions to be carried out.
+    /// Handles one event at clock time `now` and appends the resulting actions.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         self.handle_event(event);
@@ -152,7 +153,7 @@
         }
     }
 
-    /// Ends a request whose client has left.
+    /// Ends a request whose client has disconnected.
     fn abandon(&mut self, id: RequestId) {
         if let Some(pending) = self.pending.get_mut(&id) {
             pending.has_ended = true;
@@ -160,7 +161,7 @@
         self.remove_if_settled(id);
     }
 
-    /// Entries in the router's tables.
+    /// Numbers of entries in the router's tables.
     pub fn table_sizes(&self) -> TableSizes {
         TableSizes {
             members: self.members.len(),
--- a/crates/deckproxy-control/src/interface.rs
+++ b/crates/deckproxy-control/src/interface.rs
@@ -1,4 +1,4 @@
-//! The interface of the decision module: settings, events, actions and ids. It holds no logic.
+//! The interface of the decision module: settings, events, actions and ids. It contains no logic.
 
 mod action;
 mod attempt;
@@ -12,7 +12,8 @@
 pub use member::{Lifecycle, ListKind, Member};
 pub use settings::{Class, Group, Idempotency, Settings, Siblings, SlowStart};
 
-/// A clock time or a span, in milliseconds. Only differences of clock times have a meaning.
+/// A clock time or a duration in milliseconds. Clock times have no fixed epoch; only their differences
+/// are meaningful.
 pub type Millis = f64;
 /// Id of a member: a cache, a parent or the origin.
 pub type MemberId = u32;
--- a/crates/deckproxy-control/src/interface/action.rs
+++ b/crates/deckproxy-control/src/interface/action.rs
@@ -1,24 +1,24 @@
-//! Actions that the decision module asks its host to carry out.
+//! Actions that the decision module requests from its host.
 
 use super::{MemberId, Millis, RequestId};
 
-/// Options of a get.
+/// Options of an [`Action::Get`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GetOptions {
-    /// Wait for a fill that is in progress.
+    /// Join a fill that is in progress instead of starting another.
     pub join: bool,
-    /// The source answers only from its own copies.
+    /// The source answers only from its own copies and does not fetch.
     pub cached_only: bool,
-    /// The parent keeps no copy.
+    /// The parent stores no copy.
     pub no_parent_copy: bool,
-    /// Renew an ageing copy after its answer.
+    /// Refresh an ageing copy after it has answered.
     pub renew: bool,
 }
 
-/// Something to be done.
+/// An action for the host to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt that asks a member for its own copy only.
+    /// Send an attempt that a member answers only from its own copy.
     Lookup {
         /// The request.
         request: RequestId,
@@ -27,7 +27,7 @@
         /// Clock time at which the attempt times out.
         deadline: Millis,
     },
-    /// Send an attempt that says how a miss is filled.
+    /// Send an attempt that specifies how a miss is filled.
     Get {
         /// The request.
         request: RequestId,
@@ -35,20 +35,20 @@
         member: MemberId,
         /// Clock time at which the attempt times out.
         deadline: Millis,
-        /// Source of the fill; the member itself: none.
+        /// Source of the fill; equal to `member`: no fill.
         source: MemberId,
-        /// Rank of the copy that is kept, 1 to 3; 0 keeps none.
+        /// Rank of the stored copy, 1 to 3; 0 stores none.
         copy_rank: u8,
-        /// Greatest age of a copy that may answer; 0: its freshness lifetime.
+        /// Maximum age of a copy that may answer; 0: its freshness lifetime.
         max_age: Millis,
         /// Options of the get.
         options: GetOptions,
     },
-    /// Final answer: rejected. A new request does no harm.
+    /// Final answer: rejected. The client can safely send the request again.
     Reject {
         /// The request.
         request: RequestId,
-        /// Advised time until a new request; 0: no advice.
+        /// Advised delay before a new request; 0: no advice.
         retry_after: Millis,
     },
     /// Final answer: failed. The request may have run.
@@ -67,18 +67,18 @@
     Timer {
         /// Returned with the timer event.
         token: u64,
-        /// Clock time at which it is due.
+        /// Clock time at which the timer expires.
         at: Millis,
     },
     /// Check a member's health.
     HealthCheck(MemberId),
     /// Close the idle connections to a member.
     CloseIdle(MemberId),
-    /// Send a message to one router, by its position, or to all.
+    /// Send a message to the router at a position, or to all routers.
     SendToPeer(Option<u32>, Vec<u8>),
-    /// Subscribe to the member list, or end the subscription.
+    /// Subscribe to the member list, or cancel the subscription.
     WatchMembers(bool),
-    /// Request the whole member list once.
+    /// Fetch the whole member list once.
     FetchMembers,
     /// Write a line to the operators' log.
     Log(String),
--- a/crates/deckproxy-control/src/interface/attempt.rs
+++ b/crates/deckproxy-control/src/interface/attempt.rs
@@ -1,4 +1,4 @@
-//! Requests, and what the end of an attempt tells.
+//! Requests, and the results of their attempts.
 
 use super::{Millis, RequestId};
 
@@ -11,13 +11,13 @@
     pub object: u64,
     /// The part of the object.
     pub part: u32,
-    /// The object's group, by which it may be purged.
+    /// The object's group, which can be purged as a whole.
     pub group: u32,
     /// Size of the answer in KB, where it is known.
     pub size: Option<f64>,
     /// Position of its class in the settings.
     pub class: usize,
-    /// Clock time at which the client gives up.
+    /// Clock time after which the client no longer waits for an answer.
     pub deadline: Millis,
 }
 
@@ -26,17 +26,17 @@
 pub enum AttemptEnding {
     /// Answered in full.
     Served,
-    /// Answered with an error; it may have run.
+    /// Answered with an error; it may have been executed.
     Error,
-    /// Rejected by the member before it ran.
+    /// Rejected by the member before it was executed.
     Rejected,
-    /// No answer in time; it may have run.
+    /// No answer before the deadline; it may have been executed.
     Timeout,
-    /// No connection.
+    /// No connection could be opened.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; it may have been executed.
     Reset,
-    /// Cancelled; it may have run.
+    /// Cancelled; it may have been executed.
     Cancelled,
     /// Never sent.
     NotSent,
@@ -44,40 +44,41 @@
     Miss,
 }
 
-/// What an answer tells of its copy or fill.
+/// What an answer reports about its copy or fill.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FillNote {
     /// Nothing.
     None,
-    /// It came from a copy.
+    /// Answered from a copy.
     Hit,
-    /// It came by a fill.
+    /// Answered by a fill.
     Filled,
-    /// It came by a fill for which the parent asked the origin.
+    /// Answered by a fill that the parent fetched from the origin.
     FilledByOrigin,
-    /// It joined a fill; with a miss: a fill is in progress.
+    /// The attempt joined a running fill; with a miss: a fill is in progress.
     Joined,
-    /// It came from a stale copy.
+    /// Answered from a stale copy.
     Stale,
     /// The source rejected the fill.
     SourceRejected,
-    /// The source was not reached, broke off or timed out.
+    /// The source could not be reached, broke the connection or timed out.
     SourceFailed,
-    /// The source has no such object.
+    /// The source does not have the object.
     SourceMiss,
     /// The cache has no capacity for a fill.
     NoCapacity,
-    /// The origin failed behind the parent.
+    /// The parent's fetch from the origin failed.
     OriginFailed,
 }
 
-/// A member's report of its load, late and inexact. Values that a member does not report are `None`.
+/// A member's load report, delayed and approximate. Values that the member does not report are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Requests in flight.
     pub in_flight: Option<f64>,
-    /// At a cache, the load of its location's link over its capacity; at a parent, its fetches in flight.
+    /// At a cache, the load of its location's link divided by the link's capacity; at a parent, its
+    /// fetches in flight.
     pub link: Option<f64>,
-    /// Busy share of its cores, 0 to 1.
+    /// Share of its CPU time in use, 0 to 1.
     pub busy_share: Option<f64>,
 }
--- a/crates/deckproxy-control/src/interface/event.rs
+++ b/crates/deckproxy-control/src/interface/event.rs
@@ -1,17 +1,17 @@
-//! Events that the host hands to the decision module.
+//! Events that the host passes to the decision module.
 
 use super::{AttemptEnding, FillNote, ListKind, LoadReport, Member, MemberId, Millis, Request, RequestId};
 
-/// Something that happened.
+/// An event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The router has started; its last known member list follows.
     Started,
-    /// A member list, or a part of one.
+    /// A member list, or the changed entries of one.
     MemberList(ListKind, Vec<Member>),
     /// A client's request arrived.
     Request(Request),
-    /// A streamed answer has begun.
+    /// The first bytes of a streamed answer have arrived.
     StreamStarted {
         /// The request.
         request: RequestId,
@@ -24,37 +24,37 @@
         request: RequestId,
         /// Number of the attempt, from 0.
         attempt: u32,
-        /// The member it was sent to.
+        /// The member to which the attempt was sent.
         member: MemberId,
         /// How it ended.
         ending: AttemptEnding,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         elapsed: Millis,
-        /// The request has its final answer.
+        /// Whether the request has its final answer.
         finished: bool,
-        /// What the answer tells of its copy or fill.
+        /// What the answer reports about its copy or fill.
         note: FillNote,
-        /// The member's load, where it is reported.
+        /// The member's load, if reported.
         load: Option<LoadReport>,
     },
-    /// The client has left; its request needs no answer.
+    /// The client has disconnected; its request needs no answer.
     ClientGone(RequestId),
-    /// A timer is due; the token is that of its request.
+    /// A timer expired; the token is the one with which it was set.
     Timer(u64),
     /// The result of a health check.
     HealthChecked {
         /// The member.
         member: MemberId,
-        /// Whether it answered well.
+        /// Whether the check passed.
         ok: bool,
-        /// Its load, where it is reported.
+        /// Its load, if reported.
         load: Option<LoadReport>,
     },
-    /// A message from another router, by its position.
+    /// A message from the router at a position.
     PeerMessage(u32, Vec<u8>),
-    /// Copies were purged: those of one object, or of a whole group.
+    /// Copies of one object, or of a whole group, were purged.
     Purged {
-        /// The object; `None`: the whole group.
+        /// The object; `None`: all objects of the group.
         object: Option<u64>,
         /// The group.
         group: u32,
--- a/crates/deckproxy-control/src/interface/member.rs
+++ b/crates/deckproxy-control/src/interface/member.rs
@@ -1,29 +1,29 @@
-//! Members and the lists of them.
+//! Members and member lists.
 
 use super::{MemberId, Millis};
 
 /// State of a listed member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// It takes requests.
+    /// It accepts requests.
     #[default]
     Ready,
-    /// It finishes what is in flight and takes nothing new.
+    /// It completes requests in flight and accepts no new ones.
     Draining,
-    /// It has left.
+    /// It has left the fleet.
     Gone,
 }
 
-/// One line of the member list.
+/// One entry of the member list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Member {
     /// Its id.
     pub id: MemberId,
     /// Its state.
     pub lifecycle: Lifecycle,
-    /// Clock time at which its process started, if lately.
+    /// Clock time at which its process started, if known to be recent.
     pub started: Option<Millis>,
-    /// Its capacity in answers at the full transfer rate, where weights are sizes.
+    /// Its capacity in concurrent answers at the full transfer rate, if weights are sizes.
     pub weight: f64,
     /// Its kind.
     pub kind: u32,
@@ -33,15 +33,15 @@
     pub cell: u32,
 }
 
-/// What a list of members holds.
+/// What a member list event contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed lines only.
+    /// Changed entries only.
     Delta,
     /// All members.
     Full,
-    /// All members as last known, which may be out of date.
+    /// All members as last known; may be out of date.
     Cached,
-    /// Nothing: a call failed or a subscription broke, and the previous list holds.
+    /// Nothing: a fetch failed or the subscription broke. The previous list stays valid.
     Failed,
 }
--- a/crates/deckproxy-control/src/interface/settings.rs
+++ b/crates/deckproxy-control/src/interface/settings.rs
@@ -5,15 +5,16 @@
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may run any number of times.
+    /// It may be executed any number of times.
     Idempotent,
-    /// It carries an idempotency key by which the members of a group drop repetitions for a while.
+    /// It carries an idempotency key, by which the members of a group discard duplicates for a limited
+    /// time.
     Keyed,
-    /// It is never sent again once it may have run.
+    /// It is not sent again once it may have been executed.
     NotIdempotent,
 }
 
-/// The members that drop repetitions of a keyed request for each other.
+/// The set of members that share their record of keyed requests and so discard each other's duplicates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     /// All members.
@@ -30,7 +31,7 @@
     /// None.
     #[default]
     None,
-    /// Those of the same location.
+    /// Caches of the same location.
     Location,
     /// Any cache.
     Any,
@@ -39,57 +40,58 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this time earns the full priority weight.
+    /// Latency objective: an answer within this time counts with the full priority weight.
     pub latency_objective: Millis,
-    /// Multiple of a request's own sending time that is added to its latency objective.
+    /// Multiple of a request's own sending time by which its latency objective is extended.
     pub latency_objective_stretch: f64,
-    /// Time after which a client gives up for good.
+    /// Time after which a client no longer waits for an answer.
     pub deadline: Millis,
-    /// Weight of one request of the class among all, 0 or more.
+    /// Weight of one request of the class relative to other classes, 0 or more.
     pub priority_weight: f64,
-    /// Share of the priority weight that an answer after the latency objective earns, 0 to 1.
+    /// Share of the priority weight with which an answer after the latency objective counts, 0 to 1.
     pub late_weight_share: f64,
     /// Whether a request may run more than once.
     pub idempotency: Idempotency,
-    /// Members that drop repetitions of a keyed request.
+    /// Members that share the deduplication of a keyed request.
     pub group: Group,
-    /// Time for which repetitions of a keyed request are dropped.
+    /// Deduplication window: time for which duplicates of a keyed request are discarded.
     pub dedup_window: Millis,
-    /// Age up to which a copy is fresh; 0: until it is purged.
+    /// Age up to which a copy is fresh; 0: fresh until it is purged.
     pub freshness_lifetime: Millis,
-    /// Time after its freshness lifetime for which a stale copy may still answer.
+    /// Time after the freshness lifetime during which a stale copy may still answer.
     pub stale_lifetime: Millis,
-    /// Share of the priority weight that an answer from a stale copy earns, 0 to 1.
+    /// Share of the priority weight with which an answer from a stale copy counts, 0 to 1.
     pub stale_weight_share: f64,
-    /// Requests of the class are writes: they run at the origin, and no copy is kept.
+    /// Requests of the class are writes: they are executed at the origin, and no copy is stored.
     pub write: bool,
-    /// Answers are streamed: a begun answer belongs to its client, so no other attempt is sent.
+    /// Answers are streamed: once an answer has begun, no other attempt is sent, as the client has
+    /// already received a part of it.
     pub stream: bool,
 }
 
-/// How much a member may be sent whose process started lately.
+/// Slow start: limits on the load of a member whose process started recently.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SlowStart {
-    /// Share of its capacity that the member has at its start, 0 to 1.
+    /// Share of its capacity that the member has when it starts, 0 to 1.
     pub initial_share: f64,
-    /// Time after which it has its full capacity.
+    /// Time after which the member has its full capacity.
     pub duration: Millis,
-    /// Multiple of its present capacity that overloads it.
+    /// Multiple of its current capacity at which the member is overloaded.
     pub overload_multiple: f64,
-    /// Window over which that is counted.
+    /// Window over which the load is summed.
     pub overload_window: Millis,
 }
 
-/// The settings of one router, given at its start.
+/// The settings of one router, fixed at its start.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// The classes, by position.
+    /// The classes; requests refer to them by position.
     pub classes: Vec<Class>,
     /// The zone of this router's location.
     pub zone: u32,
     /// Number of routers, by zone.
     pub zone_routers: Vec<u32>,
-    /// Rate of each zone's inbound link in KB/s; 0 where it is not known.
+    /// Rate of each zone's inbound link in KB/s; 0 if unknown.
     pub zone_link_rate: Vec<f64>,
     /// Number of routers in all zones.
     pub routers: u32,
@@ -99,15 +101,15 @@
     pub parent_kind: Option<u32>,
     /// Kind of the origin, if there is one.
     pub origin_kind: Option<u32>,
-    /// Attempts may go past the caches, to parents and the origin.
+    /// Attempts may bypass the caches and go directly to parents and the origin.
     pub cache_bypass: bool,
-    /// A request may join a fill that runs at a cache.
+    /// A request may join a fill that is in progress at a cache.
     pub join_fills: bool,
-    /// Caches that may be the source of a fill.
+    /// Other caches that may be the source of a fill.
     pub siblings: Siblings,
-    /// Rate at which one answer is sent, KB/s; members' weights count such answers.
+    /// Rate at which one answer is sent, in KB/s; members' weights count concurrent answers at this rate.
     pub transfer_rate: f64,
-    /// The members' weights tell their sizes; else they have no meaning.
+    /// The members' weights are their sizes; otherwise weights have no meaning.
     pub weights_are_sizes: bool,
     /// Slow start of caches.
     pub cache_slow_start: SlowStart,
@@ -115,18 +117,18 @@
     pub parent_slow_start: SlowStart,
     /// Time after the notice of a purge from which no older copy may answer.
     pub purge_grace: Millis,
-    /// Time after a purge until all older copies are gone.
+    /// Time after a purge until all older copies have been removed.
     pub purge_settle_time: Millis,
-    /// The member list must be requested; else it is pushed.
+    /// The member list must be subscribed to; otherwise it is pushed.
     pub poll_member_list: bool,
-    /// Most attempts of one request.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Two attempts of one request may be in flight together.
+    /// Hedged requests: two attempts of one request may be in flight at a time.
     pub hedged_requests: bool,
     /// Attempts may be cancelled.
     pub cancellation: bool,
-    /// Rejections may advise when to retry.
+    /// Rejections may carry Retry-After advice.
     pub retry_after: bool,
-    /// Longest advised time until a retry that clients follow.
+    /// Longest Retry-After delay that clients follow.
     pub max_retry_after: Millis,
 }
