--- a/crates/deckproxy-control/src/control/attempt_limits.rs
+++ b/crates/deckproxy-control/src/control/attempt_limits.rs
@@ -1,4 +1,4 @@
-//! The rules that every attempt must keep before it is sent.
+//! The rules that every attempt must satisfy before it is sent.
 
 use super::Control;
 use super::request_state::{AttemptPlan, PendingRequest};
@@ -6,8 +6,9 @@
 use crate::interface::{Class, Group, Idempotency, Member, MemberId};
 
 impl Control {
-    /// Whether an attempt may be sent by the limits of its request, by what may have run already, and by the
-    /// settings on whom this router may ask. Drains and slow start are checked before.
+    /// Whether an attempt is permitted by the limits of its request, by the attempts that may have been
+    /// executed already, and by the settings about which members may be contacted. Draining and slow
+    /// start are checked before.
     pub(super) fn is_permitted(&self, pending: &PendingRequest, plan: &AttemptPlan) -> bool {
         self.is_within_limits(pending)
             && self.may_run_again(pending, plan.member)
@@ -19,7 +20,8 @@
         &self.settings.classes[pending.request.class]
     }
 
-    /// Attempts in flight and in all, the deadline, and a stream that has begun.
+    /// Checks the number of attempts in flight and in total, the deadline, and whether a streamed answer
+    /// has begun.
     fn is_within_limits(&self, pending: &PendingRequest) -> bool {
         let may_hedge =
             self.settings.hedged_requests && self.class_of(pending).idempotency == Idempotency::Idempotent;
@@ -31,7 +33,7 @@
             && pending.request.deadline - self.now >= TIME_LEFT_MIN
     }
 
-    /// Whether a request that may have run can be sent again: only where its repetition has no effect.
+    /// Whether a request that may have been executed can be sent again, as its repetition has no effect.
     fn may_run_again(&self, pending: &PendingRequest, to: MemberId) -> bool {
         let Some(first) = pending.possible_run else { return true };
         let class = self.class_of(pending);
@@ -45,7 +47,7 @@
         }
     }
 
-    /// Whether two members drop each other's repetitions of a keyed request.
+    /// Whether two members discard each other's duplicates of a keyed request.
     fn share_dedup_group(&self, group: Group, first: MemberId, second: MemberId) -> bool {
         let same = |value: fn(&Member) -> u32| match (self.members.get(&first), self.members.get(&second)) {
             (Some(first), Some(second)) => value(&first.listed) == value(&second.listed),
@@ -58,7 +60,8 @@
         }
     }
 
-    /// Caches are asked in the own location only, parents and the origin only where the settings allow it.
+    /// Only caches of the own location are contacted; parents and the origin only if the settings allow
+    /// it.
     fn is_reachable(&self, member: &Member) -> bool {
         self.is_local_cache(member) || self.settings.cache_bypass && !self.is_cache(member)
     }
--- a/crates/deckproxy-control/src/control/attempt_outcomes.rs
+++ b/crates/deckproxy-control/src/control/attempt_outcomes.rs
@@ -1,4 +1,4 @@
-//! What follows the end of an attempt: the request's end, a wait, a fill or a retry.
+//! Decides what follows the end of an attempt: the request's end, a wait, a fill or a retry.
 
 use super::Control;
 use super::collapsing::FillKey;
@@ -6,11 +6,12 @@
 use super::tuning::{HOP_ALLOWANCE, WAITER_TIMEOUT, WAITING_SENDS_MAX};
 use crate::interface::{Action, AttemptEnding, FillNote, Request, RequestId};
 
-/// Members at which a request was an error from which on it is not retried: it is its own fault then.
+/// Maximum number of members at which a request may end in an error before it is no longer retried, as
+/// the request itself is then assumed to be faulty.
 const ERROR_MEMBERS_MAX: usize = 2;
 
 impl Control {
-    /// Takes the end of an attempt. `is_finished` tells that the request has its final answer.
+    /// Handles the end of an attempt. `is_finished`: the request has its final answer.
     pub(super) fn handle_outcome(
         &mut self,
         id: RequestId,
@@ -25,7 +26,7 @@
             let (sent_at, member) = (attempt.sent_at, attempt.plan.member);
             pending.possible_run = Some(PossibleRun { sent_at, member });
         }
-        // What failed at one member and is an error at the next may be the request's own fault.
+        // If an error follows a failure at another member, the request itself may be faulty.
         let is_request_suspect = result.ending == AttemptEnding::Error && !pending.failed_members.is_empty();
         let (request, has_ended) = (pending.request, pending.has_ended);
         self.record_outcome(&attempt, &request, &result, is_request_suspect);
@@ -45,7 +46,8 @@
         self.retry(&request, &attempt, &result, is_request_suspect);
     }
 
-    /// Cancels what is in flight beside a final answer. The waiters of a fill need not wait for that.
+    /// Cancels the other attempts in flight after a final answer. The waiters of the fill are released
+    /// without waiting for the cancellations.
     fn end_request(&mut self, request: &Request, attempt: &Attempt, result: &AttemptResult) {
         let pending = self.pending.get(&request.id).filter(|_| self.settings.cancellation);
         if let Some(pending) = pending {
@@ -58,19 +60,21 @@
         self.remove_if_settled(request.id);
     }
 
-    /// Whether the request waits, or another of its attempts decides. After a missed look-up only a fill
-    /// does.
+    /// Whether the request waits for a fill, or the outcome of another attempt decides. After a missed
+    /// look-up only a fill decides.
     fn awaits_other_outcome(&self, id: RequestId, is_lookup_miss: bool) -> bool {
         let Some(pending) = self.pending.get(&id) else { return true };
         let decides = |other: &Attempt| !is_lookup_miss || other.plan.kind == AttemptKind::Fill;
         pending.waiting_since.is_some() || pending.in_flight.iter().any(decides)
     }
 
-    /// A miss leads or joins a fill. Where misses cannot join another router's fill that the miss notes, the
-    /// request waits for the object's sending time and is looked up again.
+    /// After a miss the request leads or joins a fill. If the miss reports that another router's fill is
+    /// in progress and fills cannot be joined, the request waits for the object's sending time and is
+    /// looked up again.
     fn handle_lookup_miss(&mut self, request: &Request, attempt: &Attempt, note: FillNote) {
         if self.waits_for_other_router(request, note) {
-            // The wait ends early: it counts as begun a waiter's time-out less the fill's time ago.
+            // The start of the wait is set back so that it times out after the expected duration of the
+            // fill.
             let since = self.now - WAITER_TIMEOUT + self.sending_time(request) + HOP_ALLOWANCE;
             self.set_waiting_since(request.id, Some(since));
             return;
@@ -87,7 +91,8 @@
             && !self.collapsed_fills.contains_key(&FillKey::of(request))
     }
 
-    /// Retries a failed attempt without the member at fault, if the budget and the client's time allow it.
+    /// Retries a failed attempt without the member at fault, if the retry budget and the client's
+    /// deadline allow it.
     fn retry(&mut self, request: &Request, attempt: &Attempt, result: &AttemptResult, is_suspect: bool) {
         let Some(pending) = self.pending.get_mut(&request.id) else { return };
         pending.failed_members.push(result.member_at_fault(attempt));
--- a/crates/deckproxy-control/src/control/attempt_sending.rs
+++ b/crates/deckproxy-control/src/control/attempt_sending.rs
@@ -1,4 +1,5 @@
-//! Sending attempts: the one way out for look-ups, fills, retries, hedged requests and direct attempts.
+//! Sends attempts: look-ups, fills, retries, hedged requests and direct attempts all go through
+//! [`Control::try_send`].
 
 use super::Control;
 use super::request_state::{Attempt, AttemptKind, AttemptPlan, PendingRequest};
@@ -7,7 +8,7 @@
 use crate::interface::{Action, GetOptions, Millis};
 
 impl Control {
-    /// Sends an attempt if all rules allow it; tells whether it was sent.
+    /// Sends an attempt if all rules allow it; returns whether it was sent.
     pub(super) fn try_send(&mut self, plan: AttemptPlan) -> bool {
         let accepted = plan.endpoints().all(|member| self.accepts_attempts(member));
         let Some(pending) = self.pending.get(&plan.request).filter(|_| accepted) else { return false };
@@ -47,7 +48,8 @@
         }
     }
 
-    /// A plain look-up where no purge binds the copy, and at the origin; else a get with its options.
+    /// The action that sends an attempt: a look-up at the origin, and at a cache if no purge limits the
+    /// age of the copy; otherwise a get with its options.
     fn action_for(&self, pending: &PendingRequest, plan: &AttemptPlan) -> Action {
         let AttemptPlan { request, member, kind, .. } = *plan;
         let deadline = pending.request.deadline;
@@ -73,8 +75,8 @@
         }
     }
 
-    /// Whether the parent is asked only for what it has cached, as the origin or the location's link is
-    /// overloaded. What it lacks is given up at once.
+    /// Whether the parent may answer a fill only from its cache, because the origin or the location's
+    /// link is overloaded. If the parent has no copy, the request is given up at once.
     fn is_cached_only(&self, pending: &PendingRequest, plan: &AttemptPlan) -> bool {
         let is_parent = plan.source.is_some_and(|source| self.is_parent(&self.members[&source].listed));
         if plan.kind != AttemptKind::Fill || !is_parent {
@@ -84,7 +86,7 @@
         self.is_origin_too_slow(pending) || leads_on_overloaded_link
     }
 
-    /// Books a send at the member and its source.
+    /// Records a sent attempt at its member and source.
     fn record_send(&mut self, plan: &AttemptPlan, slow_start_cost: Millis) {
         let now = self.now;
         for id in plan.endpoints() {
@@ -104,7 +106,7 @@
     }
 }
 
-/// The lower of the age that a purge allows and the freshness lifetime, where there is one.
+/// The lower of the age that a purge allows and the freshness lifetime, if the class has one.
 fn allowed_age(purge_max_age: Millis, freshness_lifetime: Millis) -> Millis {
     if freshness_lifetime > 0.0 { purge_max_age.min(freshness_lifetime) } else { purge_max_age }
 }
--- a/crates/deckproxy-control/src/control/capacity_estimate.rs
+++ b/crates/deckproxy-control/src/control/capacity_estimate.rs
@@ -1,16 +1,17 @@
-//! The estimated capacity of a kind of member, where the member list does not tell sizes.
+//! The estimated capacity of a kind of member, for member lists without sizes.
 
 use super::Control;
 use super::decay::decay_factor;
 use super::tuning::{BUSY_SHARE_MIN, CAPACITY_LEARNING_TIME, OBSERVATION_TIME_CONSTANT};
 use crate::interface::{Member, MemberId, Millis};
 
-/// What one member of a kind serves, the other routers' part estimated from this router's. All sums decay.
+/// Throughput of one member of a kind; the other routers' part is extrapolated from this router's. All
+/// sums decay.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct KindThroughput {
     /// Sending time of the answers served.
     served: Millis,
-    /// When the observation began.
+    /// Clock time at which the observation began.
     since: Millis,
     updated_at: Millis,
     /// Sum of the reported busy shares.
@@ -38,8 +39,8 @@
         self.updated_at = now;
     }
 
-    /// Answers at full rate that explain the throughput: those in flight on average over the busy share.
-    /// Without reports of the busy share it is the least that the member must have.
+    /// Estimated capacity in concurrent answers at full rate: the average number in flight divided by the
+    /// busy share. Without reported busy shares this is a lower bound.
     fn capacity(&self, now: Millis) -> Option<f64> {
         let span = OBSERVATION_TIME_CONSTANT
             * (1.0 - decay_factor(self.updated_at - self.since, OBSERVATION_TIME_CONSTANT));
@@ -51,7 +52,8 @@
 }
 
 impl Control {
-    /// A member's capacity in answers at full rate: listed, else estimated from what its kind serves.
+    /// A member's capacity in concurrent answers at full rate: as listed, else estimated from the
+    /// throughput of its kind.
     pub(super) fn capacity(&self, member: &Member) -> Option<f64> {
         if self.settings.weights_are_sizes {
             return Some(member.weight);
@@ -59,7 +61,7 @@
         self.kind_throughput.get(&member.kind)?.capacity(self.now)
     }
 
-    /// Records sending time that a member served, and its reported busy share if there is one.
+    /// Records the sending time of an answer that a member served, and its reported busy share, if any.
     pub(super) fn record_throughput(&mut self, id: MemberId, served: Millis, busy_share: Option<f64>) {
         if self.settings.weights_are_sizes {
             return;
--- a/crates/deckproxy-control/src/control/collapsing.rs
+++ b/crates/deckproxy-control/src/control/collapsing.rs
@@ -1,4 +1,4 @@
-//! Request collapsing: one leader per object and part fills, the other requests wait for it.
+//! Request collapsing: one leader per object and part fills, and the other requests wait for its fill.
 
 use super::Control;
 use super::request_state::{AttemptPlan, PendingRequest};
@@ -6,7 +6,7 @@
 use crate::interface::{MemberId, Millis, Request, RequestId};
 use std::collections::VecDeque;
 
-/// What one fill is for: a part of an object.
+/// Key of a fill: a part of an object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct FillKey {
     object: u64,
@@ -20,11 +20,11 @@
     }
 }
 
-/// A fill with its leader, and the requests that wait for it.
+/// A fill in progress with its leader and waiters.
 #[derive(Debug)]
 pub(super) struct CollapsedFill {
     pub(super) leader: RequestId,
-    /// The cache that is filled.
+    /// The cache that fills.
     pub(super) cache: MemberId,
     pub(super) waiters: VecDeque<RequestId>,
 }
@@ -37,8 +37,8 @@
         fill.is_some_and(|fill| fill.leader == id)
     }
 
-    /// Decides after a miss at a cache: the request leads a fill, waits for the one that runs, or joins it at
-    /// once.
+    /// Handles a miss at a cache: the request becomes the leader of a fill, waits for the running fill,
+    /// or sends a fill of its own at once, which joins the running one if the settings allow it.
     pub(super) fn handle_miss(&mut self, id: RequestId, cache: MemberId) {
         let Some(pending) = self.pending.get(&id) else { return };
         let is_large = self.sending_time(&pending.request) >= LARGE_SENDING_TIME;
@@ -53,28 +53,30 @@
         self.set_waiting_since(id, Some(self.now));
     }
 
-    /// Sets since when a request waits for a fill; `None`: it waits no longer.
+    /// Sets the clock time since which a request has waited for a fill; `None`: it does not wait.
     pub(super) fn set_waiting_since(&mut self, id: RequestId, since: Option<Millis>) {
         if let Some(pending) = self.pending.get_mut(&id) {
             pending.waiting_since = since;
         }
     }
 
-    /// Whether a request has no more time than one attempt needs, so that it cannot wait for the next timer.
+    /// Whether a request has no more time than one attempt needs, so that it cannot wait for the next run
+    /// of the timer.
     pub(super) fn has_time_for_only_one_attempt(&self, pending: &PendingRequest) -> bool {
         let attempt_time = LATE_MULTIPLE * (self.sending_time(&pending.request) + HOP_ALLOWANCE);
         pending.request.deadline - self.now <= attempt_time + TIMER_PERIOD
     }
 
-    /// Fills at a cache from the first source that takes it; else at the next cache; else past the caches.
+    /// Sends a fill at a cache from the first source that accepts it; else at another cache; else sends
+    /// the request past the caches.
     pub(super) fn fill(&mut self, id: RequestId, cache: MemberId) {
         let Some(pending) = self.pending.get(&id) else { return };
         let request = pending.request;
         if pending.sends == 1 && self.is_too_late_at_load(pending, self.member_load_by_id(cache)) {
             return self.give_up(id);
         }
-        // On an overloaded link nothing comes from the origin, and where notes do not tell what does, nothing
-        // at all.
+        // While the link is overloaded nothing is filled from the origin. If notes do not show which
+        // fills the origin serves, nothing is filled at all.
         let avoids_origin = self.is_leader(id) && self.is_link_overloaded(pending);
         if avoids_origin && !self.origin_latency.has_observations() {
             return self.give_up(id);
@@ -87,7 +89,7 @@
         }
     }
 
-    /// Sends a fill at the first pair of cache and source that takes it; returns the cache.
+    /// Sends a fill at the first pair of cache and source that accepts it; returns the cache.
     fn send_fill(&mut self, request: &Request, cache: MemberId, sources: &[MemberId]) -> Option<MemberId> {
         let failed = self.pending.get(&request.id)?.failed_members.clone();
         let others = self.caches_for(request).into_iter().filter(|other| *other != cache);
@@ -99,7 +101,7 @@
         })
     }
 
-    /// Records where a leader fills.
+    /// Records the cache at which a leader fills.
     fn set_fill_cache(&mut self, request: &Request, cache: MemberId) {
         let fill = self.collapsed_fills.get_mut(&FillKey::of(request));
         if let Some(fill) = fill.filter(|fill| fill.leader == request.id) {
@@ -107,7 +109,7 @@
         }
     }
 
-    /// A request that was served by a cache leads no longer: its waiters look the object up there.
+    /// Ends the fill of a leader that was served by a cache; its waiters are looked up there.
     pub(super) fn complete_fill(&mut self, id: RequestId, key: FillKey, cache: MemberId) {
         if !self.remove_waiter(id, key) {
             return;
@@ -121,8 +123,8 @@
         }
     }
 
-    /// A request that was not served stops waiting or leading. If it led, its oldest waiter leads, without
-    /// the members that failed the request.
+    /// Removes an unserved request from a fill. If it was the leader, the oldest waiter takes over and
+    /// avoids the members at which the request failed.
     pub(super) fn release_fill(&mut self, id: RequestId, key: FillKey, failed: Vec<MemberId>) {
         if !self.remove_waiter(id, key) {
             return;
@@ -141,7 +143,7 @@
         self.fill(next, cache);
     }
 
-    /// Removes a request from a fill's waiters; tells whether it leads that fill.
+    /// Removes a request from a fill's waiters; returns whether it is the leader of that fill.
     fn remove_waiter(&mut self, id: RequestId, key: FillKey) -> bool {
         let Some(fill) = self.collapsed_fills.get_mut(&key) else { return false };
         fill.waiters.retain(|waiter| *waiter != id);
--- a/crates/deckproxy-control/src/control/decay.rs
+++ b/crates/deckproxy-control/src/control/decay.rs
@@ -1,8 +1,8 @@
-//! Values that lose their weight exponentially with time.
+//! Values that decay exponentially with time.
 
 use crate::interface::Millis;
 
-/// Share of a value that is left after `elapsed` ms when it decays with the time constant `time_constant`.
+/// Fraction of a value that remains after `elapsed` ms of decay.
 pub(super) fn decay_factor(elapsed: Millis, time_constant: Millis) -> f64 {
     (-elapsed / time_constant).exp()
 }
@@ -22,17 +22,17 @@
 }
 
 impl DecayingSum {
-    /// What is left of the sum when it decays with the time constant `time_constant`.
+    /// The remaining sum after decay.
     pub(super) fn value(&self, now: Millis, time_constant: Millis) -> f64 {
         self.amount * decay_factor(now - self.updated_at, time_constant)
     }
 
-    /// Adds an amount to what is left of the sum.
+    /// Adds an amount to the remaining sum.
     pub(super) fn add(&mut self, amount: f64, now: Millis, time_constant: Millis) {
         *self = DecayingSum { amount: self.value(now, time_constant) + amount, updated_at: now };
     }
 
-    /// When something was last added.
+    /// Clock time of the last addition.
     pub(super) fn updated_at(&self) -> Millis {
         self.updated_at
     }
--- a/crates/deckproxy-control/src/control/dispatch.rs
+++ b/crates/deckproxy-control/src/control/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatch: a request's way to a cache or past the caches, and its final answer.
+//! Dispatch: routes a request to a cache or past the caches, and sends its final answer.
 
 use super::Control;
 use super::collapsing::FillKey;
@@ -10,7 +10,7 @@
 use crate::interface::{Action, Group, Idempotency, MemberId, Millis, Request, RequestId};
 
 impl Control {
-    /// Takes a client's request.
+    /// Accepts a client's request.
     pub(super) fn accept_request(&mut self, request: Request) {
         if request.class >= self.class_sending_times.len() {
             self.actions.push(Action::Fail { request: request.id });
@@ -35,13 +35,13 @@
         }
     }
 
-    /// Routes a request: a look-up at the first cache that takes it, else past the caches.
+    /// Routes a request: a look-up at the first cache that accepts it, else past the caches.
     pub(super) fn route(&mut self, id: RequestId) {
         let Some(pending) = self.pending.get(&id) else { return };
         if self.class_of(pending).write {
             return self.send_past_caches(id);
         }
-        // Where a fill of this router runs, the object is looked up there.
+        // If this router is already filling the object, the object is looked up at that cache first.
         let fill_cache = self.collapsed_fills.get(&FillKey::of(&pending.request)).map(|fill| fill.cache);
         let caches: Vec<MemberId> = fill_cache.into_iter().chain(self.caches_for(&pending.request)).collect();
         if pending.sends == 0 && self.are_caches_overloaded(pending, &caches) {
@@ -49,8 +49,8 @@
         }
         let failed = pending.failed_members.clone();
         for cache in caches.into_iter().filter(|cache| !failed.contains(cache)) {
-            // A cache that warms up is empty, and a look-up weighs on it as much as its fill: that comes at
-            // once.
+            // A cache that warms up is empty, and a look-up costs it as much of its slow-start budget as
+            // the fill that would follow, so the fill is sent at once.
             if self.is_cache_warming_up(cache) && self.accepts_attempts(cache) {
                 return self.handle_miss(id, cache);
             }
@@ -61,8 +61,8 @@
         self.send_past_caches(id);
     }
 
-    /// Whether even the best usable cache is too loaded for a request. One that reports spare capacity is
-    /// not: its load is fills that wait, so it still takes look-ups.
+    /// Whether even the first usable cache is too loaded for a request. A cache that reports spare CPU is
+    /// not: its load consists of waiting fills, so it can still serve look-ups.
     fn are_caches_overloaded(&self, pending: &PendingRequest, caches: &[MemberId]) -> bool {
         let mut states = caches.iter().filter_map(|cache| self.members.get(cache));
         let best = states.find(|state| state.is_usable(self.now));
@@ -74,14 +74,14 @@
         self.members.get(&cache).is_some_and(|state| self.is_warming_up(&state.listed))
     }
 
-    /// Sends a request past the caches: to the parents in their order, then to the origin. A write runs at
-    /// the origin: it goes straight there, else through a parent, else through a cache.
+    /// Sends a request past the caches: to the parents in hash order, then to the origin. A write is
+    /// executed at the origin: it is sent there directly, else through a parent, else through a cache.
     pub(super) fn send_past_caches(&mut self, id: RequestId) {
         let Some(pending) = self.pending.get(&id) else { return };
         let (request, failed, origin) = (pending.request, pending.failed_members.clone(), self.origin());
         let is_write = self.class_of(pending).write;
         let is_blocked = if is_write { origin.is_none() } else { self.is_link_overloaded(pending) };
-        // Listing the sources brings slow-start budgets up to date, also where nothing can be sent.
+        // For reads this also refills slow-start budgets, so it is done even if nothing can be sent.
         let mut targets =
             if is_write { self.write_targets(&request, origin) } else { self.responsive_sources(id) };
         targets.retain(|target| is_write || !failed.contains(target));
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Members that may run a write, the origin first.
+    /// Members that may process a write, the origin first.
     fn write_targets(&self, request: &Request, origin: Option<MemberId>) -> Vec<MemberId> {
         let mut targets = self.sources_for(request);
         targets.rotate_right(usize::from(origin.is_some()));
@@ -99,9 +99,9 @@
         targets
     }
 
-    /// The sources that take attempts and whose fills would not come too late, in the hash's order. Where
-    /// there are none, the slow ones that are due for another trial: rejecting all would never show that they
-    /// recovered.
+    /// The sources that accept attempts and whose fills would not be too late, in order of preference. If
+    /// there are none, the slow sources that are due for another trial: if all requests were rejected, a
+    /// recovery would never be noticed.
     pub(super) fn responsive_sources(&mut self, id: RequestId) -> Vec<MemberId> {
         let Some(request) = self.pending.get(&id).map(|pending| pending.request) else { return Vec::new() };
         let mut sources = self.sources_for(&request);
@@ -116,8 +116,8 @@
         slow
     }
 
-    /// Whether a slow source was left alone long enough: all routers that share it may together ask for a
-    /// small share of what it can send.
+    /// Whether a slow source is due for a trial. The interval is chosen so that all routers that share
+    /// the source together use only a small share of its throughput.
     fn is_due_for_trial(&self, source: MemberId, request: &Request) -> bool {
         let state = &self.members[&source];
         let routers = self.routers_sharing(&state.listed);
@@ -127,8 +127,8 @@
         self.now - state.last_used_at > interval
     }
 
-    /// Gives the final answer where nothing more can be done: a rejection if a new request does no harm, else
-    /// a failure.
+    /// Ends a request that cannot be served: rejects it if the client can safely send it again, else
+    /// fails it.
     pub(super) fn give_up(&mut self, id: RequestId) {
         let Some(pending) = self.pending.get_mut(&id) else { return };
         if !pending.has_ended {
@@ -156,7 +156,7 @@
         Some(Action::Reject { request: id, retry_after })
     }
 
-    /// Removes a request that has no attempt in flight; a fill that it leads passes to a waiter.
+    /// Removes a request without attempts in flight; if it leads a fill, a waiter takes over the lead.
     pub(super) fn remove_if_settled(&mut self, id: RequestId) {
         if self.pending.get(&id).is_none_or(|pending| !pending.in_flight.is_empty()) {
             return;
--- a/crates/deckproxy-control/src/control/latency_inflation.rs
+++ b/crates/deckproxy-control/src/control/latency_inflation.rs
@@ -1,9 +1,9 @@
-//! How many times longer answers take than they should.
+//! Latency inflation: the ratio of observed to expected latency.
 
 use super::decay::decay_factor;
 use crate::interface::Millis;
 
-/// Decaying sums of what answers took and of what they should have taken, in one unit of the caller's choice.
+/// Decaying sums of observed and expected latencies, both in one unit that the caller chooses.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct LatencyInflation {
     observed: f64,
@@ -12,7 +12,7 @@
 }
 
 impl LatencyInflation {
-    /// Takes one observation; earlier ones decay with the time constant `time_constant`.
+    /// Records one observation; earlier ones decay.
     pub(super) fn record(&mut self, observed: f64, expected: f64, time_constant: Millis, now: Millis) {
         let kept = decay_factor(now - self.updated_at, time_constant);
         *self = LatencyInflation {
@@ -22,12 +22,13 @@
         };
     }
 
-    /// Whether anything was observed that should have taken time.
+    /// Whether any observation with an expected latency was recorded.
     pub(super) fn has_observations(&self) -> bool {
         self.expected > 0.0
     }
 
-    /// Observed over expected time, with `prior` of both assumed beside: 1 without recent observations.
+    /// Observed over expected latency, with `prior` added to both; tends to 1 without recent
+    /// observations.
     pub(super) fn ratio(&self, prior: f64, time_constant: Millis, now: Millis) -> f64 {
         let kept = decay_factor(now - self.updated_at, time_constant);
         (prior + self.observed * kept) / (prior + self.expected * kept)
--- a/crates/deckproxy-control/src/control/load.rs
+++ b/crates/deckproxy-control/src/control/load.rs
@@ -1,4 +1,4 @@
-//! The load of members and of the location's link, and the reports of it.
+//! The load of members and of the location's link, and the processing of load reports.
 
 use super::Control;
 use super::decay::TimedValue;
@@ -12,7 +12,7 @@
         f64::from(routers.unwrap_or(self.settings.routers).max(1))
     }
 
-    /// Routers that may send to a member: those of its location for a cache, else all.
+    /// Number of routers that may send to a member: those of its location for a cache, else all.
     pub(super) fn routers_sharing(&self, member: &Member) -> f64 {
         if self.is_cache(member) {
             self.routers_in(member.zone)
@@ -21,28 +21,28 @@
         }
     }
 
-    /// A member's load: attempts in flight of all routers over its capacity, 0 where that is not known. An
-    /// outlier counts as smaller than it is.
+    /// A member's load: the attempts in flight of all routers divided by its capacity; 0 if the capacity
+    /// is unknown. An outlier is weighted as a smaller member.
     pub(super) fn member_load(&self, state: &MemberState) -> f64 {
         let in_flight = state.in_flight.total(self.routers_sharing(&state.listed), self.now);
         let load = |capacity: f64| in_flight * self.outlier_slowness(state) / capacity.max(CAPACITY_MIN);
         self.capacity(&state.listed).map_or(0.0, load)
     }
 
-    /// A member's load by its id, 0 where it is not listed.
+    /// The load of the member with that id; 0 if it is not listed.
     pub(super) fn member_load_by_id(&self, id: MemberId) -> f64 {
         self.members.get(&id).map_or(0.0, |state| self.member_load(state))
     }
 
-    /// Transfers that fit the location's link, where its rate is told.
+    /// Number of concurrent transfers that the location's link can carry, if its rate is known.
     pub(super) fn link_capacity(&self) -> Option<f64> {
         let rate = self.settings.zone_link_rate.get(self.settings.zone as usize).copied()?;
         let is_known = rate > 0.0 && self.settings.transfer_rate > 0.0;
         is_known.then(|| (rate / self.settings.transfer_rate / FILL_RATE_MULTIPLE).max(1.0))
     }
 
-    /// Load of the location's link with one more transfer: over those that fit it where its rate is told,
-    /// else as the caches report it; 0 where neither is known.
+    /// Load of the location's link with one more transfer: relative to its capacity if its rate is known,
+    /// else as the caches report it; 0 without either.
     pub(super) fn link_load(&self) -> f64 {
         match self.link_capacity() {
             Some(capacity) => {
@@ -53,19 +53,20 @@
         }
     }
 
-    /// Adds to this router's transfers over the location's link; a negative change takes from them.
+    /// Changes the number of this router's transfers over the location's link; the change may be
+    /// negative.
     pub(super) fn add_link_transfers(&mut self, change: f64) {
         self.link.add(change, self.now);
     }
 
-    /// Infers the load of the location's link from a fill that should have taken `expected` ms.
+    /// Infers the load of the location's link from a fill that was expected to take `expected` ms.
     pub(super) fn infer_link_load(&mut self, elapsed: Millis, expected: Millis) {
         if let Some(capacity) = self.link_capacity() {
             self.link.report(FILL_RATE_MULTIPLE * capacity * elapsed / expected, self.now);
         }
     }
 
-    /// Takes a member's load report.
+    /// Records a member's load report.
     pub(super) fn record_load_report(&mut self, id: MemberId, report: LoadReport) {
         let Some(state) = self.members.get(&id) else { return };
         let member = state.listed;
@@ -86,8 +87,8 @@
         }
     }
 
-    /// Attempts in flight as a member's busy share tells them, where its size is listed. A saturated member
-    /// may have more, so its share is only taken as a lower bound.
+    /// Attempts in flight estimated from a member's busy share, if its size is listed. A saturated member
+    /// may have more in flight, so its share is only used as a lower bound.
     fn in_flight_from_busy_share(&self, state: &MemberState, report: &LoadReport) -> Option<f64> {
         let busy_share = report.busy_share.filter(|_| self.settings.weights_are_sizes)?;
         let in_flight = busy_share * state.listed.weight;
--- a/crates/deckproxy-control/src/control/member_list.rs
+++ b/crates/deckproxy-control/src/control/member_list.rs
@@ -1,17 +1,17 @@
-//! The member list: its updates, and the roles and pools of members.
+//! The member list: applying updates, and the roles and pools of members.
 
 use super::Control;
 use super::member_state::MemberState;
 use crate::interface::{Lifecycle, ListKind, Member, MemberId};
 
 impl Control {
-    /// Takes a list of members, or the changed lines of one.
+    /// Applies a full member list, or the changed entries of one.
     pub(super) fn update_members(&mut self, kind: ListKind, list: Vec<Member>) {
         if kind != ListKind::Delta {
             self.mark_unlisted_members_gone(&list);
         }
         for mut member in list {
-            // A weight that is no size must not count in the hash.
+            // Weights that are not sizes must not affect the rendezvous hash.
             member.weight = if self.settings.weights_are_sizes { member.weight } else { 1.0 };
             self.update_member(kind, member);
         }
@@ -36,8 +36,9 @@
         }
     }
 
-    /// Adds a new process. One that warms up and that a starting router knows from its cached list may have
-    /// been sent to just before the router's own start, so it is left alone for a window.
+    /// Adds a new process. If a router that is starting knows a warming member only from its cached list,
+    /// it may have sent to that member just before its own restart. It therefore sends nothing to the
+    /// member for one overload window of the caches' slow start.
     fn add_member(&mut self, kind: ListKind, member: Member) {
         let may_have_been_used = kind == ListKind::Cached && self.is_warming_up(&member);
         let window = self.settings.cache_slow_start.overload_window;
@@ -45,8 +46,8 @@
         self.members.insert(member.id, MemberState::new(member, self.now, blocked_until));
     }
 
-    /// Removes members that left. One that left while it warmed up is kept: should the list take it back, its
-    /// slow-start budget is spent as before.
+    /// Removes members that left. A member that left while warming up is retained, so that its spent
+    /// slow-start budget still counts if it returns to the list.
     fn remove_gone_members(&mut self) {
         let now = self.now;
         let longest = self.settings.cache_slow_start.duration.max(self.settings.parent_slow_start.duration);
@@ -74,7 +75,8 @@
         self.is_cache(member) && member.zone == self.settings.zone
     }
 
-    /// The other ready members that stand in for a member: of its kind, or of its location for a cache.
+    /// The other ready members that can replace a member: those of its location for a cache, else those
+    /// of its kind.
     pub(super) fn pool_of(&self, member: &Member) -> impl Iterator<Item = &MemberState> {
         let (id, kind, zone, is_cache) = (member.id, member.kind, member.zone, self.is_cache(member));
         let is_substitute = move |other: &Member| {
--- a/crates/deckproxy-control/src/control/member_order.rs
+++ b/crates/deckproxy-control/src/control/member_order.rs
@@ -17,7 +17,7 @@
 }
 
 impl Candidate {
-    /// Overloaded members come last; the higher score comes first among the others.
+    /// Sorts overloaded members last, and the others by descending score.
     fn order(&self, other: &Candidate, is_overloaded: impl Fn(f64) -> bool) -> Ordering {
         is_overloaded(self.load)
             .cmp(&is_overloaded(other.load))
@@ -27,8 +27,9 @@
 }
 
 impl Control {
-    /// Ready members that pass the filter, in the order of their scores for the hash. Those whose load is
-    /// over the limit and over the pool's mean come last (consistent hashing with bounded loads).
+    /// Ready members that pass the filter, by descending score for the hash. Members whose load exceeds
+    /// both the limit and a multiple of the pool's mean are sorted last (consistent hashing with bounded
+    /// loads).
     fn ordered_members(&self, hash: u64, spill_load: f64, filter: impl Fn(&Member) -> bool) -> Vec<MemberId> {
         let mut candidates = Vec::new();
         for state in self.members.values() {
@@ -43,15 +44,15 @@
         candidates.into_iter().map(|candidate| candidate.id).collect()
     }
 
-    /// The location's caches for a request. A hot object is spread by its parts; its first part stays at
-    /// home.
+    /// The location's caches for a request, in order of preference. A hot object is spread by its parts,
+    /// except for the first part, which stays at the object's home cache.
     pub(super) fn caches_for(&self, request: &Request) -> Vec<MemberId> {
         let spread = request.part > 0 && self.is_hot(request);
         let hash = if spread { request.object ^ mix64(u64::from(request.part)) } else { request.object };
         self.ordered_members(hash, CACHE_SPILL_LOAD, |member| self.is_local_cache(member))
     }
 
-    /// The sources of fills for a request: the parents, then the origin.
+    /// The sources of fills for a request in order of preference: the parents, then the origin.
     pub(super) fn sources_for(&self, request: &Request) -> Vec<MemberId> {
         let mut sources =
             self.ordered_members(request.object, PARENT_SPILL_LOAD, |member| self.is_parent(member));
@@ -59,7 +60,7 @@
         sources
     }
 
-    /// Whether an object draws so much work that its parts are spread over the location's caches.
+    /// Whether an object has so much demand that its parts are spread over the location's caches.
     fn is_hot(&self, request: &Request) -> bool {
         let object = self.objects.get(&request.object);
         let object_demand = object.map_or(0.0, |stats| stats.demand.value(self.now, DEMAND_TIME_CONSTANT));
--- a/crates/deckproxy-control/src/control/outcome_accounting.rs
+++ b/crates/deckproxy-control/src/control/outcome_accounting.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt tells of members, of the origin and of the location's link.
+//! Records what the outcome of an attempt shows about members, the origin and the location's link.
 
 use super::Control;
 use super::latency_inflation::LatencyInflation;
@@ -10,8 +10,8 @@
 use crate::interface::{AttemptEnding, FillNote, MemberId, Millis, Request};
 
 impl AttemptResult {
-    /// The member to avoid in a retry. A fill that failed is nearly always its source's fault, as the cache
-    /// had room to look up.
+    /// The member to avoid in a retry. A failed fill is attributed to its source unless the cache is
+    /// clearly at fault, as the cache was able to process the look-up before.
     pub(super) fn member_at_fault(&self, attempt: &Attempt) -> MemberId {
         use AttemptEnding::{Cancelled, ConnectFailed, Reset};
         let is_cache_at_fault =
@@ -21,16 +21,16 @@
     }
 }
 
-/// The origin's part in an attempt.
+/// The origin's role in an attempt.
 struct OriginInvolvement {
-    /// The attempt names the origin as its member or source.
+    /// The origin is the attempt's target or source.
     is_endpoint: bool,
-    /// The origin is on trial or was seen to be slow.
+    /// The origin is half-open or was observed to be slow.
     is_failing: bool,
 }
 
 impl Control {
-    /// Books the end of an attempt: loads, learned times and health.
+    /// Records the end of an attempt: loads, learned times and health.
     pub(super) fn record_outcome(
         &mut self,
         attempt: &Attempt,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Takes the attempt from the load and the unanswered sends of its member and source.
+    /// Removes the attempt from the load and the unanswered sends of its target and source.
     fn release_endpoints(&mut self, attempt: &Attempt, result: &AttemptResult) {
         use AttemptEnding::{Cancelled, NotSent, Timeout};
         let now = self.now;
@@ -60,11 +60,11 @@
             let Some(state) = self.members.get_mut(&id) else { continue };
             let is_target = id == attempt.plan.member;
             state.health.trial_in_flight &= !attempt.is_trial;
-            // A late fill was taken from its cache's load when it became late.
+            // A late fill was already removed from its cache's load when it became late.
             if !is_target || attempt.plan.kind == AttemptKind::Lookup || !attempt.is_late {
                 state.in_flight.add(-1.0, now);
             }
-            // What was cancelled before it was late tells neither of silence nor of life.
+            // An attempt that ended without a response before it was late is no evidence of silence.
             let unanswered = &mut state.health.unanswered_sends;
             if is_target && !is_silent {
                 *unanswered = 0;
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Books an answer that was served.
+    /// Records an attempt that was served.
     fn record_served(&mut self, attempt: &Attempt, request: &Request, result: &AttemptResult) {
         let member = attempt.plan.member;
         self.record_served_latency(attempt, request, result);
@@ -93,7 +93,8 @@
         }
     }
 
-    /// Books what an answer took, for its source or, where notes tell that, for the origin behind a parent.
+    /// Records the latency of an answer for its source or, if its note shows that the parent fetched from
+    /// the origin, for the origin.
     fn record_served_latency(&mut self, attempt: &Attempt, request: &Request, result: &AttemptResult) {
         let source = attempt.other_source().and_then(|source| self.members.get(&source));
         let parent = source.filter(|state| self.is_parent(&state.listed));
@@ -109,8 +110,8 @@
         }
     }
 
-    /// Books an answer by way of the origin. One in time ends the origin's slow time; what was late was
-    /// recorded already, up to the moment at which it became late.
+    /// Records a fetch from the origin. An answer faster than expected resets the origin's latency
+    /// inflation. For a late attempt, the time until it became late has already been recorded.
     fn record_origin_latency(&mut self, attempt: &Attempt, elapsed: Millis) {
         let recorded = if attempt.is_late { attempt.late_at - attempt.sent_at } else { 0.0 };
         let expected = if attempt.is_late { 0.0 } else { fill_time(attempt.sending_time) };
@@ -120,12 +121,12 @@
         self.origin_latency.record(elapsed - recorded, expected, ORIGIN_LATENCY_TIME_CONSTANT, self.now);
     }
 
-    /// Books the latency inflation that an attempt shows, computed from the time it should have taken.
+    /// Records the latency inflation of an attempt, computed from its expected duration.
     fn record_latency(&mut self, attempt: &Attempt, inflation: impl Fn(Millis) -> f64) {
         let Some(shown) = attempt.latency_expectation() else { return };
         let Some(state) = self.members.get_mut(&shown.member) else { return };
         let inflation = inflation(shown.expected);
-        // A fill that is quicker than it should be ends its source's slow time.
+        // A fill that is faster than expected resets its source's latency inflation.
         let is_fast_fill = attempt.plan.kind == AttemptKind::Fill && inflation < RECOVERED_FILL_SHARE;
         if is_fast_fill && state.inflation(self.now) > SLOW_SOURCE_INFLATION {
             state.latency = LatencyInflation::default();
@@ -133,13 +134,13 @@
         state.record_inflation(inflation, self.now);
     }
 
-    /// Books an attempt that was not served.
+    /// Records an attempt that was not served.
     fn record_unserved(&mut self, attempt: &Attempt, result: &AttemptResult) {
         use AttemptEnding::{Rejected, Timeout};
         let is_fill = attempt.plan.kind == AttemptKind::Fill;
         let origin = self.origin_involvement(attempt);
-        // What fails at a parent while the origin fails is not held against the parent: it still has its
-        // copies.
+        // Failures at a parent while the origin is failing are not attributed to the parent, as it can
+        // still serve its copies.
         if is_fill && !origin.is_endpoint && origin.is_failing {
             return;
         }
@@ -169,27 +170,27 @@
     }
 }
 
-/// Whether the time of a served fill tells the load of the location's link: it came from a parent's copy, its
-/// size is known, and the cache does not report the link itself.
+/// Whether the duration of a served fill indicates the load of the location's link: it was answered from
+/// a parent's copy, its size is known, and the cache does not report the link's load.
 fn indicates_link_load(attempt: &Attempt, result: &AttemptResult) -> bool {
     let is_from_copy = !matches!(result.note, FillNote::FilledByOrigin | FillNote::Joined);
     let is_unreported = result.load.is_none_or(|report| report.link.is_none());
     attempt.plan.kind == AttemptKind::Fill && is_unreported && attempt.sending_time_known && is_from_copy
 }
 
-/// The member whose failure an attempt shows, if it shows one.
+/// The member to which a failed attempt is attributed, if any.
 fn failed_member(attempt: &Attempt, result: &AttemptResult, is_origin_endpoint: bool) -> Option<MemberId> {
     use AttemptEnding::{Cancelled, ConnectFailed, NotSent, Rejected, Reset, Timeout};
     use FillNote::{NoCapacity, OriginFailed, SourceMiss};
     let source = attempt.other_source();
     match result.ending {
         NotSent | Cancelled => None,
-        // Crowding and the client's own deadline tell nothing of a member's health.
+        // Overload and the client's own deadline are no evidence of a member's health.
         Timeout if !attempt.is_trial && result.note == FillNote::None && !is_origin_endpoint => None,
         Rejected if !attempt.is_trial && source.is_none() => None,
         ConnectFailed | Reset => Some(attempt.plan.member),
         _ if matches!(result.note, NoCapacity | SourceMiss | OriginFailed) => None,
-        // A fill that failed: nearly always its source, as the cache had room to look up.
+        // A failed fill is attributed to its source, as the cache was able to process the look-up before.
         _ => Some(source.unwrap_or(attempt.plan.member)),
     }
 }
--- a/crates/deckproxy-control/src/control/outlier_ejection.rs
+++ b/crates/deckproxy-control/src/control/outlier_ejection.rs
@@ -1,4 +1,5 @@
-//! Outlier ejection: members that fail or fall silent are left out, and slow ones count as smaller.
+//! Outlier ejection: members that fail or fall silent are ejected, and slow members are weighted as
+//! smaller ones.
 
 use super::Control;
 use super::member_state::MemberState;
@@ -9,7 +10,7 @@
 use crate::interface::{Action, Member, MemberId};
 
 impl Control {
-    /// Ejects a member for a while, after which it is half-open.
+    /// Ejects a member temporarily; afterwards it is half-open.
     pub(super) fn eject(&mut self, id: MemberId, reason: &str) {
         let Some(state) = self.members.get_mut(&id) else { return };
         let health = &mut state.health;
@@ -26,7 +27,7 @@
         self.log(|| format!("member {id} (kind {kind}, zone {zone}) out for {span:.0} ms: {reason}"));
     }
 
-    /// Writes a log line, unless the router has written its share.
+    /// Writes a log line, up to a maximum number per router.
     fn log(&mut self, line: impl FnOnce() -> String) {
         if self.log_lines < LOG_LINES_MAX {
             self.log_lines += 1;
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Records that a member did well.
+    /// Records a success of a member and ends its half-open state.
     pub(super) fn record_success(&mut self, id: MemberId) {
         let Some(state) = self.members.get_mut(&id) else { return };
         let health = &mut state.health;
@@ -45,12 +46,14 @@
         }
     }
 
-    /// Records a failure that the member itself caused. The origin is never ejected for it: nobody stands in.
+    /// Records a failure that the member itself caused. The origin is never ejected, as no other member
+    /// can replace it.
     pub(super) fn record_failure(&mut self, id: MemberId) {
         let is_the_origin = self.origin() == Some(id);
         let Some(state) = self.members.get_mut(&id) else { return };
         let health = &mut state.health;
-        // Failures of one instant broke with one connection: they are one failure.
+        // Failures at the same instant usually result from one broken connection and count as one
+        // failure.
         let is_same_failure = health.last_failure_at == self.now && health.consecutive_failures > 0;
         health.consecutive_failures += u32::from(!is_same_failure);
         health.last_failure_at = self.now;
@@ -60,9 +63,9 @@
         }
     }
 
-    /// How many times slower than its pool's median a member answers, if it is an outlier; else 1. An outlier
-    /// counts as a smaller member, so its objects spill sooner. One that only got the harder requests costs a
-    /// second copy.
+    /// Ratio of a member's latency inflation to its pool's median if the member is an outlier, else 1. An
+    /// outlier is weighted as a smaller member, so its objects spill over sooner. If it was only slower
+    /// because its requests were harder, the cost is a second copy of the objects that spill over.
     pub(super) fn outlier_slowness(&self, state: &MemberState) -> f64 {
         let mut inflations: Vec<f64> =
             self.pool_of(&state.listed).map(|other| other.inflation(self.now)).collect();
--- a/crates/deckproxy-control/src/control/periodic_timer.rs
+++ b/crates/deckproxy-control/src/control/periodic_timer.rs
@@ -1,4 +1,4 @@
-//! The periodic timer: late attempts, silent members, and waiters whose wait is over.
+//! Periodic tasks: late attempts, silent members, and waiters whose wait has ended.
 
 use super::Control;
 use super::collapsing::FillKey;
@@ -12,7 +12,7 @@
 use super::{PERIODIC_TIMER, TimerState};
 use crate::interface::{Action, MemberId, RequestId};
 
-/// Late attempts that were found at one run of the timer.
+/// Attempts that became late since the previous run of the timer.
 #[derive(Default)]
 struct LateAttempts {
     all: Vec<Attempt>,
@@ -21,7 +21,7 @@
 }
 
 impl Control {
-    /// Asks for the next run, if requests are pending and none is due.
+    /// Sets the timer if requests are pending and it is not set yet.
     pub(super) fn arm_periodic_timer(&mut self) {
         if !self.timer.is_armed && !self.pending.is_empty() {
             self.timer = TimerState { is_armed: true, due_at: self.now + TIMER_PERIOD };
@@ -29,7 +29,7 @@
         }
     }
 
-    /// One run of the periodic timer.
+    /// Runs the periodic tasks.
     pub(super) fn run_periodic_tasks(&mut self) {
         self.timer.is_armed = false;
         self.reset_silence_after_stall();
@@ -43,7 +43,8 @@
         self.resume_waiters();
     }
 
-    /// A router that stood still itself received no answers: silence is counted anew.
+    /// Restarts the silence measurement after a stall of the router itself, during which it could not
+    /// process answers.
     fn reset_silence_after_stall(&mut self) {
         if self.now - self.timer.due_at > ROUTER_STALL_TIME {
             for state in self.members.values_mut() {
@@ -59,8 +60,8 @@
         }
     }
 
-    /// Marks the attempts that became late. They draw on the location's link no longer: a late fill waits for
-    /// a source that does not send.
+    /// Marks the attempts that became late. They no longer count on the location's link, as a late fill
+    /// waits for a source that does not send.
     fn mark_late_attempts(&mut self) -> LateAttempts {
         let mut late = LateAttempts::default();
         for pending in self.pending.values_mut() {
@@ -80,8 +81,8 @@
         late
     }
 
-    /// Books a late attempt: a fill shows that its source or, behind a parent that is not slow, the origin is
-    /// slow.
+    /// Records a late attempt. A late fill indicates that its source is slow or, if its parent is not
+    /// slow, the origin.
     fn record_late_attempt(&mut self, attempt: &Attempt) {
         let (now, plan) = (self.now, attempt.plan);
         let is_fill = plan.kind == AttemptKind::Fill;
@@ -103,8 +104,8 @@
         }
     }
 
-    /// Sends late attempts again at the same member where two may be in flight: that makes up for a lost
-    /// answer.
+    /// Hedges late attempts at the same member, if settings and budget allow it. This recovers from a
+    /// lost answer.
     fn hedge(&mut self, plans: Vec<AttemptPlan>) {
         for plan in plans {
             let may_hedge = self.settings.hedged_requests && self.retry_budget.is_available();
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Ejects silent members and cancels what is in flight there. The origin is never ejected.
+    /// Ejects silent members and cancels their attempts in flight. The origin is never ejected.
     fn eject_silent_members(&mut self) {
         let silent = self.members.values().filter(|state| self.is_silent(state));
         let silent: Vec<MemberId> = silent.map(|state| state.listed.id).collect();
@@ -146,7 +147,8 @@
         }
     }
 
-    /// Fills for the waiters whose wait is over; where the fill has ended, they are routed anew.
+    /// Sends fills for the waiters whose wait has ended. If the fill they waited for has ended, they are
+    /// routed again.
     fn resume_waiters(&mut self) {
         let due = self.pending.values().filter(|pending| self.is_wait_over(pending));
         let due: Vec<RequestId> = due.map(|pending| pending.request.id).collect();
@@ -163,7 +165,7 @@
     }
 
     fn resume_waiter(&mut self, id: RequestId) {
-        // One that came to lead meanwhile waits no longer.
+        // A request that became the leader in the meantime no longer waits.
         let pending = self.pending.get_mut(&id);
         let Some(pending) = pending.filter(|pending| pending.waiting_since.is_some()) else { return };
         pending.waiting_since = None;
--- a/crates/deckproxy-control/src/control/purge_bounds.rs
+++ b/crates/deckproxy-control/src/control/purge_bounds.rs
@@ -1,10 +1,10 @@
-//! Purges, and the oldest copy that may answer after one.
+//! Purges, and the maximum age of a copy that may answer after one.
 
 use super::Control;
 use super::tuning::{PURGE_AGE_MARGIN, PURGE_AGE_MIN};
 use crate::interface::{Millis, Request};
 
-/// What a purge voids.
+/// What a purge invalidates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum PurgeTarget {
     /// The copies of all objects of a group.
@@ -23,8 +23,8 @@
         self.purges.retain(|_, at| self.now <= *at + self.settings.purge_settle_time);
     }
 
-    /// Greatest age in ms of a copy that may answer a request, where a purge applies it. It grows with time, so
-    /// it is computed at each send.
+    /// Maximum age in ms of a copy that may answer a request, if a purge applies to it. It increases with
+    /// time, so it is computed for each send.
     pub(super) fn purge_max_age(&self, request: &Request) -> Option<Millis> {
         let targets = [PurgeTarget::Object(request.object), PurgeTarget::Group(request.group)];
         let purged_at = targets.iter().filter_map(|target| self.purges.get(target));
--- a/crates/deckproxy-control/src/control/rendezvous_hash.rs
+++ b/crates/deckproxy-control/src/control/rendezvous_hash.rs
@@ -1,22 +1,23 @@
-//! The weighted rendezvous hash that all routers share.
+//! The weighted rendezvous hash, which gives the same result at every router.
 
 use crate::interface::Member;
 
-/// Constant of splitmix64 added to an object's key, so that small keys differ in many bits.
+/// Increment of splitmix64, added to an object's key so that small keys differ in many bits.
 const OBJECT_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Added to a member's id, so that ids and object keys are drawn from different values.
+/// Added to a member's id so that ids and object keys hash differently.
 const MEMBER_INCREMENT: u64 = 0x5851;
-/// Least weight of a member, so that every score is finite.
+/// Lower bound of a member's weight, so that every score is finite.
 const WEIGHT_MIN: f64 = 1e-6;
 
-/// Mixes 64 bits by the finisher of splitmix64; the same at every router.
+/// The finalizer of splitmix64.
 pub(super) fn mix64(mut bits: u64) -> u64 {
     bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     bits ^ (bits >> 31)
 }
 
-/// The weighted score of a member for an object: the highest is the object's home, the next its failover.
+/// The weighted score of a member for an object: the member with the highest score is the object's home,
+/// the next one its failover.
 pub(super) fn rendezvous_score(object: u64, member: &Member) -> f64 {
     let object_bits = mix64(object.wrapping_add(OBJECT_INCREMENT));
     let member_bits = mix64(u64::from(member.id) + MEMBER_INCREMENT);
--- a/crates/deckproxy-control/src/control/request_state.rs
+++ b/crates/deckproxy-control/src/control/request_state.rs
@@ -1,17 +1,17 @@
-//! The state of a pending request and of its attempts.
+//! The state of pending requests and their attempts.
 
 use super::sending_times::fill_time;
 use super::tuning::HOP_ALLOWANCE;
 use crate::interface::{AttemptEnding, FillNote, LoadReport, MemberId, Millis, Request, RequestId};
 
-/// What an attempt asks of its member.
+/// What an attempt requests from its member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptKind {
-    /// A cache is asked for its copy.
+    /// A look-up: a cache answers from its own copy.
     Lookup,
-    /// A cache is asked to fill from a source.
+    /// A cache fills from a source.
     Fill,
-    /// A source, or a cache for a write, is asked past the caches.
+    /// A source, or for a write possibly a cache, is sent the request without a cache look-up.
     Direct,
 }
 
@@ -35,12 +35,12 @@
         AttemptPlan { request, member: cache, source: Some(source), kind: AttemptKind::Fill }
     }
 
-    /// An attempt past the caches; a miss at the member goes to the origin.
+    /// An attempt that bypasses the caches; the member forwards a miss to the origin.
     pub(super) fn direct(request: RequestId, member: MemberId, origin: Option<MemberId>) -> Self {
         AttemptPlan { request, member, source: origin, kind: AttemptKind::Direct }
     }
 
-    /// The members that the attempt draws on: the one it is sent to, and its source where that is another.
+    /// The members whose load the attempt adds to: its target, and its source if that is another member.
     pub(super) fn endpoints(&self) -> impl Iterator<Item = MemberId> + use<> {
         let source = self.source.filter(|source| *source != self.member);
         std::iter::once(self.member).chain(source)
@@ -54,23 +54,24 @@
     pub(super) number: u32,
     pub(super) plan: AttemptPlan,
     pub(super) sent_at: Millis,
-    /// Load of the member when it was sent, in answers over its capacity.
+    /// Load of the member at the time of sending, relative to its capacity.
     pub(super) member_load: f64,
-    /// The request's sending time.
+    /// Sending time of the request's answer.
     pub(super) sending_time: Millis,
-    /// Whether that was told or learned of its object.
+    /// Whether that is known from the size or learned from the object, not only a mean of the class.
     pub(super) sending_time_known: bool,
     /// It is a half-open trial of its member or source.
     pub(super) is_trial: bool,
-    /// It draws on the location's link by itself, and is not yet late.
+    /// It counts as a transfer over the location's link: a direct attempt or a leader's fill that is not
+    /// late.
     pub(super) uses_link: bool,
-    /// When it counts as late.
+    /// Clock time from which it is late.
     pub(super) late_at: Millis,
-    /// It was found late: a fill then waits for a source that does not send.
+    /// It has been marked late.
     pub(super) is_late: bool,
 }
 
-/// What an attempt should take, and the member whose latency that shows.
+/// The expected duration of an attempt, and the member whose latency it measures.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LatencyExpectation {
     pub(super) member: MemberId,
@@ -78,18 +79,18 @@
 }
 
 impl Attempt {
-    /// The source, where it is another member than the one the attempt was sent to.
+    /// The source, if that is another member than the target.
     pub(super) fn other_source(&self) -> Option<MemberId> {
         self.plan.source.filter(|source| *source != self.plan.member)
     }
 
-    /// Transfers over the location's link that the attempt counts as: 1 or 0.
+    /// Number of transfers over the location's link that the attempt counts as: 1 or 0.
     pub(super) fn link_transfers(&self) -> f64 {
         if self.uses_link { 1.0 } else { 0.0 }
     }
 
-    /// Whose latency it shows: look-ups their cache's, fills their source's. An answer straight from a parent
-    /// shows the link's, so nobody's.
+    /// The member whose latency the attempt measures: its cache for a look-up, its source for a fill. A
+    /// direct answer from a parent measures the link, so it is attributed to no member.
     pub(super) fn latency_expectation(&self) -> Option<LatencyExpectation> {
         let AttemptPlan { member, source, kind, .. } = self.plan;
         if kind == AttemptKind::Lookup {
@@ -108,12 +109,12 @@
     pub(super) member: MemberId,
 }
 
-/// A request that has no final answer, or whose attempts are not all over.
+/// A request without a final answer or with attempts in flight.
 #[derive(Debug, Default)]
 pub(super) struct PendingRequest {
     pub(super) request: Request,
     pub(super) arrived_at: Millis,
-    /// It has its final answer; kept while an attempt is in flight.
+    /// It has its final answer; the entry is retained while an attempt is in flight.
     pub(super) has_ended: bool,
     /// A streamed answer has begun.
     pub(super) is_streaming: bool,
@@ -121,9 +122,9 @@
     pub(super) sends: u32,
     pub(super) in_flight: Vec<Attempt>,
     pub(super) possible_run: Option<PossibleRun>,
-    /// Members that failed this request.
+    /// Members at which attempts of this request failed.
     pub(super) failed_members: Vec<MemberId>,
-    /// Since when it has waited for another request's fill, if it waits.
+    /// Clock time since which it has waited for another request's fill, if it waits.
     pub(super) waiting_since: Option<Millis>,
 }
 
@@ -136,7 +137,7 @@
     }
 }
 
-/// How an attempt ended, and what its answer told.
+/// The result of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptResult {
     pub(super) member: MemberId,
@@ -147,7 +148,7 @@
 }
 
 impl AttemptResult {
-    /// Whether the request may have run at the member.
+    /// Whether the request may have been executed at the member.
     pub(super) fn may_have_run(&self) -> bool {
         use AttemptEnding::{ConnectFailed, Miss, NotSent, Rejected};
         !matches!(self.ending, Rejected | ConnectFailed | NotSent | Miss)
--- a/crates/deckproxy-control/src/control/retry_budget.rs
+++ b/crates/deckproxy-control/src/control/retry_budget.rs
@@ -2,7 +2,7 @@
 
 use super::tuning::{RETRY_TOKENS_MAX, RETRY_TOKENS_PER_REQUEST};
 
-/// Tokens for retries and hedged requests: each client request earns a part of one.
+/// Tokens for retries and hedged requests: each client request deposits a fraction of a token.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RetryBudget {
     tokens: f64,
@@ -15,17 +15,17 @@
 }
 
 impl RetryBudget {
-    /// Adds what one client request earns.
+    /// Deposits the tokens of one client request.
     pub(super) fn deposit(&mut self) {
         self.tokens = (self.tokens + RETRY_TOKENS_PER_REQUEST).min(RETRY_TOKENS_MAX);
     }
 
-    /// Whether one more retry or hedged request is allowed.
+    /// Whether a token is available for one more retry or hedged request.
     pub(super) fn is_available(self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// Takes one token.
+    /// Withdraws one token.
     pub(super) fn withdraw(&mut self) {
         self.tokens -= 1.0;
     }
--- a/crates/deckproxy-control/src/control/sending_times.rs
+++ b/crates/deckproxy-control/src/control/sending_times.rs
@@ -1,4 +1,4 @@
-//! How long answers take to send: told by their size, else learned by object, else by class.
+//! How long answers take to send: computed from their size, else learned by object, else by class.
 
 use super::Control;
 use super::decay::DecayingSum;
@@ -9,12 +9,12 @@
 };
 use crate::interface::{Class, Millis, Request};
 
-/// What is known of an object.
+/// Statistics of an object.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ObjectStats {
-    /// Sending time requested lately, in ms.
+    /// Decaying sum of the sending times requested, in ms.
     pub(super) demand: DecayingSum,
-    /// Sending time of one part as learned from hits, where sizes are not told.
+    /// Sending time of one part, learned from hits where sizes are unknown.
     pub(super) sending_time: Option<Millis>,
 }
 
@@ -22,12 +22,12 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ClassSendingTime {
     mean: Millis,
-    /// Answers that the mean comes from.
+    /// Number of answers in the mean, up to a maximum.
     answers: f64,
 }
 
 impl ClassSendingTime {
-    /// The first estimate, from the class's deadline.
+    /// The initial estimate, derived from the class's deadline.
     pub(super) fn initial_estimate(class: &Class) -> Self {
         ClassSendingTime { mean: class.deadline / INITIAL_ESTIMATE_DIVISOR, answers: 0.0 }
     }
@@ -37,14 +37,14 @@
         self.mean
     }
 
-    /// Takes one more answer into the mean.
+    /// Adds one answer to the mean.
     pub(super) fn learn(&mut self, sending_time: Millis) {
         self.answers = (self.answers + 1.0).min(MEAN_ANSWERS_MAX);
         self.mean += (sending_time - self.mean) / (self.answers + INITIAL_ESTIMATE_WEIGHT);
     }
 }
 
-/// Time that a fill, or an answer straight from its source, should take: its sending and two hops.
+/// Expected duration of a fill or of a direct answer from its source: the sending time and two hops.
 pub(super) fn fill_time(sending_time: Millis) -> Millis {
     sending_time + 2.0 * HOP_ALLOWANCE
 }
@@ -62,14 +62,14 @@
         learned.unwrap_or(self.class_sending_times[request.class].mean())
     }
 
-    /// Whether the sending time of a request's answer is told or learned of its object, not only of its
-    /// class.
+    /// Whether the sending time of a request's answer is known from its size or learned from its object,
+    /// and not only a mean of its class.
     pub(super) fn is_sending_time_known(&self, request: &Request) -> bool {
         let learned = |stats: &ObjectStats| stats.sending_time.is_some();
         request.size.is_some() || self.objects.get(&request.object).is_some_and(learned)
     }
 
-    /// Learns from a hit how long an object takes to send, the cache's load divided out.
+    /// Learns an object's sending time from a hit, corrected for the cache's load.
     pub(super) fn learn_sending_time(&mut self, request: &Request, attempt: &Attempt, elapsed: Millis) {
         let sending_time = elapsed.max(1.0) / attempt.member_load.max(1.0);
         self.class_sending_times[request.class].learn(sending_time);
--- a/crates/deckproxy-control/src/control/shared_load.rs
+++ b/crates/deckproxy-control/src/control/shared_load.rs
@@ -1,4 +1,4 @@
-//! The load that several routers put on one member or link together.
+//! The load that several routers together put on one member or link.
 
 use super::decay::{TimedValue, decay_factor};
 use super::tuning::{
@@ -6,10 +6,11 @@
 };
 use crate::interface::Millis;
 
-/// Attempts in flight at a member or over a link: this router's own, and an estimate of the other routers'.
+/// Attempts in flight at a member or over a link: this router's own, and an estimate of the other
+/// routers'.
 ///
-/// The others' part is estimated from the mean of the own load, as a few attempts of the moment would be
-/// noise, and corrected by load reports.
+/// The other routers' load is extrapolated from the mean of this router's own load, as the few attempts
+/// in flight at one moment are too noisy, and corrected by load reports.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SharedLoad {
     own: f64,
@@ -24,15 +25,15 @@
         self.own
     }
 
-    /// Adds to this router's own attempts in flight; a negative change takes from them.
+    /// Changes the number of this router's own attempts in flight; the change may be negative.
     pub(super) fn add(&mut self, change: f64, now: Millis) {
         self.own_mean = self.own_mean_at(now);
         self.updated_at = now;
         self.own = (self.own + change).max(0.0);
     }
 
-    /// Takes a report of the load of all routers. Reports are smoothed: routers that took the load of one
-    /// moment for more would all turn away at once.
+    /// Records a report of the load of all routers. Reports are smoothed: if routers reacted to each
+    /// momentary load, all of them would move their requests away at once.
     pub(super) fn report(&mut self, total: f64, now: Millis) {
         let others = (total - self.own).max(0.0);
         let value = match self.others_reported {
@@ -42,7 +43,7 @@
         self.others_reported = Some(TimedValue { value, at: now });
     }
 
-    /// The estimated load of all routers, of which there are so many.
+    /// The estimated load of all routers; `routers` is their number.
     pub(super) fn total(&self, routers: f64, now: Millis) -> f64 {
         let estimate = (routers - 1.0) * self.own_mean_at(now);
         let others = match self.others_reported.filter(|_| routers > 1.0) {
@@ -55,7 +56,7 @@
         self.own + others
     }
 
-    /// The others' load as reported, fading with the report's age; 0 without a report.
+    /// The other routers' load as reported, decayed by the report's age; 0 without a report.
     pub(super) fn decayed_report(&self, now: Millis) -> f64 {
         let decayed =
             |report: TimedValue| report.value * decay_factor(now - report.at, LOAD_REPORT_TIME_CONSTANT);
--- a/crates/deckproxy-control/src/control/slow_start.rs
+++ b/crates/deckproxy-control/src/control/slow_start.rs
@@ -1,47 +1,48 @@
-//! Slow start: how much is sent to a member whose process started lately.
+//! Slow start: limits what is sent to a member whose process started recently.
 
 use super::Control;
 use super::rendezvous_hash::mix64;
 use super::tuning::{GOLDEN_FRACTION, SLOW_START_SEND_COST, SLOW_START_SHARE};
 use crate::interface::{Member, MemberId, Millis, SlowStart};
 
-/// What this router may send to a member that warms up.
+/// The limits of this router for a member that warms up.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SlowStartTerms {
     pub(super) rule: SlowStart,
-    /// This router's position among all.
+    /// This router's position among all routers.
     pub(super) position: u32,
-    /// This router's part of the member's capacity, in answers at full rate.
+    /// This router's share of the member's capacity, in concurrent answers at full rate.
     pub(super) capacity_share: f64,
-    /// Cost of the dearest class's send, ms.
+    /// Cost in ms of a send of the most expensive class.
     pub(super) max_send_cost: Millis,
 }
 
-/// This router's part of a member's slow-start budget, in ms of sending time.
+/// This router's share of a member's slow-start budget, in ms of sending time.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SlowStartBudget {
-    /// What was not spent; none before the first use.
+    /// The unspent budget; `None` before the first use.
     balance: Option<Millis>,
     updated_at: Millis,
 }
 
 impl SlowStartBudget {
-    /// A budget that was not used before that time.
+    /// Creates a budget that is refilled from that time on.
     pub(super) fn starting_at(now: Millis) -> Self {
         SlowStartBudget { balance: None, updated_at: now }
     }
 
-    /// Takes the cost of a send.
+    /// Deducts the cost of a send.
     pub(super) fn spend(&mut self, cost: Millis) {
         self.balance = self.balance.map(|balance| balance - cost);
     }
 
-    /// Whether this router has a turn at a member that warms up.
+    /// Refills the budget and returns whether this router may send to a member that warms up.
     ///
-    /// What the rule allows at the member's present capacity comes in evenly. A turn is up once the balance
-    /// holds the dearest send, and lapses a window later, so that lulls save nothing up. The first balances
-    /// are spread by the golden ratio, so that the turns of any run of router positions come one after the
-    /// other.
+    /// The budget is refilled continuously at the rate that the slow-start rule allows for the member's
+    /// current capacity. A send is allowed once the balance covers the most expensive class. An allowance
+    /// expires after one overload window, so that idle periods accumulate no burst. The initial balances
+    /// are spread by the golden ratio, so that the routers in any range of positions send one after
+    /// another and not at once.
     pub(super) fn allows_send(&mut self, member: &Member, terms: &SlowStartTerms, now: Millis) -> bool {
         let SlowStartTerms { rule, position, capacity_share, max_send_cost } = *terms;
         let age = (now - member.started.unwrap_or(now)).max(0.0);
@@ -64,19 +65,19 @@
         if self.is_cache(member) { self.settings.cache_slow_start } else { self.settings.parent_slow_start }
     }
 
-    /// Whether a member started so lately that it warms up. The origin never does.
+    /// Whether a member started recently enough to be warming up. The origin never warms up.
     pub(super) fn is_warming_up(&self, member: &Member) -> bool {
         let duration = self.slow_start_rule(member).duration;
         !self.is_origin(member) && member.started.is_some_and(|at| self.now - at < duration)
     }
 
-    /// Cost of a class's send in slow-start budgets.
+    /// Cost of a send of a class in slow-start budgets.
     pub(super) fn slow_start_cost(&self, class: usize) -> Millis {
         self.class_sending_times[class].mean() * SLOW_START_SEND_COST
     }
 
-    /// Whether a member takes a new attempt: it is listed as ready, not ejected and, while it warms up, this
-    /// router has a turn.
+    /// Whether a member accepts a new attempt: it is ready, not ejected and, while it warms up, this
+    /// router's slow-start budget allows a send.
     pub(super) fn accepts_attempts(&mut self, id: MemberId) -> bool {
         let Some(state) = self.members.get(&id).filter(|state| state.is_usable(self.now)) else {
             return false;
