--- a/crates/deckproxy-control/src/control/capacity_estimate.rs
+++ b/crates/deckproxy-control/src/control/capacity_estimate.rs
@@ -32,10 +32,10 @@
     }
 
     fn decay_to(&mut self, now: Millis) {
-        let kept = decay_factor(now - self.updated_at, OBSERVATION_TIME_CONSTANT);
-        self.served *= kept;
-        self.busy_share_sum *= kept;
-        self.busy_share_reports *= kept;
+        let factor = decay_factor(now - self.updated_at, OBSERVATION_TIME_CONSTANT);
+        self.served *= factor;
+        self.busy_share_sum *= factor;
+        self.busy_share_reports *= factor;
         self.updated_at = now;
     }
 
--- a/crates/deckproxy-control/src/control/latency_inflation.rs
+++ b/crates/deckproxy-control/src/control/latency_inflation.rs
@@ -14,10 +14,10 @@
 impl LatencyInflation {
     /// Records one observation; earlier ones decay.
     pub(super) fn record(&mut self, observed: f64, expected: f64, time_constant: Millis, now: Millis) {
-        let kept = decay_factor(now - self.updated_at, time_constant);
+        let factor = decay_factor(now - self.updated_at, time_constant);
         *self = LatencyInflation {
-            observed: self.observed * kept + observed,
-            expected: self.expected * kept + expected,
+            observed: self.observed * factor + observed,
+            expected: self.expected * factor + expected,
             updated_at: now,
         };
     }
@@ -30,7 +30,7 @@
     /// Observed over expected latency, with `prior` added to both; tends to 1 without recent
     /// observations.
     pub(super) fn ratio(&self, prior: f64, time_constant: Millis, now: Millis) -> f64 {
-        let kept = decay_factor(now - self.updated_at, time_constant);
-        (prior + self.observed * kept) / (prior + self.expected * kept)
+        let factor = decay_factor(now - self.updated_at, time_constant);
+        (prior + self.observed * factor) / (prior + self.expected * factor)
     }
 }
--- a/crates/deckproxy-control/src/control/outcome_accounting.rs
+++ b/crates/deckproxy-control/src/control/outcome_accounting.rs
@@ -123,9 +123,9 @@
 
     /// Records the latency inflation of an attempt, computed from its expected duration.
     fn record_latency(&mut self, attempt: &Attempt, inflation: impl Fn(Millis) -> f64) {
-        let Some(shown) = attempt.latency_expectation() else { return };
-        let Some(state) = self.members.get_mut(&shown.member) else { return };
-        let inflation = inflation(shown.expected);
+        let Some(expectation) = attempt.latency_expectation() else { return };
+        let Some(state) = self.members.get_mut(&expectation.member) else { return };
+        let inflation = inflation(expectation.expected);
         // A fill that is faster than expected resets its source's latency inflation.
         let is_fast_fill = attempt.plan.kind == AttemptKind::Fill && inflation < RECOVERED_FILL_SHARE;
         if is_fast_fill && state.inflation(self.now) > SLOW_SOURCE_INFLATION {
--- a/crates/deckproxy-control/src/control/periodic_timer.rs
+++ b/crates/deckproxy-control/src/control/periodic_timer.rs
@@ -92,8 +92,8 @@
             let expected = fill_time(attempt.sending_time);
             self.origin_latency.record(now - attempt.sent_at, expected, ORIGIN_LATENCY_TIME_CONSTANT, now);
         }
-        let shown = attempt.latency_expectation().filter(|_| is_fill && attempt.sending_time_known);
-        if let Some(state) = shown.and_then(|shown| self.members.get_mut(&shown.member)) {
+        let expectation = attempt.latency_expectation().filter(|_| is_fill && attempt.sending_time_known);
+        if let Some(state) = expectation.and_then(|expectation| self.members.get_mut(&expectation.member)) {
             state.record_inflation(LATE_INFLATION, now);
         }
         self.add_link_transfers(-attempt.link_transfers());
--- a/crates/deckproxy-control/src/control/rendezvous_hash.rs
+++ b/crates/deckproxy-control/src/control/rendezvous_hash.rs
@@ -9,7 +9,7 @@
 /// Lower bound of a member's weight, so that every score is finite.
 const WEIGHT_MIN: f64 = 1e-6;
 
-/// The finalizer of splitmix64.
+/// Mixes 64 bits with the finalizer of splitmix64.
 pub(super) fn mix64(mut bits: u64) -> u64 {
     bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/deckproxy-control/src/control/request_state.rs
+++ b/crates/deckproxy-control/src/control/request_state.rs
@@ -97,8 +97,8 @@
             let expected = self.sending_time * self.member_load.max(1.0) + HOP_ALLOWANCE;
             return Some(LatencyExpectation { member, expected });
         }
-        let shown = source.filter(|source| kind == AttemptKind::Fill || *source == member)?;
-        Some(LatencyExpectation { member: shown, expected: fill_time(self.sending_time) })
+        let measured = source.filter(|source| kind == AttemptKind::Fill || *source == member)?;
+        Some(LatencyExpectation { member: measured, expected: fill_time(self.sending_time) })
     }
 }
 
--- a/crates/deckproxy-control/src/control/slow_start.rs
+++ b/crates/deckproxy-control/src/control/slow_start.rs
@@ -49,9 +49,9 @@
         let capacity = rule.initial_share + (1.0 - rule.initial_share) * age / rule.duration;
         let rate = SLOW_START_SHARE * rule.overload_multiple * capacity * capacity_share;
         let member_offset = mix64(u64::from(member.id)) as f64 / u64::MAX as f64;
-        let first = max_send_cost * (f64::from(position) * GOLDEN_FRACTION + member_offset).fract();
+        let initial = max_send_cost * (f64::from(position) * GOLDEN_FRACTION + member_offset).fract();
         let refill = rate * (now - self.updated_at).max(0.0);
-        let balance = self.balance.unwrap_or(first) + refill;
+        let balance = self.balance.unwrap_or(initial) + refill;
         let expired_sends = ((balance - rate * rule.overload_window) / max_send_cost).floor().max(0.0);
         let balance = balance - expired_sends * max_send_cost;
         self.balance = Some(balance);
--- a/crates/deckproxy-control/tests/attempt_limits.rs
+++ b/crates/deckproxy-control/tests/attempt_limits.rs
@@ -1,4 +1,4 @@
-//! Limits of attempts: one final answer, and no effect twice.
+//! Limits of attempts: one final answer, and no duplicate execution of requests that are not idempotent.
 
 mod common;
 use common::*;
@@ -41,13 +41,13 @@
 
 #[test]
 fn a_rejection_advises_a_retry_time_only_where_allowed() {
-    for (retry_after, most) in [(true, 1000.0), (true, 100.0), (false, 1000.0)] {
+    for (retry_after, max_delay) in [(true, 1000.0), (true, 100.0), (false, 1000.0)] {
         let mut harness =
-            Harness::with(Settings { retry_after, max_retry_after: most, ..settings() }, vec![]);
+            Harness::with(Settings { retry_after, max_retry_after: max_delay, ..settings() }, vec![]);
         harness.request(SMALL, 5, 0);
-        let Action::Reject { retry_after: at, .. } = harness.actions[0] else { panic!("not refused") };
+        let Action::Reject { retry_after: at, .. } = harness.actions[0] else { panic!("not rejected") };
         assert_eq!(at > 0.0, retry_after);
-        assert!(at <= most);
+        assert!(at <= max_delay);
     }
 }
 
@@ -61,7 +61,8 @@
     assert!(harness.sends().is_empty());
 }
 
-/// It would never be answered: the next run of the timer is after its deadline.
+/// A request that waited here would never be answered, as the next run of the timer is after its
+/// deadline.
 #[test]
 fn a_request_that_fails_just_before_its_deadline_does_not_wait() {
     for left in [0.5, 3.0, 15.0, 40.0] {
@@ -103,7 +104,7 @@
         harness.now += at;
         harness.end(id, 0, ORIGIN_ID, AttemptEnding::Timeout);
         assert_eq!(!harness.sends().is_empty(), again, "{at}");
-        // Refusing does no harm: every member drops its repeats.
+        // Rejecting is safe: every member discards duplicates.
         assert_eq!(is_rejected(&harness.actions, id), !again);
     }
 }
--- a/crates/deckproxy-control/tests/common/mod.rs
+++ b/crates/deckproxy-control/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A small location for the tests: three caches, two parents in two hubs, an origin, four classes.
+//! Test fixture: a small location with three caches, two parents in two zones, an origin and four
+//! classes.
 #![allow(dead_code)]
 
 use deckproxy_control::Control;
@@ -12,12 +13,14 @@
 pub const ORIGIN_ID: MemberId = 301;
 pub const LOCAL_ZONE: u32 = 2;
 
-/// Classes: small and safe, large and safe, a keyed write, an unsafe write.
+/// Classes: small idempotent reads, large idempotent reads, keyed writes, and writes that are not
+/// idempotent.
 pub const SMALL: usize = 0;
 pub const LARGE: usize = 1;
 pub const KEYED: usize = 2;
 pub const NOT_IDEMPOTENT: usize = 3;
-/// KB of one part, by class; at 1000 KB/s these are the sending times in ms.
+/// Size of one part in KB, by class; at the transfer rate of 1000 KB/s these are also the sending times
+/// in ms.
 pub const SIZES: [f64; 4] = [50.0, 400.0, 20.0, 20.0];
 
 pub fn class(latency_objective: f64, deadline: f64, idempotency: Idempotency, write: bool) -> Class {
@@ -100,11 +103,11 @@
 pub struct SentAttempt {
     pub request: RequestId,
     pub member: MemberId,
-    /// The source of the fill, if it is a get.
+    /// The source if the attempt is a get; `None` for a look-up.
     pub source: Option<MemberId>,
 }
 
-/// How a member answers an attempt.
+/// A member's answer to an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptAnswer {
     pub request: RequestId,
@@ -116,7 +119,7 @@
     pub load: Option<LoadReport>,
 }
 
-/// A router with its clock and the actions of its last step.
+/// A router under test, with its clock and the actions of the last event.
 pub struct Harness {
     pub control: Control,
     pub now: Millis,
@@ -137,7 +140,7 @@
         Harness::with(settings(), all_members())
     }
 
-    /// Handles one event; its actions are in `actions`.
+    /// Handles one event; its actions are then in `actions`.
     pub fn event(&mut self, event: Event) -> &[Action] {
         self.actions.clear();
         self.control.handle(self.now, event, &mut self.actions);
@@ -149,7 +152,7 @@
         self.request_of_size(class, object, part, Some(SIZES[class]))
     }
 
-    /// Requests a part of an object with that size, or of unknown size; returns the request's id.
+    /// Requests a part of an object of that size, or of unknown size; returns the request's id.
     pub fn request_of_size(&mut self, class: usize, object: u64, part: u32, size: Option<f64>) -> RequestId {
         let id = self.next;
         self.next += 1;
@@ -178,7 +181,7 @@
         self.event(Event::AttemptEnded { request, attempt, member, ending, elapsed, finished, note, load });
     }
 
-    /// Serves look-ups of `count` objects, each in the time given for its member.
+    /// Serves look-ups of `count` objects, each in the time that `elapsed` returns for its member.
     pub fn serve_lookups(&mut self, count: u64, elapsed: impl Fn(MemberId) -> Millis) {
         for object in 0..count {
             let id = self.request(SMALL, object, 0);
@@ -195,7 +198,7 @@
         }
     }
 
-    /// Serves an object from its home cache, and returns that cache.
+    /// Serves an object from its home cache and returns that cache.
     pub fn home_of(&mut self, object: u64) -> MemberId {
         let id = self.request(SMALL, object, 0);
         let member = self.sends()[0].member;
@@ -223,7 +226,7 @@
         });
     }
 
-    /// Whether the last step's get asks for a cached copy only; `None` without a get.
+    /// Whether the get of the last event requests a cached copy only; `None` without a get.
     pub fn cached_only(&self) -> Option<bool> {
         self.actions.iter().find_map(|a| match a {
             Action::Get { options, .. } => Some(options.cached_only),
@@ -231,7 +234,7 @@
         })
     }
 
-    /// Runs the periodic timer every 20 ms until `end`; all actions are in `actions`.
+    /// Runs the periodic timer every 20 ms until `end`; all resulting actions are then in `actions`.
     pub fn run_timer_until(&mut self, end: Millis) {
         let mut all = vec![];
         while self.now < end {
@@ -241,18 +244,18 @@
         self.actions = all;
     }
 
-    /// Runs the periodic timer once, at that time.
+    /// Runs the periodic timer once, at clock time `now`.
     pub fn run_timer_at(&mut self, now: Millis) {
         self.now = now;
         self.event(Event::Timer(0));
     }
 
-    /// The attempts that the last step sent.
+    /// The attempts that the last event caused.
     pub fn sends(&self) -> Vec<SentAttempt> {
         sends(&self.actions)
     }
 
-    /// Requests an object and answers the look-up with a miss; returns the request's id and the cache.
+    /// Requests an object and ends the look-up with a miss; returns the request's id and the cache.
     pub fn request_and_miss(&mut self, class: usize, object: u64) -> (RequestId, MemberId) {
         let id = self.request(class, object, 0);
         let cache = self.sends()[0].member;
--- a/crates/deckproxy-control/tests/link_overload.rs
+++ b/crates/deckproxy-control/tests/link_overload.rs
@@ -1,4 +1,4 @@
-//! Overload of the location's link: what would come too late is shed.
+//! Overload of the location's link: requests that would be answered too late are shed.
 
 mod common;
 use common::*;
@@ -20,18 +20,18 @@
         }
         fills.push((id, cache));
     }
-    let shed = shed.expect("the link holds no end of fills");
-    assert!(shed >= 8, "it sheds while there is capacity: {shed}");
+    let shed = shed.expect("the link cannot carry an unlimited number of fills");
+    assert!(shed >= 8, "requests are shed while the link has capacity: {shed}");
     let (small, _) = harness.request_and_miss(SMALL, 900);
     assert!(
         !is_rejected(&harness.actions, small) && harness.sends().len() == 1,
-        "a small one still gets through in time"
+        "a small request can still be answered in time"
     );
     for (id, cache) in fills {
         harness.end(id, 1, cache, AttemptEnding::Served);
     }
     let (id, _) = harness.request_and_miss(LARGE, 901);
-    assert!(!is_rejected(&harness.actions, id), "its capacity is available again");
+    assert!(!is_rejected(&harness.actions, id), "the link's capacity is available again");
 }
 
 #[test]
@@ -43,7 +43,7 @@
     }
 }
 
-/// Where the settings do not give the link's rate, load reports decide.
+/// If the settings do not contain the link's rate, load reports decide.
 #[test]
 fn a_link_of_unknown_rate_uses_the_reported_load() {
     let mut harness = Harness::new();
@@ -67,7 +67,8 @@
     assert!(rejections > 0);
 }
 
-/// Fills that wait for a stalled origin transfer nothing, so they must not shed what parents have cached.
+/// Fills that wait for a stalled origin transfer nothing, so they must not cause requests to be shed that
+/// parents can serve from their copies.
 #[test]
 fn late_fills_do_not_count_on_the_link() {
     let mut s = settings();
@@ -87,7 +88,8 @@
     assert!(!is_rejected(&harness.actions, id) && harness.sends().len() == 1);
 }
 
-/// Fills that wait for a slow origin must not shed what parents have cached.
+/// Fills that wait for a slow origin must not cause requests to be shed that parents can serve from their
+/// copies.
 #[test]
 fn on_an_overloaded_link_parents_answer_from_cache_where_notes_are_known() {
     for notes in [false, true] {
@@ -111,7 +113,7 @@
             unrestricted += u32::from(get == Some(false));
             cached_only += u32::from(get == Some(true));
         }
-        assert!(unrestricted > 0 && unrestricted < 10, "the link carries a few: {unrestricted}");
+        assert!(unrestricted > 0 && unrestricted < 10, "the link carries a few fills: {unrestricted}");
         assert_eq!(
             (cached_only > 0, rejections > 0),
             (notes, !notes),
@@ -136,8 +138,8 @@
     assert!(fills[0] && !fills[10..].contains(&true), "{fills:?}");
 }
 
-/// A report without the link's load does not replace the evidence of fill times; a fill of unknown size is no
-/// evidence, as the object may just be large.
+/// A load report without the link's load does not invalidate the evidence of fill times. A fill of
+/// unknown size is no evidence, as the object may just be large.
 #[test]
 fn fill_times_of_known_sizes_indicate_link_load_without_a_link_report() {
     let sheds_fills = |size: Option<f64>, fills: u64, elapsed: Millis, note: FillNote, link: Option<f64>| {
@@ -146,7 +148,7 @@
             zone_routers: vec![0, 0, 20, 1],
             ..settings()
         };
-        // Caches that are never crowded themselves.
+        // Caches with enough capacity never to be overloaded themselves.
         let list = all_members().into_iter().map(|m| Member { weight: 400.0, ..m }).collect();
         let mut harness = Harness::with(set, list);
         let miss = |harness: &mut Harness, object| {
@@ -178,13 +180,13 @@
         !sheds_fills(Some(400.0), 4, 1350.0, FillNote::Filled, Some(0.1)),
         "the link is reported to be idle"
     );
-    assert!(!sheds_fills(Some(400.0), 4, 400.0, FillNote::Filled, None), "nothing crowds it");
+    assert!(!sheds_fills(Some(400.0), 4, 400.0, FillNote::Filled, None), "the link is not overloaded");
     assert!(
         !sheds_fills(Some(400.0), 4, 1350.0, FillNote::FilledByOrigin, None),
-        "it is the origin that is slow"
+        "the origin is slow, not the link"
     );
     assert!(
         !sheds_fills(None, 2, 2300.0, FillNote::Filled, None),
-        "an object not met before may just be large"
+        "an object of unknown size may just be large"
     );
 }
--- a/crates/deckproxy-control/tests/load_estimates.rs
+++ b/crates/deckproxy-control/tests/load_estimates.rs
@@ -1,11 +1,12 @@
-//! Loads, capacities and sending times, reported or estimated, and what they decide.
+//! Reported and estimated loads, capacities and sending times, and the decisions based on them.
 
 mod common;
 use common::*;
 use deckproxy_control::interface::*;
 use std::collections::VecDeque;
 
-/// Whether an object spills from its home after load reports of that many attempts in flight there.
+/// Whether an object spills over from its home cache after the cache reported that many attempts in
+/// flight.
 fn spills_after_report(in_flight: f64, routers: u32) -> bool {
     let mut harness =
         Harness::with(Settings { zone_routers: vec![0, 0, routers], ..settings() }, all_members());
@@ -47,18 +48,19 @@
             harness.serve(id, 0, member, elapsed, FillNote::None);
         }
     }
-    // A small one waits for the leader, a large one joins at once.
+    // A request for the small object waits for the leader; one for the large object joins the fill at
+    // once.
     for (object, waits) in [(1, true), (2, false)] {
-        for turn in 0..2 {
+        for round in 0..2 {
             let id = send_request(&mut harness, object);
             let member = harness.sends()[0].member;
             harness.end(id, 0, member, AttemptEnding::Miss);
-            assert_eq!(harness.sends().is_empty(), waits && turn == 1, "{object}");
+            assert_eq!(harness.sends().is_empty(), waits && round == 1, "{object}");
         }
     }
 }
 
-/// Other objects are not spread, nor is this one when its demand is over.
+/// Other objects are not spread, nor is this one after its demand has ended.
 #[test]
 fn a_hot_object_is_spread_by_its_parts() {
     let mut harness = Harness::new();
@@ -81,7 +83,7 @@
         parts(&mut harness, 6);
     }
     assert!(parts(&mut harness, 6) > 1);
-    // It ends when the object is no longer requested.
+    // The spreading ends when the object is no longer requested.
     harness.now += 20_000.0;
     for object in 100..400 {
         harness.home_of(object);
@@ -104,7 +106,7 @@
     assert!(at.iter().any(|m| *m != 101));
 }
 
-/// What is in flight there are fills that wait for slow parents; its link is idle.
+/// The attempts in flight are fills that wait for slow parents, while the cache's own link is idle.
 #[test]
 fn a_cache_with_waiting_fills_and_spare_cores_takes_lookups_only() {
     let rejections = |busy_share: f64| {
@@ -135,11 +137,12 @@
         harness.end(request, 0, member, AttemptEnding::Miss);
         (false, is_rejected(&harness.actions, request))
     };
-    assert_eq!(rejections(1.0), (true, false), "its link is full");
-    assert_eq!(rejections(0.4), (false, true), "its link is idle, its fills wait");
+    assert_eq!(rejections(1.0), (true, false), "the cache is saturated");
+    assert_eq!(rejections(0.4), (false, true), "the cache has spare capacity, and its load is waiting fills");
 }
 
-/// Taken for the capacity of one answer, weights of 1 would shed a quarter of a quiet day.
+/// If weights of 1 were interpreted as a capacity of one answer, a quarter of the requests of a quiet day
+/// would be shed.
 #[test]
 fn an_unknown_capacity_is_estimated_from_throughput() {
     let simulate = |weights_are_sizes: bool, busy_share: f64| {
@@ -155,7 +158,7 @@
                 first = first.or(Some(object * 10));
             }
             in_flight.extend(harness.sends().first().copied());
-            // Fifty attempts are in flight at any time, over three caches.
+            // Fifty attempts are in flight at any time, spread over three caches.
             if in_flight.len() > 50
                 && let Some(SentAttempt { request, member, .. }) = in_flight.pop_front()
             {
@@ -173,25 +176,26 @@
         }
         (rejections, first)
     };
-    assert!(simulate(true, 0.3).0 > 100, "seventeen answers over a link of one are too many");
+    assert!(simulate(true, 0.3).0 > 100, "seventeen concurrent answers exceed a capacity of one");
     assert_eq!(simulate(false, 0.3).0, 0);
     let (rejections, first) = simulate(false, 1.0);
-    // Full caches were taken for empty ones in the first three seconds: an eighth of those requests was late.
+    // Guards against treating saturated caches as idle during the first three seconds, which made an
+    // eighth of those requests late.
     assert!(
         rejections > 0 && first < Some(2500),
-        "members that are busy all the time have no capacity: {first:?}"
+        "members that report full utilization have no spare capacity: {first:?}"
     );
 }
 
-/// One router's few attempts show little of the load that many routers make.
+/// A single router's few attempts show little of the load of many routers.
 #[test]
 fn a_load_report_counts_the_other_routers_where_there_are_any() {
-    assert!(spills_after_report(40.0, 20), "its objects spill");
+    assert!(spills_after_report(40.0, 20), "its objects spill over");
     assert!(!spills_after_report(2.0, 20));
-    assert!(!spills_after_report(40.0, 1), "nobody else sends there");
+    assert!(!spills_after_report(40.0, 1), "no other router sends to it");
 }
 
-/// A weight that changes with the load would move homes with each member list.
+/// Weights that change with the load would change the objects' home caches with each member list.
 #[test]
 fn weights_that_are_no_sizes_do_not_move_homes() {
     let moved = |weights_are_sizes: bool| {
@@ -206,7 +210,7 @@
     assert_eq!(moved(false), 0);
 }
 
-/// A saturated cache reports a share of 1 whatever is in flight.
+/// A saturated cache reports a busy share of 1 whatever is in flight.
 #[test]
 fn a_busy_share_is_a_lower_bound_of_the_load() {
     let spills = |busy: Option<f64>| {
@@ -215,7 +219,7 @@
         let requests = [harness.request(SMALL, 5, 0), harness.request(SMALL, 5, 0)];
         let first = harness.sends()[0].member;
         harness.now += 380.0;
-        let load = busy.map(|cpu| LoadReport { busy_share: Some(cpu), ..LoadReport::default() });
+        let load = busy.map(|share| LoadReport { busy_share: Some(share), ..LoadReport::default() });
         harness.answer(AttemptAnswer {
             request: requests[1],
             attempt: 0,
@@ -228,7 +232,7 @@
         harness.request(SMALL, 5, 0);
         harness.sends()[0].member != first
     };
-    assert!(spills(None), "by the guess it is crowded");
+    assert!(spills(None), "the estimate without a report shows overload");
     assert!(!spills(Some(0.3)));
-    assert!(spills(Some(1.0)), "it holds that much at least");
+    assert!(spills(Some(1.0)), "a saturated share is a lower bound");
 }
--- a/crates/deckproxy-control/tests/member_drain.rs
+++ b/crates/deckproxy-control/tests/member_drain.rs
@@ -1,4 +1,4 @@
-//! Draining and gone members take nothing new.
+//! Draining and gone members receive no new attempts.
 
 mod common;
 use common::*;
@@ -30,7 +30,7 @@
     let late = harness.request(SMALL, 5, 0);
     assert!(
         harness.sends().iter().all(|sent| sent.member != cache),
-        "nor is a new request looked up where the fill runs"
+        "a new request must not be looked up at the draining cache either"
     );
     harness.event(Event::ClientGone(late));
     harness.end(leader, 1, cache, AttemptEnding::Served);
--- a/crates/deckproxy-control/tests/ordinary_path.rs
+++ b/crates/deckproxy-control/tests/ordinary_path.rs
@@ -1,4 +1,4 @@
-//! The ordinary path: look-ups, fills by a leader, waiters, the shared hash.
+//! The ordinary path: look-ups, fills by a leader, waiters, and the shared hash.
 
 mod common;
 use common::*;
@@ -28,26 +28,26 @@
         harness.end(id, 1, cache, AttemptEnding::Served);
     }
     assert!(CACHES.iter().all(|c| homes.contains(c)));
-    assert!(PARENTS.iter().all(|p| parents.contains(p)), "also the parent of the other hub");
+    assert!(PARENTS.iter().all(|p| parents.contains(p)), "parents of all zones are used");
     assert!(parents.iter().all(|p| PARENTS.contains(p)));
 }
 
 #[test]
 fn routers_of_other_locations_pick_the_same_parent() {
-    let mut here = Harness::new();
+    let mut local = Harness::new();
     let mut other = Settings { zone: 3, ..settings() };
     other.zone_routers = vec![0, 0, 1, 1];
     let moved = all_members()
         .into_iter()
         .map(|m| if m.kind == CACHE_KIND { Member { id: m.id + 10, zone: 3, ..m } } else { m });
-    let mut there = Harness::with(other, moved.collect());
+    let mut remote = Harness::with(other, moved.collect());
     for object in 1..40 {
-        let (a, at) = here.request_and_miss(SMALL, object);
-        let mine = here.sends()[0].source;
-        here.end(a, 1, at, AttemptEnding::Served);
-        let (b, at) = there.request_and_miss(SMALL, object);
-        assert_eq!(there.sends()[0].source, mine);
-        there.end(b, 1, at, AttemptEnding::Served);
+        let (a, at) = local.request_and_miss(SMALL, object);
+        let local_source = local.sends()[0].source;
+        local.end(a, 1, at, AttemptEnding::Served);
+        let (b, at) = remote.request_and_miss(SMALL, object);
+        assert_eq!(remote.sends()[0].source, local_source);
+        remote.end(b, 1, at, AttemptEnding::Served);
     }
 }
 
@@ -61,13 +61,13 @@
     assert_eq!((request, member, copy_rank, max_age), (leader, cache, 2, 0.0));
     assert!(PARENTS.contains(&source) && options.join);
     let (waiter, _) = harness.request_and_miss(SMALL, 5);
-    assert!(harness.sends().is_empty(), "the second waits");
-    // Another part is another key.
+    assert!(harness.sends().is_empty(), "the second request waits");
+    // Another part has a fill of its own.
     let part = harness.request(SMALL, 5, 1);
     let at = harness.sends()[0].member;
     harness.end(part, 0, at, AttemptEnding::Miss);
     assert_eq!(harness.sends().len(), 1);
-    // The leader is served: the waiter looks up at that cache.
+    // After the leader is served, the waiter is looked up at that cache.
     harness.end(leader, 1, cache, AttemptEnding::Served);
     assert_eq!(harness.sends(), vec![SentAttempt { request: waiter, member: cache, source: None }]);
 }
@@ -83,8 +83,9 @@
     let sends = harness.sends();
     assert_eq!(sends.len(), 1, "{sends:?}");
     assert_eq!(sends[0].request, oldest);
-    assert_ne!(sends[0].source, source, "not from the source that failed");
-    // Once it is served, the others go to its cache, the first leader among them.
+    assert_ne!(sends[0].source, source, "the failed source is avoided");
+    // Once the new leader is served, the other requests, including the first leader, are looked up at its
+    // cache.
     harness.end(oldest, 1, cache, AttemptEnding::Served);
     assert_eq!(harness.sends().len(), 2);
 }
@@ -100,7 +101,7 @@
     harness.run_timer_until(start + 3001.0);
     assert_eq!(harness.sends().len(), 1);
     assert_eq!((harness.sends()[0].request, harness.sends()[0].member), (waiter, cache));
-    assert!(harness.sends()[0].source.is_some(), "a fill of its own");
+    assert!(harness.sends()[0].source.is_some(), "the waiter sends a fill of its own");
 }
 
 #[test]
@@ -125,7 +126,9 @@
     let mut harness = Harness::new();
     let (_, cache) = harness.request_and_miss(LARGE, 5);
     let (second, _) = harness.request_and_miss(LARGE, 5);
-    let Action::Get { request, member, options, .. } = harness.actions[0] else { panic!("it waits") };
+    let Action::Get { request, member, options, .. } = harness.actions[0] else {
+        panic!("the request waits")
+    };
     assert_eq!((request, member, options.join), (second, cache, true));
 }
 
@@ -135,7 +138,7 @@
     let (leader, cache) = harness.request_and_miss(SMALL, 5);
     let (waiter, _) = harness.request_and_miss(SMALL, 5);
     harness.event(Event::ClientGone(leader));
-    assert!(harness.sends().is_empty(), "its fill runs on");
+    assert!(harness.sends().is_empty(), "the fill continues");
     harness.end(leader, 1, cache, AttemptEnding::Served);
     assert_eq!(harness.sends(), vec![SentAttempt { request: waiter, member: cache, source: None }]);
 }
@@ -222,7 +225,7 @@
     let id = harness.request(KEYED, 5, 0);
     assert_eq!(harness.sends()[0].member, ORIGIN_ID);
     harness.end(id, 0, ORIGIN_ID, AttemptEnding::Served);
-    // And through a cache where nothing goes straight.
+    // If the caches cannot be bypassed, a write is sent through a cache.
     let mut harness = Harness::with(Settings { cache_bypass: false, ..settings() }, all_members());
     harness.request(KEYED, 5, 0);
     let Action::Get { member, source, copy_rank, .. } = harness.actions[0] else { panic!("not sent") };
@@ -241,7 +244,7 @@
     harness.event(Event::Timer(token));
     assert!(harness.actions.contains(&Action::WatchMembers(true)));
     harness.request(SMALL, 5, 0);
-    assert_eq!(harness.sends().len(), 1, "the old list still holds");
+    assert_eq!(harness.sends().len(), 1, "the previous list stays valid");
 }
 
 #[test]
@@ -254,10 +257,10 @@
     assert!(harness.actions.is_empty());
     let id = harness.request(SMALL, 5, 0);
     harness.end(id, 9, 101, AttemptEnding::Error);
-    assert!(harness.actions.is_empty(), "an attempt that was never made");
+    assert!(harness.actions.is_empty(), "an attempt that was never sent");
     let r = Request { id: 500, object: 1, part: 0, group: 0, size: None, class: 99, deadline: 9e9 };
     harness.event(Event::Request(r));
-    assert!(is_failed(&harness.actions, 500), "a class that the settings do not have");
+    assert!(is_failed(&harness.actions, 500), "a class that is not in the settings");
 }
 
 #[test]
@@ -279,7 +282,8 @@
     assert_eq!(run(), run());
 }
 
-/// Else the routers of a location would fill the same object at once where caches cannot join fills.
+/// Otherwise, where caches cannot join fills, the routers of a location would all fill the same object at
+/// once.
 #[test]
 fn misses_that_cannot_join_another_routers_fill_wait_and_look_up_again() {
     for joins in [false, true] {
@@ -299,15 +303,19 @@
         };
         miss(&mut harness, 0);
         if joins {
-            assert!(harness.sends()[0].source.is_some(), "a fill that joins");
+            assert!(harness.sends()[0].source.is_some(), "a fill that joins the running one");
             continue;
         }
-        assert_eq!(harness.sends(), [], "it waits");
+        assert_eq!(harness.sends(), [], "the request waits");
         harness.run_timer_until(harness.now + SIZES[SMALL] + 100.0);
-        assert_eq!(harness.sends(), [SentAttempt { request, member, source: None }], "and looks again");
+        assert_eq!(
+            harness.sends(),
+            [SentAttempt { request, member, source: None }],
+            "and is looked up again"
+        );
         miss(&mut harness, 1);
         harness.run_timer_until(harness.now + SIZES[SMALL] + 100.0);
         miss(&mut harness, 2);
-        assert!(harness.sends()[0].source.is_some(), "not for ever");
+        assert!(harness.sends()[0].source.is_some(), "the number of repeated look-ups is limited");
     }
 }
--- a/crates/deckproxy-control/tests/origin_overload.rs
+++ b/crates/deckproxy-control/tests/origin_overload.rs
@@ -4,7 +4,8 @@
 use common::*;
 use deckproxy_control::interface::*;
 
-/// After a mass purge all fills come by way of the origin, while parents' copies are still quick.
+/// After a purge of many objects all fills are fetched from the origin, while parents still answer
+/// quickly from their copies.
 #[test]
 fn while_the_origin_is_overloaded_parents_answer_from_cache_only() {
     let mut harness = Harness::new();
@@ -28,25 +29,29 @@
         elapsed: 40.0,
         load: None,
     });
-    assert!(is_rejected(&harness.actions, request), "at once");
+    assert!(is_rejected(&harness.actions, request), "rejected at once");
     harness.now += 8000.0;
     harness.request_and_miss(SMALL, 101);
-    assert_eq!(harness.cached_only(), Some(false), "without a note it is used again");
+    assert_eq!(
+        harness.cached_only(),
+        Some(false),
+        "the origin is used again once its observations have decayed"
+    );
 }
 
-/// Decay alone would shed requests for seconds after the origin recovered.
+/// With decay alone requests would be shed for seconds after the origin has recovered.
 #[test]
 fn an_origin_answer_in_time_clears_its_latency_inflation() {
     let mut harness = Harness::new();
     for object in 0..8 {
         let (request, member) = harness.request_and_miss(LARGE, object);
-        let spared = harness.cached_only() == Some(true);
+        let is_cached_only = harness.cached_only() == Some(true);
         let (elapsed, note) =
-            if spared { (90.0, FillNote::Filled) } else { (4000.0, FillNote::FilledByOrigin) };
+            if is_cached_only { (90.0, FillNote::Filled) } else { (4000.0, FillNote::FilledByOrigin) };
         harness.serve(request, 1, member, elapsed, note);
     }
     let (request, member) = harness.request_and_miss(LARGE, 100);
-    assert_eq!(harness.cached_only(), Some(true), "it is slow");
+    assert_eq!(harness.cached_only(), Some(true), "the origin is slow");
     harness.serve(request, 1, member, 400.0, FillNote::FilledByOrigin);
     harness.request_and_miss(LARGE, 101);
     assert_eq!(harness.cached_only(), Some(false));
@@ -60,7 +65,8 @@
     source: MemberId,
 }
 
-/// A parent is not bypassed for the origin's latency, nor the origin spared for a slow parent's.
+/// A parent must not be bypassed because of the origin's latency, nor the origin because of a slow
+/// parent's.
 #[test]
 fn latency_is_attributed_to_a_parent_or_the_origin_behind_it() {
     let ample_members = || all_members().into_iter().map(|m| Member { weight: 400.0, ..m }).collect();
@@ -72,7 +78,7 @@
         fills.push(Fill { object, request, member, source });
     }
     let fills_from_parent: Vec<_> = fills.iter().filter(|fill| fill.source == PARENTS[0]).collect();
-    // The origin is slow, the parent is not: it stays its objects' source.
+    // The origin is slow and the parent is not, so the parent remains the source of its objects.
     for fill in fills_from_parent.iter().take(6) {
         harness.serve(fill.request, 1, fill.member, 1200.0, FillNote::FilledByOrigin);
     }
@@ -81,8 +87,9 @@
         harness.sends().first().map(|sent| (sent.request, sent.source)),
         Some((request, Some(PARENTS[0])))
     );
-    assert_eq!(harness.cached_only(), Some(true), "the origin is seen to be slow");
-    // The other way round: the parent is slow with its own copies, then by way of the origin too, and late.
+    assert_eq!(harness.cached_only(), Some(true), "the origin was observed to be slow");
+    // Conversely, the parent is slow with its own copies, then also with fetches from the origin, which
+    // are completed or still late.
     for late in [false, true] {
         let mut harness = Harness::with(
             Settings { zone_link_rate: vec![0.0, 0.0, 15_000.0, 0.0], ..settings() },
@@ -119,30 +126,31 @@
         assert_eq!(
             harness.sends().first().map(|sent| (sent.request, sent.source)),
             Some((request, Some(PARENTS[1]))),
-            "{late}"
+            "late {late}"
         );
-        assert_eq!(harness.cached_only(), Some(false), "{late}: the origin is not known to be slow");
+        assert_eq!(harness.cached_only(), Some(false), "late {late}: the origin was not observed to be slow");
     }
 }
 
-/// Large answers suffer most on the origin's thin link; small ones in time must not admit them.
+/// Large answers suffer most from the origin's limited bandwidth; small answers in time must not admit
+/// them.
 #[test]
 fn large_answers_weigh_more_in_the_origins_latency() {
     let mut harness = Harness::new();
     for object in 0..12 {
         let class = if object % 3 == 0 { LARGE } else { SMALL };
-        let due = SIZES[class] + 120.0;
+        let expected = SIZES[class] + 120.0;
         let (request, member) = harness.request_and_miss(class, object);
         if harness.cached_only() == Some(false) {
-            let times = if class == LARGE { 8.0 } else { 1.0 };
-            harness.serve(request, 1, member, due * times, FillNote::FilledByOrigin);
+            let factor = if class == LARGE { 8.0 } else { 1.0 };
+            harness.serve(request, 1, member, expected * factor, FillNote::FilledByOrigin);
         }
     }
     harness.request_and_miss(LARGE, 100);
     assert_eq!(harness.cached_only(), Some(true));
 }
 
-/// Fills end seconds after the origin became slow; late ones show it sooner.
+/// Fills complete seconds after the origin became slow; late fills indicate it sooner.
 #[test]
 fn late_fills_through_the_origin_count_before_they_end() {
     for notes in [false, true] {
--- a/crates/deckproxy-control/tests/outlier_ejection.rs
+++ b/crates/deckproxy-control/tests/outlier_ejection.rs
@@ -4,7 +4,7 @@
 use common::*;
 use deckproxy_control::interface::*;
 
-/// Requests go on to the next cache in the object's order, and a half-open trial recovers the member.
+/// Requests fail over to the next cache in the object's order, and a half-open trial readmits the member.
 #[test]
 fn a_silent_member_is_ejected_and_its_attempts_are_cancelled() {
     let mut harness = Harness::new();
@@ -12,14 +12,17 @@
     let requests: Vec<RequestId> = (0..5).map(|_| harness.request(SMALL, 5, 0)).collect();
     let start = harness.now;
     harness.run_timer_until(start + 600.0);
-    assert!(!harness.actions.iter().any(|a| matches!(a, Action::Cancel { .. })), "not yet");
+    assert!(
+        !harness.actions.iter().any(|a| matches!(a, Action::Cancel { .. })),
+        "not silent long enough yet"
+    );
     harness.run_timer_until(start + 1000.0);
     let cancelled = harness.actions.iter().filter(|a| matches!(a, Action::Cancel { .. })).count();
     assert_eq!(cancelled, requests.len());
     harness.end(requests[0], 0, silent, AttemptEnding::Cancelled);
     assert!(harness.sends()[0].member != silent);
-    assert_ne!(harness.home_of(5), silent, "others go to the next in the object's order");
-    // After a while one request at a time tries it.
+    assert_ne!(harness.home_of(5), silent, "other requests use the next cache in the object's order");
+    // After the ejection one request at a time is sent to the member as a trial.
     harness.now += 1001.0;
     let trial = harness.request(SMALL, 5, 0);
     assert_eq!(harness.sends()[0].member, silent);
@@ -29,7 +32,7 @@
     assert_eq!(harness.home_of(5), silent);
 }
 
-/// A broken connection ends many attempts at once; that is one failure.
+/// A broken connection ends many attempts at once, which must count as one failure.
 #[test]
 fn failures_of_one_instant_count_once() {
     let mut harness = Harness::new();
@@ -39,8 +42,8 @@
     for id in &requests {
         harness.end(*id, 0, member, AttemptEnding::Reset);
     }
-    assert_eq!(harness.home_of(5), member, "it still gets requests");
-    // Failures one after another still eject it.
+    assert_eq!(harness.home_of(5), member, "the member still receives requests");
+    // Consecutive failures at different times eject the member.
     let mut members = Vec::new();
     for _ in 0..8 {
         harness.now += 20.0;
@@ -51,7 +54,7 @@
     assert!(members[0] == member && members[7] != member, "{members:?}");
 }
 
-/// Else one bad request would eject the origin and use up the retry budget of good ones.
+/// One faulty request must not eject the origin or use up the retry budget of valid requests.
 #[test]
 fn a_request_that_fails_at_every_member_ejects_none_and_is_given_up() {
     let mut harness = Harness::new();
@@ -63,7 +66,7 @@
             attempts += 1;
         }
         assert!(attempts <= 3 && is_rejected(&harness.actions, id), "{attempts}");
-        // Good ones pass between them.
+        // Valid requests succeed in between.
         harness.home_of(object + 100);
         harness.now += 50.0;
     }
@@ -75,7 +78,7 @@
     );
 }
 
-/// Clients that cancel early must not eject members.
+/// Clients that disconnect early must not cause ejections.
 #[test]
 fn attempts_cancelled_before_they_are_late_do_not_show_silence() {
     let mut harness = Harness::new();
@@ -91,7 +94,7 @@
     assert_eq!(harness.home_of(5), member);
 }
 
-/// Nobody stands in for the origin: without it writes could not run.
+/// No other member can replace the origin: if it were ejected, writes could not be executed.
 #[test]
 fn a_failing_origin_is_never_ejected() {
     let mut harness = Harness::new();
@@ -118,7 +121,7 @@
     assert!(!harness.actions.iter().any(|a| matches!(a, Action::Cancel { .. })));
 }
 
-/// Where all caches are silent, requests go to the parents.
+/// If all caches are silent, requests are sent to the parents.
 #[test]
 fn a_silent_location_is_bypassed() {
     let mut harness = Harness::new();
@@ -131,21 +134,22 @@
     assert!(PARENTS.contains(&harness.sends()[0].member));
 }
 
-/// Failures spread over all members show no outlier; ejections in turn would move homes.
+/// Failures spread evenly over all members indicate no outlier; ejecting members in turn would move the
+/// objects' home caches.
 #[test]
 fn scattered_failures_eject_no_member() {
     let mut harness = Harness::new();
     for object in 0..400 {
         let id = harness.request(SMALL, object, 0);
         let at = harness.sends()[0].member;
-        let how = if object % 4 == 0 { AttemptEnding::Reset } else { AttemptEnding::Served };
-        harness.end(id, 0, at, how);
+        let ending = if object % 4 == 0 { AttemptEnding::Reset } else { AttemptEnding::Served };
+        harness.end(id, 0, at, ending);
         assert!(
             !harness.actions.iter().any(|a| matches!(a, Action::Log(_))),
             "{object}: {:?}",
             harness.actions
         );
-        if how == AttemptEnding::Reset {
+        if ending == AttemptEnding::Reset {
             let next = harness.sends()[0].member;
             harness.end(id, 1, next, AttemptEnding::Served);
         }
@@ -155,10 +159,11 @@
     assert!(CACHES.iter().all(|c| homes.contains(c)));
 }
 
-/// After its own pause a router has heard of no member; that is not their silence.
+/// A router that stalled has not processed any answers; this must not be taken for silence of the
+/// members.
 #[test]
 fn a_router_that_stalled_ejects_no_member() {
-    for (is_paused, cancels) in [(true, false), (false, true)] {
+    for (is_stalled, cancels) in [(true, false), (false, true)] {
         let mut harness = Harness::new();
         for object in 0..40 {
             harness.request(SMALL, object, 0);
@@ -166,7 +171,7 @@
         let mut cancelled = false;
         let end = harness.now + 1000.0;
         while harness.now < end {
-            harness.now += if is_paused { 1000.0 } else { 20.0 };
+            harness.now += if is_stalled { 1000.0 } else { 20.0 };
             let now = harness.now;
             harness.run_timer_at(now);
             cancelled |= harness.actions.iter().any(|a| matches!(a, Action::Cancel { .. }));
@@ -175,7 +180,7 @@
     }
 }
 
-/// Fills go on to the origin without using up the retry budget.
+/// Fills fail over to the origin without using up the retry budget.
 #[test]
 fn sources_that_reject_every_fill_are_bypassed() {
     let mut harness = Harness::new();
@@ -183,16 +188,17 @@
         let (id, cache) = harness.request_and_miss(SMALL, object);
         let mut attempt = 1;
         while let Some(SentAttempt { source: Some(source), .. }) = harness.sends().first().copied() {
-            let how = if PARENTS.contains(&source) { AttemptEnding::Rejected } else { AttemptEnding::Served };
-            harness.end(id, attempt, cache, how);
+            let ending =
+                if PARENTS.contains(&source) { AttemptEnding::Rejected } else { AttemptEnding::Served };
+            harness.end(id, attempt, cache, ending);
             attempt += 1;
         }
     }
     let (_, _) = harness.request_and_miss(SMALL, 999);
-    assert_eq!(harness.sends()[0].source, Some(ORIGIN_ID), "straight from the origin");
+    assert_eq!(harness.sends()[0].source, Some(ORIGIN_ID), "the parents are bypassed");
 }
 
-/// The origin rejects requests of parents; their own copies still serve.
+/// The origin rejects the parents' fetches, but the parents can still serve their copies.
 #[test]
 fn parents_are_not_ejected_while_the_origin_fails() {
     for (origin_fails, source_is_parent) in [(true, true), (false, false)] {
--- a/crates/deckproxy-control/tests/properties.rs
+++ b/crates/deckproxy-control/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Random legal event streams against a model of the rules that is independent of the module's state.
+//! Random valid event streams, checked against a model of the rules that does not use the module's state.
 
 mod common;
 use common::*;
@@ -45,7 +45,7 @@
     possible_run: Option<Millis>,
 }
 
-/// An attempt that a warming member got.
+/// An attempt that a warming member received.
 struct WarmingSend {
     member: MemberId,
     at: Millis,
@@ -68,13 +68,13 @@
     }
 }
 
-/// A timer that the module asked for.
+/// A timer that the module set.
 struct PendingTimer {
     at: Millis,
     token: u64,
 }
 
-/// The rules, checked from the outside.
+/// A model of the rules, which sees only events and actions.
 struct RulesModel {
     harness: Harness,
     pending: BTreeMap<RequestId, ModelRequest>,
@@ -83,7 +83,7 @@
     members: BTreeMap<MemberId, Member>,
     purges: Vec<Purge>,
     timers: Vec<PendingTimer>,
-    /// Sends that reached each warming member since its start was listed.
+    /// Attempts that each warming member received since its start was listed.
     warming_sends: Vec<WarmingSend>,
 }
 
@@ -103,9 +103,9 @@
     }
 
     fn event(&mut self, event: Event) {
-        let acts = self.harness.event(event).to_vec();
-        for act in acts {
-            match act {
+        let actions = self.harness.event(event).to_vec();
+        for action in actions {
+            match action {
                 Action::Lookup { request, member, deadline } => {
                     self.sent(request, member, deadline, None, None);
                 }
@@ -113,15 +113,19 @@
                     self.sent(request, member, deadline, Some(source), Some(max_age));
                 }
                 Action::Reject { request, .. } => {
-                    let pending = self.pending.remove(&request).expect("rejected one that is not pending");
+                    let pending =
+                        self.pending.remove(&request).expect("rejected a request that is not pending");
                     let class = &settings().classes[pending.request.class];
                     let harmless =
                         class.idempotency != Idempotency::NotIdempotent || pending.possible_run.is_none();
-                    assert!(harmless && pending.in_flight.is_none(), "rejected what may have run");
+                    assert!(
+                        harmless && pending.in_flight.is_none(),
+                        "rejected a request that may have been executed"
+                    );
                     self.ended += 1;
                 }
                 Action::Fail { request } => {
-                    self.pending.remove(&request).expect("failed one that is not pending");
+                    self.pending.remove(&request).expect("failed a request that is not pending");
                     self.ended += 1;
                 }
                 Action::Cancel { request, attempt } => {
@@ -129,7 +133,7 @@
                         .pending
                         .get(&request)
                         .and_then(|a| a.in_flight.as_ref())
-                        .expect("nothing to cancel");
+                        .expect("cancelled an attempt that is not in flight");
                     assert_eq!(in_flight.number, attempt);
                 }
                 Action::Timer { token, at } => {
@@ -150,22 +154,22 @@
         age: Option<f64>,
     ) {
         let now = self.harness.now;
-        let pending = self.pending.get_mut(&id).expect("a send for a request that has ended");
+        let pending = self.pending.get_mut(&id).expect("sent an attempt for a request that has ended");
         let r = pending.request;
         let class = &settings().classes[r.class];
-        assert!(pending.in_flight.is_none(), "two attempts at once");
+        assert!(pending.in_flight.is_none(), "two attempts in flight");
         assert!(pending.sends < settings().max_attempts);
         assert!(now < r.deadline && attempt_deadline > now && attempt_deadline <= r.deadline);
         if let Some(first) = pending.possible_run {
             match class.idempotency {
                 Idempotency::Idempotent => {}
-                Idempotency::Keyed => assert!(now < first + class.dedup_window, "a repeat after the window"),
-                Idempotency::NotIdempotent => panic!("an unsafe request sent again"),
+                Idempotency::Keyed => assert!(now < first + class.dedup_window, "repeated after its window"),
+                Idempotency::NotIdempotent => panic!("repeated a request that is not idempotent"),
             }
         }
         let is_origin = to == ORIGIN_ID;
         for m in [Some(to), source.filter(|s| *s != to)].into_iter().flatten() {
-            let listed = self.members.get(&m).expect("a member that is not listed");
+            let listed = self.members.get(&m).expect("sent to a member that is not listed");
             assert_eq!(listed.lifecycle, Lifecycle::Ready, "sent to a draining member");
             if let Some(started) = listed.started.filter(|_| m != ORIGIN_ID) {
                 let cache = listed.kind == CACHE_KIND;
@@ -178,9 +182,10 @@
                     sent.member == m && sent.at > now - rule.overload_window && sent.at >= started
                 });
                 let load: f64 = window.map(|sent| sent.sending_time).sum();
-                // One of two routers may have the whole turn; the sum over all is tested with the rules.
-                let most = rule.overload_multiple * share * listed.weight * rule.overload_window;
-                assert!(share >= 1.0 || load <= most, "{m} pushed over: {load} of {most}");
+                // A single router may spend the whole budget of a window; the sum over all routers is
+                // checked in `slow_start.rs`.
+                let max_load = rule.overload_multiple * share * listed.weight * rule.overload_window;
+                assert!(share >= 1.0 || load <= max_load, "{m} overloaded: load {load} exceeds {max_load}");
             }
         }
         let purges = self.purges.iter().filter(|purge| purge.matches_request(&r));
@@ -189,8 +194,11 @@
             .filter(|at| now <= at + settings().purge_settle_time)
             .fold(None, |latest, at| Some(latest_of(latest, at)));
         if let Some(at) = newest.filter(|_| !is_origin) {
-            let age = age.expect("a look-up without a bound after a purge");
-            assert!(age > 0.0 && age <= now - at + 0.0011, "a copy of {age} ms may be older than the purge");
+            let age = age.expect("sent a look-up without a maximum age after a purge");
+            assert!(
+                age > 0.0 && age <= now - at + 0.0011,
+                "a copy of age {age} ms may be older than the purge"
+            );
         }
         pending.in_flight =
             Some(ModelAttempt { number: pending.sends, member: to, at: now, attempt_deadline });
@@ -225,7 +233,7 @@
         });
     }
 
-    /// Lets time pass; timers and time-outs come when they are due.
+    /// Advances the clock; timers and time-outs are handled when they are due.
     fn wait(&mut self, span: Millis) {
         let end = self.harness.now + span;
         loop {
@@ -272,7 +280,7 @@
                 let id = self.harness.next;
                 self.harness.next += 1;
                 let deadline = self.harness.now + f64::from(timeout);
-                // An object has one class and one group.
+                // Each object has one class and one group.
                 let object = u64::from(object) * 4 + class as u64;
                 let group = (object % 2) as u32;
                 let r = Request { id, object, part: 0, group, size: Some(SIZES[class]), class, deadline };
@@ -297,7 +305,7 @@
                 };
                 self.end(in_flight[usize::from(index) % in_flight.len()], ending);
             }
-            // Many large requests at once, most of them misses.
+            // Many large requests at once, most of which miss.
             Step::Burst(seed) => {
                 for n in 0..24u8 {
                     self.step(Step::SendRequest {
@@ -308,7 +316,7 @@
                     self.step(Step::EndAttempt { index: u16::from(n), ending_choice: 4 + n % 2 * 4 });
                 }
             }
-            // An attempt that ends just before its client gives up.
+            // An attempt that ends just before its client's deadline.
             Step::EndNearDeadline { index, left, ending_choice } => {
                 let in_flight: Vec<Millis> = self
                     .pending
@@ -349,7 +357,7 @@
             Step::ChangeMember { index, change } => {
                 let id = all_members()[usize::from(index)].id;
                 if change == 4 {
-                    // It leaves the list and comes back to it as the same process.
+                    // The member leaves the list and returns as the same process.
                     let Some(same) = self.members.get(&id).copied() else { return };
                     let gone = Member { lifecycle: Lifecycle::Gone, ..same };
                     self.event(Event::MemberList(ListKind::Delta, vec![gone]));
@@ -399,7 +407,7 @@
             model.step(step);
         }
         model.wait(6000.0);
-        prop_assert!(model.pending.is_empty(), "left without an answer: {}", model.pending.len());
+        prop_assert!(model.pending.is_empty(), "requests without a final answer: {}", model.pending.len());
         prop_assert_eq!(model.ended, model.accepted);
     }
 }
--- a/crates/deckproxy-control/tests/purges.rs
+++ b/crates/deckproxy-control/tests/purges.rs
@@ -1,4 +1,4 @@
-//! Purges bind every attempt until all older copies are gone.
+//! A purge limits the age of copies for every attempt until all older copies have been removed.
 
 mod common;
 use common::*;
@@ -15,22 +15,22 @@
         let Action::Get { member, source, max_age, options, .. } = harness.actions[0] else {
             panic!("no bound")
         };
-        assert_eq!(member, source, "still only a look-up");
+        assert_eq!(member, source, "still a look-up without a fill");
         assert!(!options.join && max_age > 0.0 && max_age <= harness.now - purged);
         harness.now += 40.0;
         harness.end(id, 0, member, AttemptEnding::Miss);
         let Action::Get { max_age, source, .. } = harness.actions[0] else { panic!("no fill") };
         assert!(
             PARENTS.contains(&source) && max_age > 0.0 && max_age <= harness.now - purged,
-            "judged at its send"
+            "the maximum age is computed at the send"
         );
         harness.now = purged + done + 1.0;
         harness.request(SMALL, 5, 1);
         assert!(
             matches!(harness.actions[0], Action::Lookup { .. }),
-            "past it, copies are gone by themselves"
+            "after the settle time older copies have been removed"
         );
-        // Others are not bound.
+        // Requests for other objects are not affected.
         harness.now = purged + 200.0;
         harness.event(Event::Purged { object: Some(6), group: 3, age: 0.0 });
     }
@@ -42,7 +42,7 @@
     harness.event(Event::Purged { object: Some(5), group: 7, age: 0.0 });
     harness.request(LARGE, 5, 0);
     let Action::Get { max_age, .. } = harness.actions[0] else { panic!("no bound") };
-    assert!(max_age >= 0.001, "0 would mean any max_age");
+    assert!(max_age >= 0.001, "0 would allow copies of any age");
 }
 
 #[test]
--- a/crates/deckproxy-control/tests/slow_sources.rs
+++ b/crates/deckproxy-control/tests/slow_sources.rs
@@ -1,10 +1,11 @@
-//! Slow sources of fills: which stands in, and when a slow one is tried again.
+//! Slow sources of fills: failover, and retries of slow sources.
 
 mod common;
 use common::*;
 use deckproxy_control::interface::*;
 
-/// The sources of fills of many objects; fills from the slow ones take far longer than the latency objective.
+/// The sources of the fills of many objects; fills from slow sources take far longer than the latency
+/// objective.
 fn fill_sources(harness: &mut Harness, slow: &[MemberId]) -> Vec<MemberId> {
     let mut sources = vec![];
     for object in 0..60 {
@@ -19,7 +20,7 @@
     sources
 }
 
-/// The sources of fills within `span`, with a fill every 20 ms that takes too long.
+/// The sources of the fills within `span`, with a slow fill every 20 ms.
 fn sources_while_slow(harness: &mut Harness, span: Millis) -> Vec<MemberId> {
     let (start, mut sources) = (harness.now, vec![]);
     for object in 0.. {
@@ -53,15 +54,15 @@
     assert!(spilled(true) > 0);
 }
 
-/// The observations lose their weight with time. The origin alone as stand-in would be overloaded once half
-/// of the parents slow down.
+/// Observations decay with time. If only the origin replaced slow parents, it would be overloaded as soon
+/// as half of the parents slow down.
 #[test]
 fn a_slow_source_fails_over_to_the_next_parent_then_the_origin() {
     let mut harness = Harness::new();
     let seen = fill_sources(&mut harness, &PARENTS[..1]);
     assert!(seen.contains(&PARENTS[0]));
     assert!(seen[20..].iter().all(|s| *s == PARENTS[1]), "{seen:?}");
-    // A router meets a given parent seldom: what it saw holds for more than the moment.
+    // A router rarely uses a given parent, so its observations must remain valid for several seconds.
     harness.now += 6000.0;
     assert!(!fill_sources(&mut harness, &PARENTS[..1])[..5].contains(&PARENTS[0]));
     let both = fill_sources(&mut harness, &PARENTS);
@@ -70,7 +71,7 @@
     assert!(fill_sources(&mut harness, &[]).contains(&PARENTS[0]));
 }
 
-/// On an overloaded link every source looks slow; the origin must not stand in for all of them.
+/// On an overloaded link every source appears slow; the origin must not replace all of them.
 #[test]
 fn slow_parents_that_answer_in_time_stay_in_use() {
     let mut harness = Harness::new();
@@ -86,7 +87,7 @@
     assert!(PARENTS.iter().all(|s| seen[80..].contains(s)) && !seen.contains(&ORIGIN_ID), "{seen:?}");
 }
 
-/// Else the retries of many routers alone would exceed what a slow source can send.
+/// Otherwise the retries of many routers alone would exceed a slow source's throughput.
 #[test]
 fn more_routers_retry_a_slow_source_less_often_each() {
     let parent_sends = |routers: u32| {
@@ -98,7 +99,8 @@
     assert!(few > 20 && many < few / 4, "{few} and {many} sends in 8 s");
 }
 
-/// A parent that warms up and takes nothing now is no source, so the slow origin is due for a retry.
+/// A parent that warms up and currently accepts nothing is not a usable source, so the slow origin is due
+/// for a retry.
 #[test]
 fn warming_parents_without_budget_do_not_block_retries_of_a_slow_origin() {
     let mut harness = Harness::with(Settings { routers: 20, ..settings() }, all_members());
@@ -119,7 +121,7 @@
     assert!(at_parents > 0 && at_origin > 0, "{at_parents} and {at_origin} of 300");
 }
 
-/// If everything were shed, nothing would show that the sources recovered.
+/// If all requests were shed, nothing would show that the sources have recovered.
 #[test]
 fn slow_sources_are_retried_and_one_good_answer_restores_them() {
     let mut harness = Harness::new();
--- a/crates/deckproxy-control/tests/slow_start.rs
+++ b/crates/deckproxy-control/tests/slow_start.rs
@@ -1,5 +1,6 @@
-//! Slow start in sum: what all routers send to a member that warms up does not overload it. Calls are counted
-//! at the member in each window; of a budget of N calls an excess of 2 x sqrt(N) + 2 counts as chance.
+//! Slow start across routers: what all routers together send to a member that warms up does not overload
+//! it. Calls are counted at the member in each window; for a budget of N calls an excess of up to 2 x
+//! sqrt(N) + 2 is attributed to chance.
 
 mod common;
 use common::*;
@@ -8,7 +9,7 @@
 
 const STARTED: Millis = 900.0;
 
-/// The load that a member can bear by these settings.
+/// The load limits of a member under these settings.
 fn load_limits(member: &Member, rule: SlowStart) -> SlowStartLimits {
     SlowStartLimits {
         started_ms: STARTED,
@@ -20,7 +21,7 @@
     }
 }
 
-/// Routers of one location, of unequal traffic, with one warming member among those that serve it.
+/// Routers of one location with unequal traffic, and one warming member among those that serve them.
 struct Fleet {
     harnesses: Vec<Harness>,
     settings: Settings,
@@ -32,7 +33,8 @@
 impl Fleet {
     fn of(routers: u32, warming: Member) -> Fleet {
         let set = settings();
-        let (cache_slow_start, parent_slow_start) = (slow(set.cache_slow_start), slow(set.parent_slow_start));
+        let (cache_slow_start, parent_slow_start) =
+            (extended(set.cache_slow_start), extended(set.parent_slow_start));
         let settings = Settings {
             routers,
             zone_routers: vec![0, 0, routers],
@@ -46,8 +48,8 @@
         Fleet { harnesses, settings, warming, checker: SlowStartChecker::default(), object: 10_000 }
     }
 
-    /// Where the member is a cache, another takes what it rejects; its parents are warm, or it is the only
-    /// one.
+    /// The members besides the warming one. If that is a cache, another cache and a warm parent serve the
+    /// rest; if it is a parent, there is no other parent.
     fn others(warming: &Member) -> Vec<Member> {
         let all = [member(101), member(102), member(201), member(301)];
         all.into_iter()
@@ -64,7 +66,7 @@
         self.harnesses[i].event(Event::MemberList(ListKind::Delta, vec![warming]));
     }
 
-    /// The process restarts: it knows the member list, but nothing of what it sent before.
+    /// Restarts a router: it knows the member list, but not what it sent before.
     fn restart(&mut self, i: usize) {
         let mut list = Self::others(&self.warming);
         list.push(self.warming);
@@ -76,7 +78,8 @@
         self.harnesses[i] = harness;
     }
 
-    /// One request through a router, with all its attempts; a parent's fills count.
+    /// Sends one request through a router, with all its attempts; attempts with the warming member as
+    /// their source are counted as well.
     fn request(&mut self, i: usize) {
         self.object += 1;
         let class = if self.object.is_multiple_of(3) { LARGE } else { SMALL };
@@ -98,22 +101,25 @@
     }
 }
 
-/// A slow start of five minutes, so that a lull can be long against the time between turns.
-fn slow(rule: SlowStart) -> SlowStart {
+/// Extends a slow start to five minutes, so that a lull can be long relative to the interval between two
+/// sends of a router.
+fn extended(rule: SlowStart) -> SlowStart {
     SlowStart { duration: 300_000.0, ..rule }
 }
 
-/// A small cache and a small parent: all routers together have more than a handful of calls only in sum.
+/// A small cache and a small parent: each router's share of the budget is only a few calls, so only the
+/// sum over all routers is significant.
 fn cases() -> [(Member, SlowStart); 2] {
     let warming = |id, weight| Member { started: Some(STARTED), weight, ..member(id) };
     [
-        (warming(101, 0.8), slow(settings().cache_slow_start)),
-        (warming(201, 1.5), slow(settings().parent_slow_start)),
+        (warming(101, 0.8), extended(settings().cache_slow_start)),
+        (warming(201, 1.5), extended(settings().parent_slow_start)),
     ]
 }
 
-/// 24 routers, the busiest with twelve times the traffic of the quietest. Some are notified of the member late,
-/// some restart during its slow start, there is a lull, and after it all send requests at once.
+/// 24 routers; the busiest has twelve times the traffic of the quietest. Some are notified of the member
+/// late, some restart during its slow start, there are lulls, and after each lull all send requests at
+/// once.
 #[test]
 fn twenty_four_routers_keep_a_slow_start_budget_through_lulls_surges_and_restarts() {
     for (warming, rule) in cases() {
@@ -129,21 +135,26 @@
                 if (step == 700 || step == 3999) && i % 4 == 1 {
                     fleet.restart(i);
                 }
-                let every = 6 + 6 * u32::try_from(i).unwrap() % 72;
+                let interval = 6 + 6 * u32::try_from(i).unwrap() % 72;
                 let surge = step == 4000 || step == 7000;
-                if !lull && (surge || (step + u32::try_from(i).unwrap()).is_multiple_of(every)) {
+                if !lull && (surge || (step + u32::try_from(i).unwrap()).is_multiple_of(interval)) {
                     (0..if surge { 40 } else { 1 }).for_each(|_| fleet.request(i));
                 }
             }
         }
         assert_eq!(fleet.checker.first_overload(load_limits(&warming, rule)), None, "{}", warming.id);
-        // It is used: a tenth at least of what it can bear at its slowest, but for the lulls.
-        let least = 0.1 * rule.overload_multiple * rule.initial_share * warming.weight * 42_000.0;
-        assert!(fleet.checker.total_work_ms() > least, "{}: {}", warming.id, fleet.checker.total_work_ms());
+        // Outside the lulls at least a tenth of the member's initial capacity is used.
+        let min_work = 0.1 * rule.overload_multiple * rule.initial_share * warming.weight * 42_000.0;
+        assert!(
+            fleet.checker.total_work_ms() > min_work,
+            "{}: {}",
+            warming.id,
+            fleet.checker.total_work_ms()
+        );
     }
 }
 
-/// Saved turns of 24 routers would all come at once.
+/// Accumulated allowances of 24 routers would be spent at the same time.
 #[test]
 fn a_lull_accumulates_no_budget_for_the_surge_after_it() {
     for (warming, rule) in cases() {
@@ -158,7 +169,7 @@
     }
 }
 
-/// Each router may have spent its turn just before its restart.
+/// Each router may have spent its allowance just before its restart.
 #[test]
 fn a_fleet_restarted_within_a_window_has_no_second_budget() {
     for (warming, rule) in cases() {
@@ -176,7 +187,7 @@
     }
 }
 
-/// It is empty: a look-up would be a miss and weigh as much as the fill.
+/// The cache is empty: a look-up would miss and cost as much of the budget as the fill.
 #[test]
 fn a_cache_that_warms_up_is_sent_fills_without_a_lookup() {
     let warming = |m: Member| Member { started: (m.id == CACHES[0]).then_some(0.0), ..m };
@@ -186,7 +197,7 @@
         harness.now += 20.0;
         let id = harness.request(SMALL, object, 0);
         let SentAttempt { member: at, source, .. } = harness.sends()[0];
-        assert_eq!(source.is_some(), at == CACHES[0], "the others are looked up at first");
+        assert_eq!(source.is_some(), at == CACHES[0], "the other caches receive a look-up first");
         fills += u32::from(source.is_some());
         harness.end(id, 0, at, AttemptEnding::Served);
     }
--- a/crates/deckproxy-control/tests/slow_start_budget.rs
+++ b/crates/deckproxy-control/tests/slow_start_budget.rs
@@ -1,10 +1,10 @@
-//! The budget of members that warm up: kept by each router, and in sum by all.
+//! Slow-start budgets of members that warm up: the share of each router, and the sum over all routers.
 
 mod common;
 use common::*;
 use deckproxy_control::interface::*;
 
-/// A call that reached a warming member.
+/// A call that a warming member received.
 struct Call {
     at: Millis,
     sending_time: Millis,
@@ -16,8 +16,8 @@
     calls.iter().filter(in_window).map(|call| call.sending_time).sum()
 }
 
-/// Sends as many requests as it can for ten seconds and returns when each reached the member, as target or
-/// as source.
+/// Sends a request every 4 ms for ten seconds and returns when each attempt reached the member as target
+/// or source.
 fn send_times_under_load(harness: &mut Harness, id: MemberId, class: usize) -> Vec<Millis> {
     let mut times = vec![];
     let end = harness.now + 10_000.0;
@@ -30,8 +30,8 @@
             if to == id || source == Some(id) {
                 times.push(harness.now);
             }
-            let how = if attempt == 0 { AttemptEnding::Miss } else { AttemptEnding::Served };
-            harness.end(request, attempt, to, how);
+            let ending = if attempt == 0 { AttemptEnding::Miss } else { AttemptEnding::Served };
+            harness.end(request, attempt, to, ending);
             attempt += 1;
         }
         harness.now += 4.0;
@@ -48,20 +48,21 @@
             let warming = |m: Member| Member { started: (m.id == id).then_some(900.0), ..m };
             let mut harness = Harness::with(settings(), all_members().into_iter().map(warming).collect());
             let times = send_times_under_load(&mut harness, id, class);
-            assert!(!times.is_empty(), "it gets its share");
+            assert!(!times.is_empty(), "the member receives its share");
             for (i, end) in times.iter().enumerate() {
                 let sent = times[..=i].iter().filter(|t| **t > end - rule.overload_window).count() as f64;
                 let capacity =
                     rule.initial_share + (1.0 - rule.initial_share) * (end - 900.0) / rule.duration;
                 let budget =
                     rule.overload_multiple * capacity * member(id).weight * rule.overload_window / routers;
-                assert!(sent * SIZES[class] <= budget, "{id}: {sent} by {end} over {budget}");
+                assert!(sent * SIZES[class] <= budget, "{id}: {sent} sends by {end} exceed {budget}");
             }
         }
     }
 }
 
-/// An even part of a budget may be less than one send costs, so it comes as turns of whole sends.
+/// An equal share of a budget may be less than the cost of one send, so each router accumulates its share
+/// until it covers a whole send.
 #[test]
 fn all_routers_together_keep_and_use_a_slow_start_budget() {
     let rule = settings().parent_slow_start;
@@ -76,7 +77,7 @@
         for step in 0..36_u32 {
             for (i, harness) in harnesses.iter_mut().enumerate() {
                 harness.now = 1000.0 + 250.0 * f64::from(step);
-                // Some are notified of it late.
+                // Some routers are notified of the parent late.
                 if step == 12 * (i as u32 % 3) {
                     harness.event(Event::MemberList(ListKind::Delta, vec![parent]));
                 }
@@ -88,32 +89,33 @@
                 harness.end(id, 1, cache, AttemptEnding::Served);
             }
         }
-        assert!(calls.len() > 4, "{routers}: it gets work, {}", calls.len());
+        assert!(calls.len() > 4, "{routers}: the parent receives calls: {}", calls.len());
         for Call { at: end, .. } in &calls {
             let load = load_until(&calls, *end, rule);
             let capacity = rule.initial_share + (1.0 - rule.initial_share) * (end - 900.0) / rule.duration;
-            let most = rule.overload_multiple * capacity * weight * rule.overload_window;
-            assert!(load <= most, "{routers}: {load} by {end} of {most}");
+            let max_load = rule.overload_multiple * capacity * weight * rule.overload_window;
+            assert!(load <= max_load, "{routers}: load {load} at {end} exceeds {max_load}");
         }
     }
 }
 
-/// Only the routers of its location send to a cache, so the turns must suit any run of positions.
+/// Only the routers of its location send to a cache, so the initial balances must be spread evenly over
+/// any range of positions.
 #[test]
 fn the_routers_of_one_location_keep_and_use_a_caches_budget() {
     let rule = settings().cache_slow_start;
-    for (here, weight) in [(13, 6.0), (40, 3.0)] {
+    for (local_routers, weight) in [(13, 6.0), (40, 3.0)] {
         let warming = Member { started: Some(900.0), weight, ..member(101) };
-        let mut harnesses: Vec<Harness> = (100..100 + here)
+        let mut harnesses: Vec<Harness> = (100..100 + local_routers)
             .map(|position| {
-                let zone_routers = vec![0, 0, here, 300 - here];
+                let zone_routers = vec![0, 0, local_routers, 300 - local_routers];
                 let set = Settings { position, routers: 300, zone_routers, ..settings() };
                 Harness::with(set, vec![warming, member(102), member(201)])
             })
             .collect();
         let mut calls: Vec<Call> = vec![];
         for step in 0..1200_u32 {
-            let harness = &mut harnesses[(step % here) as usize];
+            let harness = &mut harnesses[(step % local_routers) as usize];
             harness.now = 1000.0 + 5.0 * f64::from(step);
             let id = harness.request(LARGE, u64::from(step), 0);
             let at = harness.sends()[0].member;
@@ -123,20 +125,20 @@
             harness.end(id, 0, at, AttemptEnding::Served);
         }
         let load: f64 = calls.iter().map(|call| call.sending_time).sum();
-        let least = rule.overload_multiple * rule.initial_share * weight * 6000.0;
-        assert!(load > 0.3 * least, "{here}: {load} of {least}");
+        let min_load = rule.overload_multiple * rule.initial_share * weight * 6000.0;
+        assert!(load > 0.3 * min_load, "{local_routers}: load {load} is too low a share of {min_load}");
         for Call { at: end, .. } in &calls {
             let load = load_until(&calls, *end, rule);
             let capacity = rule.initial_share + (1.0 - rule.initial_share) * (end - 900.0) / rule.duration;
             assert!(
                 load <= rule.overload_multiple * capacity * weight * rule.overload_window,
-                "{here}: {load} by {end}"
+                "{local_routers}: load {load} at {end} exceeds the limit"
             );
         }
     }
 }
 
-/// A restarted router does not know what it sent in that window before.
+/// A restarted router does not know what it sent within the current window.
 #[test]
 fn a_router_that_just_started_sends_nothing_to_warming_members_for_a_window() {
     let warming = Member { started: Some(900.0), ..member(201) };
@@ -169,11 +171,11 @@
     assert!(send_times_under_load(&mut harness, 101, SMALL).len() < before / 2);
 }
 
-/// Else a member that comes and goes in the list would have a full budget each time.
+/// Otherwise a member that repeatedly leaves and rejoins the list would have a full budget each time.
 #[test]
 fn a_warming_member_that_leaves_and_returns_keeps_its_spent_budget() {
     let warming = |m: Member| Member { started: (m.id == 101).then_some(900.0), ..m };
-    for whole in [false, true] {
+    for full_list in [false, true] {
         let mut harness = Harness::with(settings(), all_members().into_iter().map(warming).collect());
         let mut sent = 0;
         for object in 0..400 {
@@ -181,7 +183,7 @@
             let at = harness.sends()[0].member;
             sent += u32::from(at == 101);
             harness.end(id, 0, at, AttemptEnding::Served);
-            if whole {
+            if full_list {
                 let others = all_members().into_iter().filter(|m| m.id != 101).collect();
                 harness.event(Event::MemberList(ListKind::Full, others));
             } else {
@@ -191,8 +193,8 @@
             harness.event(Event::MemberList(ListKind::Delta, vec![warming(member(101))]));
         }
         let rule = settings().cache_slow_start;
-        let most =
+        let max_load =
             rule.overload_multiple * rule.initial_share * 1.1 * member(101).weight * rule.overload_window;
-        assert!(f64::from(sent) * SIZES[SMALL] <= most, "{sent}");
+        assert!(f64::from(sent) * SIZES[SMALL] <= max_load, "{sent}");
     }
 }
