--- a/crates/deckproxy-control/src/control/capacity_estimate.rs
+++ b/crates/deckproxy-control/src/control/capacity_estimate.rs
@@ -42,12 +42,12 @@
     /// Estimated capacity in concurrent answers at full rate: the average number in flight divided by the
     /// busy share. Without reported busy shares this is a lower bound.
     fn capacity(&self, now: Millis) -> Option<f64> {
-        let span = OBSERVATION_TIME_CONSTANT
+        let observed_time = OBSERVATION_TIME_CONSTANT
             * (1.0 - decay_factor(self.updated_at - self.since, OBSERVATION_TIME_CONSTANT));
         let reported = self.busy_share_reports > 0.0;
         let busy_share = if reported { self.busy_share_sum / self.busy_share_reports } else { 1.0 };
         let learned = now - self.since > CAPACITY_LEARNING_TIME;
-        learned.then(|| (self.served / span / busy_share.clamp(BUSY_SHARE_MIN, 1.0)).max(1.0))
+        learned.then(|| (self.served / observed_time / busy_share.clamp(BUSY_SHARE_MIN, 1.0)).max(1.0))
     }
 }
 
--- a/crates/deckproxy-control/src/control/member_state.rs
+++ b/crates/deckproxy-control/src/control/member_state.rs
@@ -31,7 +31,8 @@
 pub(super) struct MemberState {
     pub(super) listed: Member,
     pub(super) slow_start_budget: SlowStartBudget,
-    /// Attempts in flight at the member, including fills that use it as their source.
+    /// Attempts in flight at the member, including fills that use it as their source, and excluding late
+    /// fills and direct attempts sent to it.
     pub(super) in_flight: SharedLoad,
     /// The last reported share of its CPU time in use.
     pub(super) busy_share: Option<TimedValue>,
--- a/crates/deckproxy-control/src/control/outcome_accounting.rs
+++ b/crates/deckproxy-control/src/control/outcome_accounting.rs
@@ -111,7 +111,8 @@
     }
 
     /// Records a fetch from the origin. An answer faster than expected resets the origin's latency
-    /// inflation. For a late attempt, the time until it became late has already been recorded.
+    /// inflation. For a late attempt only the time since it became late is added, as the periodic timer
+    /// records the time before.
     fn record_origin_latency(&mut self, attempt: &Attempt, elapsed: Millis) {
         let recorded = if attempt.is_late { attempt.late_at - attempt.sent_at } else { 0.0 };
         let expected = if attempt.is_late { 0.0 } else { fill_time(attempt.sending_time) };
@@ -126,7 +127,7 @@
         let Some(expectation) = attempt.latency_expectation() else { return };
         let Some(state) = self.members.get_mut(&expectation.member) else { return };
         let inflation = inflation(expectation.expected);
-        // A fill that is faster than expected resets its source's latency inflation.
+        // A fill that is clearly faster than expected resets the latency inflation of a slow source.
         let is_fast_fill = attempt.plan.kind == AttemptKind::Fill && inflation < RECOVERED_FILL_SHARE;
         if is_fast_fill && state.inflation(self.now) > SLOW_SOURCE_INFLATION {
             state.latency = LatencyInflation::default();
--- a/crates/deckproxy-control/src/control/request_state.rs
+++ b/crates/deckproxy-control/src/control/request_state.rs
@@ -102,7 +102,7 @@
     }
 }
 
-/// The first attempt of a request that may have run.
+/// The first attempt of a request that may have been executed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PossibleRun {
     pub(super) sent_at: Millis,
--- a/crates/deckproxy-control/src/control/slow_start.rs
+++ b/crates/deckproxy-control/src/control/slow_start.rs
@@ -7,7 +7,7 @@
 
 /// The limits of this router for a member that warms up.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct SlowStartTerms {
+pub(super) struct SlowStartLimits {
     pub(super) rule: SlowStart,
     /// This router's position among all routers.
     pub(super) position: u32,
@@ -43,8 +43,8 @@
     /// expires after one overload window, so that idle periods accumulate no burst. The initial balances
     /// are spread by the golden ratio, so that the routers in any range of positions send one after
     /// another and not at once.
-    pub(super) fn allows_send(&mut self, member: &Member, terms: &SlowStartTerms, now: Millis) -> bool {
-        let SlowStartTerms { rule, position, capacity_share, max_send_cost } = *terms;
+    pub(super) fn allows_send(&mut self, member: &Member, limits: &SlowStartLimits, now: Millis) -> bool {
+        let SlowStartLimits { rule, position, capacity_share, max_send_cost } = *limits;
         let age = (now - member.started.unwrap_or(now)).max(0.0);
         let capacity = rule.initial_share + (1.0 - rule.initial_share) * age / rule.duration;
         let rate = SLOW_START_SHARE * rule.overload_multiple * capacity * capacity_share;
@@ -86,7 +86,7 @@
         if !self.is_warming_up(&member) {
             return true;
         }
-        let terms = SlowStartTerms {
+        let limits = SlowStartLimits {
             rule: self.slow_start_rule(&member),
             position: self.settings.position,
             capacity_share: self.capacity(&member).unwrap_or(1.0) / self.routers_sharing(&member),
@@ -96,6 +96,6 @@
         };
         let now = self.now;
         let state = self.members.get_mut(&id);
-        state.is_some_and(|state| state.slow_start_budget.allows_send(&member, &terms, now))
+        state.is_some_and(|state| state.slow_start_budget.allows_send(&member, &limits, now))
     }
 }
--- a/crates/deckproxy-control/src/control/tuning.rs
+++ b/crates/deckproxy-control/src/control/tuning.rs
@@ -121,7 +121,7 @@
 pub(super) const SLOWER_HIT_WEIGHT: f64 = 0.2;
 /// Multiple of its expected duration after which an attempt is late.
 pub(super) const LATE_MULTIPLE: f64 = 2.0;
-/// Latency inflation recorded for a late or failed attempt.
+/// Latency inflation recorded for an attempt that is late, timed out or was rejected.
 pub(super) const LATE_INFLATION: f64 = 8.0;
 /// Minimum share of its latency objective that a request is still granted, however long it has waited.
 pub(super) const OBJECTIVE_LEFT_MIN: f64 = 0.5;
--- a/crates/deckproxy-control/src/interface/action.rs
+++ b/crates/deckproxy-control/src/interface/action.rs
@@ -51,7 +51,7 @@
         /// Advised delay before a new request; 0: no advice.
         retry_after: Millis,
     },
-    /// Final answer: failed. The request may have run.
+    /// Final answer: failed. The request may have been executed.
     Fail {
         /// The request.
         request: RequestId,
--- a/crates/deckproxy-control/src/interface/settings.rs
+++ b/crates/deckproxy-control/src/interface/settings.rs
@@ -2,7 +2,7 @@
 
 use super::Millis;
 
-/// Whether a request may run more than once.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
     /// It may be executed any number of times.
@@ -50,7 +50,7 @@
     pub priority_weight: f64,
     /// Share of the priority weight with which an answer after the latency objective counts, 0 to 1.
     pub late_weight_share: f64,
-    /// Whether a request may run more than once.
+    /// Whether a request may be executed more than once.
     pub idempotency: Idempotency,
     /// Members that share the deduplication of a keyed request.
     pub group: Group,
