--- a/crates/deckproxy-control/src/control/admission.rs
+++ b/crates/deckproxy-control/src/control/admission.rs
@@ -7,9 +7,9 @@
 use crate::interface::Millis;
 
 impl Control {
-    /// Whether an answer that takes `duration` would miss its latency objective by the time it arrives
-    /// and so not be worth the work. Large answers are shed first, as their objectives leave the least
-    /// slack for their sending time.
+    /// Whether an answer that takes `duration` would miss the request's latency objective, so that it is
+    /// not worth the work. Large answers are shed first, as their objectives leave the least slack beyond
+    /// their sending time.
     pub(super) fn is_too_late(&self, pending: &PendingRequest, duration: Millis) -> bool {
         let class = &self.settings.classes[pending.request.class];
         let stretch = class.latency_objective_stretch * self.sending_time(&pending.request);
@@ -38,7 +38,7 @@
         self.is_too_slow(pending, inflation)
     }
 
-    /// Whether the location's link is so loaded that one more transfer would be too late: an overfull
+    /// Whether the location's link is so loaded that one more transfer would be too late: an overloaded
     /// link serves no request in time. If the link's configured rate is too low, this sheds too many
     /// requests.
     pub(super) fn is_link_overloaded(&self, pending: &PendingRequest) -> bool {
--- a/crates/deckproxy-control/src/control/attempt_limits.rs
+++ b/crates/deckproxy-control/src/control/attempt_limits.rs
@@ -7,8 +7,8 @@
 
 impl Control {
     /// Whether an attempt is permitted by the limits of its request, by the attempts that may have been
-    /// executed already, and by the settings about which members may be contacted. Draining and slow
-    /// start are checked before.
+    /// executed already, and by the settings about which members may be contacted. Whether the member
+    /// accepts attempts at all is checked before.
     pub(super) fn is_permitted(&self, pending: &PendingRequest, plan: &AttemptPlan) -> bool {
         self.is_within_limits(pending)
             && self.may_run_again(pending, plan.member)
@@ -20,8 +20,8 @@
         &self.settings.classes[pending.request.class]
     }
 
-    /// Checks the number of attempts in flight and in total, the deadline, and whether a streamed answer
-    /// has begun.
+    /// Whether a request may have another attempt: checks the attempts in flight and in total, the
+    /// deadline, and that there is no final answer and no streamed answer has begun.
     fn is_within_limits(&self, pending: &PendingRequest) -> bool {
         let may_hedge =
             self.settings.hedged_requests && self.class_of(pending).idempotency == Idempotency::Idempotent;
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Only caches of the own location are contacted; parents and the origin only if the settings allow
-    /// it.
+    /// Whether this router may contact a member: caches only in its own location, parents and the origin
+    /// only if the settings allow it.
     fn is_reachable(&self, member: &Member) -> bool {
         self.is_local_cache(member) || self.settings.cache_bypass && !self.is_cache(member)
     }
--- a/crates/deckproxy-control/src/control/attempt_outcomes.rs
+++ b/crates/deckproxy-control/src/control/attempt_outcomes.rs
@@ -6,9 +6,9 @@
 use super::tuning::{HOP_ALLOWANCE, WAITER_TIMEOUT, WAITING_SENDS_MAX};
 use crate::interface::{Action, AttemptEnding, FillNote, Request, RequestId};
 
-/// Maximum number of members at which a request may end in an error before it is no longer retried, as
-/// the request itself is then assumed to be faulty.
-const ERROR_MEMBERS_MAX: usize = 2;
+/// Number of failed attempts above which a request whose last attempt ended in an error is no longer
+/// retried, as the request itself is then assumed to be faulty.
+const FAULTY_REQUEST_FAILURES: usize = 2;
 
 impl Control {
     /// Handles the end of an attempt. `is_finished`: the request has its final answer.
@@ -26,7 +26,7 @@
             let (sent_at, member) = (attempt.sent_at, attempt.plan.member);
             pending.possible_run = Some(PossibleRun { sent_at, member });
         }
-        // If an error follows a failure at another member, the request itself may be faulty.
+        // If an error follows an earlier failure, the request itself may be faulty.
         let is_request_suspect = result.ending == AttemptEnding::Error && !pending.failed_members.is_empty();
         let (request, has_ended) = (pending.request, pending.has_ended);
         self.record_outcome(&attempt, &request, &result, is_request_suspect);
@@ -68,9 +68,9 @@
         pending.waiting_since.is_some() || pending.in_flight.iter().any(decides)
     }
 
-    /// After a miss the request leads or joins a fill. If the miss reports that another router's fill is
-    /// in progress and fills cannot be joined, the request waits for the object's sending time and is
-    /// looked up again.
+    /// Handles a missed look-up: the request leads, joins or waits for a fill. If the miss reports that
+    /// another router's fill is in progress and fills cannot be joined, the request waits for the
+    /// object's sending time and is looked up again.
     fn handle_lookup_miss(&mut self, request: &Request, attempt: &Attempt, note: FillNote) {
         if self.waits_for_other_router(request, note) {
             // The start of the wait is set back so that it times out after the expected duration of the
@@ -91,13 +91,13 @@
             && !self.collapsed_fills.contains_key(&FillKey::of(request))
     }
 
-    /// Retries a failed attempt without the member at fault, if the retry budget and the client's
-    /// deadline allow it.
+    /// Retries a failed attempt and avoids the member at fault, if the retry budget and the client's
+    /// deadline allow it; else gives the request up.
     fn retry(&mut self, request: &Request, attempt: &Attempt, result: &AttemptResult, is_suspect: bool) {
         let Some(pending) = self.pending.get_mut(&request.id) else { return };
         pending.failed_members.push(result.member_at_fault(attempt));
         let failed = pending.failed_members.clone();
-        let is_request_faulty = is_suspect && failed.len() > ERROR_MEMBERS_MAX;
+        let is_request_faulty = is_suspect && failed.len() > FAULTY_REQUEST_FAILURES;
         if !self.retry_budget.is_available() || self.now >= request.deadline || is_request_faulty {
             return self.give_up(request.id);
         }
--- a/crates/deckproxy-control/src/control/attempt_sending.rs
+++ b/crates/deckproxy-control/src/control/attempt_sending.rs
@@ -59,13 +59,13 @@
             return Action::Lookup { request, member, deadline };
         }
         let class = self.class_of(pending);
-        let keeps_copy = !class.write && self.is_local_cache(target);
+        let stores_copy = !class.write && self.is_local_cache(target);
         Action::Get {
             request,
             member,
             deadline,
             source: plan.source.unwrap_or(member),
-            copy_rank: if keeps_copy { COPY_RANK } else { 0 },
+            copy_rank: if stores_copy { COPY_RANK } else { 0 },
             max_age: purge_max_age.map_or(0.0, |age| allowed_age(age, class.freshness_lifetime)),
             options: GetOptions {
                 join: self.settings.join_fills && kind != AttemptKind::Lookup,
--- a/crates/deckproxy-control/src/control/collapsing.rs
+++ b/crates/deckproxy-control/src/control/collapsing.rs
@@ -67,8 +67,8 @@
         pending.request.deadline - self.now <= attempt_time + TIMER_PERIOD
     }
 
-    /// Sends a fill at a cache from the first source that accepts it; else at another cache; else sends
-    /// the request past the caches.
+    /// Sends a fill at a cache from the first source that accepts it; else at another cache; else
+    /// bypasses the caches.
     pub(super) fn fill(&mut self, id: RequestId, cache: MemberId) {
         let Some(pending) = self.pending.get(&id) else { return };
         let request = pending.request;
@@ -85,7 +85,7 @@
         sources.retain(|source| !avoids_origin || self.origin() != Some(*source));
         match self.send_fill(&request, cache, &sources) {
             Some(filled) => self.set_fill_cache(&request, filled),
-            None => self.send_past_caches(id),
+            None => self.bypass_caches(id),
         }
     }
 
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Ends the fill of a leader that was served by a cache; its waiters are looked up there.
+    /// Ends the fill of a leader that was served by a cache; look-ups are sent there for its waiters.
     pub(super) fn complete_fill(&mut self, id: RequestId, key: FillKey, cache: MemberId) {
         if !self.remove_waiter(id, key) {
             return;
--- a/crates/deckproxy-control/src/control/dispatch.rs
+++ b/crates/deckproxy-control/src/control/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatch: routes a request to a cache or past the caches, and sends its final answer.
+//! Dispatch: routes a request to a cache or directly to a source, and sends its final answer.
 
 use super::Control;
 use super::collapsing::FillKey;
@@ -35,11 +35,11 @@
         }
     }
 
-    /// Routes a request: a look-up at the first cache that accepts it, else past the caches.
+    /// Routes a request: a look-up at the first cache that accepts it; else bypasses the caches.
     pub(super) fn route(&mut self, id: RequestId) {
         let Some(pending) = self.pending.get(&id) else { return };
         if self.class_of(pending).write {
-            return self.send_past_caches(id);
+            return self.bypass_caches(id);
         }
         // If this router is already filling the object, the object is looked up at that cache first.
         let fill_cache = self.collapsed_fills.get(&FillKey::of(&pending.request)).map(|fill| fill.cache);
@@ -58,7 +58,7 @@
                 return;
             }
         }
-        self.send_past_caches(id);
+        self.bypass_caches(id);
     }
 
     /// Whether even the first usable cache is too loaded for a request. A cache that reports spare CPU is
@@ -74,9 +74,9 @@
         self.members.get(&cache).is_some_and(|state| self.is_warming_up(&state.listed))
     }
 
-    /// Sends a request past the caches: to the parents in hash order, then to the origin. A write is
+    /// Sends a request without a cache look-up: to the parents in hash order, then to the origin. A write is
     /// executed at the origin: it is sent there directly, else through a parent, else through a cache.
-    pub(super) fn send_past_caches(&mut self, id: RequestId) {
+    pub(super) fn bypass_caches(&mut self, id: RequestId) {
         let Some(pending) = self.pending.get(&id) else { return };
         let (request, failed, origin) = (pending.request, pending.failed_members.clone(), self.origin());
         let is_write = self.class_of(pending).write;
@@ -116,14 +116,15 @@
         slow
     }
 
-    /// Whether a slow source is due for a trial. The interval is chosen so that all routers that share
-    /// the source together use only a small share of its throughput.
+    /// Whether a slow source is due for a trial. The interval is chosen so that the trials of all routers
+    /// together use only [`SLOW_SOURCE_RETRY_SHARE`] of its throughput.
     fn is_due_for_trial(&self, source: MemberId, request: &Request) -> bool {
         let state = &self.members[&source];
         let routers = self.routers_sharing(&state.listed);
         let capacity = self.capacity(&state.listed).unwrap_or(1.0);
-        let own_share: Millis = fill_time(self.sending_time(request)) / SLOW_SOURCE_RETRY_SHARE;
-        let interval = (own_share * routers / capacity).max(SLOW_SOURCE_RETRY_DELAY);
+        // Interval for a single router and a capacity of one answer.
+        let unit_interval: Millis = fill_time(self.sending_time(request)) / SLOW_SOURCE_RETRY_SHARE;
+        let interval = (unit_interval * routers / capacity).max(SLOW_SOURCE_RETRY_DELAY);
         self.now - state.last_used_at > interval
     }
 
--- a/crates/deckproxy-control/src/control/member_list.rs
+++ b/crates/deckproxy-control/src/control/member_list.rs
@@ -86,7 +86,7 @@
         ready.filter(move |state| state.listed.id != id && is_substitute(&state.listed))
     }
 
-    /// The origin, where one is listed as ready.
+    /// The origin, if one is listed as ready.
     pub(super) fn origin(&self) -> Option<MemberId> {
         let mut ready = self.members.values().filter(|state| state.listed.lifecycle == Lifecycle::Ready);
         ready.find(|state| self.is_origin(&state.listed)).map(|state| state.listed.id)
--- a/crates/deckproxy-control/src/control/member_state.rs
+++ b/crates/deckproxy-control/src/control/member_state.rs
@@ -14,13 +14,13 @@
 pub(super) struct Health {
     pub(super) consecutive_failures: u32,
     pub(super) last_failure_at: Millis,
-    /// Sends since the last response; errors and connection failures count as responses.
+    /// Sends to the member since its last response; errors and connection failures count as responses.
     pub(super) unanswered_sends: u32,
-    /// Clock time of the first of them.
+    /// Clock time of the first unanswered send.
     pub(super) unanswered_since: Millis,
     pub(super) ejected_until: Millis,
-    /// Duration of the last ejection, as adjusted by passed trials.
-    pub(super) ejection_span: Millis,
+    /// Duration of the last ejection, shortened if the half-open trial after it succeeded.
+    pub(super) ejection_duration: Millis,
     /// Half-open after an ejection: only one trial at a time until an answer succeeds.
     pub(super) is_half_open: bool,
     pub(super) trial_in_flight: bool,
@@ -31,8 +31,8 @@
 pub(super) struct MemberState {
     pub(super) listed: Member,
     pub(super) slow_start_budget: SlowStartBudget,
-    /// Attempts in flight at the member, including fills that use it as their source, and excluding late
-    /// fills and direct attempts sent to it.
+    /// Attempts in flight at the member, including fills that use it as their source. Fills and direct
+    /// attempts that were sent to it are excluded once they are late.
     pub(super) in_flight: SharedLoad,
     /// The last reported share of its CPU time in use.
     pub(super) busy_share: Option<TimedValue>,
--- a/crates/deckproxy-control/src/control/outcome_accounting.rs
+++ b/crates/deckproxy-control/src/control/outcome_accounting.rs
@@ -11,7 +11,7 @@
 
 impl AttemptResult {
     /// The member to avoid in a retry. A failed fill is attributed to its source unless the cache is
-    /// clearly at fault, as the cache was able to process the look-up before.
+    /// clearly at fault, as the cache has usually just processed the look-up.
     pub(super) fn member_at_fault(&self, attempt: &Attempt) -> MemberId {
         use AttemptEnding::{Cancelled, ConnectFailed, Reset};
         let is_cache_at_fault =
@@ -60,7 +60,7 @@
             let Some(state) = self.members.get_mut(&id) else { continue };
             let is_target = id == attempt.plan.member;
             state.health.trial_in_flight &= !attempt.is_trial;
-            // A late fill was already removed from its cache's load when it became late.
+            // A late fill or direct attempt was already removed from its target's load when it became late.
             if !is_target || attempt.plan.kind == AttemptKind::Lookup || !attempt.is_late {
                 state.in_flight.add(-1.0, now);
             }
@@ -94,7 +94,8 @@
     }
 
     /// Records the latency of an answer for its source or, if its note shows that the parent fetched from
-    /// the origin, for the origin.
+    /// the origin, for the origin. A fetch from the origin through a parent known to be slow is recorded
+    /// for neither, as either may have caused the latency.
     fn record_served_latency(&mut self, attempt: &Attempt, request: &Request, result: &AttemptResult) {
         let source = attempt.other_source().and_then(|source| self.members.get(&source));
         let parent = source.filter(|state| self.is_parent(&state.listed));
@@ -171,8 +172,8 @@
     }
 }
 
-/// Whether the duration of a served fill indicates the load of the location's link: it was answered from
-/// a parent's copy, its size is known, and the cache does not report the link's load.
+/// Whether the duration of a served fill indicates the load of the location's link: the source answered
+/// from a copy, the sending time is known, and the cache does not report the link's load.
 fn indicates_link_load(attempt: &Attempt, result: &AttemptResult) -> bool {
     let is_from_copy = !matches!(result.note, FillNote::FilledByOrigin | FillNote::Joined);
     let is_unreported = result.load.is_none_or(|report| report.link.is_none());
@@ -191,7 +192,7 @@
         Rejected if !attempt.is_trial && source.is_none() => None,
         ConnectFailed | Reset => Some(attempt.plan.member),
         _ if matches!(result.note, NoCapacity | SourceMiss | OriginFailed) => None,
-        // A failed fill is attributed to its source, as the cache was able to process the look-up before.
+        // A failed fill is attributed to its source, as the cache has usually just processed the look-up.
         _ => Some(source.unwrap_or(attempt.plan.member)),
     }
 }
--- a/crates/deckproxy-control/src/control/outlier_ejection.rs
+++ b/crates/deckproxy-control/src/control/outlier_ejection.rs
@@ -17,14 +17,15 @@
         if self.now < health.ejected_until {
             return;
         }
-        health.ejection_span = (health.ejection_span * 2.0).clamp(EJECTION_TIME_MIN, EJECTION_TIME_MAX);
-        health.ejected_until = self.now + health.ejection_span;
+        health.ejection_duration =
+            (health.ejection_duration * 2.0).clamp(EJECTION_TIME_MIN, EJECTION_TIME_MAX);
+        health.ejected_until = self.now + health.ejection_duration;
         health.is_half_open = true;
         health.trial_in_flight = false;
         health.consecutive_failures = 0;
         health.unanswered_sends = 0;
-        let (Member { kind, zone, .. }, span) = (state.listed, health.ejection_span);
-        self.log(|| format!("member {id} (kind {kind}, zone {zone}) out for {span:.0} ms: {reason}"));
+        let (Member { kind, zone, .. }, duration) = (state.listed, health.ejection_duration);
+        self.log(|| format!("member {id} (kind {kind}, zone {zone}) out for {duration:.0} ms: {reason}"));
     }
 
     /// Writes a log line, up to a maximum number per router.
@@ -42,7 +43,7 @@
         health.consecutive_failures = 0;
         if health.is_half_open {
             health.is_half_open = false;
-            health.ejection_span *= EJECTION_RECOVERY_FACTOR;
+            health.ejection_duration *= EJECTION_RECOVERY_FACTOR;
         }
     }
 
--- a/crates/deckproxy-control/src/control/periodic_timer.rs
+++ b/crates/deckproxy-control/src/control/periodic_timer.rs
@@ -10,7 +10,7 @@
     SILENT_SENDS, SILENT_TIME, SILENT_TRIAL_SENDS, SLOW_SOURCE_INFLATION, TIMER_PERIOD, WAITER_TIMEOUT,
 };
 use super::{PERIODIC_TIMER, TimerState};
-use crate::interface::{Action, MemberId, RequestId};
+use crate::interface::{Action, MemberId, Millis, RequestId};
 
 /// Attempts that became late since the previous run of the timer.
 #[derive(Default)]
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Marks the attempts that became late. They no longer count on the location's link, as a late fill
-    /// waits for a source that does not send.
+    /// Marks the attempts that became late. They no longer count as transfers over the location's link,
+    /// as a late fill waits for a source that does not send.
     fn mark_late_attempts(&mut self) -> LateAttempts {
         let mut late = LateAttempts::default();
         for pending in self.pending.values_mut() {
@@ -81,8 +81,8 @@
         late
     }
 
-    /// Records a late attempt. A late fill indicates that its source is slow or, if its parent is not
-    /// slow, the origin.
+    /// Records a late attempt. A late fill counts against its source if its sending time is known, and
+    /// also against the origin unless its source is already known to be slow.
     fn record_late_attempt(&mut self, attempt: &Attempt) {
         let (now, plan) = (self.now, attempt.plan);
         let is_fill = plan.kind == AttemptKind::Fill;
@@ -104,8 +104,8 @@
         }
     }
 
-    /// Hedges late attempts at the same member, if settings and budget allow it. This recovers from a
-    /// lost answer.
+    /// Sends late attempts again to the same member as hedged requests, if the settings and the retry
+    /// budget allow it. This recovers from lost answers.
     fn hedge(&mut self, plans: Vec<AttemptPlan>) {
         for plan in plans {
             let may_hedge = self.settings.hedged_requests && self.retry_budget.is_available();
@@ -158,7 +158,7 @@
     }
 
     fn is_wait_over(&self, pending: &PendingRequest) -> bool {
-        let timed_out = |since: f64| self.now - since >= WAITER_TIMEOUT;
+        let timed_out = |since: Millis| self.now - since >= WAITER_TIMEOUT;
         pending
             .waiting_since
             .is_some_and(|since| timed_out(since) || self.has_time_for_only_one_attempt(pending))
--- a/crates/deckproxy-control/src/control/sending_times.rs
+++ b/crates/deckproxy-control/src/control/sending_times.rs
@@ -1,4 +1,5 @@
-//! How long answers take to send: computed from their size, else learned by object, else by class.
+//! Sending times: how long it takes to send an answer from an unloaded member. They are computed from the
+//! size, else learned by object, else estimated by class.
 
 use super::Control;
 use super::decay::DecayingSum;
@@ -69,7 +70,7 @@
         request.size.is_some() || self.objects.get(&request.object).is_some_and(learned)
     }
 
-    /// Learns an object's sending time from a hit, corrected for the cache's load.
+    /// Learns the sending time of an object and its class from a hit, corrected for the cache's load.
     pub(super) fn learn_sending_time(&mut self, request: &Request, attempt: &Attempt, elapsed: Millis) {
         let sending_time = elapsed.max(1.0) / attempt.member_load.max(1.0);
         self.class_sending_times[request.class].learn(sending_time);
--- a/crates/deckproxy-control/src/control/slow_start.rs
+++ b/crates/deckproxy-control/src/control/slow_start.rs
@@ -38,11 +38,11 @@
 
     /// Refills the budget and returns whether this router may send to a member that warms up.
     ///
-    /// The budget is refilled continuously at the rate that the slow-start rule allows for the member's
-    /// current capacity. A send is allowed once the balance covers the most expensive class. An allowance
-    /// expires after one overload window, so that idle periods accumulate no burst. The initial balances
-    /// are spread by the golden ratio, so that the routers in any range of positions send one after
-    /// another and not at once.
+    /// The budget is refilled continuously, at [`SLOW_START_SHARE`] of the load that the slow-start rule
+    /// allows at the member's current capacity. A send is allowed once the balance covers a send of the
+    /// most expensive class. An allowance expires after one overload window, so that idle periods
+    /// accumulate no burst. The initial balances are spread by the golden ratio, so that the routers in
+    /// any range of positions send one after another and not at once.
     pub(super) fn allows_send(&mut self, member: &Member, limits: &SlowStartLimits, now: Millis) -> bool {
         let SlowStartLimits { rule, position, capacity_share, max_send_cost } = *limits;
         let age = (now - member.started.unwrap_or(now)).max(0.0);
--- a/crates/deckproxy-control/src/control/tuning.rs
+++ b/crates/deckproxy-control/src/control/tuning.rs
@@ -16,11 +16,11 @@
 pub(super) const WAITER_TIMEOUT: Millis = 3000.0;
 /// Sending time from which it is faster to join the leader's fill at the cache than to wait for its end.
 pub(super) const LARGE_SENDING_TIME: Millis = 100.0;
-/// Number of a request's sends from which it no longer waits for another router's fill.
+/// Number of attempts sent from which a request no longer waits for another router's fill.
 pub(super) const WAITING_SENDS_MAX: u32 = 3;
 /// Minimum time left until the client's deadline for an attempt to be sent.
 pub(super) const TIME_LEFT_MIN: Millis = 5.0;
-/// Safety margin before the end of the members' deduplication window, after which no retry is sent.
+/// Time before the end of the members' deduplication window from which no retry is sent.
 pub(super) const DEDUP_MARGIN: Millis = 1.0;
 /// Rank of every copy that a cache stores: the middle of the range 1 to 3.
 pub(super) const COPY_RANK: u8 = 2;
@@ -61,7 +61,7 @@
 /// Weight of the prior in a member's latency inflation, as answers at the expected latency, so that a few
 /// answers do not decide.
 pub(super) const MEMBER_LATENCY_PRIOR: f64 = 1.0;
-/// Share of the slow-start limit at which the budget is refilled. An allowance expires after one window,
+/// Share of the slow-start limit at which budgets are refilled. An allowance expires after one window,
 /// so at most two windows' allowances can be spent within one window; together they equal the limit.
 pub(super) const SLOW_START_SHARE: f64 = 0.5;
 /// Multiple of its class's mean sending time that a send costs in slow-start budgets, as the mean is only
@@ -79,13 +79,14 @@
 pub(super) const SILENT_SENDS: u32 = 4;
 /// Unanswered sends from which a member in its half-open trial may count as silent.
 pub(super) const SILENT_TRIAL_SENDS: u32 = 1;
-/// Time since the first unanswered send from which a member counts as silent.
+/// Time since the first unanswered send after which a member counts as silent.
 pub(super) const SILENT_TIME: Millis = 900.0;
-/// Duration of a member's first ejection; each further one is twice as long.
+/// Minimum and initial duration of a member's ejection; each further one is twice as long.
 pub(super) const EJECTION_TIME_MIN: Millis = 1000.0;
 /// Maximum duration of an ejection.
 pub(super) const EJECTION_TIME_MAX: Millis = 8000.0;
-/// Factor by which a passed half-open trial shortens the member's next ejection.
+/// Factor that a successful half-open trial applies to the duration from which the member's next ejection
+/// is doubled.
 pub(super) const EJECTION_RECOVERY_FACTOR: f64 = 0.25;
 /// Ratio of a member's latency inflation to its pool's median from which the member is an outlier.
 pub(super) const OUTLIER_RATIO: f64 = 1.6;
@@ -121,7 +122,8 @@
 pub(super) const SLOWER_HIT_WEIGHT: f64 = 0.2;
 /// Multiple of its expected duration after which an attempt is late.
 pub(super) const LATE_MULTIPLE: f64 = 2.0;
-/// Latency inflation recorded for an attempt that is late, timed out or was rejected.
+/// Latency inflation recorded for a fill that is late, and for a fill or direct attempt that timed out or
+/// was rejected.
 pub(super) const LATE_INFLATION: f64 = 8.0;
 /// Minimum share of its latency objective that a request is still granted, however long it has waited.
 pub(super) const OBJECTIVE_LEFT_MIN: f64 = 0.5;
