--- a/crates/deckproxy-control/src/control/periodic_timer.rs
+++ b/crates/deckproxy-control/src/control/periodic_timer.rs
@@ -81,8 +81,9 @@
         late
     }
 
-    /// Records a late attempt. A late fill counts against its source if its sending time is known, and
-    /// also against the origin unless its source is already known to be slow.
+    /// Records a late attempt. A late fill counts against its source if its sending time is known. Once
+    /// fetches from the origin have been observed, it also counts against the origin unless its source is
+    /// already known to be slow.
     fn record_late_attempt(&mut self, attempt: &Attempt) {
         let (now, plan) = (self.now, attempt.plan);
         let is_fill = plan.kind == AttemptKind::Fill;
--- a/crates/deckproxy-control/src/interface/settings.rs
+++ b/crates/deckproxy-control/src/interface/settings.rs
@@ -115,7 +115,7 @@
     pub cache_slow_start: SlowStart,
     /// Slow start of parents.
     pub parent_slow_start: SlowStart,
-    /// Time after the notice of a purge after which no older copy may answer any more.
+    /// Time from the notice of a purge until no older copy may answer any more.
     pub purge_grace: Millis,
     /// Time after a purge until all older copies have been removed.
     pub purge_settle_time: Millis,
