--- a/crates/deckproxy-control/src/control.rs
+++ b/crates/deckproxy-control/src/control.rs
@@ -120,7 +120,7 @@
 
     fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Started if self.settings.poll_member_list => self.watch_members(),
+            Event::Started if self.settings.subscribe_to_member_list => self.watch_members(),
             Event::Timer(WATCH_TIMER) => self.watch_members(),
             Event::MemberList(ListKind::Failed, _) => self.schedule_watch(),
             Event::MemberList(kind, list) => self.update_members(kind, list),
--- a/crates/deckproxy-control/src/interface/settings.rs
+++ b/crates/deckproxy-control/src/interface/settings.rs
@@ -120,7 +120,7 @@
     /// Time after a purge until all older copies have been removed.
     pub purge_settle_time: Millis,
     /// The member list must be subscribed to; otherwise it is pushed.
-    pub poll_member_list: bool,
+    pub subscribe_to_member_list: bool,
     /// Maximum number of attempts per request.
     pub max_attempts: u32,
     /// Hedged requests: two attempts of one request may be in flight at a time.
--- a/crates/deckproxy-control/tests/common/mod.rs
+++ b/crates/deckproxy-control/tests/common/mod.rs
@@ -75,7 +75,7 @@
         },
         purge_grace: 300.0,
         purge_settle_time: 6000.0,
-        poll_member_list: false,
+        subscribe_to_member_list: false,
         max_attempts: 6,
         hedged_requests: false,
         cancellation: true,
--- a/crates/deckproxy-control/tests/ordinary_path.rs
+++ b/crates/deckproxy-control/tests/ordinary_path.rs
@@ -235,7 +235,7 @@
 
 #[test]
 fn the_member_list_is_watched_where_it_is_polled_and_again_after_a_failure() {
-    let mut harness = Harness::with(Settings { poll_member_list: true, ..settings() }, all_members());
+    let mut harness = Harness::with(Settings { subscribe_to_member_list: true, ..settings() }, all_members());
     harness.event(Event::Started);
     assert_eq!(harness.actions, vec![Action::WatchMembers(true)]);
     harness.event(Event::MemberList(ListKind::Failed, vec![]));
--- a/crates/deckproxy-settings/src/lib.rs
+++ b/crates/deckproxy-settings/src/lib.rs
@@ -118,7 +118,7 @@
         parent_slow_start: read_parent_slow_start(values, cache_slow_start)?,
         purge_grace: values.number("familyInfo.obeyAfterMs", 0.0)?,
         purge_settle_time: values.number("familyInfo.clearedWithinMs", 0.0)?,
-        poll_member_list: values.text("discovery") == Some("on_request"),
+        subscribe_to_member_list: values.text("discovery") == Some("on_request"),
         max_attempts: values.parsed("limits.sendCap")?.unwrap_or(1).min(MAX_ATTEMPTS),
         hedged_requests: values.flag("limits.secondCopies")?,
         cancellation: values.flag("limits.cancel")?,
