--- a/crates/deckproxy-control/src/control/attempt_sending.rs
+++ b/crates/deckproxy-control/src/control/attempt_sending.rs
@@ -1,4 +1,5 @@
-//! Sending attempts: the one way out for look-ups, fills, retries, hedged requests and direct attempts.
+//! Sends attempts: look-ups, fills, retries, hedged requests and direct attempts all go through
+//! [`Control::try_send`].
 
 use super::Control;
 use super::request_state::{Attempt, AttemptKind, AttemptPlan, PendingRequest};
@@ -7,18 +8,18 @@
 use crate::interface::{Action, GetOptions, Millis};
 
 impl Control {
-    /// Sends an attempt if all rules allow it; tells whether it was sent.
+    /// Sends an attempt if all rules allow it; returns whether it was sent.
     pub(super) fn try_send(&mut self, plan: AttemptPlan) -> bool {
-        let open = plan.endpoints().all(|member| self.accepts_attempts(member));
-        let Some(pending) = self.pending.get(&plan.request).filter(|_| open) else { return false };
+        let accepted = plan.endpoints().all(|member| self.accepts_attempts(member));
+        let Some(pending) = self.pending.get(&plan.request).filter(|_| accepted) else { return false };
         if !self.is_permitted(pending, &plan) {
             return false;
         }
         let attempt = self.new_attempt(pending, plan);
-        let action = self.action_of(pending, &plan);
+        let action = self.action_for(pending, &plan);
         let cost = self.slow_start_cost(pending.request.class);
         self.actions.push(action);
-        self.book_send(&plan, cost);
+        self.record_send(&plan, cost);
         self.add_link_transfers(attempt.link_transfers());
         if let Some(pending) = self.pending.get_mut(&plan.request) {
             pending.in_flight.push(attempt);
@@ -39,7 +40,7 @@
             sent_at: self.now,
             member_load,
             sending_time,
-            sending_time_known: self.knows_sending_time(&pending.request),
+            sending_time_known: self.is_sending_time_known(&pending.request),
             is_trial: plan.endpoints().any(|member| self.members[&member].health.is_half_open),
             uses_link: plan.kind == AttemptKind::Direct || leads_fill,
             late_at: self.now + LATE_MULTIPLE * expected,
@@ -47,8 +48,9 @@
         }
     }
 
-    /// A plain look-up where no purge binds the copy, and at the origin; else a get with its options.
-    fn action_of(&self, pending: &PendingRequest, plan: &AttemptPlan) -> Action {
+    /// The action that sends an attempt: a look-up at the origin, and at a cache if no purge limits the
+    /// age of the copy; otherwise a get with its options.
+    fn action_for(&self, pending: &PendingRequest, plan: &AttemptPlan) -> Action {
         let AttemptPlan { request, member, kind, .. } = *plan;
         let deadline = pending.request.deadline;
         let target = &self.members[&member].listed;
@@ -57,35 +59,35 @@
             return Action::Lookup { request, member, deadline };
         }
         let class = self.class_of(pending);
-        let keeps_copy = !class.write && self.is_local_cache(target);
+        let stores_copy = !class.write && self.is_local_cache(target);
         Action::Get {
             request,
             member,
             deadline,
             source: plan.source.unwrap_or(member),
-            copy_rank: if keeps_copy { COPY_RANK } else { 0 },
+            copy_rank: if stores_copy { COPY_RANK } else { 0 },
             max_age: purge_max_age.map_or(0.0, |age| allowed_age(age, class.freshness_lifetime)),
             options: GetOptions {
                 join: self.settings.join_fills && kind != AttemptKind::Lookup,
-                cached_only: self.spares_origin(pending, plan),
+                cached_only: self.is_cached_only(pending, plan),
                 ..GetOptions::default()
             },
         }
     }
 
-    /// Whether the parent is asked only for what it has cached, as the origin or the location's link is
-    /// overloaded. What it lacks is given up at once.
-    fn spares_origin(&self, pending: &PendingRequest, plan: &AttemptPlan) -> bool {
+    /// Whether the parent may answer a fill only from its cache, because the origin or the location's
+    /// link is overloaded. If the parent has no copy, the request is given up at once.
+    fn is_cached_only(&self, pending: &PendingRequest, plan: &AttemptPlan) -> bool {
         let is_parent = plan.source.is_some_and(|source| self.is_parent(&self.members[&source].listed));
         if plan.kind != AttemptKind::Fill || !is_parent {
             return false;
         }
-        let leads_over_full_link = self.is_leader(plan.request) && self.is_link_overloaded(pending);
-        self.is_origin_too_slow(pending) || leads_over_full_link
+        let leads_on_overloaded_link = self.is_leader(plan.request) && self.is_link_overloaded(pending);
+        self.is_origin_too_slow(pending) || leads_on_overloaded_link
     }
 
-    /// Books a send at the member and its source.
-    fn book_send(&mut self, plan: &AttemptPlan, slow_start_cost: Millis) {
+    /// Records a sent attempt at its member and source.
+    fn record_send(&mut self, plan: &AttemptPlan, slow_start_cost: Millis) {
         let now = self.now;
         for id in plan.endpoints() {
             let Some(state) = self.members.get_mut(&id) else { continue };
@@ -104,7 +106,7 @@
     }
 }
 
-/// The lower of the age that a purge allows and the freshness lifetime, where there is one.
+/// The lower of the age that a purge allows and the freshness lifetime, if the class has one.
 fn allowed_age(purge_max_age: Millis, freshness_lifetime: Millis) -> Millis {
     if freshness_lifetime > 0.0 { purge_max_age.min(freshness_lifetime) } else { purge_max_age }
 }
--- a/crates/deckproxy-control/src/control/capacity_estimate.rs
+++ b/crates/deckproxy-control/src/control/capacity_estimate.rs
@@ -1,16 +1,17 @@
-//! The estimated capacity of a kind of member, where the member list does not tell sizes.
+//! The estimated capacity of a kind of member, for member lists without sizes.
 
 use super::Control;
 use super::decay::decay_factor;
-use super::tuning::{BUSY_SHARE_MIN, CAPACITY_LEARNING_TIME, OBSERVATION_SPAN};
+use super::tuning::{BUSY_SHARE_MIN, CAPACITY_LEARNING_TIME, OBSERVATION_TIME_CONSTANT};
 use crate::interface::{Member, MemberId, Millis};
 
-/// What one member of a kind serves, the other routers' part estimated from this router's. All sums decay.
+/// Throughput of one member of a kind; the other routers' part is extrapolated from this router's. All
+/// sums decay.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct KindThroughput {
     /// Sending time of the answers served.
     served: Millis,
-    /// When the observation began.
+    /// Clock time at which the observation began.
     since: Millis,
     updated_at: Millis,
     /// Sum of the reported busy shares.
@@ -31,26 +32,28 @@
     }
 
     fn decay_to(&mut self, now: Millis) {
-        let kept = decay_factor(now - self.updated_at, OBSERVATION_SPAN);
-        self.served *= kept;
-        self.busy_share_sum *= kept;
-        self.busy_share_reports *= kept;
+        let factor = decay_factor(now - self.updated_at, OBSERVATION_TIME_CONSTANT);
+        self.served *= factor;
+        self.busy_share_sum *= factor;
+        self.busy_share_reports *= factor;
         self.updated_at = now;
     }
 
-    /// Answers at full rate that explain the throughput: those in flight on average over the busy share.
-    /// Without reports of the busy share it is the least that the member must have.
+    /// Estimated capacity in concurrent answers at full rate: the average number in flight divided by the
+    /// busy share. Without reported busy shares this is a lower bound.
     fn capacity(&self, now: Millis) -> Option<f64> {
-        let span = OBSERVATION_SPAN * (1.0 - decay_factor(self.updated_at - self.since, OBSERVATION_SPAN));
+        let observed_time = OBSERVATION_TIME_CONSTANT
+            * (1.0 - decay_factor(self.updated_at - self.since, OBSERVATION_TIME_CONSTANT));
         let reported = self.busy_share_reports > 0.0;
         let busy_share = if reported { self.busy_share_sum / self.busy_share_reports } else { 1.0 };
         let learned = now - self.since > CAPACITY_LEARNING_TIME;
-        learned.then(|| (self.served / span / busy_share.clamp(BUSY_SHARE_MIN, 1.0)).max(1.0))
+        learned.then(|| (self.served / observed_time / busy_share.clamp(BUSY_SHARE_MIN, 1.0)).max(1.0))
     }
 }
 
 impl Control {
-    /// A member's capacity in answers at full rate: listed, else estimated from what its kind serves.
+    /// A member's capacity in concurrent answers at full rate: as listed, else estimated from the
+    /// throughput of its kind.
     pub(super) fn capacity(&self, member: &Member) -> Option<f64> {
         if self.settings.weights_are_sizes {
             return Some(member.weight);
@@ -58,7 +61,7 @@
         self.kind_throughput.get(&member.kind)?.capacity(self.now)
     }
 
-    /// Records sending time that a member served, and its reported busy share if there is one.
+    /// Records the sending time of an answer that a member served, and its reported busy share, if any.
     pub(super) fn record_throughput(&mut self, id: MemberId, served: Millis, busy_share: Option<f64>) {
         if self.settings.weights_are_sizes {
             return;
--- a/crates/deckproxy-control/src/control/outlier_ejection.rs
+++ b/crates/deckproxy-control/src/control/outlier_ejection.rs
@@ -1,32 +1,34 @@
-//! Outlier ejection: members that fail or fall silent are left out, and slow ones count as smaller.
+//! Outlier ejection: members that fail or fall silent are ejected, and slow members are weighted as
+//! smaller ones.
 
 use super::Control;
 use super::member_state::MemberState;
 use super::tuning::{
-    EJECTION_FAILURES, EJECTION_FIRST, EJECTION_MAX, EJECTION_RELIEF, LOG_LINES_MAX, MEDIAN_INFLATION_MIN,
-    OUTLIER_RATIO,
+    EJECTION_FAILURES, EJECTION_RECOVERY_FACTOR, EJECTION_TIME_MAX, EJECTION_TIME_MIN, LOG_LINES_MAX,
+    MEDIAN_INFLATION_MIN, OUTLIER_RATIO,
 };
 use crate::interface::{Action, Member, MemberId};
 
 impl Control {
-    /// Ejects a member for a while, after which it is half-open.
+    /// Ejects a member temporarily; afterwards it is half-open.
     pub(super) fn eject(&mut self, id: MemberId, reason: &str) {
         let Some(state) = self.members.get_mut(&id) else { return };
         let health = &mut state.health;
         if self.now < health.ejected_until {
             return;
         }
-        health.ejection_span = (health.ejection_span * 2.0).clamp(EJECTION_FIRST, EJECTION_MAX);
-        health.ejected_until = self.now + health.ejection_span;
+        health.ejection_duration =
+            (health.ejection_duration * 2.0).clamp(EJECTION_TIME_MIN, EJECTION_TIME_MAX);
+        health.ejected_until = self.now + health.ejection_duration;
         health.is_half_open = true;
         health.trial_in_flight = false;
         health.consecutive_failures = 0;
         health.unanswered_sends = 0;
-        let (Member { kind, zone, .. }, span) = (state.listed, health.ejection_span);
-        self.log(|| format!("member {id} (kind {kind}, zone {zone}) out for {span:.0} ms: {reason}"));
+        let (Member { kind, zone, .. }, duration) = (state.listed, health.ejection_duration);
+        self.log(|| format!("member {id} (kind {kind}, zone {zone}) out for {duration:.0} ms: {reason}"));
     }
 
-    /// Writes a log line, unless the router has written its share.
+    /// Writes a log line, up to a maximum number per router.
     fn log(&mut self, line: impl FnOnce() -> String) {
         if self.log_lines < LOG_LINES_MAX {
             self.log_lines += 1;
@@ -34,23 +36,25 @@
         }
     }
 
-    /// Records that a member did well.
+    /// Records a success of a member and ends its half-open state.
     pub(super) fn record_success(&mut self, id: MemberId) {
         let Some(state) = self.members.get_mut(&id) else { return };
         let health = &mut state.health;
         health.consecutive_failures = 0;
         if health.is_half_open {
             health.is_half_open = false;
-            health.ejection_span *= EJECTION_RELIEF;
+            health.ejection_duration *= EJECTION_RECOVERY_FACTOR;
         }
     }
 
-    /// Records a failure that the member itself caused. The origin is never ejected for it: nobody stands in.
+    /// Records a failure that the member itself caused. The origin is never ejected, as no other member
+    /// can replace it.
     pub(super) fn record_failure(&mut self, id: MemberId) {
         let is_the_origin = self.origin() == Some(id);
         let Some(state) = self.members.get_mut(&id) else { return };
         let health = &mut state.health;
-        // Failures of one instant broke with one connection: they are one failure.
+        // Failures at the same instant usually result from one broken connection and count as one
+        // failure.
         let is_same_failure = health.last_failure_at == self.now && health.consecutive_failures > 0;
         health.consecutive_failures += u32::from(!is_same_failure);
         health.last_failure_at = self.now;
@@ -60,9 +64,9 @@
         }
     }
 
-    /// How many times slower than its pool's median a member answers, if it is an outlier; else 1. An outlier
-    /// counts as a smaller member, so its objects spill sooner. One that only got the harder requests costs a
-    /// second copy.
+    /// Ratio of a member's latency inflation to its pool's median if the member is an outlier, else 1. An
+    /// outlier is weighted as a smaller member, so its objects spill over sooner. If it was only slower
+    /// because its requests were harder, the cost is a second copy of the objects that spill over.
     pub(super) fn outlier_slowness(&self, state: &MemberState) -> f64 {
         let mut inflations: Vec<f64> =
             self.pool_of(&state.listed).map(|other| other.inflation(self.now)).collect();
--- a/crates/deckproxy-control/src/control/periodic_timer.rs
+++ b/crates/deckproxy-control/src/control/periodic_timer.rs
@@ -1,4 +1,4 @@
-//! The periodic timer: late attempts, silent members, and waiters whose wait is over.
+//! Periodic tasks: late attempts, silent members, and waiters whose wait has ended.
 
 use super::Control;
 use super::collapsing::FillKey;
@@ -6,13 +6,13 @@
 use super::request_state::{Attempt, AttemptKind, AttemptPlan, PendingRequest};
 use super::sending_times::fill_time;
 use super::tuning::{
-    LATE_INFLATION, OBJECT_IDLE_TIME, OBJECTS_MAX, ORIGIN_LATENCY_SPAN, OWN_PAUSE, SILENT_SENDS, SILENT_TIME,
-    SILENT_TRIAL_SENDS, SLOW_SOURCE_INFLATION, TIMER_PERIOD, WAITER_TIMEOUT,
+    LATE_INFLATION, OBJECT_IDLE_TIME, OBJECTS_MAX, ORIGIN_LATENCY_TIME_CONSTANT, ROUTER_STALL_TIME,
+    SILENT_SENDS, SILENT_TIME, SILENT_TRIAL_SENDS, SLOW_SOURCE_INFLATION, TIMER_PERIOD, WAITER_TIMEOUT,
 };
 use super::{PERIODIC_TIMER, TimerState};
-use crate::interface::{Action, MemberId, RequestId};
+use crate::interface::{Action, MemberId, Millis, RequestId};
 
-/// Late attempts that were found at one run of the timer.
+/// Attempts that became late since the previous run of the timer.
 #[derive(Default)]
 struct LateAttempts {
     all: Vec<Attempt>,
@@ -21,7 +21,7 @@
 }
 
 impl Control {
-    /// Asks for the next run, if requests are pending and none is due.
+    /// Sets the timer if requests are pending and it is not set yet.
     pub(super) fn arm_periodic_timer(&mut self) {
         if !self.timer.is_armed && !self.pending.is_empty() {
             self.timer = TimerState { is_armed: true, due_at: self.now + TIMER_PERIOD };
@@ -29,10 +29,10 @@
         }
     }
 
-    /// One run of the periodic timer.
+    /// Runs the periodic tasks.
     pub(super) fn run_periodic_tasks(&mut self) {
         self.timer.is_armed = false;
-        self.forgive_own_pause();
+        self.reset_silence_after_stall();
         self.forget_idle_objects();
         let late = self.mark_late_attempts();
         for attempt in &late.all {
@@ -43,9 +43,10 @@
         self.resume_waiters();
     }
 
-    /// A router that stood still itself received no answers: silence is counted anew.
-    fn forgive_own_pause(&mut self) {
-        if self.now - self.timer.due_at > OWN_PAUSE {
+    /// Restarts the silence measurement after a stall of the router itself, during which it could not
+    /// process answers.
+    fn reset_silence_after_stall(&mut self) {
+        if self.now - self.timer.due_at > ROUTER_STALL_TIME {
             for state in self.members.values_mut() {
                 state.health.unanswered_since = self.now;
             }
@@ -59,8 +60,8 @@
         }
     }
 
-    /// Marks the attempts that became late. They draw on the location's link no longer: a late fill waits for
-    /// a source that does not send.
+    /// Marks the attempts that became late. They no longer count as transfers over the location's link,
+    /// as a late fill waits for a source that does not send.
     fn mark_late_attempts(&mut self) -> LateAttempts {
         let mut late = LateAttempts::default();
         for pending in self.pending.values_mut() {
@@ -80,8 +81,9 @@
         late
     }
 
-    /// Books a late attempt: a fill shows that its source or, behind a parent that is not slow, the origin is
-    /// slow.
+    /// Records a late attempt. A late fill counts against its source if its sending time is known. Once
+    /// fetches from the origin have been observed, it also counts against the origin unless its source is
+    /// already known to be slow.
     fn record_late_attempt(&mut self, attempt: &Attempt) {
         let (now, plan) = (self.now, attempt.plan);
         let is_fill = plan.kind == AttemptKind::Fill;
@@ -89,10 +91,10 @@
         let is_source_slow = source.is_none_or(|state| state.inflation(now) > SLOW_SOURCE_INFLATION);
         if is_fill && !is_source_slow && self.origin_latency.has_observations() {
             let expected = fill_time(attempt.sending_time);
-            self.origin_latency.record(now - attempt.sent_at, expected, ORIGIN_LATENCY_SPAN, now);
+            self.origin_latency.record(now - attempt.sent_at, expected, ORIGIN_LATENCY_TIME_CONSTANT, now);
         }
-        let shown = attempt.latency_expectation().filter(|_| is_fill && attempt.sending_time_known);
-        if let Some(state) = shown.and_then(|shown| self.members.get_mut(&shown.member)) {
+        let expectation = attempt.latency_expectation().filter(|_| is_fill && attempt.sending_time_known);
+        if let Some(state) = expectation.and_then(|expectation| self.members.get_mut(&expectation.member)) {
             state.record_inflation(LATE_INFLATION, now);
         }
         self.add_link_transfers(-attempt.link_transfers());
@@ -103,18 +105,18 @@
         }
     }
 
-    /// Sends late attempts again at the same member where two may be in flight: that makes up for a lost
-    /// answer.
+    /// Sends late attempts again to the same member as hedged requests, if the settings and the retry
+    /// budget allow it. This recovers from lost answers.
     fn hedge(&mut self, plans: Vec<AttemptPlan>) {
         for plan in plans {
             let may_hedge = self.settings.hedged_requests && self.retry_budget.is_available();
             if may_hedge && self.try_send(plan) {
-                self.retry_budget.take();
+                self.retry_budget.withdraw();
             }
         }
     }
 
-    /// Ejects silent members and cancels what is in flight there. The origin is never ejected.
+    /// Ejects silent members and cancels their attempts in flight. The origin is never ejected.
     fn eject_silent_members(&mut self) {
         let silent = self.members.values().filter(|state| self.is_silent(state));
         let silent: Vec<MemberId> = silent.map(|state| state.listed.id).collect();
@@ -146,7 +148,8 @@
         }
     }
 
-    /// Fills for the waiters whose wait is over; where the fill has ended, they are routed anew.
+    /// Sends fills for the waiters whose wait has ended. If the fill they waited for has ended, they are
+    /// routed again.
     fn resume_waiters(&mut self) {
         let due = self.pending.values().filter(|pending| self.is_wait_over(pending));
         let due: Vec<RequestId> = due.map(|pending| pending.request.id).collect();
@@ -156,12 +159,14 @@
     }
 
     fn is_wait_over(&self, pending: &PendingRequest) -> bool {
-        let timed_out = |since: f64| self.now - since >= WAITER_TIMEOUT;
-        pending.waiting_since.is_some_and(|since| timed_out(since) || self.has_time_for_one_attempt(pending))
+        let timed_out = |since: Millis| self.now - since >= WAITER_TIMEOUT;
+        pending
+            .waiting_since
+            .is_some_and(|since| timed_out(since) || self.has_time_for_only_one_attempt(pending))
     }
 
     fn resume_waiter(&mut self, id: RequestId) {
-        // One that came to lead meanwhile waits no longer.
+        // A request that became the leader in the meantime no longer waits.
         let pending = self.pending.get_mut(&id);
         let Some(pending) = pending.filter(|pending| pending.waiting_since.is_some()) else { return };
         pending.waiting_since = None;
--- a/crates/deckproxy-control/src/control/retry_budget.rs
+++ b/crates/deckproxy-control/src/control/retry_budget.rs
@@ -1,8 +1,8 @@
 //! The budget of retries and hedged requests.
 
-use super::tuning::{RETRIES_EARNED, RETRIES_MAX};
+use super::tuning::{RETRY_TOKENS_MAX, RETRY_TOKENS_PER_REQUEST};
 
-/// Tokens for retries and hedged requests: each client request earns a part of one.
+/// Tokens for retries and hedged requests: each client request deposits a fraction of a token.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RetryBudget {
     tokens: f64,
@@ -10,23 +10,23 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        RetryBudget { tokens: RETRIES_MAX }
+        RetryBudget { tokens: RETRY_TOKENS_MAX }
     }
 }
 
 impl RetryBudget {
-    /// Adds what one client request earns.
-    pub(super) fn earn(&mut self) {
-        self.tokens = (self.tokens + RETRIES_EARNED).min(RETRIES_MAX);
+    /// Deposits the tokens of one client request.
+    pub(super) fn deposit(&mut self) {
+        self.tokens = (self.tokens + RETRY_TOKENS_PER_REQUEST).min(RETRY_TOKENS_MAX);
     }
 
-    /// Whether one more retry or hedged request is allowed.
+    /// Whether a token is available for one more retry or hedged request.
     pub(super) fn is_available(self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// Takes one token.
-    pub(super) fn take(&mut self) {
+    /// Withdraws one token.
+    pub(super) fn withdraw(&mut self) {
         self.tokens -= 1.0;
     }
 }
--- a/crates/deckproxy-control/src/control/slow_start.rs
+++ b/crates/deckproxy-control/src/control/slow_start.rs
@@ -1,61 +1,62 @@
-//! Slow start: how much is sent to a member whose process started lately.
+//! Slow start: limits what is sent to a member whose process started recently.
 
 use super::Control;
 use super::rendezvous_hash::mix64;
 use super::tuning::{GOLDEN_FRACTION, SLOW_START_SEND_COST, SLOW_START_SHARE};
 use crate::interface::{Member, MemberId, Millis, SlowStart};
 
-/// What this router may send to a member that warms up.
+/// The limits of this router for a member that warms up.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct SlowStartTerms {
+pub(super) struct SlowStartLimits {
     pub(super) rule: SlowStart,
-    /// This router's position among all.
+    /// This router's position among all routers.
     pub(super) position: u32,
-    /// This router's part of the member's capacity, in answers at full rate.
-    pub(super) capacity_part: f64,
-    /// Cost of the dearest class's send, ms.
-    pub(super) dearest_send: Millis,
+    /// This router's share of the member's capacity, in concurrent answers at full rate.
+    pub(super) capacity_share: f64,
+    /// Cost in ms of a send of the most expensive class.
+    pub(super) max_send_cost: Millis,
 }
 
-/// This router's part of a member's slow-start budget, in ms of sending time.
+/// This router's share of a member's slow-start budget, in ms of sending time.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SlowStartBudget {
-    /// What was not spent; none before the first use.
+    /// The unspent budget; `None` before the first use.
     balance: Option<Millis>,
     updated_at: Millis,
 }
 
 impl SlowStartBudget {
-    /// A budget that was not used before that time.
+    /// Creates a budget that is refilled from that time on.
     pub(super) fn starting_at(now: Millis) -> Self {
         SlowStartBudget { balance: None, updated_at: now }
     }
 
-    /// Takes the cost of a send.
+    /// Deducts the cost of a send.
     pub(super) fn spend(&mut self, cost: Millis) {
         self.balance = self.balance.map(|balance| balance - cost);
     }
 
-    /// Whether this router has a turn at a member that warms up.
+    /// Refills the budget and returns whether this router may send to a member that warms up.
     ///
-    /// What the rule allows at the member's present capacity comes in evenly. A turn is up once the balance
-    /// holds the dearest send, and lapses a window later, so that lulls save nothing up. The first balances
-    /// are spread by the golden ratio, so that the turns of any run of router positions come one after the
-    /// other.
-    pub(super) fn has_turn(&mut self, member: &Member, terms: &SlowStartTerms, now: Millis) -> bool {
-        let SlowStartTerms { rule, position, capacity_part, dearest_send } = *terms;
+    /// The budget is refilled continuously, at [`SLOW_START_SHARE`] of the load that the slow-start rule
+    /// allows at the member's current capacity. A send is allowed once the balance covers a send of the
+    /// most expensive class. An allowance expires after one overload window, so that idle periods
+    /// accumulate no burst. The initial balances are spread by the golden ratio, so that the routers in
+    /// any range of positions send one after another and not at once.
+    pub(super) fn allows_send(&mut self, member: &Member, limits: &SlowStartLimits, now: Millis) -> bool {
+        let SlowStartLimits { rule, position, capacity_share, max_send_cost } = *limits;
         let age = (now - member.started.unwrap_or(now)).max(0.0);
         let capacity = rule.initial_share + (1.0 - rule.initial_share) * age / rule.duration;
-        let rate = SLOW_START_SHARE * rule.overload_multiple * capacity * capacity_part;
-        let member_shift = mix64(u64::from(member.id)) as f64 / u64::MAX as f64;
-        let first = dearest_send * (f64::from(position) * GOLDEN_FRACTION + member_shift).fract();
-        let earned = rate * (now - self.updated_at).max(0.0);
-        let balance = self.balance.unwrap_or(first) + earned;
-        let lapsed_turns = ((balance - rate * rule.overload_window) / dearest_send).floor().max(0.0);
-        let balance = balance - lapsed_turns * dearest_send;
+        let rate = SLOW_START_SHARE * rule.overload_multiple * capacity * capacity_share;
+        let member_offset = mix64(u64::from(member.id)) as f64 / u64::MAX as f64;
+        let initial = max_send_cost * (f64::from(position) * GOLDEN_FRACTION + member_offset).fract();
+        let refill = rate * (now - self.updated_at).max(0.0);
+        let balance = self.balance.unwrap_or(initial) + refill;
+        let expired_sends = ((balance - rate * rule.overload_window) / max_send_cost).floor().max(0.0);
+        let balance = balance - expired_sends * max_send_cost;
         self.balance = Some(balance);
         self.updated_at = now.max(self.updated_at);
-        balance >= dearest_send
+        balance >= max_send_cost
     }
 }
 
@@ -64,19 +65,19 @@
         if self.is_cache(member) { self.settings.cache_slow_start } else { self.settings.parent_slow_start }
     }
 
-    /// Whether a member started so lately that it warms up. The origin never does.
+    /// Whether a member started recently enough to be warming up. The origin never warms up.
     pub(super) fn is_warming_up(&self, member: &Member) -> bool {
         let duration = self.slow_start_rule(member).duration;
         !self.is_origin(member) && member.started.is_some_and(|at| self.now - at < duration)
     }
 
-    /// Cost of a class's send in slow-start budgets.
+    /// Cost of a send of a class in slow-start budgets.
     pub(super) fn slow_start_cost(&self, class: usize) -> Millis {
         self.class_sending_times[class].mean() * SLOW_START_SEND_COST
     }
 
-    /// Whether a member takes a new attempt: it is listed as ready, not ejected and, while it warms up, this
-    /// router has a turn.
+    /// Whether a member accepts a new attempt: it is ready, not ejected and, while it warms up, this
+    /// router's slow-start budget allows a send.
     pub(super) fn accepts_attempts(&mut self, id: MemberId) -> bool {
         let Some(state) = self.members.get(&id).filter(|state| state.is_usable(self.now)) else {
             return false;
@@ -85,16 +86,16 @@
         if !self.is_warming_up(&member) {
             return true;
         }
-        let terms = SlowStartTerms {
+        let limits = SlowStartLimits {
             rule: self.slow_start_rule(&member),
             position: self.settings.position,
-            capacity_part: self.capacity(&member).unwrap_or(1.0) / self.routers_sharing(&member),
-            dearest_send: (0..self.class_sending_times.len())
+            capacity_share: self.capacity(&member).unwrap_or(1.0) / self.routers_sharing(&member),
+            max_send_cost: (0..self.class_sending_times.len())
                 .map(|class| self.slow_start_cost(class))
                 .fold(1.0, f64::max),
         };
         let now = self.now;
         let state = self.members.get_mut(&id);
-        state.is_some_and(|state| state.slow_start_budget.has_turn(&member, &terms, now))
+        state.is_some_and(|state| state.slow_start_budget.allows_send(&member, &limits, now))
     }
 }
--- a/crates/deckproxy-control/tests/common/mod.rs
+++ b/crates/deckproxy-control/tests/common/mod.rs
@@ -1,23 +1,26 @@
-//! A small location for the tests: three caches, two parents in two hubs, an origin, four classes.
+//! Test fixture: a small location with three caches, two parents in two zones, an origin and four
+//! classes.
 #![allow(dead_code)]
 
 use deckproxy_control::Control;
 use deckproxy_control::interface::*;
 
-pub const CACHE: u32 = 0;
-pub const PARENT: u32 = 1;
-pub const ORIGIN: u32 = 2;
+pub const CACHE_KIND: u32 = 0;
+pub const PARENT_KIND: u32 = 1;
+pub const ORIGIN_KIND: u32 = 2;
 pub const CACHES: [MemberId; 3] = [101, 102, 103];
 pub const PARENTS: [MemberId; 2] = [201, 202];
-pub const THE_ORIGIN: MemberId = 301;
-pub const HERE: u32 = 2;
+pub const ORIGIN_ID: MemberId = 301;
+pub const LOCAL_ZONE: u32 = 2;
 
-/// Classes: small and safe, large and safe, a keyed write, an unsafe write.
+/// Classes: small idempotent reads, large idempotent reads, keyed writes, and writes that are not
+/// idempotent.
 pub const SMALL: usize = 0;
 pub const LARGE: usize = 1;
 pub const KEYED: usize = 2;
-pub const UNSAFE: usize = 3;
-/// KB of one part, by class; at 1000 KB/s these are the sending times in ms.
+pub const NOT_IDEMPOTENT: usize = 3;
+/// Size of one part in KB, by class; at the transfer rate of 1000 KB/s these are also the sending times
+/// in ms.
 pub const SIZES: [f64; 4] = [50.0, 400.0, 20.0, 20.0];
 
 pub fn class(latency_objective: f64, deadline: f64, idempotency: Idempotency, write: bool) -> Class {
@@ -46,13 +49,13 @@
             class(700.0, 6000.0, Idempotency::Keyed, true),
             class(700.0, 6000.0, Idempotency::NotIdempotent, true),
         ],
-        zone: HERE,
+        zone: LOCAL_ZONE,
         zone_routers: vec![0, 0, 1, 1],
         zone_link_rate: vec![0.0; 4],
         routers: 2,
         position: 0,
-        parent_kind: Some(PARENT),
-        origin_kind: Some(ORIGIN),
+        parent_kind: Some(PARENT_KIND),
+        origin_kind: Some(ORIGIN_KIND),
         cache_bypass: true,
         join_fills: true,
         siblings: Siblings::None,
@@ -72,7 +75,7 @@
         },
         purge_grace: 300.0,
         purge_settle_time: 6000.0,
-        poll_member_list: false,
+        subscribe_to_member_list: false,
         max_attempts: 6,
         hedged_requests: false,
         cancellation: true,
@@ -83,16 +86,16 @@
 
 pub fn member(id: MemberId) -> Member {
     let (kind, zone, weight) = match id {
-        101..=103 => (CACHE, HERE, 4.0),
-        201 => (PARENT, 0, 12.0),
-        202 => (PARENT, 1, 12.0),
-        _ => (ORIGIN, 0, 4.0),
+        101..=103 => (CACHE_KIND, LOCAL_ZONE, 4.0),
+        201 => (PARENT_KIND, 0, 12.0),
+        202 => (PARENT_KIND, 1, 12.0),
+        _ => (ORIGIN_KIND, 0, 4.0),
     };
     Member { id, lifecycle: Lifecycle::Ready, started: None, weight, kind, zone, cell: 0 }
 }
 
-pub fn everyone() -> Vec<Member> {
-    CACHES.into_iter().chain(PARENTS).chain([THE_ORIGIN]).map(member).collect()
+pub fn all_members() -> Vec<Member> {
+    CACHES.into_iter().chain(PARENTS).chain([ORIGIN_ID]).map(member).collect()
 }
 
 /// An attempt that the router sent.
@@ -100,11 +103,11 @@
 pub struct SentAttempt {
     pub request: RequestId,
     pub member: MemberId,
-    /// The source of the fill, if it is a get.
+    /// The source if the attempt is a get; `None` for a look-up.
     pub source: Option<MemberId>,
 }
 
-/// How a member answers an attempt.
+/// A member's answer to an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptAnswer {
     pub request: RequestId,
@@ -116,27 +119,28 @@
     pub load: Option<LoadReport>,
 }
 
-/// A router with its clock and the actions of its last step.
-pub struct Rig {
+/// A router under test, with its clock and the actions of the last event.
+pub struct Harness {
     pub control: Control,
     pub now: Millis,
     pub actions: Vec<Action>,
     pub next: RequestId,
 }
 
-impl Rig {
-    pub fn with(settings: Settings, members: Vec<Member>) -> Rig {
-        let mut rig = Rig { control: Control::new(settings, 1), now: 1000.0, actions: vec![], next: 1 };
-        rig.event(Event::Started);
-        rig.event(Event::MemberList(ListKind::Cached, members));
-        rig
+impl Harness {
+    pub fn with(settings: Settings, members: Vec<Member>) -> Harness {
+        let mut harness =
+            Harness { control: Control::new(settings, 1), now: 1000.0, actions: vec![], next: 1 };
+        harness.event(Event::Started);
+        harness.event(Event::MemberList(ListKind::Cached, members));
+        harness
     }
 
-    pub fn new() -> Rig {
-        Rig::with(settings(), everyone())
+    pub fn new() -> Harness {
+        Harness::with(settings(), all_members())
     }
 
-    /// Handles one event; its actions are in `actions`.
+    /// Handles one event; its actions are then in `actions`.
     pub fn event(&mut self, event: Event) -> &[Action] {
         self.actions.clear();
         self.control.handle(self.now, event, &mut self.actions);
@@ -148,7 +152,7 @@
         self.request_of_size(class, object, part, Some(SIZES[class]))
     }
 
-    /// Requests a part of an object with that size, or of unknown size; returns the request's id.
+    /// Requests a part of an object of that size, or of unknown size; returns the request's id.
     pub fn request_of_size(&mut self, class: usize, object: u64, part: u32, size: Option<f64>) -> RequestId {
         let id = self.next;
         self.next += 1;
@@ -177,7 +181,7 @@
         self.event(Event::AttemptEnded { request, attempt, member, ending, elapsed, finished, note, load });
     }
 
-    /// Serves look-ups of `count` objects, each in the time given for its member.
+    /// Serves look-ups of `count` objects, each in the time that `elapsed` returns for its member.
     pub fn serve_lookups(&mut self, count: u64, elapsed: impl Fn(MemberId) -> Millis) {
         for object in 0..count {
             let id = self.request(SMALL, object, 0);
@@ -194,7 +198,7 @@
         }
     }
 
-    /// Serves an object from its home cache, and returns that cache.
+    /// Serves an object from its home cache and returns that cache.
     pub fn home_of(&mut self, object: u64) -> MemberId {
         let id = self.request(SMALL, object, 0);
         let member = self.sends()[0].member;
@@ -222,7 +226,7 @@
         });
     }
 
-    /// Whether the last step's get asks for a cached copy only; `None` without a get.
+    /// Whether the get of the last event requests a cached copy only; `None` without a get.
     pub fn cached_only(&self) -> Option<bool> {
         self.actions.iter().find_map(|a| match a {
             Action::Get { options, .. } => Some(options.cached_only),
@@ -230,8 +234,8 @@
         })
     }
 
-    /// Runs the periodic timer every 20 ms until `end`; all actions are in `actions`.
-    pub fn sweep_until(&mut self, end: Millis) {
+    /// Runs the periodic timer every 20 ms until `end`; all resulting actions are then in `actions`.
+    pub fn run_timer_until(&mut self, end: Millis) {
         let mut all = vec![];
         while self.now < end {
             self.now = (self.now + 20.0).min(end);
@@ -240,18 +244,18 @@
         self.actions = all;
     }
 
-    /// Runs the periodic timer once, at that time.
-    pub fn sweep_at(&mut self, now: Millis) {
+    /// Runs the periodic timer once, at clock time `now`.
+    pub fn run_timer_at(&mut self, now: Millis) {
         self.now = now;
         self.event(Event::Timer(0));
     }
 
-    /// The attempts that the last step sent.
+    /// The attempts that the last event caused.
     pub fn sends(&self) -> Vec<SentAttempt> {
         sends(&self.actions)
     }
 
-    /// Requests an object and answers the look-up with a miss; returns the request's id and the cache.
+    /// Requests an object and ends the look-up with a miss; returns the request's id and the cache.
     pub fn request_and_miss(&mut self, class: usize, object: u64) -> (RequestId, MemberId) {
         let id = self.request(class, object, 0);
         let cache = self.sends()[0].member;
@@ -273,10 +277,10 @@
         .collect()
 }
 
-pub fn rejected(actions: &[Action], id: RequestId) -> bool {
+pub fn is_rejected(actions: &[Action], id: RequestId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { request, .. } if *request == id))
 }
 
-pub fn failed(actions: &[Action], id: RequestId) -> bool {
+pub fn is_failed(actions: &[Action], id: RequestId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { request } if *request == id))
 }
