--- a/crates/deckproxy-control/src/control.rs
+++ b/crates/deckproxy-control/src/control.rs
@@ -90,7 +90,7 @@
     /// Decaying sum of the sending times of all requests, in ms.
     demand: DecayingSum,
     objects: BTreeMap<u64, ObjectStats>,
-    /// By kind of member; used when the member list does not give sizes.
+    /// By kind of member; used when the member list does not contain capacities.
     kind_throughput: BTreeMap<u32, KindThroughput>,
     /// Latency inflation of answers that were fetched from the origin.
     origin_latency: LatencyInflation,
--- a/crates/deckproxy-control/src/control/capacity_estimate.rs
+++ b/crates/deckproxy-control/src/control/capacity_estimate.rs
@@ -1,4 +1,4 @@
-//! The estimated capacity of a kind of member, for member lists without sizes.
+//! The estimated capacity of a kind of member, for member lists without capacities.
 
 use super::Control;
 use super::decay::decay_factor;
@@ -55,7 +55,7 @@
     /// A member's capacity in concurrent answers at full rate: as listed, else estimated from the
     /// throughput of its kind.
     pub(super) fn capacity(&self, member: &Member) -> Option<f64> {
-        if self.settings.weights_are_sizes {
+        if self.settings.weights_are_capacities {
             return Some(member.weight);
         }
         self.kind_throughput.get(&member.kind)?.capacity(self.now)
@@ -63,7 +63,7 @@
 
     /// Records the sending time of an answer that a member served, and its reported busy share, if any.
     pub(super) fn record_throughput(&mut self, id: MemberId, served: Millis, busy_share: Option<f64>) {
-        if self.settings.weights_are_sizes {
+        if self.settings.weights_are_capacities {
             return;
         }
         let Some(member) = self.members.get(&id).map(|state| state.listed) else { return };
--- a/crates/deckproxy-control/src/control/load.rs
+++ b/crates/deckproxy-control/src/control/load.rs
@@ -87,10 +87,10 @@
         }
     }
 
-    /// Attempts in flight estimated from a member's busy share, if its size is listed. A saturated member
+    /// Attempts in flight estimated from a member's busy share, if its capacity is listed. A saturated member
     /// may have more in flight, so its share is only used as a lower bound.
     fn in_flight_from_busy_share(&self, state: &MemberState, report: &LoadReport) -> Option<f64> {
-        let busy_share = report.busy_share.filter(|_| self.settings.weights_are_sizes)?;
+        let busy_share = report.busy_share.filter(|_| self.settings.weights_are_capacities)?;
         let in_flight = busy_share * state.listed.weight;
         let estimated = state.in_flight.total(self.routers_sharing(&state.listed), self.now);
         (busy_share < BUSY_SHARE_SATURATED || in_flight > estimated).then_some(in_flight)
--- a/crates/deckproxy-control/src/control/member_list.rs
+++ b/crates/deckproxy-control/src/control/member_list.rs
@@ -11,8 +11,8 @@
             self.mark_unlisted_members_gone(&list);
         }
         for mut member in list {
-            // Weights that are not sizes must not affect the rendezvous hash.
-            member.weight = if self.settings.weights_are_sizes { member.weight } else { 1.0 };
+            // Weights that are not capacities must not affect the rendezvous hash.
+            member.weight = if self.settings.weights_are_capacities { member.weight } else { 1.0 };
             self.update_member(kind, member);
         }
         self.remove_gone_members();
--- a/crates/deckproxy-control/src/interface/member.rs
+++ b/crates/deckproxy-control/src/interface/member.rs
@@ -23,7 +23,7 @@
     pub lifecycle: Lifecycle,
     /// Clock time at which its process started, if known to be recent.
     pub started: Option<Millis>,
-    /// Its capacity in concurrent answers at the full transfer rate, if weights are sizes.
+    /// Its capacity in concurrent answers at the full transfer rate, if weights are capacities.
     pub weight: f64,
     /// Its kind.
     pub kind: u32,
--- a/crates/deckproxy-control/src/interface/settings.rs
+++ b/crates/deckproxy-control/src/interface/settings.rs
@@ -109,8 +109,8 @@
     pub siblings: Siblings,
     /// Rate at which one answer is sent, in KB/s; members' weights count concurrent answers at this rate.
     pub transfer_rate: f64,
-    /// The members' weights are their sizes; otherwise weights have no meaning.
-    pub weights_are_sizes: bool,
+    /// The members' weights are their capacities; otherwise weights have no meaning.
+    pub weights_are_capacities: bool,
     /// Slow start of caches.
     pub cache_slow_start: SlowStart,
     /// Slow start of parents.
--- a/crates/deckproxy-control/tests/common/mod.rs
+++ b/crates/deckproxy-control/tests/common/mod.rs
@@ -60,7 +60,7 @@
         join_fills: true,
         siblings: Siblings::None,
         transfer_rate: 1000.0,
-        weights_are_sizes: true,
+        weights_are_capacities: true,
         cache_slow_start: SlowStart {
             initial_share: 0.2,
             duration: 16_000.0,
--- a/crates/deckproxy-control/tests/load_estimates.rs
+++ b/crates/deckproxy-control/tests/load_estimates.rs
@@ -145,9 +145,9 @@
 /// would be shed.
 #[test]
 fn an_unknown_capacity_is_estimated_from_throughput() {
-    let simulate = |weights_are_sizes: bool, busy_share: f64| {
+    let simulate = |weights_are_capacities: bool, busy_share: f64| {
         let list = all_members().into_iter().map(|m| Member { weight: 1.0, ..m }).collect();
-        let mut harness = Harness::with(Settings { weights_are_sizes, ..settings() }, list);
+        let mut harness = Harness::with(Settings { weights_are_capacities, ..settings() }, list);
         let mut in_flight: VecDeque<SentAttempt> = VecDeque::new();
         let (mut rejections, mut first) = (0, None);
         for object in 0..2000 {
@@ -198,8 +198,8 @@
 /// Weights that change with the load would change the objects' home caches with each member list.
 #[test]
 fn weights_that_are_no_sizes_do_not_move_homes() {
-    let moved = |weights_are_sizes: bool| {
-        let mut harness = Harness::with(Settings { weights_are_sizes, ..settings() }, all_members());
+    let moved = |weights_are_capacities: bool| {
+        let mut harness = Harness::with(Settings { weights_are_capacities, ..settings() }, all_members());
         let before: Vec<_> = (0..60).map(|object| harness.home_of(object)).collect();
         let list =
             all_members().into_iter().map(|m| Member { weight: f64::from(m.id % 10) * 3.0, ..m }).collect();
--- a/crates/deckproxy-settings/src/lib.rs
+++ b/crates/deckproxy-settings/src/lib.rs
@@ -113,7 +113,7 @@
         join_fills: values.flag("familyInfo.canJoin")?,
         siblings: values.word("familyInfo.sideways", "value", Siblings::None, &siblings)?,
         transfer_rate: values.number("familyInfo.flowKbPerS", 0.0)?,
-        weights_are_sizes: values.word("weightKind", "value", true, &weights)?,
+        weights_are_capacities: values.word("weightKind", "value", true, &weights)?,
         cache_slow_start,
         parent_slow_start: read_parent_slow_start(values, cache_slow_start)?,
         purge_grace: values.number("familyInfo.obeyAfterMs", 0.0)?,
--- a/crates/deckproxy-settings/tests/settings.rs
+++ b/crates/deckproxy-settings/tests/settings.rs
@@ -83,7 +83,7 @@
 
 #[test]
 fn weights_are_sizes_unless_the_weight_kind_denies_it() {
-    let sized = |text: &str| settings::read(text).unwrap().settings.weights_are_sizes;
+    let sized = |text: &str| settings::read(text).unwrap().settings.weights_are_capacities;
     assert!(sized("") && sized("weightKind=nominal") && sized("weightKind=rough"));
     assert!(!sized("weightKind=none") && !sized("weightKind=live"));
 }
