--- a/crates/deckproxy-control/tests/attempt_limits.rs
+++ b/crates/deckproxy-control/tests/attempt_limits.rs
@@ -5,7 +5,7 @@
 use deckproxy_control::interface::*;
 
 #[test]
-fn a_timeout_at_the_deadline_is_answered_at_once_and_once() {
+fn a_timeout_at_the_deadline_is_answered_at_once_and_only_once() {
     let mut harness = Harness::new();
     let id = harness.request(SMALL, 5, 0);
     let home = harness.sends()[0].member;
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_rejection_advises_a_retry_time_only_where_allowed() {
+fn a_rejection_advises_a_retry_delay_only_if_allowed() {
     for (retry_after, max_delay) in [(true, 1000.0), (true, 100.0), (false, 1000.0)] {
         let mut harness =
             Harness::with(Settings { retry_after, max_retry_after: max_delay, ..settings() }, vec![]);
--- a/crates/deckproxy-control/tests/common/mod.rs
+++ b/crates/deckproxy-control/tests/common/mod.rs
@@ -124,13 +124,13 @@
     pub control: Control,
     pub now: Millis,
     pub actions: Vec<Action>,
-    pub next: RequestId,
+    pub next_id: RequestId,
 }
 
 impl Harness {
     pub fn with(settings: Settings, members: Vec<Member>) -> Harness {
         let mut harness =
-            Harness { control: Control::new(settings, 1), now: 1000.0, actions: vec![], next: 1 };
+            Harness { control: Control::new(settings, 1), now: 1000.0, actions: vec![], next_id: 1 };
         harness.event(Event::Started);
         harness.event(Event::MemberList(ListKind::Cached, members));
         harness
@@ -154,8 +154,8 @@
 
     /// Requests a part of an object of that size, or of unknown size; returns the request's id.
     pub fn request_of_size(&mut self, class: usize, object: u64, part: u32, size: Option<f64>) -> RequestId {
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_id;
+        self.next_id += 1;
         let deadline = self.now + 5000.0;
         self.event(Event::Request(Request { id, object, part, group: 7, size, class, deadline }));
         id
--- a/crates/deckproxy-control/tests/hedging_and_retries.rs
+++ b/crates/deckproxy-control/tests/hedging_and_retries.rs
@@ -54,7 +54,7 @@
 #[test]
 fn the_retry_budget_is_small() {
     let mut harness = Harness::new();
-    let mut further = 0;
+    let mut retries = 0;
     for object in 0..40 {
         let id = harness.request(SMALL, object, 0);
         let mut attempt = 0;
@@ -62,9 +62,9 @@
             harness.end(id, attempt, at, AttemptEnding::Rejected);
             attempt += 1;
         }
-        further += attempt.saturating_sub(1);
+        retries += attempt.saturating_sub(1);
     }
-    assert!((5..=5 + 12).contains(&further), "{further}");
+    assert!((5..=5 + 12).contains(&retries), "{retries}");
 }
 
 /// After both look-ups of one request missed, the request must not wait or lead a second time.
--- a/crates/deckproxy-control/tests/link_overload.rs
+++ b/crates/deckproxy-control/tests/link_overload.rs
@@ -78,7 +78,7 @@
         harness.request_and_miss(LARGE, object);
     }
     let (id, _) = harness.request_and_miss(LARGE, 900);
-    assert!(is_rejected(&harness.actions, id), "the link is full");
+    assert!(is_rejected(&harness.actions, id), "the link is overloaded");
     for _ in 0..200 {
         harness.now += 20.0;
         let now = harness.now;
@@ -91,7 +91,7 @@
 /// Fills that wait for a slow origin must not cause requests to be shed that parents can serve from their
 /// copies.
 #[test]
-fn on_an_overloaded_link_parents_answer_from_cache_where_notes_are_known() {
+fn on_an_overloaded_link_parents_answer_from_cache_if_notes_are_known() {
     for notes in [false, true] {
         let mut harness = Harness::with(
             Settings { zone_link_rate: vec![0.0, 0.0, 3000.0, 0.0], ..settings() },
--- a/crates/deckproxy-control/tests/load_estimates.rs
+++ b/crates/deckproxy-control/tests/load_estimates.rs
@@ -31,11 +31,11 @@
 
 /// With class means alone small objects would be shed and large ones admitted.
 #[test]
-fn sending_times_are_learned_by_object_where_sizes_are_unknown() {
+fn sending_times_are_learned_by_object_if_sizes_are_unknown() {
     let mut harness = Harness::new();
     let send_request = |harness: &mut Harness, object: u64| {
-        let id = harness.next;
-        harness.next += 1;
+        let id = harness.next_id;
+        harness.next_id += 1;
         let deadline = harness.now + 5000.0;
         let r = Request { id, object, part: 0, group: 0, size: None, class: SMALL, deadline };
         harness.event(Event::Request(r));
@@ -108,7 +108,7 @@
 
 /// The attempts in flight are fills that wait for slow parents, while the cache's own link is idle.
 #[test]
-fn a_cache_with_waiting_fills_and_spare_cores_takes_lookups_only() {
+fn a_cache_with_waiting_fills_and_spare_cpu_accepts_lookups_only() {
     let rejections = |busy_share: f64| {
         let mut harness =
             Harness::with(Settings { zone_routers: vec![0, 0, 20, 1], ..settings() }, all_members());
@@ -189,7 +189,7 @@
 
 /// A single router's few attempts show little of the load of many routers.
 #[test]
-fn a_load_report_counts_the_other_routers_where_there_are_any() {
+fn a_load_report_includes_the_other_routers_if_there_are_any() {
     assert!(spills_after_report(40.0, 20), "its objects spill over");
     assert!(!spills_after_report(2.0, 20));
     assert!(!spills_after_report(40.0, 1), "no other router sends to it");
@@ -197,7 +197,7 @@
 
 /// Weights that change with the load would change the objects' home caches with each member list.
 #[test]
-fn weights_that_are_no_sizes_do_not_move_homes() {
+fn weights_that_are_not_capacities_do_not_change_home_caches() {
     let moved = |weights_are_capacities: bool| {
         let mut harness = Harness::with(Settings { weights_are_capacities, ..settings() }, all_members());
         let before: Vec<_> = (0..60).map(|object| harness.home_of(object)).collect();
--- a/crates/deckproxy-control/tests/member_drain.rs
+++ b/crates/deckproxy-control/tests/member_drain.rs
@@ -5,7 +5,7 @@
 use deckproxy_control::interface::*;
 
 #[test]
-fn a_draining_or_gone_member_takes_no_attempts_and_is_no_source() {
+fn a_draining_or_gone_member_receives_no_attempts_and_is_no_source() {
     for lifecycle in [Lifecycle::Draining, Lifecycle::Gone] {
         for draining in [101, 201] {
             let mut harness = Harness::new();
@@ -42,8 +42,8 @@
 fn a_member_missing_from_a_full_list_is_gone_and_its_fills_are_retried() {
     let mut harness = Harness::new();
     let (id, cache) = harness.request_and_miss(SMALL, 5);
-    let left = all_members().into_iter().filter(|m| m.id != cache).collect();
-    harness.event(Event::MemberList(ListKind::Full, left));
+    let remaining = all_members().into_iter().filter(|m| m.id != cache).collect();
+    harness.event(Event::MemberList(ListKind::Full, remaining));
     harness.end(id, 1, cache, AttemptEnding::Reset);
     assert!(harness.sends().iter().all(|sent| sent.member != cache));
     assert_eq!(harness.sends().len(), 1);
--- a/crates/deckproxy-control/tests/ordinary_path.rs
+++ b/crates/deckproxy-control/tests/ordinary_path.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn routers_of_other_locations_pick_the_same_parent() {
+fn routers_of_other_locations_select_the_same_parent() {
     let mut local = Harness::new();
     let mut other = Settings { zone: 3, ..settings() };
     other.zone_routers = vec![0, 0, 1, 1];
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_waiter_fills_alone_after_the_wait_timeout_and_not_before() {
+fn a_waiter_sends_its_own_fill_after_the_wait_timeout_and_not_before() {
     let mut harness = Harness::new();
     harness.request_and_miss(SMALL, 5);
     let (waiter, cache) = harness.request_and_miss(SMALL, 5);
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_waiter_fills_alone_earlier_when_time_for_one_attempt_is_left() {
+fn a_waiter_sends_its_own_fill_earlier_if_time_for_only_one_attempt_is_left() {
     let mut harness = Harness::new();
     harness.request_and_miss(SMALL, 5);
     let id = 90;
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_leader_without_client_whose_fill_fails_passes_the_lead_on() {
+fn a_waiter_leads_after_the_fill_of_a_leader_without_client_fails() {
     let mut harness = Harness::new();
     let (leader, cache) = harness.request_and_miss(SMALL, 5);
     let (waiter, _) = harness.request_and_miss(SMALL, 5);
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn the_member_list_is_watched_where_it_is_polled_and_again_after_a_failure() {
+fn the_member_list_is_subscribed_to_again_after_a_failure() {
     let mut harness = Harness::with(Settings { subscribe_to_member_list: true, ..settings() }, all_members());
     harness.event(Event::Started);
     assert_eq!(harness.actions, vec![Action::WatchMembers(true)]);
--- a/crates/deckproxy-control/tests/outlier_ejection.rs
+++ b/crates/deckproxy-control/tests/outlier_ejection.rs
@@ -34,7 +34,7 @@
 
 /// A broken connection ends many attempts at once, which must count as one failure.
 #[test]
-fn failures_of_one_instant_count_once() {
+fn simultaneous_failures_count_once() {
     let mut harness = Harness::new();
     let member = harness.home_of(5);
     let requests: Vec<RequestId> = (0..8).map(|_| harness.request(SMALL, 5, 0)).collect();
@@ -80,7 +80,7 @@
 
 /// Clients that disconnect early must not cause ejections.
 #[test]
-fn attempts_cancelled_before_they_are_late_do_not_show_silence() {
+fn attempts_cancelled_before_they_are_late_are_no_evidence_of_silence() {
     let mut harness = Harness::new();
     let member = harness.home_of(5);
     for _ in 0..40 {
--- a/crates/deckproxy-control/tests/properties.rs
+++ b/crates/deckproxy-control/tests/properties.rs
@@ -107,19 +107,19 @@
         for action in actions {
             match action {
                 Action::Lookup { request, member, deadline } => {
-                    self.sent(request, member, deadline, None, None);
+                    self.check_send(request, member, deadline, None, None);
                 }
                 Action::Get { request, member, deadline, source, max_age, .. } => {
-                    self.sent(request, member, deadline, Some(source), Some(max_age));
+                    self.check_send(request, member, deadline, Some(source), Some(max_age));
                 }
                 Action::Reject { request, .. } => {
                     let pending =
                         self.pending.remove(&request).expect("rejected a request that is not pending");
                     let class = &settings().classes[pending.request.class];
-                    let harmless =
+                    let is_safe =
                         class.idempotency != Idempotency::NotIdempotent || pending.possible_run.is_none();
                     assert!(
-                        harmless && pending.in_flight.is_none(),
+                        is_safe && pending.in_flight.is_none(),
                         "rejected a request that may have been executed"
                     );
                     self.ended += 1;
@@ -145,7 +145,7 @@
         }
     }
 
-    fn sent(
+    fn check_send(
         &mut self,
         id: RequestId,
         to: MemberId,
@@ -234,8 +234,8 @@
     }
 
     /// Advances the clock; timers and time-outs are handled when they are due.
-    fn wait(&mut self, span: Millis) {
-        let end = self.harness.now + span;
+    fn wait(&mut self, duration: Millis) {
+        let end = self.harness.now + duration;
         loop {
             let timer = self.timers.iter().map(|timer| timer.at).fold(f64::MAX, f64::min);
             let in_flight = self
@@ -274,11 +274,11 @@
     #[allow(clippy::too_many_lines, reason = "one arm for each kind of step")]
     fn step(&mut self, step: Step) {
         match step {
-            Step::Wait(span) => self.wait(f64::from(span)),
+            Step::Wait(duration) => self.wait(f64::from(duration)),
             Step::SendRequest { class, object, timeout } => {
                 let class = usize::from(class);
-                let id = self.harness.next;
-                self.harness.next += 1;
+                let id = self.harness.next_id;
+                self.harness.next_id += 1;
                 let deadline = self.harness.now + f64::from(timeout);
                 // Each object has one class and one group.
                 let object = u64::from(object) * 4 + class as u64;
--- a/crates/deckproxy-control/tests/slow_sources.rs
+++ b/crates/deckproxy-control/tests/slow_sources.rs
@@ -20,12 +20,12 @@
     sources
 }
 
-/// The sources of the fills within `span`, with a slow fill every 20 ms.
-fn sources_while_slow(harness: &mut Harness, span: Millis) -> Vec<MemberId> {
+/// The sources of the fills within `duration`, with a slow fill every 20 ms.
+fn sources_while_slow(harness: &mut Harness, duration: Millis) -> Vec<MemberId> {
     let (start, mut sources) = (harness.now, vec![]);
     for object in 0.. {
         harness.now += 20.0;
-        if harness.now - start > span {
+        if harness.now - start > duration {
             return sources;
         }
         let (request, member) = harness.request_and_miss(SMALL, object);
@@ -136,6 +136,6 @@
     };
     let slow = (0..200).filter(|object| send_request(&mut harness, *object, 1300.0)).count();
     assert!(slow < 40, "{slow}");
-    let quick: Vec<bool> = (200..400).map(|object| send_request(&mut harness, object, 30.0)).collect();
-    assert!(quick[60..].iter().all(|sent| *sent), "used again within a second");
+    let fast: Vec<bool> = (200..400).map(|object| send_request(&mut harness, object, 30.0)).collect();
+    assert!(fast[60..].iter().all(|sent| *sent), "used again within 60 requests (1.2 s)");
 }
--- a/crates/deckproxy-control/tests/slow_start.rs
+++ b/crates/deckproxy-control/tests/slow_start.rs
@@ -57,11 +57,11 @@
             .collect()
     }
 
-    fn at(&mut self, now: Millis) {
+    fn set_time(&mut self, now: Millis) {
         self.harnesses.iter_mut().for_each(|harness| harness.now = now);
     }
 
-    fn notify(&mut self, i: usize) {
+    fn list_warming_member(&mut self, i: usize) {
         let warming = self.warming;
         self.harnesses[i].event(Event::MemberList(ListKind::Delta, vec![warming]));
     }
@@ -121,16 +121,16 @@
 /// late, some restart during its slow start, there are lulls, and after each lull all send requests at
 /// once.
 #[test]
-fn twenty_four_routers_keep_a_slow_start_budget_through_lulls_surges_and_restarts() {
+fn twenty_four_routers_stay_within_a_slow_start_budget_through_lulls_surges_and_restarts() {
     for (warming, rule) in cases() {
         let mut fleet = Fleet::of(24, warming);
         for step in 0..8000_u32 {
             let now = 1000.0 + 20.0 * f64::from(step);
-            fleet.at(now);
+            fleet.set_time(now);
             let lull = (800..4000).contains(&step) || (4300..7000).contains(&step);
             for i in 0..24_usize {
                 if step == 20 * (u32::try_from(i).unwrap() % 5) {
-                    fleet.notify(i);
+                    fleet.list_warming_member(i);
                 }
                 if (step == 700 || step == 3999) && i % 4 == 1 {
                     fleet.restart(i);
@@ -159,9 +159,9 @@
 fn a_lull_accumulates_no_budget_for_the_surge_after_it() {
     for (warming, rule) in cases() {
         let mut fleet = Fleet::of(24, warming);
-        fleet.at(1000.0);
-        (0..24).for_each(|i| fleet.notify(i));
-        fleet.at(41_000.0);
+        fleet.set_time(1000.0);
+        (0..24).for_each(|i| fleet.list_warming_member(i));
+        fleet.set_time(41_000.0);
         for _ in 0..40 {
             (0..24).for_each(|i| fleet.request(i));
         }
@@ -174,10 +174,10 @@
 fn a_fleet_restarted_within_a_window_has_no_second_budget() {
     for (warming, rule) in cases() {
         let mut fleet = Fleet::of(24, warming);
-        fleet.at(1000.0);
-        (0..24).for_each(|i| fleet.notify(i));
+        fleet.set_time(1000.0);
+        (0..24).for_each(|i| fleet.list_warming_member(i));
         for step in 0..1200 {
-            fleet.at(1000.0 + 5.0 * f64::from(step));
+            fleet.set_time(1000.0 + 5.0 * f64::from(step));
             if step % 30 == 29 {
                 (0..24).for_each(|i| fleet.restart(i));
             }
--- a/crates/deckproxy-control/tests/slow_start_budget.rs
+++ b/crates/deckproxy-control/tests/slow_start_budget.rs
@@ -64,7 +64,7 @@
 /// An equal share of a budget may be less than the cost of one send, so each router accumulates its share
 /// until it covers a whole send.
 #[test]
-fn all_routers_together_keep_and_use_a_slow_start_budget() {
+fn all_routers_together_stay_within_and_use_a_slow_start_budget() {
     let rule = settings().parent_slow_start;
     for (routers, weight) in [(1, 12.0), (4, 12.0), (40, 40.0), (200, 100.0), (1000, 400.0)] {
         let settings = Settings { routers, zone_routers: vec![0, 0, routers], ..settings() };
@@ -89,7 +89,7 @@
                 harness.end(id, 1, cache, AttemptEnding::Served);
             }
         }
-        assert!(calls.len() > 4, "{routers}: the parent receives calls: {}", calls.len());
+        assert!(calls.len() > 4, "{routers}: the parent receives too few calls: {}", calls.len());
         for Call { at: end, .. } in &calls {
             let load = load_until(&calls, *end, rule);
             let capacity = rule.initial_share + (1.0 - rule.initial_share) * (end - 900.0) / rule.duration;
@@ -102,7 +102,7 @@
 /// Only the routers of its location send to a cache, so the initial balances must be spread evenly over
 /// any range of positions.
 #[test]
-fn the_routers_of_one_location_keep_and_use_a_caches_budget() {
+fn the_routers_of_one_location_stay_within_and_use_a_caches_budget() {
     let rule = settings().cache_slow_start;
     for (local_routers, weight) in [(13, 6.0), (40, 3.0)] {
         let warming = Member { started: Some(900.0), weight, ..member(101) };
@@ -173,7 +173,7 @@
 
 /// Otherwise a member that repeatedly leaves and rejoins the list would have a full budget each time.
 #[test]
-fn a_warming_member_that_leaves_and_returns_keeps_its_spent_budget() {
+fn a_warming_member_that_leaves_and_returns_has_no_new_budget() {
     let warming = |m: Member| Member { started: (m.id == 101).then_some(900.0), ..m };
     for full_list in [false, true] {
         let mut harness = Harness::with(settings(), all_members().into_iter().map(warming).collect());
