--- a/crates/deckproxy-recovery/src/admission/mod.rs
+++ b/crates/deckproxy-recovery/src/admission/mod.rs
@@ -1,4 +1,5 @@
-//! Admission control before the decision module: which requests are admitted, and when the clients of the others may retry.
+//! Admission control before the decision module: which requests are admitted, and when the clients of
+//! rejected ones may retry.
 
 mod types;
 
@@ -11,31 +12,31 @@
 use crate::retry_storm::RetryStorm;
 use crate::{ClassIndex, Millis};
 
-/// Requests that must have ended lately for the pressure to be judged.
-const SIGNIFICANT: u64 = 20;
-/// A client that comes this little too early is in time, in milliseconds.
+/// Requests that must have ended in the recent windows for the pressure to be more than 0.
+const MIN_ENDED_FOR_PRESSURE: u64 = 20;
+/// A retry that is early by less than this is accepted, in milliseconds.
 const EARLY_TOLERANCE: Millis = 1.0;
-/// Part of the served rate that is kept for retries, beside the first attempts.
-const RETRY_PART: f64 = 0.25;
-/// Least rate at which clients are scheduled to return, a second.
-const LEAST_RETURN_RATE: f64 = 1.0;
+/// Share of the served rate that is planned for retries; the rest is for first attempts.
+const RETRY_RATE_SHARE: f64 = 0.25;
+/// Lowest rate at which retries are scheduled, per second.
+const MIN_RETURN_RATE: f64 = 1.0;
 
 /// The admission control of one gateway.
 #[derive(Debug)]
 pub struct Admission {
     settings: Settings,
     retries: RetryTracker,
-    /// By class; empty where retries are not limited.
+    /// Retry budgets by class; empty if retries are not limited.
     budgets: Vec<Budget>,
     storm: Option<RetryStorm>,
     class_shedding: ClassShedding,
     schedule: RetryAfterSchedule,
-    /// Requests since the start.
+    /// Counters of requests since the start.
     pub counters: Counters,
 }
 
 impl Admission {
-    /// Admission control that has seen no requests. The same seed gives the same decisions.
+    /// Admission control without any requests so far. The same seed and calls yield the same decisions.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let budgets = settings.retry_budget.map(|limits| vec![Budget::new(limits); settings.classes.len()]);
         Admission {
@@ -49,7 +50,7 @@
         }
     }
 
-    /// The admitted rate in a storm, in requests a second; `None`: there is no storm.
+    /// The cap on the admitted rate in a storm, in requests per second; `None`: there is no storm.
     pub fn cap(&self) -> Option<f64> {
         self.storm.as_ref().and_then(RetryStorm::cap)
     }
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Decides on a request. Classes that are not known are admitted.
+    /// Decides on a request. Requests of unknown classes are admitted.
     pub fn request(&mut self, now: Millis, request: RequestInfo) -> Verdict {
         let Some(class) = self.settings.classes.get(request.class).copied() else { return Verdict::Admit };
         let rejection = self.retries.get(now, request.key);
@@ -74,7 +75,7 @@
             return self.admit(now, request.class, is_retry);
         }
         if let Some(early_by) = rejection.and_then(|rejection| self.early_by(now, rejection)) {
-            // Retrying early neither gains nor loses anything: the time stays as it was.
+            // An early retry changes nothing: the client may retry at the same time as before.
             self.counters.too_early += 1;
             return Verdict::Reject { retry_after: early_by };
         }
@@ -90,7 +91,7 @@
             self.counters.no_budget += 1;
             return self.reject(now, request.key, self.settings.min_retry_after);
         }
-        if !self.is_below_cap(now, class.priority_weight) {
+        if !self.try_admit_below_cap(now, class.priority_weight) {
             self.counters.capped += 1;
             if is_retry && let Some(budget) = self.budgets.get_mut(request.class) {
                 budget.refund();
@@ -114,27 +115,28 @@
                 counts.firsts += 1;
             }
         });
-        // Requests that the cap rejected are not served either.
+        // Requests that the cap rejected add to the pressure: they were not served.
         let recent = storm.recent();
         let ended = recent.ended() + recent.capped;
-        let pressure = if ended < SIGNIFICANT { 0.0 } else { 1.0 - recent.served as f64 / ended as f64 };
+        let pressure =
+            if ended < MIN_ENDED_FOR_PRESSURE { 0.0 } else { 1.0 - recent.served as f64 / ended as f64 };
         self.class_shedding.update(now, pressure);
     }
 
-    /// How much too early a retry comes, in milliseconds; `None`: it is in time. After a clock was set back, nobody waits for
-    /// longer than the retry-after time was.
+    /// How early a retry arrives, in milliseconds; `None`: it is not early. More than the longest retry-after
+    /// time is left only if the clock was set back: the retry is not early then.
     fn early_by(&self, now: Millis, rejection: Rejection) -> Option<Millis> {
         let early_by = rejection.retry_at - now;
         let is_early = (EARLY_TOLERANCE..=self.settings.max_retry_after).contains(&early_by);
         (self.settings.enforces_retry_after && is_early).then_some(early_by)
     }
 
-    /// Takes a retry from the class's budget; returns whether there was one.
+    /// Takes a retry from the class's budget. Returns false if the budget is empty; without a budget, always true.
     fn take_retry(&mut self, class: ClassIndex) -> bool {
         self.budgets.get_mut(class).is_none_or(Budget::spend)
     }
 
-    fn is_below_cap(&mut self, now: Millis, priority_weight: f64) -> bool {
+    fn try_admit_below_cap(&mut self, now: Millis, priority_weight: f64) -> bool {
         let Some(storm) = &mut self.storm else { return true };
         let is_below = storm.admits(now, priority_weight);
         if !is_below {
@@ -164,19 +166,20 @@
         Verdict::Reject { retry_after }
     }
 
-    /// The retry-after time of a client that is rejected now.
+    /// The retry-after time of a client that is rejected now, in milliseconds and at least `min`, if the
+    /// settings allow that.
     fn retry_after(&mut self, now: Millis, min: Millis) -> Millis {
         let max = self.settings.max_retry_after;
         if !self.settings.spreads_retry_after {
             return min.min(max);
         }
         let served_rate = self.storm.as_ref().map_or(0.0, RetryStorm::served_rate);
-        let return_rate = (served_rate * RETRY_PART).max(LEAST_RETURN_RATE);
+        let return_rate = (served_rate * RETRY_RATE_SHARE).max(MIN_RETURN_RATE);
         self.schedule.schedule(now, Bounds { min, max }, return_rate)
     }
 
-    /// An admitted request ended. `retry_after`: the decision module's time in milliseconds, 0 where it gave none. Returns
-    /// the retry-after time to give.
+    /// An admitted request has ended. `retry_after`: the decision module's retry-after time in milliseconds,
+    /// 0 if it set none. Returns the retry-after time to send to the client.
     pub fn request_ended(
         &mut self,
         now: Millis,
@@ -198,7 +201,7 @@
                 self.retries.record(now, request, now + retry_after);
                 return retry_after;
             }
-            // No time was given: the next one is a retry, and not too early.
+            // No retry-after time was sent: the next request is a retry, and is never early.
             RequestOutcome::Failed | RequestOutcome::ClientGone => self.retries.record(now, request, now),
         }
         retry_after
--- a/crates/deckproxy-recovery/src/admission/types.rs
+++ b/crates/deckproxy-recovery/src/admission/types.rs
@@ -3,41 +3,44 @@
 use crate::retries::RequestKey;
 use crate::{ClassIndex, Millis, budget, class_shedding, retry_storm};
 
-/// What matters of a class of requests.
+/// The properties of a request class that admission control uses.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Class {
-    /// Its position among all classes by priority weight, 0 to 1.
+    /// Rank of the class among all classes by priority weight, 0 to 1.
     pub priority_weight: f64,
-    /// Its requests may be rejected: a new attempt does no harm.
+    /// Whether its requests may be rejected, which is harmless if a retry has no side effects.
     pub can_be_rejected: bool,
-    /// In a storm, a request whose client waits for less than this is rejected, in milliseconds.
+    /// In a storm, a request whose client will wait for less time than this is rejected, in milliseconds.
     pub min_time_left: Millis,
 }
 
-/// How admission control works. Each part can be left out, so that the others can be tried without it.
+/// Settings of admission control. Each mechanism can be disabled; class shedding and the rate of scheduled
+/// retries depend on the counts of storm detection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The classes, by index.
     pub classes: Vec<Class>,
     /// The retry budget of each class; `None`: retries are not limited.
     pub retry_budget: Option<budget::Limits>,
-    /// Detection of storms; `None`: the admitted rate is never capped.
+    /// Detection of storms; `None`: the admitted rate is never capped, no class is shed, and retries are
+    /// scheduled at the lowest rate.
     pub storm: Option<retry_storm::Limits>,
-    /// Clients that retry before their retry-after time are rejected for the rest of it.
+    /// Whether clients that retry before their retry-after time are rejected until it has passed.
     pub enforces_retry_after: bool,
-    /// Retry-after times are scheduled so that clients return evenly; else all get the shortest.
+    /// Whether retry-after times are spread so that retries arrive evenly; otherwise clients get the shortest
+    /// time allowed.
     pub spreads_retry_after: bool,
     /// The classes to shed, in order.
     pub shedding_steps: Vec<class_shedding::Step>,
-    /// How long the pressure must last for a class to be shed or admitted again.
+    /// How long the pressure must be past a threshold before a class is shed or admitted again.
     pub shedding_times: class_shedding::Times,
     /// Shortest retry-after time, in milliseconds.
     pub min_retry_after: Millis,
     /// Longest retry-after time, in milliseconds.
     pub max_retry_after: Millis,
-    /// Number of rejected requests that are remembered at least.
+    /// Number of rejected or failed requests that are retained at least, to detect retries, if they are recent enough.
     pub remembered: usize,
-    /// Time for which they are remembered at least, in milliseconds.
+    /// Time for which they are retained at least, unless as many newer ones arrive before that, in milliseconds.
     pub remembered_for: Millis,
 }
 
@@ -59,23 +62,25 @@
     }
 }
 
-/// What matters of a request.
+/// The properties of a request that admission control uses.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestInfo {
     /// The client and the object.
     pub key: RequestKey,
     /// The class.
     pub class: ClassIndex,
-    /// How long the client still waits, in milliseconds.
+    /// Time left until the client stops waiting, in milliseconds.
     pub time_left: Millis,
 }
 
 /// The decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
-    /// It is passed to the decision module; its end has to be reported.
+    /// The request is passed to the decision module, and [`Admission::request_ended`] must be called when it ends.
+    ///
+    /// [`Admission::request_ended`]: super::Admission::request_ended
     Admit,
-    /// It is rejected at once.
+    /// The request is rejected.
     Reject {
         /// Time after which the client may retry, in milliseconds.
         retry_after: Millis,
@@ -85,17 +90,17 @@
 /// How an admitted request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// It was served.
+    /// The request was served.
     Served,
     /// The decision module rejected it.
     Rejected,
-    /// It failed.
+    /// The request failed.
     Failed,
-    /// Its client left first.
+    /// The client cancelled the request or disconnected before its end.
     ClientGone,
 }
 
-/// Requests since the start.
+/// Counters of requests since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// First attempts that arrived.
@@ -106,27 +111,27 @@
     pub admitted_firsts: u64,
     /// Retries admitted.
     pub admitted_retries: u64,
-    /// Rejected since they came before their retry-after time.
+    /// Retries rejected because they arrived before their retry-after time.
     pub too_early: u64,
-    /// Retries rejected since no budget was left.
+    /// Retries rejected because the retry budget was empty.
     pub no_budget: u64,
-    /// Rejected by the cap of a storm.
+    /// Requests rejected by the cap in a storm.
     pub capped: u64,
-    /// Rejected in a storm since their clients would not wait long enough.
+    /// Requests rejected in a storm because their clients would not wait long enough.
     pub too_late: u64,
-    /// Rejected since their class is shed.
+    /// Requests rejected because their class is shed.
     pub class_shed: u64,
 }
 
 /// The state of admission control, for logs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Status {
-    /// Storms so far.
+    /// Number of storms since the start.
     pub storms: u64,
-    /// Steps of class shedding that are taken.
+    /// Number of classes that are shed.
     pub shedding_level: u64,
-    /// Rejected requests that are remembered.
+    /// Rejected or failed requests that are retained to detect retries.
     pub remembered: u64,
-    /// Retry-after times given although there was no capacity for the client then.
+    /// Retries scheduled in a slot without free capacity since the start.
     pub overbooked: u64,
 }
--- a/crates/deckproxy-recovery/src/budget.rs
+++ b/crates/deckproxy-recovery/src/budget.rs
@@ -1,14 +1,15 @@
 //! The retry budget: how many retries are admitted for each first attempt.
 //!
-//! A first attempt earns a part of a retry, and a retry costs a whole one. So over any time the retries admitted are at most
-//! that part of the first attempts, and what was saved up: however many layers retry, and whatever fails.
+//! Each first attempt adds a fraction of a retry to the budget, and each retry takes a whole one. Over any period the
+//! retries admitted are therefore at most that fraction of the first attempts plus what the budget had accumulated,
+//! however many layers retry and whatever fails.
 
-/// How a budget is filled.
+/// Limits of a retry budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Retries earned by a first attempt.
+    /// Retries that a first attempt adds to the budget.
     pub share: f64,
-    /// Most retries that are saved up.
+    /// Largest number of retries that the budget accumulates.
     pub max_saved: f64,
 }
 
@@ -18,8 +19,9 @@
     }
 }
 
-/// Retries that a budget begins with: a process that has just started meets the retries of all that it has forgotten.
-const INITIAL: f64 = 1.0;
+/// Retries that a budget starts with. Few, as a process that has just started receives the retries of all the requests
+/// that it has no record of.
+const INITIAL_RETRIES: f64 = 1.0;
 
 /// A retry budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -29,9 +31,9 @@
 }
 
 impl Budget {
-    /// A budget with one retry, or less where less may be saved.
+    /// A budget with one retry, or less if `max_saved` is less.
     pub fn new(limits: Limits) -> Self {
-        Budget { limits, available: limits.max_saved.min(INITIAL) }
+        Budget { limits, available: limits.max_saved.min(INITIAL_RETRIES) }
     }
 
     /// A first attempt was admitted.
@@ -39,7 +41,7 @@
         self.add(self.limits.share);
     }
 
-    /// Takes a retry where there is one; returns whether it did.
+    /// Takes a retry from the budget if a whole one is available; returns whether it did.
     pub fn spend(&mut self) -> bool {
         let admitted = self.available >= 1.0;
         if admitted {
@@ -48,7 +50,7 @@
         admitted
     }
 
-    /// A retry that was taken was not admitted after all.
+    /// Returns a retry that was taken but not admitted.
     pub fn refund(&mut self) {
         self.add(1.0);
     }
@@ -57,7 +59,7 @@
         self.available = (self.available + retries).min(self.limits.max_saved);
     }
 
-    /// Whole retries that are available.
+    /// Number of whole retries that are available.
     pub fn available(&self) -> u64 {
         self.available as u64
     }
--- a/crates/deckproxy-recovery/src/class_shedding.rs
+++ b/crates/deckproxy-recovery/src/class_shedding.rs
@@ -1,28 +1,29 @@
-//! Which classes are shed first, in the operator's order.
+//! Load shedding by class, in the operator's order.
 //!
-//! Pressure ranges from 0 (all is served) to 1 (nothing is). A class is shed when the pressure was above its upper bound for
-//! a while, and admitted again when it was below its lower bound for a longer one; one class at a time. So a pressure that
-//! varies within the bounds, or faster than the times, changes nothing.
+//! Pressure ranges from 0 (all requests are served) to 1 (none is). A class is shed once the pressure has
+//! been at or above its upper threshold for a configured time, and admitted again once the pressure has been
+//! below its lower threshold for another; one class at a time. Pressure that varies between the thresholds,
+//! or faster than these times, changes nothing.
 
 use crate::{ClassIndex, Millis};
 
-/// A class to shed.
+/// A class to shed and its thresholds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Step {
     /// The class.
     pub class: ClassIndex,
-    /// Pressure from which it is shed, 0 to 1.
+    /// Pressure at or above which the class is shed, 0 to 1.
     pub shed_from: f64,
-    /// Pressure below which it is admitted again, 0 to 1.
+    /// Pressure below which the class is admitted again, 0 to 1.
     pub restore_below: f64,
 }
 
-/// How long the pressure must last.
+/// How long the pressure must be past a threshold before a class is shed or admitted again.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Times {
     /// Time at or above `shed_from` until a class is shed, in milliseconds.
     pub shed_after: Millis,
-    /// Time below `restore_below` until it is admitted again, in milliseconds.
+    /// Time below `restore_below` until the class is admitted again, in milliseconds.
     pub restore_after: Millis,
 }
 
@@ -32,33 +33,33 @@
     }
 }
 
-/// Which classes are shed at present.
+/// The classes that are shed at present.
 #[derive(Clone, Debug)]
 pub struct ClassShedding {
     steps: Vec<Step>,
     times: Times,
-    /// So many of the first steps are taken.
+    /// Number of steps in effect, counted from the first.
     level: usize,
-    /// Since when the pressure asks for the next step.
+    /// Since when the pressure has been at or above the threshold of the next step.
     shed_since: Option<Millis>,
-    /// Since when the pressure asks to take the last step back.
+    /// Since when the pressure has been below the restore threshold of the last step in effect.
     restore_since: Option<Millis>,
-    /// Steps taken and taken back so far.
+    /// Number of times that a class was shed or admitted again.
     pub changes: u64,
 }
 
 impl ClassShedding {
-    /// Sheds by these steps, of which none is taken yet.
+    /// Starts with no class shed.
     pub fn new(steps: Vec<Step>, times: Times) -> Self {
         ClassShedding { steps, times, level: 0, shed_since: None, restore_since: None, changes: 0 }
     }
 
-    /// Takes up the present pressure.
+    /// Updates the shed classes for the present pressure, by one step at most.
     pub fn update(&mut self, now: Millis, pressure: f64) {
-        let wants_shed = self.steps.get(self.level).is_some_and(|step| pressure >= step.shed_from);
-        let wants_restore = self.level > 0 && pressure < self.steps[self.level - 1].restore_below;
-        self.shed_since = since(self.shed_since, now, wants_shed);
-        self.restore_since = since(self.restore_since, now, wants_restore);
+        let should_shed = self.steps.get(self.level).is_some_and(|step| pressure >= step.shed_from);
+        let should_restore = self.level > 0 && pressure < self.steps[self.level - 1].restore_below;
+        self.shed_since = held_since(self.shed_since, now, should_shed);
+        self.restore_since = held_since(self.restore_since, now, should_restore);
         if self.shed_since.is_some_and(|since| now - since >= self.times.shed_after) {
             self.change_to(self.level + 1);
         } else if self.restore_since.is_some_and(|since| now - since >= self.times.restore_after) {
@@ -76,13 +77,13 @@
         self.steps[..self.level].iter().any(|step| step.class == class)
     }
 
-    /// Number of steps that are taken.
+    /// Number of steps in effect.
     pub fn level(&self) -> usize {
         self.level
     }
 }
 
-/// Since when something is wanted; a clock that was set back begins anew.
-fn since(earlier: Option<Millis>, now: Millis, is_wanted: bool) -> Option<Millis> {
-    is_wanted.then(|| earlier.filter(|since| *since <= now).unwrap_or(now))
+/// Since when a condition has held without interruption. If the clock was set back, the time starts over at `now`.
+fn held_since(earlier: Option<Millis>, now: Millis, holds: bool) -> Option<Millis> {
+    holds.then(|| earlier.filter(|since| *since <= now).unwrap_or(now))
 }
--- a/crates/deckproxy-recovery/src/lib.rs
+++ b/crates/deckproxy-recovery/src/lib.rs
@@ -1,18 +1,20 @@
-//! How a gateway comes out of a retry storm without an operator: retries, restarts and cold caches that feed each other.
+//! Recovery of a gateway from a retry storm without an operator, where retries, restarts and cold caches amplify each
+//! other.
 //!
-//! - [`admission`]: all parts together, before the decision module: which requests are admitted, and when the clients of the
-//!   others may retry.
-//! - [`aging_map`]: bounded memory for what was seen lately.
-//! - [`budget`]: retries for each first attempt, by class, whoever makes them.
-//! - [`retries`]: which requests are retries, known by client and object in bounded memory.
-//! - [`retry_storm`]: whether most of the work is in vain, and how much is admitted until it is not.
-//! - [`retry_after`]: when rejected clients may retry, spread so that they do not return at once.
-//! - [`class_shedding`]: which classes are shed first, in the operator's order, without flapping.
-//! - [`recovery_ramp`]: one trial request, then more by measured success, for a site, connection or member that returned.
+//! - [`admission`]: admission control before the decision module, built from the other modules: which requests are
+//!   admitted, and when the clients of rejected ones may retry.
+//! - [`aging_map`]: a map in bounded memory whose entries expire by generation.
+//! - [`budget`]: the retry budget: retries admitted for each first attempt, whichever layer sends them.
+//! - [`retries`]: detection of retries by client and object, in bounded memory.
+//! - [`retry_storm`]: detection of retry storms, and the cap on the admitted rate that ends them.
+//! - [`retry_after`]: retry-after times of rejected clients, spread so that they do not retry at the same moment.
+//! - [`class_shedding`]: shedding of request classes in the operator's order, with hysteresis.
+//! - [`recovery_ramp`]: a limit on requests in flight to a site, connection or member that is available
+//!   again; it starts at one trial request and grows with measured success.
 //!
-//! The decision module still decides which member is used, whether to retry and what it rejects itself: a request that is
-//! admitted here is promised nothing there. All times are milliseconds on the caller's clock; only differences of them
-//! count.
+//! The decision module still selects the member, decides on retries and may reject requests itself: a request that is
+//! admitted here can still be rejected there. All times are milliseconds on the caller's clock, and only differences
+//! between them matter.
 #![forbid(unsafe_code)]
 
 pub mod admission;
@@ -24,7 +26,7 @@
 pub mod retry_after;
 pub mod retry_storm;
 
-/// A time or a span, in milliseconds.
+/// A point in time or a duration, in milliseconds.
 pub type Millis = f64;
 /// The index of a class of requests.
 pub type ClassIndex = usize;
--- a/crates/deckproxy-recovery/src/recovery_ramp.rs
+++ b/crates/deckproxy-recovery/src/recovery_ramp.rs
@@ -1,19 +1,20 @@
-//! A recovery ramp: one trial request, then more by measured success, for a site, connection or member that returned.
+//! A recovery ramp: limits the requests in flight to a target (a site, connection or member) that is
+//! available again. The limit starts at one trial request and doubles with each step whose requests succeed.
 //!
 //! Nothing outside this crate's tests uses it yet.
 
 use crate::Millis;
 
-/// How a ramp goes.
+/// Limits of a ramp.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// First wait until a trial after a failure, in milliseconds; it doubles each time.
+    /// Backoff before the first trial request, in milliseconds; it doubles with each failure.
     pub min_wait: Millis,
-    /// Longest wait until a trial, in milliseconds.
+    /// Longest backoff before a trial request, in milliseconds.
     pub max_wait: Millis,
-    /// Requests in flight at which the ramp ends and bounds nothing any more.
+    /// Number of requests in flight at which the ramp ends: from there on they are not limited.
     pub full: u32,
-    /// Failed share of a step's requests above which the ramp goes back by one step, 0 to 1.
+    /// Share of a step's requests that may fail, 0 to 1. Above it, the limit is halved.
     pub max_failures: f64,
 }
 
@@ -25,11 +26,11 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
-    /// The ramp bounds nothing.
+    /// The requests in flight are not limited.
     Full,
-    /// No request is sent before that time.
+    /// No request may be sent before `until`.
     Down { until: Millis },
-    /// The requests in flight are bounded; results of this step so far.
+    /// At most `limit` requests may be in flight; the counts are the results of this step so far.
     Ramping { limit: u32, successes: u32, failures: u32 },
 }
 
@@ -39,38 +40,38 @@
     }
 }
 
-/// The ramp of one site, connection or member.
+/// The ramp of one target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RecoveryRamp {
     limits: Limits,
     state: State,
     in_flight: u32,
-    /// Wait after the next failure.
-    wait: Millis,
+    /// Backoff after the next failure.
+    backoff: Millis,
 }
 
 impl RecoveryRamp {
-    /// The ramp of something that works.
+    /// The ramp of a target that is available: its requests are not limited.
     pub fn new(limits: Limits) -> Self {
-        RecoveryRamp { limits, state: State::Full, in_flight: 0, wait: limits.min_wait }
+        RecoveryRamp { limits, state: State::Full, in_flight: 0, backoff: limits.min_wait }
     }
 
-    /// It is lost: no request is sent for a while.
+    /// The target was lost: no request may be sent until the backoff has passed.
     pub fn lost(&mut self, now: Millis) {
-        self.state = State::Down { until: now + self.wait };
-        self.wait = (self.wait * 2.0).min(self.limits.max_wait);
+        self.state = State::Down { until: now + self.backoff };
+        self.backoff = (self.backoff * 2.0).min(self.limits.max_wait);
     }
 
-    /// It is announced to be back: a trial may be sent at once.
+    /// The target is reported available again: a trial request may be sent at once.
     pub fn returned(&mut self) {
         if matches!(self.state, State::Down { .. }) {
             self.state = State::step(1);
         }
     }
 
-    /// Takes a place for a request, where there is one; returns whether it did.
+    /// Admits a request if the limit allows it, and counts it as in flight. Returns whether it was admitted.
     pub fn try_acquire(&mut self, now: Millis) -> bool {
-        // A wait longer than the longest is from before the clock was set back.
+        // More than the longest backoff is left only if the clock was set back: the trial is due.
         if let State::Down { until } = self.state
             && (now >= until || until - now > self.limits.max_wait)
         {
@@ -85,7 +86,7 @@
         acquired
     }
 
-    /// A request that had a place ended.
+    /// A request that [`RecoveryRamp::try_acquire`] admitted has ended.
     pub fn release(&mut self, now: Millis, success: bool) {
         self.in_flight = self.in_flight.saturating_sub(1);
         let State::Ramping { limit, successes, failures } = &mut self.state else { return };
@@ -106,16 +107,16 @@
         let has_failed = f64::from(failures) > self.limits.max_failures * f64::from(ended);
         let next = if has_failed { limit / 2 } else { limit * 2 };
         self.state = match next {
-            0 => State::Down { until: now + self.wait },
+            0 => State::Down { until: now + self.backoff },
             next if next >= self.limits.full => {
-                self.wait = self.limits.min_wait;
+                self.backoff = self.limits.min_wait;
                 State::Full
             }
             next => State::step(next),
         };
     }
 
-    /// Most requests in flight; `None`: any number.
+    /// Largest number of requests in flight; `None`: not limited.
     pub fn limit(&self) -> Option<u32> {
         match self.state {
             State::Full => None,
--- a/crates/deckproxy-recovery/src/retries.rs
+++ b/crates/deckproxy-recovery/src/retries.rs
@@ -1,7 +1,8 @@
-//! Which requests are retries.
+//! Detection of retries.
 //!
-//! A client that requests the same object soon after a rejection or failure retries. No field of the protocol says so; it is
-//! known by client and object, for a while, in bounded memory.
+//! A request of the same client for the same object soon after a rejection or failure is a retry. The
+//! protocol has no field for it, so rejected and failed requests are recorded by client and object for a
+//! limited time, in bounded memory.
 
 use crate::Millis;
 use crate::aging_map::AgingMap;
@@ -10,22 +11,22 @@
 /// Identifies a request and its retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RequestKey {
-    /// The client's number.
+    /// Number of the client.
     pub client: u64,
-    /// The object's number.
+    /// Number of the object.
     pub object: u64,
 }
 
-/// What is remembered of a request that was rejected or failed.
+/// The record of a request that was rejected or failed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rejection {
-    /// When the client may retry; before that it is too early.
+    /// The earliest time at which the client may retry.
     pub retry_at: Millis,
-    /// How often the request was rejected or failed.
+    /// Number of times that the request was rejected or failed.
     pub count: u32,
 }
 
-/// Requests that were rejected or failed lately.
+/// The requests that were recently rejected or failed, by the hash of their keys.
 #[derive(Debug)]
 pub struct RetryTracker {
     hasher: RandomState,
@@ -33,8 +34,8 @@
 }
 
 impl RetryTracker {
-    /// Remembers `capacity` requests at least, and twice as many at most, for `span` milliseconds at least. The same seed
-    /// gives the same keys.
+    /// Records at most twice `capacity` requests. A record is retained for at least `span` milliseconds,
+    /// unless `capacity` newer ones are added before that. The same seed yields the same hashes.
     pub fn new(capacity: usize, span: Millis, seed: u64) -> Self {
         let hasher = RandomState::with_seeds(seed, !seed, seed.rotate_left(17), seed.rotate_left(41));
         RetryTracker { hasher, rejections: AgingMap::new(capacity, span) }
@@ -44,7 +45,7 @@
         self.hasher.hash_one(request)
     }
 
-    /// A request was rejected or failed, and may be retried at that time.
+    /// Records that a request was rejected or failed, and may be retried from `retry_at` on.
     pub fn record(&mut self, now: Millis, request: RequestKey, retry_at: Millis) {
         self.rejections.rotate(now);
         let hash = self.hash(request);
@@ -59,18 +60,18 @@
         self.rejections.get(&self.hash(request)).copied()
     }
 
-    /// A request was served: the next one is a first attempt.
+    /// Removes the record of a request that was served: the next one with its key is a first attempt.
     pub fn remove(&mut self, request: RequestKey) {
         let hash = self.hash(request);
         self.rejections.remove(&hash);
     }
 
-    /// Number of requests that are remembered.
+    /// Number of recorded requests.
     pub fn len(&self) -> usize {
         self.rejections.len()
     }
 
-    /// Whether none is remembered.
+    /// Whether no request is recorded.
     pub fn is_empty(&self) -> bool {
         self.rejections.is_empty()
     }
--- a/crates/deckproxy-recovery/src/retry_after.rs
+++ b/crates/deckproxy-recovery/src/retry_after.rs
@@ -1,8 +1,9 @@
-//! When rejected clients may retry.
+//! Schedules when rejected clients may retry.
 //!
-//! The time ahead is divided into slots, each with the capacity for as many as can be served in it beside the first attempts
-//! that will arrive. A rejected client gets the first slot with free capacity, at a moment in it drawn at random; so clients
-//! return as a stream and not at once, however many were rejected at one moment.
+//! Future time is divided into slots. The capacity of a slot is the number of retries that can be served in
+//! it in addition to the first attempts that will arrive. A rejected client is assigned a random time in the
+//! first slot with free capacity, so that retries are spread over time, however many clients were rejected at
+//! the same moment.
 
 use crate::Millis;
 use rand::{RngExt, SeedableRng};
@@ -11,30 +12,30 @@
 use std::ops::RangeInclusive;
 
 /// Length of a slot, in milliseconds.
-const SLOT: Millis = 50.0;
-/// Least capacity of a slot, in clients.
-const LEAST_CAPACITY: f64 = 0.05;
-/// A clock that was set back by more slots than this begins a new schedule.
-const CLOCK_SET_BACK: i64 = 100;
+const SLOT_LENGTH: Millis = 50.0;
+/// Smallest capacity of a slot, in clients.
+const MIN_SLOT_CAPACITY: f64 = 0.05;
+/// The schedule is cleared when the clock was set back by more slots than this.
+const MAX_SLOTS_SET_BACK: i64 = 100;
 /// Shortest retry-after time, in milliseconds.
-const SHORTEST: Millis = 1.0;
+const MIN_RETRY_AFTER: Millis = 1.0;
 
 /// Bounds on a retry-after time, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
     /// The shortest time.
     pub min: Millis,
-    /// The longest time, which counts before the shortest.
+    /// The longest time; takes precedence where the shortest is longer.
     pub max: Millis,
 }
 
-/// The slots ahead.
+/// The retries scheduled in the current slot and later ones.
 #[derive(Debug)]
 pub struct RetryAfterSchedule {
     rng: Pcg64Mcg,
-    /// Clients scheduled in each slot, from `first` on.
+    /// Clients scheduled in each slot; index 0 is slot number `first`.
     slots: VecDeque<u32>,
-    /// Number of the first slot.
+    /// Number of the first slot, counted from time 0 of the clock.
     first: i64,
     /// Clients scheduled although no slot within the bounds had free capacity.
     pub overbooked: u64,
@@ -54,8 +55,8 @@
         }
     }
 
-    /// Schedules a client within the bounds, where `rate` clients may return a second. Returns the time from now, in
-    /// milliseconds.
+    /// Schedules the retry of a client within the bounds; `rate`: retries that can be served per second.
+    /// Returns the time from now, in milliseconds.
     pub fn schedule(&mut self, now: Millis, bounds: Bounds, rate: f64) -> Millis {
         self.scheduled += 1;
         let max = bounds.max;
@@ -67,21 +68,21 @@
             self.slots.resize(to + 1, 0);
         }
         let slot = self.free_slot(from..=to, rate).unwrap_or_else(|| {
-            // All are taken: any slot, evenly.
+            // No slot has free capacity: pick one uniformly at random.
             self.overbooked += 1;
             self.rng.random_range(from..=to)
         });
         self.slots[slot] += 1;
-        // The slots ahead reach to the longest retry-after time: their index is small.
-        let begin = self.first.saturating_add(i64::try_from(slot).unwrap_or(i64::MAX)) as f64 * SLOT;
-        let retry_after = begin + self.rng.random::<f64>() * SLOT - now;
-        retry_after.clamp(min.max(SHORTEST).min(max), max)
+        // No slot is later than the longest retry-after time, so the index is small.
+        let begin = self.first.saturating_add(i64::try_from(slot).unwrap_or(i64::MAX)) as f64 * SLOT_LENGTH;
+        let retry_after = begin + self.rng.random::<f64>() * SLOT_LENGTH - now;
+        retry_after.clamp(min.max(MIN_RETRY_AFTER).min(max), max)
     }
 
     /// Drops the slots that have passed.
     fn advance(&mut self, now: Millis) {
-        let current = (now / SLOT).floor() as i64;
-        if current < self.first - CLOCK_SET_BACK {
+        let current = (now / SLOT_LENGTH).floor() as i64;
+        if current < self.first - MAX_SLOTS_SET_BACK {
             self.slots.clear();
         }
         while self.first < current && self.slots.pop_front().is_some() {
@@ -93,21 +94,22 @@
     }
 
     fn slot_index(&self, at: Millis) -> usize {
-        let slots_ahead = (at / SLOT).floor() as i64 - self.first;
+        let slots_ahead = (at / SLOT_LENGTH).floor() as i64 - self.first;
         usize::try_from(slots_ahead).unwrap_or(0)
     }
 
-    /// The first slot with free capacity. A capacity of less than one client adds up over several slots.
+    /// The first slot with free capacity. Unused capacity, up to one client, carries over to the next slot: a
+    /// slot's own capacity may be less than one client.
     fn free_slot(&self, range: RangeInclusive<usize>, rate: f64) -> Option<usize> {
-        let capacity = (rate * SLOT / 1000.0).max(LEAST_CAPACITY);
+        let capacity = (rate * SLOT_LENGTH / 1000.0).max(MIN_SLOT_CAPACITY);
         let mut free = 0.0;
         for index in range {
             free += capacity;
-            let taken = f64::from(self.slots[index]);
-            if taken + 1.0 <= free {
+            let scheduled = f64::from(self.slots[index]);
+            if scheduled + 1.0 <= free {
                 return Some(index);
             }
-            free = (free - taken).clamp(0.0, 1.0);
+            free = (free - scheduled).clamp(0.0, 1.0);
         }
         None
     }
--- a/crates/deckproxy-recovery/src/retry_storm.rs
+++ b/crates/deckproxy-recovery/src/retry_storm.rs
@@ -1,18 +1,20 @@
-//! Whether most of a gateway's work is in vain, and how much it admits until it is not.
+//! Detects retry storms, and caps the admitted rate until they are over.
 //!
-//! In a metastable failure the cause is over and the fault stays: members work on requests whose clients have left, the
-//! clients retry, and that work delays theirs. What ends it is to admit less than can be done, and then more step by step as
-//! what was admitted is served.
+//! A retry storm is a metastable failure: it outlasts its cause. Members work on requests whose clients have
+//! already timed out, the clients retry, and the wasted work delays the retries. The way out is to admit less
+//! than the members can serve, and to raise the admitted rate step by step while the admitted requests are
+//! served.
 //!
-//! Time is divided into windows. Of the requests that ended in the last few, the share that was served tells whether a
-//! window is good or bad. Two bad windows in a row, with retries beside first attempts, are a storm: the admitted rate is
-//! capped a little above the served rate. Each good window raises the cap, each bad one lowers it; once the cap has not been
-//! reached for a while the storm is over.
+//! Time is divided into windows. A window is bad if too small a share of the requests that ended in the last
+//! few windows was served. Two bad windows in a row, with many retries in relation to first attempts, are a
+//! storm: the admitted rate is capped a little above the served rate. During a storm each window is judged by
+//! its own requests alone: a bad one lowers the cap, and a good one raises it if the cap rejected requests.
+//! The storm is over once the cap has not been reached for several windows.
 
 use crate::Millis;
 use std::collections::VecDeque;
 
-/// How storms are detected and ended.
+/// Thresholds by which storms are detected and ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     /// Length of a window, in milliseconds.
@@ -21,19 +23,19 @@
     pub bad_share: f64,
     /// Served share from which a window is good, 0 to 1.
     pub good_share: f64,
-    /// Retries for each first attempt above which a bad window is one of a storm.
+    /// Retries per first attempt above which bad windows are a storm.
     pub retry_ratio: f64,
-    /// Requests that must have ended in the windows looked at for these to be judged.
+    /// Requests that must have ended in the recent windows for a storm to be detected.
     pub min_ended: u64,
-    /// The first cap of a storm, relative to the served rate.
+    /// The initial cap in a storm, relative to the served rate.
     pub first_cap: f64,
-    /// The lowest cap, in requests a second.
+    /// The lowest cap, in requests per second.
     pub min_cap: f64,
-    /// Factor of the cap after a good window.
+    /// Factor by which the cap is raised after a good window.
     pub increase: f64,
-    /// Factor of the cap after a bad window.
+    /// Factor by which the cap is lowered after a bad window.
     pub decrease: f64,
-    /// Good windows in a row in which the cap was not reached, until the storm is over.
+    /// Number of windows in a row, good or idle, in which the cap was not reached, after which the storm is over.
     pub calm_windows: u32,
 }
 
@@ -54,7 +56,7 @@
     }
 }
 
-/// Requests counted in a window.
+/// Counts of requests in a window.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counts {
     /// First attempts that arrived.
@@ -69,7 +71,7 @@
     pub served: u64,
     /// Admitted requests that the decision module rejected.
     pub rejected: u64,
-    /// Admitted requests that failed, or whose clients left.
+    /// Admitted requests that failed, or whose clients cancelled them or disconnected.
     pub wasted: u64,
 }
 
@@ -94,50 +96,51 @@
     }
 }
 
-/// Number of windows that are looked at together.
-const WINDOWS: usize = 4;
-/// Bad windows in a row that are a storm.
-const BAD_WINDOWS: u32 = 2;
-/// A clock that is ahead by more windows than this stood still, or was set.
-const LONGEST_GAP: f64 = 40.0;
-/// The cap counts as not reached where it rejected at most one request for so many admitted.
+/// Number of recent windows that are evaluated together to detect a storm.
+const RECENT_WINDOWS: usize = 4;
+/// Number of bad windows in a row that are a storm.
+const BAD_WINDOWS_IN_STORM: u32 = 2;
+/// A gap of more windows than this between two calls means that the process was suspended or the clock was set: the
+/// current window starts over.
+const MAX_GAP_WINDOWS: f64 = 40.0;
+/// The cap counts as not reached if it rejected at most one request per this number of admitted ones.
 const ADMITTED_PER_CAPPED: u64 = 20;
-/// Number of reserves, one for each part of the range of priority weights.
+/// Number of reserves: the range of priority weights is divided into as many equal parts, with a reserve for each.
 const RESERVES: usize = 4;
-/// Share of the cap that goes to the reserves, evenly.
+/// Share of the cap that is divided evenly among the reserves.
 const RESERVED_SHARE: f64 = 0.2;
-/// The lowest priority weight leaves one in so many of the tokens to others.
-const LOWEST_LEAVES_ONE_IN: f64 = 3.0;
+/// Requests of the lowest priority weight leave the bucket's capacity divided by this to requests of higher weights.
+const LOWEST_WEIGHT_RESERVE_DIVISOR: f64 = 3.0;
 
-/// The storm detection and the cap of one gateway.
+/// Storm detection and the cap of one gateway.
 #[derive(Clone, Debug)]
 pub struct RetryStorm {
     limits: Limits,
     /// When the current window began.
-    began: Option<Millis>,
+    window_began: Option<Millis>,
     current: Counts,
-    past: VecDeque<Counts>,
-    /// The admitted rate in a storm, in requests a second.
+    recent_windows: VecDeque<Counts>,
+    /// The cap on the admitted rate in a storm, in requests per second.
     cap: Option<f64>,
-    /// Requests that may be admitted now, of any class.
+    /// Token bucket shared by all classes; each admitted request costs one token.
     tokens: f64,
-    /// Requests that may be admitted of a part of the priority weights alone, so that none starves.
+    /// Tokens reserved for each part of the range of priority weights, so that no class starves.
     reserves: [f64; RESERVES],
     refilled_at: Millis,
     bad_windows: u32,
     calm_windows: u32,
-    /// Storms so far.
+    /// Number of storms since the start.
     pub storms: u64,
 }
 
 impl RetryStorm {
-    /// Without a storm.
+    /// Starts without a storm.
     pub fn new(limits: Limits) -> Self {
         RetryStorm {
             limits,
-            began: None,
+            window_began: None,
             current: Counts::default(),
-            past: VecDeque::new(),
+            recent_windows: VecDeque::new(),
             cap: None,
             tokens: 0.0,
             reserves: [0.0; RESERVES],
@@ -148,43 +151,44 @@
         }
     }
 
-    /// The admitted rate in requests a second; `None`: there is no storm.
+    /// The cap on the admitted rate, in requests per second; `None`: there is no storm.
     pub fn cap(&self) -> Option<f64> {
         self.cap
     }
 
-    /// The counts of the last windows.
+    /// The sum of the counts of the recent windows.
     pub fn recent(&self) -> Counts {
         let mut sum = Counts::default();
-        self.past.iter().for_each(|counts| sum.add(counts));
+        self.recent_windows.iter().for_each(|counts| sum.add(counts));
         sum
     }
 
-    /// How long the last windows took, in milliseconds.
+    /// Length of the recent windows together, in milliseconds.
     fn recent_span(&self) -> Millis {
-        self.past.len() as f64 * self.limits.window
+        self.recent_windows.len() as f64 * self.limits.window
     }
 
-    /// Requests served a second in the last windows.
+    /// Requests served per second in the recent windows.
     pub fn served_rate(&self) -> f64 {
         self.recent().served as f64 * 1000.0 / self.recent_span().max(self.limits.window)
     }
 
-    /// Counts something in the current window.
+    /// Adds to the counts of the current window.
     pub fn count(&mut self, now: Millis, add: impl FnOnce(&mut Counts)) {
         self.tick(now);
         add(&mut self.current);
     }
 
-    /// Whether one more request is admitted now. `priority_weight`: its class's position among all, 0 to 1; in a storm the
-    /// last tokens are left to higher weights.
+    /// Admits a request if the cap allows it, and takes its token. `priority_weight`: the rank of its class
+    /// among all classes, 0 to 1; in a storm the last tokens are left to higher weights. Returns whether the
+    /// request is admitted.
     pub fn admits(&mut self, now: Millis, priority_weight: f64) -> bool {
         self.tick(now);
         let Some(cap) = self.cap else { return true };
         let weight = priority_weight.clamp(0.0, 1.0);
         let max_tokens = (cap * self.limits.window / 1000.0).max(1.0);
         self.refill(now, cap, max_tokens);
-        let needed = 1.0 + (1.0 - weight) * max_tokens / LOWEST_LEAVES_ONE_IN;
+        let needed = 1.0 + (1.0 - weight) * max_tokens / LOWEST_WEIGHT_RESERVE_DIVISOR;
         let reserve = ((weight * RESERVES as f64) as usize).min(RESERVES - 1);
         let has_tokens = self.tokens >= needed.min(max_tokens);
         let source = if has_tokens { &mut self.tokens } else { &mut self.reserves[reserve] };
@@ -196,20 +200,20 @@
     }
 
     fn refill(&mut self, now: Millis, cap: f64, max_tokens: f64) {
-        let earned = cap * (now - self.refilled_at).max(0.0) / 1000.0;
+        let refill = cap * (now - self.refilled_at).max(0.0) / 1000.0;
         self.refilled_at = now;
-        self.tokens = (self.tokens + earned * (1.0 - RESERVED_SHARE)).min(max_tokens);
+        self.tokens = (self.tokens + refill * (1.0 - RESERVED_SHARE)).min(max_tokens);
         for reserve in &mut self.reserves {
-            *reserve = (*reserve + earned * RESERVED_SHARE / RESERVES as f64).min(1.0);
+            *reserve = (*reserve + refill * RESERVED_SHARE / RESERVES as f64).min(1.0);
         }
     }
 
-    /// Closes windows that are over.
+    /// Closes the windows that have ended by now.
     pub fn tick(&mut self, now: Millis) {
-        let mut began = *self.began.get_or_insert(now);
+        let mut began = *self.window_began.get_or_insert(now);
         let window = self.limits.window;
-        if now < began || now - began > window * LONGEST_GAP {
-            self.began = Some(now);
+        if now < began || now - began > window * MAX_GAP_WINDOWS {
+            self.window_began = Some(now);
             self.refilled_at = now;
             self.current = Counts::default();
             return;
@@ -218,30 +222,30 @@
             began += window;
             self.close_window(began);
         }
-        self.began = Some(began);
+        self.window_began = Some(began);
     }
 
     fn close_window(&mut self, at: Millis) {
         let last = std::mem::take(&mut self.current);
-        self.past.push_back(last);
-        if self.past.len() > WINDOWS {
-            self.past.pop_front();
+        self.recent_windows.push_back(last);
+        if self.recent_windows.len() > RECENT_WINDOWS {
+            self.recent_windows.pop_front();
         }
         match self.cap {
             None => self.detect(at),
-            // In a storm each window is judged alone: requests admitted before it began tell nothing.
+            // In a storm each window is judged alone: earlier windows do not reflect the present cap.
             Some(cap) => self.adjust(cap, &last),
         }
     }
 
-    /// Begins a storm after bad windows in a row.
+    /// Starts a storm after several bad windows in a row.
     fn detect(&mut self, at: Millis) {
         let recent = self.recent();
         let is_significant = recent.ended() >= self.limits.min_ended;
         let is_bad = is_significant && recent.served_share() < self.limits.bad_share;
         let is_retried = recent.retries as f64 > self.limits.retry_ratio * recent.firsts as f64;
         self.bad_windows = if is_bad && is_retried { self.bad_windows + 1 } else { 0 };
-        if self.bad_windows < BAD_WINDOWS {
+        if self.bad_windows < BAD_WINDOWS_IN_STORM {
             return;
         }
         let served_rate = recent.served as f64 * 1000.0 / self.recent_span();
@@ -249,10 +253,10 @@
         (self.tokens, self.reserves, self.refilled_at) = (0.0, [0.0; RESERVES], at);
         self.calm_windows = 0;
         self.storms += 1;
-        self.past.clear();
+        self.recent_windows.clear();
     }
 
-    /// Adjusts the cap by the last window, or ends the storm.
+    /// Adjusts the cap to the results of the last window, or ends the storm.
     fn adjust(&mut self, cap: f64, last: &Counts) {
         let limits = self.limits;
         let served_share = last.served_share();
@@ -263,9 +267,9 @@
         } else if is_good && last.capped > 0 {
             self.cap = Some(cap * limits.increase);
         }
-        let is_unreached = is_good && last.capped * ADMITTED_PER_CAPPED <= last.admitted;
+        let is_below_cap = is_good && last.capped * ADMITTED_PER_CAPPED <= last.admitted;
         let is_idle = last.capped == 0 && last.admitted == 0;
-        self.calm_windows = if is_unreached || is_idle { self.calm_windows + 1 } else { 0 };
+        self.calm_windows = if is_below_cap || is_idle { self.calm_windows + 1 } else { 0 };
         if self.calm_windows >= limits.calm_windows {
             self.cap = None;
             self.bad_windows = 0;
--- a/crates/deckproxy-recovery/tests/recovery.rs
+++ b/crates/deckproxy-recovery/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! The guarantees of admission control, for random schedules.
+//! Properties of admission control and its parts, checked with random schedules.
 
 use deckproxy_recovery::admission::{Admission, Class, RequestInfo, RequestOutcome, Settings, Verdict};
 use deckproxy_recovery::budget::{Budget, Limits as BudgetLimits};
@@ -29,7 +29,8 @@
 proptest! {
     #![proptest_config(config(200))]
 
-    /// However clients retry, at most the first attempts and the budgets' share of them are admitted.
+    /// However clients retry, the retries admitted are at most the budget's share of the admitted first
+    /// attempts plus what a budget accumulates.
     #[test]
     fn amplification_is_bounded(
         steps in prop::collection::vec((0u64..40, 0usize..3, 0u64..6, 0u32..30, any::<bool>()), 1..800),
@@ -58,8 +59,9 @@
         }
     }
 
-    /// Whatever went before, once all that is admitted is served the storm ends in a stated time: the lowest cap takes
-    /// log(rate / min_cap) / log(increase) windows until it is not reached any more, and some calm windows end the storm.
+    /// Whatever happened before, once all admitted requests are served the storm ends within a known time:
+    /// the lowest cap takes log(rate / min_cap) / log(increase) windows until it is not reached any more, and
+    /// `calm_windows` further windows end the storm.
     #[test]
     fn all_is_admitted_again_when_the_cause_is_over(
         bad in prop::collection::vec((0u32..12, any::<bool>()), 0..3000),
@@ -91,7 +93,7 @@
         prop_assert_eq!(storm.cap(), None, "after {} windows", windows);
     }
 
-    /// In a storm requests of every class are admitted, those of higher priority weights before others.
+    /// In a storm requests of every class are admitted, and more of those with a higher priority weight.
     #[test]
     fn no_class_starves_in_a_storm(seed in any::<u64>()) {
         let mut storm = RetryStorm::new(StormLimits::default());
@@ -102,7 +104,7 @@
             storm.count(now, |c| { c.firsts += 1; c.retries += 1 });
             let class = (i.wrapping_mul(seed | 1) >> 7) as usize % 2;
             if storm.admits(now, class as f64) {
-                // A tenth of what is admitted is served: the storm lasts.
+                // Only a tenth of the admitted requests is served, so that the storm continues.
                 storm.count(now, |c| { c.admitted += 1; if i % 10 == 0 { c.served += 1 } else { c.wasted += 1 } });
                 if storm.cap().is_some() {
                     admitted[class] += 1;
@@ -115,8 +117,8 @@
         prop_assert!(admitted[0] > 5 && admitted[1] >= admitted[0], "{:?}", admitted);
     }
 
-    /// Of clients rejected together none may retry before the shortest time or after the longest, and no moment gets much
-    /// more than its capacity while there is free capacity.
+    /// Clients that are rejected together retry within the bounds, and no interval gets much more retries
+    /// than its capacity while there is free capacity.
     #[test]
     fn rejected_clients_return_as_a_stream(count in 1usize..400, rate in 20.0f64..2000.0, max in 300.0f64..5000.0) {
         let mut schedule = RetryAfterSchedule::new(3);
@@ -126,7 +128,7 @@
         prop_assert!(times.iter().all(|time| (50.0..=max).contains(time)));
         times.sort_by(f64::total_cmp);
         if schedule.overbooked == 0 {
-            // Over any tenth of a second: its capacity, and what the ends of two slots may add.
+            // Any interval of 100 ms has its capacity and the partial slots at its two ends.
             for i in 0..times.len() {
                 let within = times[i..].iter().take_while(|time| **time < times[i] + 100.0).count();
                 prop_assert!(within as f64 <= rate * 0.2 + 4.0, "{} in 100 ms at {} a second", within, rate);
@@ -136,7 +138,7 @@
         }
     }
 
-    /// Steps last for their times whatever the pressure does.
+    /// Each level lasts for its minimum time, however the pressure varies.
     #[test]
     fn class_shedding_never_flaps(pressures in prop::collection::vec((0.0f64..1.0, 1u32..400), 1..400)) {
         let step = |class, shed_from| Step { class, shed_from, restore_below: shed_from - 0.3 };
@@ -156,7 +158,8 @@
         }
     }
 
-    /// Never more requests are in flight than the ramp allows, and a target that works is at full load after few steps.
+    /// There are never more requests in flight than the ramp allows, and the ramp of an available target ends
+    /// after few steps.
     #[test]
     fn a_ramp_begins_with_one_request_and_ends(steps in prop::collection::vec((any::<bool>(), any::<bool>(), 0u32..300), 0..200)) {
         let limits = RampLimits::default();
@@ -195,7 +198,7 @@
     let acquired = (0..100).filter(|_| ramp.try_acquire(150.0)).count();
     assert_eq!(acquired, 1);
     ramp.release(160.0, false);
-    // It failed: a longer wait, and one again.
+    // The trial failed: the backoff is longer, and one trial request is allowed after it.
     assert_eq!((0..100).filter(|_| ramp.try_acquire(300.0)).count(), 0);
     assert_eq!((0..100).filter(|_| ramp.try_acquire(400.0)).count(), 1);
     ramp.release(410.0, true);
@@ -203,7 +206,7 @@
 }
 
 #[test]
-fn retries_are_known_in_bounded_memory_and_served_requests_begin_anew() {
+fn retries_are_detected_in_bounded_memory_until_the_request_is_served() {
     let mut retries = RetryTracker::new(1000, 5000.0, 1);
     for n in 0..99_500u64 {
         retries.record(f64::from(n as u32) * 0.01, key(n, 7), 0.0);
@@ -216,7 +219,7 @@
     assert_eq!(retries.get(1000.0, key(99_499u64, 7)).map(|rejection| rejection.count), Some(2));
     retries.remove(key(99_499u64, 7));
     assert!(retries.get(1000.0, key(99_499u64, 7)).is_none());
-    // Two generations later it is forgotten.
+    // The record is dropped two generations later.
     assert!(retries.get(1000.0, key(99_498u64, 7)).is_some());
     assert!(
         retries.get(7000.0, key(99_498u64, 7)).is_some()
@@ -225,20 +228,21 @@
 }
 
 #[test]
-fn retrying_too_early_gains_and_loses_nothing() {
+fn an_early_retry_does_not_change_the_retry_after_time() {
     let mut admission = admission(Settings::default());
     assert_eq!(admission.request(0.0, request(1, 0, 9, 1500.0)), Verdict::Admit);
-    let back = admission.request_ended(10.0, key(1, 9), RequestOutcome::Rejected, 200.0);
-    assert!((200.0..=500.0).contains(&back));
+    let retry_after = admission.request_ended(10.0, key(1, 9), RequestOutcome::Rejected, 200.0);
+    assert!((200.0..=500.0).contains(&retry_after));
     for at in [11.0, 50.0, 100.0, 199.0] {
-        let Verdict::Reject { retry_after: left } = admission.request(at, request(1, 0, 9, 1000.0)) else {
+        let Verdict::Reject { retry_after: time_left } = admission.request(at, request(1, 0, 9, 1000.0))
+        else {
             panic!("admitted at {at}")
         };
-        assert!((at + left - 10.0 - back).abs() < 1e-6, "the same moment as before");
+        assert!((at + time_left - 10.0 - retry_after).abs() < 1e-6, "the same moment as before");
     }
     assert_eq!(admission.counters.too_early, 4);
-    assert_eq!(admission.request(11.0 + back, request(1, 0, 9, 1000.0)), Verdict::Admit);
-    // Another client's request is no retry.
+    assert_eq!(admission.request(11.0 + retry_after, request(1, 0, 9, 1000.0)), Verdict::Admit);
+    // The same request of another client is not a retry.
     assert_eq!(admission.request(12.0, request(2, 0, 9, 1000.0)), Verdict::Admit);
 }
 
@@ -247,31 +251,31 @@
     let mut admission =
         admission(Settings { retry_budget: None, enforces_retry_after: false, ..Settings::default() });
     let mut now = 1e6;
-    // 400 a second of which a tenth can be served, with many retries, for two seconds.
-    let mut play = |admission: &mut Admission, ms: u32, good: u64| {
-        let mut passed = 0;
+    // Sends 400 requests per second with many retries, of which `good` in ten are served.
+    let mut send = |admission: &mut Admission, ms: u32, good: u64| {
+        let mut admitted = 0;
         for i in 0..u64::from(ms) * 2 / 5 {
             now += 2.5;
             if admission.request(now, request(i % 50, 0, i % 3, 1000.0)) == Verdict::Admit {
-                passed += 1;
+                admitted += 1;
                 let outcome = if i % 10 < good { RequestOutcome::Served } else { RequestOutcome::Failed };
                 admission.request_ended(now, key(i % 50, i % 3), outcome, 0.0);
             }
         }
-        passed
+        admitted
     };
-    play(&mut admission, 2000, 1);
+    send(&mut admission, 2000, 1);
     let cap = admission.cap().expect("a storm");
     assert!(cap < 100.0, "{cap}");
-    assert!(play(&mut admission, 1000, 1) < 120);
-    // The cause is over.
-    play(&mut admission, 8000, 10);
+    assert!(send(&mut admission, 1000, 1) < 120);
+    // From now on all requests are served.
+    send(&mut admission, 8000, 10);
     assert_eq!(admission.cap(), None);
     assert_eq!(admission.status().storms, 1, "one storm, not several");
 }
 
 #[test]
-fn a_budget_spends_what_it_earns() {
+fn a_budget_admits_no_more_retries_than_were_added() {
     let mut budget = Budget::new(BudgetLimits { share: 0.25, max_saved: 2.0 });
     assert_eq!((0..10).filter(|_| budget.spend()).count(), 1);
     (0..8).for_each(|_| budget.earn());
