--- a/crates/deckproxy-flow/src/codec/decode/mod.rs
+++ b/crates/deckproxy-flow/src/codec/decode/mod.rs
@@ -13,10 +13,11 @@
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 
-/// A distance of sequence numbers from here on is one backwards: the numbers are counted modulo 2^32.
+/// Sequence numbers are counted modulo 2^32: a distance of at least this much means that the number is behind
+/// the expected one.
 const FIRST_BACKWARD_DISTANCE: u32 = 1 << 31;
 
-/// Limits of what a decoder stores and returns.
+/// Limits on the data that a decoder stores and returns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Observation domains of one exporter.
@@ -27,7 +28,7 @@
     pub fields: usize,
     /// Records of one message.
     pub records: usize,
-    /// Milliseconds after which a template that was not repeated expires; 0: never (TCP).
+    /// Milliseconds after which a template expires unless it is repeated; 0: never (TCP).
     pub template_lifetime: u64,
 }
 
@@ -37,7 +38,7 @@
     }
 }
 
-/// Why a message, or the rest of one, was not read.
+/// Why a message, or the rest of one, was not decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecodeError {
     /// The version is neither IPFIX nor NetFlow v9.
@@ -50,7 +51,7 @@
     InvalidTemplate,
 }
 
-/// The texts appear in the log of the lab's collector.
+/// The texts appear in the log of the lab's collector, so they stay as they are.
 impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -82,7 +83,7 @@
     pub exported: u32,
     /// The sequence number of the header.
     pub sequence: u32,
-    /// Records (IPFIX) or messages (NetFlow v9) that are missing before this message by its sequence number.
+    /// Records (IPFIX) or messages (NetFlow v9) missing before this message, according to its sequence number.
     pub missing: u32,
     /// The data records.
     pub records: Vec<DecodedRecord>,
@@ -90,7 +91,7 @@
     pub unknown_sets: usize,
     /// The number of templates that were defined or withdrawn.
     pub templates: usize,
-    /// Why the rest of the message was not read.
+    /// Why the rest of the message was not decoded.
     pub error: Option<DecodeError>,
 }
 
@@ -109,15 +110,15 @@
 }
 
 impl Domain {
-    /// Records missing before `sequence`. A number that lies behind the expected one belongs to a late or duplicate
-    /// message, or to a restarted exporter: nothing is missing.
+    /// Records or messages missing before `sequence`. A number behind the expected one belongs to a late or
+    /// duplicate message, or to a restarted exporter: nothing is missing.
     fn missing_before(&self, sequence: u32) -> u32 {
         let distance = self.next_sequence.map_or(0, |next| sequence.wrapping_sub(next));
         if distance < FIRST_BACKWARD_DISTANCE { distance } else { 0 }
     }
 }
 
-/// Decodes the messages of one exporter and keeps its templates.
+/// Decodes the messages of one exporter and stores its templates.
 #[derive(Debug)]
 pub struct Decoder {
     limits: Limits,
@@ -130,7 +131,8 @@
         Decoder { limits, domains: HashMap::new() }
     }
 
-    /// Decodes one message. `now`: milliseconds on any clock. After an error the result has what was read before it.
+    /// Decodes one message. `now`: milliseconds on any clock. After an error the result contains the data
+    /// decoded before it.
     pub fn decode(&mut self, now: u64, message: &Bytes) -> DecodedMessage {
         let mut decoded = DecodedMessage::default();
         if let Err(error) = self.read(now, message.clone(), &mut decoded) {
@@ -155,7 +157,7 @@
         decoded.missing = domain.missing_before(decoded.sequence);
         let result = SetReader { version, now, limits: &limits, domain, decoded }.read_sets(&mut rest);
         let counted = match version {
-            // A message of at most 65,535 bytes has far fewer records than 2^32.
+            // A message has at most 65,535 bytes, and therefore far fewer than 2^32 records.
             Version::Ipfix => u32::try_from(decoded.records.len()).unwrap_or(u32::MAX),
             Version::NetflowV9 => 1,
         };
@@ -164,7 +166,7 @@
     }
 }
 
-/// Reads a message's header and leaves its sets in `rest`.
+/// Reads the header of the message in `rest`, and leaves the sets there.
 fn read_header(rest: &mut Bytes, decoded: &mut DecodedMessage) -> Result<Version, DecodeError> {
     let number = rest.get(..2).map(|bytes| u16::from_be_bytes([bytes[0], bytes[1]]));
     let version = Version::from_number(number.ok_or(DecodeError::InvalidLength)?);
--- a/crates/deckproxy-flow/src/codec/decode/sets.rs
+++ b/crates/deckproxy-flow/src/codec/decode/sets.rs
@@ -17,12 +17,12 @@
     pub(super) decoded: &'a mut DecodedMessage,
 }
 
-/// What a template's header defines.
+/// The content of a template's header.
 struct TemplateHeader {
     id: u16,
-    /// The number of scope fields; 0: the template is of flows.
+    /// The number of scope fields; 0: the template describes flows.
     scope: u16,
-    /// The number of fields, those of the scope among them.
+    /// The number of fields, including those of the scope.
     fields: u16,
 }
 
@@ -142,7 +142,7 @@
                 }
                 Element { id: number & !ENTERPRISE_BIT, enterprise: Some(set.get_u32()) }
             }
-            // v9's scope numbers aren't element numbers; they are stored as the exporter's element.
+            // v9's scope types aren't element ids; they are stored as the exporter's element.
             Version::NetflowV9 if is_scope => Element { id: EXPORTER.id, enterprise: None },
             Version::Ipfix | Version::NetflowV9 => Element { id: number, enterprise: None },
         };
@@ -177,7 +177,7 @@
     decoded: &mut DecodedMessage,
 ) -> Result<(), DecodeError> {
     let min_length = template.min_record_length();
-    // A rest that is shorter than the shortest record is padding.
+    // Remaining bytes that are fewer than the shortest record are padding.
     while set.len() >= min_length {
         if decoded.records.len() >= limits.records {
             return Err(DecodeError::LimitExceeded);
--- a/crates/deckproxy-flow/src/codec/decode/splitter.rs
+++ b/crates/deckproxy-flow/src/codec/decode/splitter.rs
@@ -4,7 +4,7 @@
 use crate::codec::{IPFIX_HEADER_LENGTH, Version};
 use bytes::{Bytes, BytesMut};
 
-/// Finds the messages in a stream of bytes.
+/// Buffers a byte stream and returns its messages.
 #[derive(Debug, Default)]
 pub struct MessageSplitter {
     buffer: BytesMut,
@@ -16,10 +16,10 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next complete message, or none if more bytes are needed.
+    /// Removes and returns the next complete message, or `None` if more bytes are needed.
     ///
     /// # Errors
-    /// The stream is not IPFIX, or a length is invalid; the following messages can't be found.
+    /// The stream is not IPFIX, or a length is invalid; the following messages can't be located.
     pub fn next_message(&mut self) -> Result<Option<Bytes>, DecodeError> {
         let Some(head) = self.buffer.get(..4) else { return Ok(None) };
         let version = u16::from_be_bytes([head[0], head[1]]);
--- a/crates/deckproxy-flow/src/codec/elements.rs
+++ b/crates/deckproxy-flow/src/codec/elements.rs
@@ -1,4 +1,4 @@
-//! The information elements in use: those of IANA's registry and this project's own.
+//! The information elements in use, from IANA's registry and defined by this project.
 
 use super::Element;
 
@@ -97,7 +97,7 @@
 /// The 99th percentile of the requests' latency, microseconds.
 pub const P99: ProjectElement =
     ProjectElement { id: 4, name: "deckproxyLatencyP99", data_type: 3, semantics: 1, units: 9 };
-/// How coarse the flow's key is: 0 as configured, 1 by wider prefix, 2 by class alone.
+/// How coarse the flow's key is: 0 as configured, 1 by wider prefix, 2 by leg, class and outcome, 3 by leg alone.
 pub const FOLDED: ProjectElement =
     ProjectElement { id: 5, name: "deckproxyFolded", data_type: 1, semantics: 0, units: 0 };
 /// The leg that transferred the bytes: "client", "member" or "link".
--- a/crates/deckproxy-flow/src/codec/encode.rs
+++ b/crates/deckproxy-flow/src/codec/encode.rs
@@ -18,7 +18,7 @@
 /// NetFlow v9's scope type "system" (RFC 3954, 6.1).
 const SYSTEM_SCOPE: u16 = 1;
 
-/// A set that records are added to.
+/// The set to which records are being added.
 #[derive(Clone, Copy, Debug)]
 struct OpenSet {
     /// Its position in the message.
@@ -56,7 +56,7 @@
     max_message_length: usize,
     /// IPFIX: data records so far; v9: messages so far. Both modulo 2^32.
     sequence: u32,
-    /// The begin of v9's uptime, Unix milliseconds.
+    /// The time from which v9's uptime counts, Unix milliseconds.
     started_at: u64,
     message: BytesMut,
     set: Option<OpenSet>,
@@ -91,7 +91,7 @@
         self.sequence
     }
 
-    /// Continues from a sequence number whose message was finished but never sent.
+    /// Resets the sequence number to that of a message that was finished but never sent.
     pub fn rewind(&mut self, sequence: u32) {
         debug_assert!(self.message.is_empty(), "no message is open");
         self.sequence = sequence;
@@ -113,8 +113,8 @@
         true
     }
 
-    /// Withdraws a template (RFC 7011, 8.1; IPFIX over TCP only). Returns false, and adds nothing, if the message has
-    /// no space for it.
+    /// Withdraws a template (RFC 7011, 8.1; IPFIX over TCP only). Returns false, and adds nothing, if the
+    /// message has no space for it.
     pub fn withdraw(&mut self, id: u16, scope: u16) -> bool {
         if !self.reserve(self.template_set(scope), MIN_TEMPLATE_LENGTH, MIN_TEMPLATE_LENGTH) {
             return false;
@@ -124,8 +124,8 @@
         true
     }
 
-    /// Adds a data record with one value for each field. Returns false, and adds nothing, if the message has no space
-    /// for it.
+    /// Adds a data record with one value for each field. Returns false, and adds nothing, if the message has
+    /// no space for it.
     pub fn record(&mut self, template: &Template, values: &[Value]) -> bool {
         debug_assert!(template.id >= FIRST_TEMPLATE_ID && template.fields.len() == values.len());
         let mut bytes = BytesMut::new();
@@ -141,7 +141,7 @@
         true
     }
 
-    /// Finishes the open message; none if there is none. `now`: Unix milliseconds.
+    /// Finishes and returns the open message, or `None` if no message is open. `now`: Unix milliseconds.
     pub fn finish(&mut self, now: u64) -> Option<Bytes> {
         if self.message.is_empty() {
             return None;
@@ -162,7 +162,7 @@
         if scope == 0 { self.version.template_set() } else { self.version.options_template_set() }
     }
 
-    /// The length of the message so far, its header included.
+    /// The length of the message so far, including its header.
     fn used_space(&self) -> usize {
         self.message.len().max(self.version.header_length())
     }
@@ -172,7 +172,8 @@
         self.max_message_length.saturating_sub(self.used_space() + padding)
     }
 
-    /// Prepares the message for `length` more bytes in a set with this id. Returns false if there is no space.
+    /// Prepares the message for `length` more bytes in a set with this id. Returns false if there is too
+    /// little space.
     fn reserve(&mut self, id: u16, length: usize, min_record_length: usize) -> bool {
         let is_new_set = self.set.is_none_or(|set| set.id != id);
         let needed = length + if is_new_set { SET_HEADER_LENGTH } else { 0 };
@@ -187,7 +188,8 @@
                 (OpenSet { start, id, min_record_length }, start)
             }
         };
-        // The free space allows for one set's padding; a new set may follow the padding of the one before it.
+        // The free space accounts for the padding of one set; a new set may also follow the padding of the
+        // previous one.
         let end = begin + needed;
         if end + set.padding(end) > self.max_message_length {
             return false;
@@ -294,8 +296,8 @@
     bytes.put(&encoded[..]);
 }
 
-/// A length or number as a field of 16 bits. What the encoder accepts is below the limit: a message has at most 65,535
-/// bytes, and what does not fit in one is not added.
+/// A length or count as a 16-bit field. The encoder never reaches the limit: a message has at most 65,535
+/// bytes, and data that doesn't fit in a message isn't added.
 fn saturating_u16(length: usize) -> u16 {
     u16::try_from(length).unwrap_or(u16::MAX)
 }
--- a/crates/deckproxy-flow/src/codec/mod.rs
+++ b/crates/deckproxy-flow/src/codec/mod.rs
@@ -1,7 +1,7 @@
 //! IPFIX (RFC 7011) and NetFlow v9 (RFC 3954): encoding and decoding of templates, records and messages.
 //!
-//! A value has the form in which it is transferred: an unsigned number of up to eight bytes, or bytes. Its element
-//! defines what it means.
+//! A value has the form in which it is transferred: an unsigned number of up to eight bytes, or a byte string. Its
+//! meaning is defined by its element.
 //!
 //! - [`elements`]: the information elements in use.
 //! - `version`: the protocols and their constants.
@@ -33,7 +33,7 @@
 pub struct Element {
     /// The number, below 2^15.
     pub id: u16,
-    /// The enterprise that assigned the number; none: IANA.
+    /// The enterprise that assigned the number; `None`: IANA.
     pub enterprise: Option<u32>,
 }
 
@@ -51,7 +51,7 @@
 pub struct Template {
     /// The id, at least [`FIRST_TEMPLATE_ID`].
     pub id: u16,
-    /// The number of leading fields that are the scope of an options record; 0: the records are flows.
+    /// The number of leading fields that are the scope of an options record; 0: the records describe flows.
     pub scope: u16,
     /// The fields.
     pub fields: Vec<Field>,
@@ -74,12 +74,12 @@
 }
 
 impl Value {
-    /// A text.
+    /// A text value.
     pub fn text(text: &str) -> Self {
         Value::Bytes(Bytes::copy_from_slice(text.as_bytes()))
     }
 
-    /// The value as a number; none for more than eight bytes. Fewer bytes are a number in network byte order.
+    /// The value as a number; `None` for more than eight bytes. Bytes are read in network byte order.
     pub fn number(&self) -> Option<u64> {
         match self {
             Value::Number(n) => Some(*n),
@@ -88,7 +88,8 @@
         }
     }
 
-    /// The value encoded in `length` bytes: a number without its high bytes, or bytes cut or padded with zeros.
+    /// The value encoded in `length` bytes: a number loses its high-order bytes, other values are truncated
+    /// or padded with zeros.
     fn encode(&self, length: usize) -> Vec<u8> {
         match self {
             Value::Number(n) => {
--- a/crates/deckproxy-flow/src/spool.rs
+++ b/crates/deckproxy-flow/src/spool.rs
@@ -1,19 +1,20 @@
-//! Flows that wait for a collector.
+//! The queue of flows for a collector.
 //!
-//! The queue is bounded in bytes. When it is full, the older part is merged by key: the sums stay, the times get
-//! coarser. Only when that frees too little is the oldest flow dropped, and counted, so that the loss can be reported.
+//! The queue is bounded in bytes. When it is full, the oldest three quarters are merged by key: the sums are
+//! preserved, the times become coarser. The oldest flow is dropped only if merging frees too little; it is
+//! counted, so that the loss can be reported.
 
 use crate::meter::{Flow, Key};
 use std::collections::{HashMap, VecDeque};
 
-/// Flows that were dropped and not reported yet.
+/// Sums over dropped flows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Loss {
-    /// Flows.
+    /// Number of flows.
     pub flows: u64,
-    /// Their bytes, in both directions.
+    /// Bytes in both directions.
     pub octets: u64,
-    /// Their requests.
+    /// Number of requests.
     pub requests: u64,
 }
 
@@ -41,26 +42,26 @@
     }
 }
 
-/// The queue.
+/// A queue of flows with bounded memory.
 #[derive(Debug)]
 pub struct Spool {
-    /// Flows that the queue holds at most.
+    /// Largest number of flows in the queue.
     capacity: usize,
     queue: VecDeque<Flow>,
     loss: Loss,
-    /// Flows that were merged into others since the start.
+    /// Number of flows that were merged into others since the start.
     pub merged: u64,
 }
 
-/// Memory of one flow, bytes.
+/// Size of one flow in memory, bytes.
 const FLOW_BYTES: usize = size_of::<Flow>();
 /// Smallest capacity, flows.
-const LEAST_CAPACITY: usize = 16;
+const MIN_CAPACITY: usize = 16;
 
 impl Spool {
-    /// An empty queue that takes so many bytes, or a few flows where that is more.
+    /// An empty queue of at most `bytes` bytes, but of at least 16 flows.
     pub fn new(bytes: usize) -> Self {
-        let capacity = (bytes / FLOW_BYTES).max(LEAST_CAPACITY);
+        let capacity = (bytes / FLOW_BYTES).max(MIN_CAPACITY);
         Spool { capacity, queue: VecDeque::new(), loss: Loss::default(), merged: 0 }
     }
 
@@ -75,7 +76,7 @@
         self.queue.push_back(flow);
     }
 
-    /// Puts flows back in front that were taken and not exported.
+    /// Returns flows to the front of the queue that were removed but not exported.
     pub fn put_back(&mut self, flows: impl DoubleEndedIterator<Item = Flow>) {
         for flow in flows.rev() {
             if self.queue.len() >= self.capacity {
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Merges the older three quarters by key; the newest keep their times.
+    /// Merges the oldest three quarters by key; the newest flows keep their exact times.
     fn merge_older(&mut self) {
         let newer = self.queue.split_off(self.queue.len() * 3 / 4);
         let older = std::mem::take(&mut self.queue);
@@ -116,7 +117,7 @@
         self.queue.front()
     }
 
-    /// Takes the oldest flow.
+    /// Removes and returns the oldest flow.
     pub fn pop(&mut self) -> Option<Flow> {
         self.queue.pop_front()
     }
@@ -131,17 +132,17 @@
         self.queue.is_empty()
     }
 
-    /// Takes the loss, to be reported.
+    /// Resets the unreported loss and returns it, to be reported.
     pub fn take_loss(&mut self) -> Loss {
         std::mem::take(&mut self.loss)
     }
 
-    /// Takes back a loss that could not be reported.
+    /// Adds a loss back that could not be reported.
     pub fn restore_loss(&mut self, loss: Loss) {
         self.loss.add(loss);
     }
 
-    /// The loss that is not reported yet.
+    /// The loss that was not reported yet.
     pub fn loss(&self) -> Loss {
         self.loss
     }
--- a/crates/deckproxy-flow/tests/codec.rs
+++ b/crates/deckproxy-flow/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The codec: our decoder and that of another project read what the encoder writes, and any input is safe.
+//! The codec: this decoder and an independent one read the encoder's messages, and any input is decoded safely.
 
 use bytes::Bytes;
 use deckproxy_flow::codec::elements::{self, EXAMPLE_ENTERPRISE};
@@ -12,7 +12,7 @@
     ProptestConfig { cases, rng_seed: proptest::test_runner::RngSeed::Fixed(17), ..ProptestConfig::default() }
 }
 
-/// A template and records that fit it.
+/// A template and records with matching values.
 fn records(v9: bool) -> impl Strategy<Value = (Template, Vec<Vec<Value>>)> {
     let enterprise = if v9 { Just(None).boxed() } else { prop::option::of(1u32..99_999).boxed() };
     let element = (1u16..400, enterprise).prop_map(|(id, enterprise)| Element { id, enterprise });
@@ -36,7 +36,7 @@
     })
 }
 
-/// The messages with the template and the records.
+/// Encodes the template and the records into messages.
 fn encode(encoder: &mut Encoder, template: &Template, records: &[Vec<Value>]) -> Vec<Bytes> {
     let mut out = Vec::new();
     if !encoder.template(template) {
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Valid messages with one changed byte.
+    /// Decodes valid messages with one changed byte: none causes a panic.
     #[test]
     fn corrupted_messages_are_decoded_or_rejected((template, records) in records(false), at in any::<prop::sample::Index>(), to in any::<u8>()) {
         let mut encoder = Encoder::new(Version::Ipfix, 7, 60_000, 0, 0);
@@ -144,7 +144,7 @@
     vec![client, Value::Number(1), Value::Number(1), Value::Number(1)]
 }
 
-/// The crate `netflow_parser` is independent of this one.
+/// Decodes messages of the encoder with the independent crate `netflow_parser`.
 #[test]
 fn an_independent_decoder_reads_the_same_values() {
     use netflow_parser::{NetflowPacket, NetflowParser};
@@ -221,7 +221,7 @@
     assert_eq!(decoder.decode(1002, &encoder.finish(0).unwrap()).templates, 1);
     assert!(encoder.template(&template));
     assert_eq!(decoder.decode(1003, &encoder.finish(0).unwrap()).error, None, "the withdrawal made space");
-    // Domains do not share templates.
+    // Observation domains do not share templates.
     let mut other = Encoder::new(Version::Ipfix, 2, 1400, 0, 0);
     assert!(other.record(&template, &values));
     assert_eq!(decoder.decode(1003, &other.finish(0).unwrap()).unknown_sets, 1);
@@ -240,15 +240,15 @@
     let message = encoder.finish(0).unwrap();
     assert!(message.len() <= 65_535 && message.len() > 65_535 - 40, "{}", message.len());
     let mut splitter = MessageSplitter::default();
-    for piece in message.chunks(1000) {
+    for chunk in message.chunks(1000) {
         assert_eq!(splitter.next_message(), Ok(None));
-        splitter.push(piece);
+        splitter.push(chunk);
     }
     let message = splitter.next_message().unwrap().unwrap();
     assert_eq!(Decoder::new(Limits::default()).decode(0, &message).records.len(), count);
 }
 
-/// A set may be padded before and after a record that fills the message to its last byte.
+/// A message can have padding before and after a record that fills it: the sum must not exceed the length limit.
 #[test]
 fn the_padding_of_two_sets_stays_within_the_limit() {
     let field = Field { element: elements::CLIENT_V4, length: 4 };
