--- a/crates/deckproxy-flow/src/export/collector.rs
+++ b/crates/deckproxy-flow/src/export/collector.rs
@@ -1,4 +1,4 @@
-//! One collector: its connection, the messages in flight, and its rate limit.
+//! The state of one collector: its connection, its messages in flight, and its rate limit.
 
 use super::Millis;
 use super::settings::{Settings, Transport};
@@ -10,12 +10,12 @@
 /// Backoff before the first reconnect, ms.
 const FIRST_BACKOFF: Millis = 200;
 /// Longest backoff before a reconnect, ms.
-const LONGEST_BACKOFF: Millis = 10_000;
-/// Over UDP, how long templates are sent ahead of the first flows, ms: where no collector listens, the network reports
-/// it within that time (ICMP), and no flow was sent.
-const TEMPLATE_LEAD: Millis = 100;
-/// Tokens that one message costs: the bucket counts in thousandths of a message, as its rate is per second and its
-/// clock in milliseconds.
+const MAX_BACKOFF: Millis = 10_000;
+/// Over UDP, time between the first templates and the first flows, ms. If no collector listens, the network
+/// reports that within this time (ICMP), before any flow is sent.
+const TEMPLATE_LEAD_TIME: Millis = 100;
+/// Tokens that one message costs. A token is a thousandth of a message, as the rate is per second and the clock in
+/// milliseconds.
 const TOKENS_PER_MESSAGE: u64 = 1000;
 
 /// The state of a collector's connection.
@@ -26,7 +26,7 @@
     Up,
 }
 
-/// A message that is not written completely.
+/// A message that is not completely written yet.
 #[derive(Debug)]
 pub(super) struct InFlight {
     pub(super) number: u64,
@@ -34,27 +34,27 @@
     pub(super) sequence: u32,
     pub(super) bytes: usize,
     pub(super) flows: Vec<Flow>,
-    /// The loss that it reports.
+    /// The loss that the message reports.
     pub(super) loss: Loss,
 }
 
-/// A collector.
+/// A collector and its connection.
 #[derive(Debug)]
 pub(super) struct Collector {
     pub(super) transport: Transport,
     pub(super) state: State,
     backoff: Millis,
     pub(super) encoder: Encoder,
-    /// When templates were sent last on this connection.
+    /// When templates were last sent on this connection.
     pub(super) templates_sent_at: Option<Millis>,
     pub(super) in_flight: VecDeque<InFlight>,
     /// When the connection last made progress.
     pub(super) progress_at: Millis,
-    /// Tokens of the rate limit.
+    /// Token bucket of the rate limit.
     tokens: u64,
-    tokens_filled_at: Millis,
-    /// Over UDP, until when nothing follows the first templates.
-    lead_until: Millis,
+    refilled_at: Millis,
+    /// Over UDP, the time before which no flows are sent after the first templates.
+    flows_delayed_until: Millis,
 }
 
 impl Collector {
@@ -69,8 +69,8 @@
             in_flight: VecDeque::new(),
             progress_at: now,
             tokens: TOKENS_PER_MESSAGE,
-            tokens_filled_at: now,
-            lead_until: 0,
+            refilled_at: now,
+            flows_delayed_until: 0,
         }
     }
 
@@ -78,21 +78,21 @@
         self.state == State::Up
     }
 
-    /// Takes the connection for lost, and doubles the backoff.
+    /// Marks the connection as down until the backoff has passed, and doubles the backoff.
     pub(super) fn set_down(&mut self, now: Millis) {
         self.state = State::Down { reconnect_at: now + self.backoff };
-        self.backoff = (self.backoff * 2).min(LONGEST_BACKOFF);
+        self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
     }
 
-    /// Starts the backoff from its beginning.
+    /// Resets the backoff to its initial value.
     pub(super) fn reset_backoff(&mut self) {
         self.backoff = FIRST_BACKOFF;
     }
 
-    /// Corrects a reconnect that is too far off, as the clock was set back.
+    /// Moves up a reconnect that is later than the longest backoff, which happens when the clock was set back.
     pub(super) fn correct_reconnect(&mut self, now: Millis) {
         if let State::Down { reconnect_at } = &mut self.state
-            && *reconnect_at > now + LONGEST_BACKOFF
+            && *reconnect_at > now + MAX_BACKOFF
         {
             *reconnect_at = now + FIRST_BACKOFF;
         }
@@ -108,15 +108,15 @@
         self.in_flight.iter().map(|message| message.bytes).sum()
     }
 
-    /// Adds the tokens of the rate limit for the time that has passed.
-    pub(super) fn fill_tokens(&mut self, now: Millis, rate: u32) {
+    /// Refills the token bucket for the time that has passed; `rate`: messages per second.
+    pub(super) fn refill_tokens(&mut self, now: Millis, rate: u32) {
         let rate = u64::from(rate);
-        let earned = now.saturating_sub(self.tokens_filled_at) * rate;
-        self.tokens = (self.tokens + earned).min(rate.max(1) * TOKENS_PER_MESSAGE);
-        self.tokens_filled_at = now;
+        let refill = now.saturating_sub(self.refilled_at) * rate;
+        self.tokens = (self.tokens + refill).min(rate.max(1) * TOKENS_PER_MESSAGE);
+        self.refilled_at = now;
     }
 
-    /// Whether the rate limit allows a message.
+    /// Whether the rate limit allows a message; a `rate` of 0 is no limit.
     pub(super) fn has_token(&self, rate: u32) -> bool {
         rate == 0 || self.tokens >= TOKENS_PER_MESSAGE
     }
@@ -126,36 +126,36 @@
         self.tokens = self.tokens.saturating_sub(TOKENS_PER_MESSAGE);
     }
 
-    /// Whether templates have to be sent before anything else.
+    /// Whether the next message must start with the templates.
     pub(super) fn needs_templates(&self, now: Millis, settings: &Settings) -> bool {
         let Some(sent_at) = self.templates_sent_at else { return true };
         let is_old = now.saturating_sub(sent_at) >= settings.template_interval || sent_at > now;
         self.transport == Transport::Udp && is_old
     }
 
-    /// Whether the next message carries templates ahead of all flows.
-    pub(super) fn is_lead_due(&self) -> bool {
+    /// Whether the next message contains the first templates and nothing else, as over UDP.
+    pub(super) fn is_templates_only(&self) -> bool {
         self.transport == Transport::Udp && self.templates_sent_at.is_none()
     }
 
-    /// Sends nothing for a while after the first templates.
-    pub(super) fn start_lead(&mut self, now: Millis) {
-        self.lead_until = now + TEMPLATE_LEAD;
+    /// Starts the delay between the first templates and the first flows.
+    pub(super) fn delay_flows(&mut self, now: Millis) {
+        self.flows_delayed_until = now + TEMPLATE_LEAD_TIME;
     }
 
-    /// Whether it waits after the first templates; not where the clock was set back since.
-    pub(super) fn is_in_lead(&self, now: Millis) -> bool {
-        now < self.lead_until && self.lead_until <= now + TEMPLATE_LEAD
+    /// Whether flows are delayed after the first templates. The delay ends at once if the clock was set back.
+    pub(super) fn is_delaying_flows(&self, now: Millis) -> bool {
+        now < self.flows_delayed_until && self.flows_delayed_until <= now + TEMPLATE_LEAD_TIME
     }
 
-    /// When it needs attention next, where nothing happens before.
+    /// When the collector must be polled next if no other event occurs before.
     pub(super) fn next_timer(&self, now: Millis, settings: &Settings) -> Option<Millis> {
         let stall_at = self.progress_at + settings.stall_timeout + 1;
         match self.state {
             State::Down { reconnect_at } => Some(reconnect_at),
             State::Connecting => Some(stall_at),
             State::Up if !self.in_flight.is_empty() => Some(stall_at),
-            State::Up if self.lead_until > now => Some(self.lead_until),
+            State::Up if self.flows_delayed_until > now => Some(self.flows_delayed_until),
             State::Up if self.transport == Transport::Udp => {
                 self.templates_sent_at.map(|at| at + settings.template_interval)
             }
--- a/crates/deckproxy-flow/src/export/effects.rs
+++ b/crates/deckproxy-flow/src/export/effects.rs
@@ -1,4 +1,4 @@
-//! Effects that the exporter asks its caller for, log events, and counters.
+//! Effects that the exporter requests from its caller, log events, and counters.
 
 use bytes::Bytes;
 use std::fmt;
@@ -6,7 +6,7 @@
 /// A collector, by its index in the list.
 pub type CollectorIndex = usize;
 
-/// An effect that the caller has to carry out.
+/// An action that the caller must carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Open a connection (over UDP: a socket).
@@ -15,14 +15,16 @@
     Send {
         /// The collector.
         collector: CollectorIndex,
-        /// The number under which the caller reports that the message is written.
+        /// The number to pass to [`Exporter::message_sent`] once the message is written.
+        ///
+        /// [`Exporter::message_sent`]: super::Exporter::message_sent
         number: u64,
         /// The message.
         message: Bytes,
     },
     /// Close the connection.
     Close(CollectorIndex),
-    /// Write a log line for the operators.
+    /// Write a line to the operators' log.
     Log(LogEvent),
 }
 
@@ -31,7 +33,7 @@
 pub enum LogEvent {
     /// A collector is connected.
     Up(CollectorIndex),
-    /// The connection to a collector has ended.
+    /// The connection to a collector was lost.
     Lost(CollectorIndex),
     /// A collector accepted no bytes within the stall timeout.
     Stalled(CollectorIndex),
@@ -47,10 +49,10 @@
     }
 }
 
-/// Events since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Messages written.
+    /// Messages that were written completely.
     pub messages: u64,
     /// Flows in those messages.
     pub flows: u64,
@@ -58,7 +60,7 @@
     pub octets: u64,
     /// Requests of those flows.
     pub requests: u64,
-    /// Flows dropped because the spool was full, as reported to collectors.
+    /// Dropped flows, counted each time that a message that reports them is created.
     pub lost: u64,
     /// Connections to collectors that were lost.
     pub breaks: u64,
@@ -69,6 +71,6 @@
 pub struct Backlog {
     /// Flows in the spools.
     pub spooled: usize,
-    /// Flows in messages that are not written completely.
+    /// Flows in messages that are not completely written yet.
     pub in_flight: usize,
 }
--- a/crates/deckproxy-flow/src/export/messages.rs
+++ b/crates/deckproxy-flow/src/export/messages.rs
@@ -1,4 +1,4 @@
-//! Messages: when one may be sent, and what it carries.
+//! Messages: when one may be sent, and its content.
 
 use super::Exporter;
 use super::Millis;
@@ -13,13 +13,13 @@
 use crate::spool::Loss;
 
 impl Exporter {
-    /// Whether there is anything to send to a collector, and it may be sent now.
+    /// Whether there is data for a collector that may be sent now.
     pub(super) fn can_send(&self, now: Millis, index: CollectorIndex) -> bool {
         let collector = &self.collectors[index];
-        if collector.is_in_lead(now) {
+        if collector.is_delaying_flows(now) {
             return false;
         }
-        let spool = &self.spools[self.spool_of(index)];
+        let spool = &self.spools[self.spool_index(index)];
         let needs_templates =
             collector.transport == Transport::Udp && collector.needs_templates(now, &self.settings);
         let has_work = !spool.is_empty() || !spool.loss().is_none() || needs_templates;
@@ -28,19 +28,19 @@
             && collector.bytes_in_flight() < self.settings.max_in_flight
     }
 
-    /// Builds one message for a collector and has it sent.
+    /// Builds one message for a collector and queues the effect that sends it.
     pub(super) fn send_message<'a>(
         &mut self,
         now: Millis,
         index: CollectorIndex,
         name: &impl Fn(u32) -> &'a str,
     ) {
-        let is_lead = self.collectors[index].is_lead_due();
+        let is_templates_only = self.collectors[index].is_templates_only();
         if self.collectors[index].needs_templates(now, &self.settings) {
             self.add_templates(now, index);
         }
-        let (loss, flows) = if is_lead {
-            self.collectors[index].start_lead(now);
+        let (loss, flows) = if is_templates_only {
+            self.collectors[index].delay_flows(now);
             (Loss::default(), Vec::new())
         } else {
             (self.add_loss(index), self.add_flows(index, name))
@@ -58,7 +58,7 @@
         self.effects.push_back(Effect::Send { collector: index, number, message });
     }
 
-    /// Adds all templates, and in IPFIX the types of the project's elements.
+    /// Adds all templates, and in IPFIX the descriptions of this project's elements.
     fn add_templates(&mut self, now: Millis, index: CollectorIndex) {
         let collector = &mut self.collectors[index];
         let mut is_complete = true;
@@ -71,14 +71,14 @@
                 is_complete &= collector.encoder.record(&self.templates.element, &record);
             }
         }
-        // Too small a message could carry nothing else; the settings are checked for that.
+        // Otherwise no flow could ever be sent; the settings' check ensures that messages are large enough.
         debug_assert!(is_complete, "the templates fit into one message");
         collector.templates_sent_at = Some(now);
     }
 
-    /// Adds the loss that is not reported yet. Returns what the message reports.
+    /// Adds the unreported loss to the message. Returns the loss that the message reports.
     fn add_loss(&mut self, index: CollectorIndex) -> Loss {
-        let spool_index = self.spool_of(index);
+        let spool_index = self.spool_index(index);
         let spool = &mut self.spools[spool_index];
         let mut loss = spool.take_loss();
         if loss.is_none() {
@@ -95,7 +95,7 @@
 
     /// Moves flows from the spool into the message until it is full.
     fn add_flows<'a>(&mut self, index: CollectorIndex, name: &impl Fn(u32) -> &'a str) -> Vec<Flow> {
-        let spool_index = self.spool_of(index);
+        let spool_index = self.spool_index(index);
         let spool = &mut self.spools[spool_index];
         let encoder = &mut self.collectors[index].encoder;
         let mut flows = Vec::new();
--- a/crates/deckproxy-flow/src/export/mod.rs
+++ b/crates/deckproxy-flow/src/export/mod.rs
@@ -1,15 +1,15 @@
-//! The exporting process, without sockets: templates, messages, and collectors that connect and disconnect.
+//! The exporting process, without I/O: templates, messages and the state of the connections to collectors.
 //!
-//! Collectors are either replicas, each of which receives all flows from a spool of its own, or standbys, of which the
-//! first that is up receives all flows from one common spool. Neither protocol acknowledges messages: a message counts
-//! as sent once it is written completely to a connection, and is sent again otherwise. A collector detects missing
-//! messages by gaps in the sequence numbers.
+//! Collectors are either replicas, each of which receives all flows from a spool of its own, or standbys, of
+//! which the first that is up receives all flows from one common spool. Neither protocol acknowledges
+//! messages: a message counts as sent once it is completely written to a connection, and its content is sent
+//! again otherwise. A collector detects missing messages by gaps in the sequence numbers.
 //!
 //! - [`settings`]: the settings of the export.
 //! - [`effects`]: effects for the caller, log events and counters.
 //! - `collector`: one collector's connection, backoff and rate limit.
 //! - `messages`: building and sending messages.
-//! - `templates`, `records`: the templates and the flows' records in the messages.
+//! - `templates`, `records`: the templates and the records of flows in the messages.
 
 mod collector;
 pub mod effects;
@@ -41,12 +41,12 @@
     templates: Templates,
     last_message: u64,
     effects: VecDeque<Effect>,
-    /// Events since the start.
+    /// Counters since the start.
     pub counters: Counters,
 }
 
 impl Exporter {
-    /// Creates an exporter to these collectors; `sequence` is the first sequence number.
+    /// Creates an exporter for these collectors; `sequence` is the first sequence number.
     pub fn new(settings: Settings, collectors: &[Transport], sequence: u32, now: Millis) -> Self {
         let encoder = new_encoder(&settings, sequence, now);
         let collector = |transport: &Transport| Collector::new(*transport, encoder.clone(), now);
@@ -67,7 +67,7 @@
         self.effects.pop_front()
     }
 
-    /// Accepts a flow for export.
+    /// Queues a flow for export.
     pub fn push(&mut self, flow: Flow) {
         for spool in &mut self.spools {
             spool.push(flow);
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Losses that were not reported to a collector yet.
+    /// The sum of the losses that were not reported to a collector yet.
     pub fn unreported_loss(&self) -> Loss {
         let mut sum = Loss::default();
         for spool in &self.spools {
@@ -97,34 +97,35 @@
         self.backlog() == Backlog::default() && self.unreported_loss().is_none()
     }
 
-    /// For each collector whether it is up.
+    /// For each collector, whether it is connected.
     pub fn collectors_up(&self) -> impl Iterator<Item = bool> {
         self.collectors.iter().map(Collector::is_up)
     }
 
-    /// Flows merged in the spools since the start.
+    /// Number of flows merged into others in the spools since the start.
     pub fn merged(&self) -> u64 {
         self.spools.iter().map(|spool| spool.merged).sum()
     }
 
-    /// The index of the spool that feeds a collector.
-    fn spool_of(&self, index: CollectorIndex) -> usize {
+    /// The index of the spool from which a collector is served.
+    fn spool_index(&self, index: CollectorIndex) -> usize {
         if self.settings.replicate { index } else { 0 }
     }
 
     /// Replaces the list of collectors.
     ///
-    /// Each is given with its index in the old list, if it was there: it keeps its connection and, among replicas, its
-    /// spool. A new collector takes over the spool and the sequence numbers of the collector that was removed from its
-    /// index. Spools of removed collectors that are not taken over are dropped. The protocol version, domain,
-    /// enterprise, message size and replication can't be changed without a restart.
+    /// Each entry has the index that the collector had in the old list, or `None` if it is new. A collector
+    /// of the old list keeps its connection and, if collectors are replicas, its spool. A new one takes over
+    /// the spool and the sequence numbers of the collector that was removed from its index. Spools of removed
+    /// collectors that are not taken over are dropped. The protocol version, domain, enterprise, message size
+    /// and replication can't be changed without a restart.
     pub fn replace_collectors(
         &mut self,
         settings: Settings,
         collectors: &[(Transport, Option<CollectorIndex>)],
         now: Millis,
     ) {
-        debug_assert!(settings.has_same_fixed_part(&self.settings), "these take a restart");
+        debug_assert!(settings.has_same_restart_settings(&self.settings), "these take a restart");
         let is_kept = |index| collectors.iter().any(|(_, previous)| *previous == Some(index));
         for index in (0..self.collectors.len()).filter(|index| !is_kept(*index)) {
             // The caller closes the connection; flows of unwritten messages return to the spool.
@@ -164,9 +165,10 @@
         self.effects.push_back(Effect::Log(LogEvent::Up(index)));
     }
 
-    /// A connection could not be established, or was closed. The flows of its unwritten messages are sent again.
+    /// A connection could not be established, or was closed. The flows of its unwritten messages return to
+    /// the spool.
     pub fn disconnected(&mut self, now: Millis, index: CollectorIndex) {
-        let spool_index = self.spool_of(index);
+        let spool_index = self.spool_index(index);
         let Some(collector) = self.collectors.get_mut(index) else { return };
         match collector.state {
             State::Down { .. } => return,
@@ -210,7 +212,7 @@
         }
     }
 
-    /// Some bytes of a message were written: the connection makes progress.
+    /// Some bytes of a message were written: the connection has made progress.
     pub fn bytes_sent(&mut self, now: Millis, index: CollectorIndex) {
         if let Some(collector) = self.collectors.get_mut(index) {
             collector.progress_at = now;
@@ -218,14 +220,14 @@
     }
 
     /// Connects to collectors, closes stalled connections, and sends up to `max_messages` messages. Returns whether
-    /// more messages can be sent now. `name` resolves the numbers of names in the flows.
+    /// more messages can be sent now. `name` returns the name with a given number.
     pub fn poll<'a>(&mut self, now: Millis, max_messages: usize, name: &impl Fn(u32) -> &'a str) -> bool {
         let mut messages_left = max_messages;
         let mut has_more = false;
         let mut has_served = false;
         for index in 0..self.collectors.len() {
             self.poll_connection(now, index);
-            // A standby receives nothing while a collector before it in the list is up.
+            // A standby receives no messages while a collector before it in the list is up.
             if !self.collectors[index].is_up() || (has_served && !self.settings.replicate) {
                 continue;
             }
@@ -245,7 +247,7 @@
     /// Connects to a collector when its backoff has passed, or closes its connection when it has stalled.
     fn poll_connection(&mut self, now: Millis, index: CollectorIndex) {
         let collector = &mut self.collectors[index];
-        collector.fill_tokens(now, self.settings.message_rate);
+        collector.refill_tokens(now, self.settings.message_rate);
         let is_stalled = collector.is_stalled(now, self.settings.stall_timeout);
         match collector.state {
             State::Down { reconnect_at } if now >= reconnect_at => {
--- a/crates/deckproxy-flow/src/export/records.rs
+++ b/crates/deckproxy-flow/src/export/records.rs
@@ -1,4 +1,4 @@
-//! A flow as a record: its values in the order of the template's fields.
+//! Conversion of a flow to a record: its values in the order of the template's fields.
 
 use crate::codec::{Value, elements};
 use crate::meter::{Flow, Leg, Outcome, Reason};
@@ -6,7 +6,7 @@
 use ipnet::IpNet;
 use std::net::IpAddr;
 
-/// The values of a flow. `name` resolves its names.
+/// The values of a flow's record. `name` returns the name with a given number.
 pub(super) fn flow_record<'a>(flow: &Flow, name: &impl Fn(u32) -> &'a str) -> Vec<Value> {
     let (address, prefix_length) = client(flow.key.client);
     let counts = &flow.counts;
@@ -39,7 +39,7 @@
     (Value::Bytes(address), net.prefix_len())
 }
 
-/// A text, or the one that stands for none: there are decoders that discard a set because of one empty text.
+/// A text value; an empty text becomes [`elements::NO_VALUE`], as some decoders discard a set with an empty text.
 fn text(text: &str) -> Value {
     Value::text(if text.is_empty() { elements::NO_VALUE } else { text })
 }
@@ -64,7 +64,7 @@
     }
 }
 
-/// The reason as IANA numbers it (element 136).
+/// The number of the end reason in IANA's registry (flowEndReason, 136).
 fn end_reason(reason: Reason) -> u64 {
     match reason {
         Reason::Idle => 1,
--- a/crates/deckproxy-flow/src/export/settings.rs
+++ b/crates/deckproxy-flow/src/export/settings.rs
@@ -1,12 +1,12 @@
-//! How the export is set up.
+//! Settings of the export.
 
 use super::Millis;
 use crate::codec::Version;
 
-/// How a collector is reached.
+/// The transport protocol to a collector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transport {
-    /// Templates are sent periodically; a lost message is not noticed.
+    /// Templates are sent periodically; the exporter doesn't detect lost messages.
     Udp,
     /// Templates are sent once per connection.
     Tcp,
@@ -27,20 +27,21 @@
     pub message_rate: u32,
     /// Over UDP, interval at which templates are sent again, ms.
     pub template_interval: Millis,
-    /// Flows that may wait for one collector (or for all that stand by), bytes.
+    /// Size of a spool, bytes: one for each replica, or one for all standbys.
     pub spool_size: usize,
-    /// Bytes in flight on one connection beyond which it gets no further message.
+    /// Bytes in flight on one connection from which on no further message is sent on it.
     pub max_in_flight: usize,
-    /// Time without progress after which a connection with messages in flight is closed, ms.
+    /// Time without progress after which a connection attempt, or a connection with messages in flight, is
+    /// closed, ms.
     pub stall_timeout: Millis,
-    /// Every collector gets all flows; otherwise the first that is up gets them.
+    /// Whether every collector receives all flows; otherwise the first that is up receives them.
     pub replicate: bool,
 }
 
 impl Settings {
-    /// Whether the settings that take a restart are the same.
-    pub(super) fn has_same_fixed_part(&self, other: &Settings) -> bool {
-        let fixed = |s: &Settings| (s.version, s.domain, s.enterprise, s.max_message, s.replicate);
-        fixed(self) == fixed(other)
+    /// Whether the settings that require a restart are the same.
+    pub(super) fn has_same_restart_settings(&self, other: &Settings) -> bool {
+        let restart_settings = |s: &Settings| (s.version, s.domain, s.enterprise, s.max_message, s.replicate);
+        restart_settings(self) == restart_settings(other)
     }
 }
--- a/crates/deckproxy-flow/src/export/templates.rs
+++ b/crates/deckproxy-flow/src/export/templates.rs
@@ -1,4 +1,5 @@
-//! The templates that are sent: of flows by IPv4 and IPv6 clients, of losses, and of this project's own elements.
+//! The templates that are sent: for flows of IPv4 and IPv6 clients, for losses, and for descriptions of this
+//! project's elements.
 
 use super::settings::Settings;
 use crate::codec::elements::{self, ProjectElement};
@@ -9,24 +10,24 @@
 const FLOW_V6_ID: u16 = 257;
 const LOSS_ID: u16 = 258;
 const ELEMENT_ID: u16 = 259;
-/// First number of this project's own elements in NetFlow v9, which has no enterprises: vendors may use numbers from
-/// there on.
-const FIRST_OWN_V9: u16 = 0xe000;
-/// Lengths of texts in NetFlow v9, which has no variable lengths, bytes.
+/// Offset of the ids of this project's elements in NetFlow v9, which has no enterprises: ids from here on are
+/// for vendors.
+const FIRST_VENDOR_ID_V9: u16 = 0xe000;
+/// Lengths of texts in NetFlow v9, which has no fields of variable length, bytes.
 const NAME_LENGTH: u16 = 24;
-const WORD_LENGTH: u16 = 8;
+const KEYWORD_LENGTH: u16 = 8;
 const ELEMENT_NAME_LENGTH: u16 = 32;
 
 /// All templates of one exporter.
 #[derive(Clone, Debug)]
 pub(super) struct Templates {
-    /// Flows whose client has an IPv4 prefix, or none.
+    /// Flows whose client has an IPv4 prefix, or without a client.
     pub(super) flow_v4: Template,
     /// Flows whose client has an IPv6 prefix.
     pub(super) flow_v6: Template,
-    /// Options: flows that were dropped.
+    /// Options: the dropped flows.
     pub(super) loss: Template,
-    /// Options: the type of an own element (RFC 5610).
+    /// Options: the description of one of this project's elements (RFC 5610).
     pub(super) element: Template,
 }
 
@@ -62,7 +63,7 @@
         }
     }
 
-    /// All of them, in the order in which they are sent.
+    /// All templates, in the order in which they are sent.
     pub(super) fn all(&self) -> [&Template; 4] {
         [&self.flow_v4, &self.flow_v6, &self.loss, &self.element]
     }
@@ -72,7 +73,7 @@
     Field { element, length }
 }
 
-/// A field for a text: of variable length in IPFIX, of the given one in NetFlow v9.
+/// A text field: of variable length in IPFIX, of the given length in NetFlow v9.
 fn text_field(version: Version, element: Element, length: u16) -> Field {
     match version {
         Version::Ipfix => field(element, VARIABLE_LENGTH),
@@ -80,11 +81,11 @@
     }
 }
 
-/// One of this project's own elements as the protocol numbers it.
-fn own_element(settings: &Settings, own: ProjectElement) -> Element {
+/// The element id of one of this project's elements in the configured protocol.
+fn project_element(settings: &Settings, element: ProjectElement) -> Element {
     match settings.version {
-        Version::Ipfix => own.under(settings.enterprise),
-        Version::NetflowV9 => Element { id: FIRST_OWN_V9 + own.id, enterprise: None },
+        Version::Ipfix => element.under(settings.enterprise),
+        Version::NetflowV9 => Element { id: FIRST_VENDOR_ID_V9 + element.id, enterprise: None },
     }
 }
 
@@ -100,7 +101,7 @@
         Version::Ipfix => elements::reverse(elements::OCTETS),
         Version::NetflowV9 => elements::REVERSE_OCTETS_V9,
     };
-    let own = |element| own_element(settings, element);
+    let project = |element| project_element(settings, element);
     let fields = vec![
         field(client, address_bytes),
         field(prefix_length, 1),
@@ -111,17 +112,17 @@
         field(elements::END, 8),
         field(elements::END_REASON, 1),
         text_field(version, elements::APPLICATION, NAME_LENGTH),
-        text_field(version, own(elements::MEMBER), NAME_LENGTH),
-        text_field(version, own(elements::SITE), NAME_LENGTH),
-        text_field(version, own(elements::RESULT), WORD_LENGTH),
-        field(own(elements::P99), 4),
-        field(own(elements::FOLDED), 1),
-        text_field(version, own(elements::LEG), WORD_LENGTH),
+        text_field(version, project(elements::MEMBER), NAME_LENGTH),
+        text_field(version, project(elements::SITE), NAME_LENGTH),
+        text_field(version, project(elements::RESULT), KEYWORD_LENGTH),
+        field(project(elements::P99), 4),
+        field(project(elements::FOLDED), 1),
+        text_field(version, project(elements::LEG), KEYWORD_LENGTH),
     ];
     Template { id, scope: 0, fields }
 }
 
-/// The record that describes one of this project's own elements (RFC 5610).
+/// The record that describes one of this project's elements (RFC 5610).
 pub(super) fn element_record(enterprise: u32, element: ProjectElement) -> Vec<Value> {
     vec![
         Value::Number(u64::from(enterprise)),
--- a/crates/deckproxy-flow/tests/export.rs
+++ b/crates/deckproxy-flow/tests/export.rs
@@ -1,4 +1,4 @@
-//! The exporting process against a collector that decodes its messages: each loss is reported.
+//! The exporting process with collectors that decode its messages: each flow is exported or reported as lost.
 
 use bytes::Bytes;
 use deckproxy_flow::codec::elements::{self, EXAMPLE_ENTERPRISE};
@@ -36,7 +36,7 @@
     Key { client: Some(meter.client(client)), class, member, outcome: Some(outcome), ..Key::of(leg) }
 }
 
-/// One flow for each client number, of one request, 100 bytes to the client and 7 bytes from it.
+/// One flow for each client number, with one request, 100 bytes to the client and 7 bytes from it.
 fn flows(clients: std::ops::Range<u32>) -> Vec<Flow> {
     let mut meter = Meter::new(MeterLimits { entries: 100_000, ..MeterLimits::default() });
     let update = Update { bytes_to_client: 100, bytes_from_client: 7, requests: 1, latency: Some(900) };
@@ -47,7 +47,7 @@
     meter.take_all()
 }
 
-/// A collector that decodes what it receives: sums over the flows, and over the reported losses.
+/// A collector that decodes its messages, and sums up the flows and the reported losses.
 #[derive(Default)]
 struct Collector {
     decoder: Option<Decoder>,
@@ -55,9 +55,9 @@
     requests: u64,
     lost_flows: u64,
     lost_requests: u64,
-    /// Names of the described elements, once for each description.
+    /// Names of the elements in descriptions, one for each description received.
     element_names: Vec<String>,
-    /// Records missing by the sequence numbers.
+    /// Number of missing records, according to the sequence numbers.
     missing: u32,
 }
 
@@ -144,7 +144,7 @@
 fn a_collector_that_was_down_for_minutes_gets_all_sums_later() {
     let mut exporter = Exporter::new(SETTINGS, &[Transport::Tcp], 0, 0);
     let mut collectors = [Collector::default()];
-    // The flows of the same 100 clients are merged by key, and none is dropped.
+    // All flows are of the same 100 clients: they are merged by key, and none is dropped.
     for minute in 0..60 {
         for flow in flows(0..100) {
             exporter.push(flow);
@@ -163,7 +163,7 @@
 fn dropped_flows_are_counted_and_reported() {
     let mut exporter = Exporter::new(SETTINGS, &[Transport::Tcp], 0, 0);
     let mut collectors = [Collector::default()];
-    // Each flow has a client of its own: there is nothing to merge.
+    // Each flow has a different client, so that none can be merged.
     for flow in flows(0..5000) {
         exporter.push(flow);
     }
@@ -191,7 +191,7 @@
     exporter.poll(10, 100, &name);
     let in_flight = exporter.backlog().in_flight;
     assert!(in_flight > 0);
-    // The collector reads nothing: the connection is closed after the stall timeout, and not before.
+    // The collector reads nothing: the connection is closed after the stall timeout, but not before.
     run(&mut exporter, 3000, &mut collectors, |_| false);
     assert_eq!(exporter.backlog().in_flight, in_flight);
     exporter.poll(3011, 100, &name);
@@ -241,7 +241,7 @@
     assert_eq!(repetitions(&collectors), 1);
     run(&mut exporter, 1200, &mut collectors, |_| true);
     assert_eq!(repetitions(&collectors), 2);
-    // A collector that lost its templates collectors again after a refresh.
+    // A collector without templates decodes flows again once the templates are repeated.
     collectors[0].decoder = None;
     for flow in flows(0..350) {
         exporter.push(flow);
@@ -282,7 +282,7 @@
     }
     for now in (0..60_000).step_by(50) {
         run(&mut exporter, now, &mut collectors, |_| true);
-        // The network reports the closed port after the first datagram, before flows may follow.
+        // The network reports the closed port after the first datagram, before any flow is sent.
         exporter.disconnected(now + 1, 0);
     }
     assert_eq!((collectors[0].requests, exporter.backlog().spooled), (0, 50));
@@ -297,7 +297,7 @@
 fn sequence_numbers_continue_from_the_first_unwritten_message() {
     let start = u32::MAX - 40;
     let mut exporter = Exporter::new(SETTINGS, &[Transport::Tcp], start, 0);
-    // One decoder across the connections: it would detect a gap, also over the wrap at 2^32.
+    // The decoder is the same for both connections: it would detect a gap, also across the wrap at 2^32.
     let mut collectors = [Collector::default()];
     for flow in flows(0..100) {
         exporter.push(flow);
@@ -324,7 +324,7 @@
         for flow in flows(0..40) {
             exporter.push(flow);
         }
-        // Neither is up. Then the first is removed, the second is kept at index 0, and a new one is added.
+        // Neither is up at first. Then the first is removed, the second is kept at index 0, and a new one is added.
         run(&mut exporter, 10, &mut collectors, |_| false);
         exporter.poll(5000, 0, &name);
         while exporter.next_effect().is_some() {}
@@ -337,7 +337,7 @@
         for flow in flows(40..60) {
             exporter.push(flow);
         }
-        // That connection is lost before a byte is written: all flows are sent again.
+        // The second's connection is lost before a byte is written: all its flows are sent again.
         exporter.disconnected(5003, 0);
         run(&mut exporter, 60_000, &mut collectors, |_| true);
         let requests = [collectors[0].requests, collectors[1].requests];
