--- a/crates/deckproxy-flow/src/account/attempts.rs
+++ b/crates/deckproxy-flow/src/account/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts that are in flight to members.
+//! Accounting of attempts in flight to members.
 
 use super::{Micros, RequestSource, millis};
 use crate::meter::{Key, Leg, Meter, Name, Outcome, Update};
@@ -9,12 +9,12 @@
 struct Attempt {
     source: RequestSource,
     member: Name,
-    /// Bytes that were written to the member.
+    /// Bytes written to the member.
     bytes_written: u64,
     started_at: Micros,
 }
 
-/// The attempts in flight by key. An attempt is counted when it ends, with the bytes written for it until then.
+/// The attempts in flight, by key. An attempt is counted when it ends, with the bytes written for it until then.
 #[derive(Debug, Default)]
 pub struct Attempts {
     in_flight: HashMap<u64, Attempt, RandomState>,
@@ -26,16 +26,16 @@
         self.in_flight.insert(key, Attempt { source, member, bytes_written: 0, started_at: now });
     }
 
-    /// Bytes were written to a member for the attempt with this key. Returns whether the attempt is in flight; if it
-    /// is not, the caller counts the bytes with [`Attempts::count_other_bytes`].
+    /// Bytes were written to a member for the attempt with this key. Returns whether the attempt is in
+    /// flight; if not, the caller must count the bytes with [`Attempts::count_other_bytes`].
     pub fn bytes_written(&mut self, key: u64, bytes: u64) -> bool {
         let Some(attempt) = self.in_flight.get_mut(&key) else { return false };
         attempt.bytes_written += bytes;
         true
     }
 
-    /// An attempt ended, with an answer of `answer_bytes` bytes or without one (0). An attempt without any bytes was
-    /// never sent and isn't counted. Returns whether the attempt was in flight.
+    /// An attempt ended, with an answer of `answer_bytes` bytes, or without an answer (0). An attempt without
+    /// any bytes was never sent and isn't counted. Returns whether the attempt was in flight.
     pub fn ended(
         &mut self,
         meter: &mut Meter,
@@ -62,8 +62,8 @@
         true
     }
 
-    /// Counts bytes from and to a member that belong to no attempt in flight: health checks, cancellations and late
-    /// answers.
+    /// Counts bytes received from and sent to a member that belong to no attempt in flight: health checks,
+    /// cancellations and late answers.
     pub fn count_other_bytes(meter: &mut Meter, now: Micros, member: Name, received: u64, sent: u64) {
         if received + sent > 0 {
             let flow = Key { member, ..Key::of(Leg::Member) };
--- a/crates/deckproxy-flow/src/account/client.rs
+++ b/crates/deckproxy-flow/src/account/client.rs
@@ -1,7 +1,8 @@
-//! The requests of one client's connection.
+//! Accounting of the requests on one client connection.
 //!
-//! Answers are written to a connection in the order in which they were queued, so written bytes belong to the first
-//! message that is not complete yet. When the connection is closed, the remaining messages count as cancelled.
+//! Answers are written to a connection in the order in which they were queued, so written bytes belong to the
+//! first message that is not completely written yet. When the connection is closed, the remaining messages
+//! count as cancelled.
 
 use super::{Micros, millis};
 use crate::meter::{Key, Leg, Meter, Name, Outcome, Update};
@@ -12,32 +13,32 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Request {
     class: Name,
-    /// The site that it was forwarded to; 0: none.
+    /// The site to which the request was forwarded; 0: none.
     site: Name,
-    /// Its size in bytes.
+    /// Size in bytes.
     bytes: u64,
     received_at: Micros,
 }
 
-/// A message that waits to be written: the answer to a request, or a message that answers none.
+/// A message that is queued for writing: the answer to a request, or a message that answers no request.
 #[derive(Clone, Copy, Debug)]
 struct QueuedMessage {
     request: Option<Request>,
     outcome: Outcome,
 }
 
-/// The account of one client's connection.
+/// Counts the bytes and requests of one client connection.
 #[derive(Debug)]
 pub struct ClientAccount {
     client: Option<IpNet>,
     /// Requests without an answer by id, unordered; a connection has few at a time.
     open_requests: Vec<(u32, Request)>,
-    /// Messages that are not written completely, in the order of writing.
+    /// Messages that are not completely written yet, in the order of writing.
     queued_messages: VecDeque<QueuedMessage>,
 }
 
 impl ClientAccount {
-    /// The account of a new connection; `client` is none if the client's address is not known.
+    /// The account of a new connection; `client` is `None` if the client's address is unknown.
     pub fn new(client: Option<IpNet>) -> Self {
         ClientAccount { client, open_requests: Vec::new(), queued_messages: VecDeque::new() }
     }
@@ -52,7 +53,7 @@
         self.open_requests.len()
     }
 
-    /// The number of messages that are not written completely.
+    /// The number of messages that are not completely written yet.
     pub fn queued_messages(&self) -> usize {
         self.queued_messages.len()
     }
@@ -83,7 +84,7 @@
         }
     }
 
-    /// The answer to a request was queued for writing; `id` is none for a message that answers no request.
+    /// The answer to a request was queued for writing; `id` is `None` for a message that answers no request.
     pub fn answer_queued(&mut self, id: Option<u32>, outcome: Outcome) {
         let request = id.and_then(|id| self.take_request(id));
         self.queued_messages.push_back(QueuedMessage { request, outcome });
@@ -105,8 +106,8 @@
         }
     }
 
-    /// The connection was closed after `written` bytes of the first queued message and with `unread` received bytes
-    /// of an incomplete message.
+    /// The connection was closed after `written` bytes of the first queued message were written and `unread`
+    /// bytes of an incomplete message were received.
     pub fn connection_closed(&mut self, meter: &mut Meter, now: Micros, written: u64, unread: u64) {
         let mut written = written;
         while let Some(message) = self.queued_messages.pop_front() {
--- a/crates/deckproxy-flow/src/account/link.rs
+++ b/crates/deckproxy-flow/src/account/link.rs
@@ -1,4 +1,4 @@
-//! Bytes and requests of links to other sites.
+//! Accounting of links to other sites.
 
 use super::{Micros, RequestSource, millis};
 use crate::meter::{Key, Leg, Meter, Name, Outcome, Update};
@@ -15,8 +15,8 @@
     }
 }
 
-/// Counts a request that was received over a link at `received_at` and has ended: its outcome and latency only, as its
-/// bytes are counted by [`count_link_bytes`].
+/// Counts a request that was received over a link at `received_at` and has ended. Only its outcome and latency
+/// are counted here; its bytes are counted by [`count_link_bytes`].
 pub fn count_link_request(
     meter: &mut Meter,
     now: Micros,
--- a/crates/deckproxy-flow/src/account/mod.rs
+++ b/crates/deckproxy-flow/src/account/mod.rs
@@ -1,12 +1,12 @@
 //! Attribution of bytes to requests and attempts until they can be counted as flows.
 //!
-//! - [`client`]: the requests of a client's connection and the answers that wait to be written to it.
+//! - [`client`]: the requests of a client connection and the answers queued for it.
 //! - [`attempts`]: the attempts that are in flight to members.
 //! - [`link`]: bytes and requests of links to other sites.
-//! - [`names`]: numbers for the names of classes, members and sites.
+//! - [`names`]: the table that numbers the names of classes, members and sites.
 //!
-//! A byte counts once the kernel has accepted it or handed it over. State lives no longer than the request or the
-//! connection that it belongs to.
+//! A byte is counted once the kernel has accepted it for sending or delivered it to the process. State is
+//! dropped with the request or connection that it belongs to.
 
 pub mod attempts;
 pub mod client;
@@ -23,10 +23,10 @@
 /// Microseconds on the meter's clock.
 pub type Micros = u64;
 
-/// Where a request came from.
+/// The origin of a request as counted in flows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestSource {
-    /// The client's network; none for a request that was received over a link.
+    /// The client's network; `None` for a request that was received over a link.
     pub client: Option<IpNet>,
     /// The request class.
     pub class: Name,
@@ -34,7 +34,7 @@
     pub site: Name,
 }
 
-/// The meter's time for a time in microseconds.
+/// Converts microseconds to the meter's milliseconds.
 fn millis(at: Micros) -> Millis {
     at / 1000
 }
--- a/crates/deckproxy-flow/src/account/names.rs
+++ b/crates/deckproxy-flow/src/account/names.rs
@@ -1,13 +1,14 @@
-//! Numbers for the names of classes, members and sites.
+//! The table that numbers the names of classes, members and sites.
 
 use crate::meter::Name;
 use ahash::RandomState;
 use std::collections::HashMap;
 
-/// The name of all names that got no number of their own.
+/// The name of the number that all names beyond the table's capacity share.
 pub const OTHERS: &str = "(others)";
 
-/// A bounded table of names and their numbers. Names beyond the bound share the last number, which is named [`OTHERS`].
+/// A bounded table of names and their numbers. Names beyond the capacity share the last number, whose name is
+/// [`OTHERS`].
 #[derive(Debug)]
 pub struct Names {
     by_number: Vec<Box<str>>,
@@ -16,7 +17,7 @@
 }
 
 impl Names {
-    /// A table of at most `capacity` names, at least 2. Number 0 is the empty name.
+    /// A table of at most `capacity` names, or of 2 if `capacity` is less. Number 0 is the empty name.
     pub fn new(capacity: usize) -> Self {
         Names {
             by_number: vec!["".into()],
@@ -25,7 +26,7 @@
         }
     }
 
-    /// The number of a name, assigned at its first use.
+    /// The number of a name; a new name is assigned one.
     pub fn number(&mut self, name: &str) -> Name {
         if let Some(number) = self.numbers.get(name) {
             return *number;
@@ -39,7 +40,7 @@
         })
     }
 
-    /// The name of a number; empty for a number that was not assigned.
+    /// The name with a number; empty if the number is not assigned.
     pub fn name(&self, number: Name) -> &str {
         self.by_number.get(number as usize).map_or("", |name| name)
     }
--- a/crates/deckproxy-flow/tests/account.rs
+++ b/crates/deckproxy-flow/tests/account.rs
@@ -1,4 +1,4 @@
-//! Accounts of connections: each byte and each request is counted exactly once, however the connection ends.
+//! Accounting of connections: each byte and each request is counted exactly once, however the connection ends.
 
 use deckproxy_flow::account::{Attempts, ClientAccount, Names, OTHERS, RequestSource};
 use deckproxy_flow::meter::{Flow, Leg, Limits, Meter, Outcome};
@@ -8,7 +8,7 @@
 
 const CLIENT: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 0, 0, 9));
 
-/// The bytes towards the client, the bytes of the other direction, and the requests of a leg.
+/// The sums of a leg: bytes towards the client, bytes in the other direction, and requests.
 fn sums(flows: &[Flow], leg: Leg) -> [u64; 3] {
     let add = |s: [u64; 3], f: &Flow| {
         [s[0] + f.counts.bytes_to_client, s[1] + f.counts.bytes_from_client, s[2] + f.counts.requests]
@@ -45,13 +45,13 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, rng_seed: proptest::test_runner::RngSeed::Fixed(17), ..Default::default() })]
 
-    /// Compares the flows with plain sums, over a socket with partial writes that fails at the end.
+    /// Compares the flows with sums over the steps, for a socket with partial writes that is closed at the end.
     #[test]
     fn every_byte_and_request_of_a_client_is_counted_once(steps in prop::collection::vec(step(), 1..120), unread in 0u64..40) {
         let mut meter = Meter::new(Limits::default());
         let mut account = ClientAccount::new(Some(meter.client(CLIENT)));
         let (mut sent, mut received, mut requests_received, mut now) = (0, 0, 0, 1_000_000);
-        // The lengths of the queued messages, and how much of the first is written.
+        // The lengths of the queued messages, and the number of written bytes of the first.
         let (mut queue, mut partly_written) = (VecDeque::new(), 0u64);
         for step in steps {
             now += 100;
@@ -104,7 +104,7 @@
     account.answer_queued(Some(1), Outcome::Served);
     account.answer_queued(Some(2), Outcome::Served);
     account.message_written(&mut meter, 5000, 900);
-    // The second answer is written in part, the third request has no answer.
+    // The second answer is partly written, the third request has no answer.
     account.connection_closed(&mut meter, 6000, 250, 0);
     let flows = meter.take_all();
     assert_eq!((requests(&flows, Outcome::Served), requests(&flows, Outcome::Canceled)), (1, 2));
