--- a/crates/deckproxy-flow/src/meter/flow.rs
+++ b/crates/deckproxy-flow/src/meter/flow.rs
@@ -1,4 +1,4 @@
-//! What is counted: keys, updates, counts, and the flows that are handed to the exporter.
+//! Flow keys, updates, counts, and the flows passed to the exporter.
 
 use super::{Millis, Name};
 use ipnet::IpNet;
@@ -6,28 +6,29 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Outcome {
-    /// Served.
+    /// The request was served.
     Served,
     /// Rejected by admission control.
     Rejected,
-    /// Failed.
+    /// The request failed.
     Failed,
-    /// Canceled by the client, or its connection was lost.
+    /// Canceled by the client, or the client's connection was lost.
     Canceled,
-    /// Rejected as not valid.
+    /// Rejected as invalid.
     Invalid,
     /// A cache answered that it has no copy.
     CacheMiss,
 }
 
-/// The connection that bytes passed on. Bytes of one leg are never summed with another's.
+/// The kind of connection that transferred the bytes. Bytes of different legs are never summed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Leg {
-    /// A client and the gateway.
+    /// Between a client and the gateway.
     Client,
-    /// The gateway and a cache, parent or origin: one flow for each that got an attempt, so that retries show.
+    /// Between the gateway and a cache, parent or origin. Each member that received an attempt has its own
+    /// flow, so that retries are visible.
     Member,
-    /// The gateway and one of another site.
+    /// Between the gateway and a gateway of another site.
     Link,
 }
 
@@ -39,22 +40,23 @@
 pub struct Key {
     /// The leg.
     pub leg: Leg,
-    /// The client, as a prefix; `None`: all.
+    /// The client's prefix; `None`: all clients.
     pub client: Option<IpNet>,
-    /// The class; 0: all.
+    /// The request class; 0: all classes.
     pub class: Name,
-    /// The member that got the attempt; 0: none.
+    /// The member that received the attempt; 0: none.
     pub member: Name,
     /// The site at the other end of the link; 0: no link.
     pub site: Name,
-    /// How the requests ended; `None`: in any way.
+    /// The outcome of the requests; `None`: any, or no request.
     pub outcome: Option<Outcome>,
-    /// How coarse the key is: 0 as configured, 1 with the wider prefix, 2 without a client, 3 the overflow entry.
+    /// How coarse the key is: 0 as configured, 1 with the wider prefix, 2 without client, member and site, 3
+    /// the overflow entry.
     pub folded: u8,
 }
 
 impl Key {
-    /// The key of everything on a leg.
+    /// The key of a leg without any further distinction.
     pub const fn of(leg: Leg) -> Self {
         Key { leg, client: None, class: 0, member: 0, site: 0, outcome: None, folded: 0 }
     }
@@ -65,7 +67,7 @@
     }
 }
 
-/// One update of a flow.
+/// An update of a flow's counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Update {
     /// Bytes towards the client; on a link, bytes received from the other site.
@@ -74,16 +76,16 @@
     pub bytes_from_client: u64,
     /// Requests that ended.
     pub requests: u64,
-    /// Latency of the request, µs; only with one request.
+    /// Latency of the request, µs; only if `requests` is 1.
     pub latency: Option<u64>,
 }
 
-/// Buckets of the latency histogram, each twice as wide as the one before.
+/// Buckets of the latency histogram. The upper end of each is twice that of the one before; the last is unbounded.
 const BUCKETS: usize = 20;
 /// Upper end of the first bucket, µs.
 const FIRST_BUCKET_END: u64 = 64;
 
-/// The counts of a flow.
+/// The counters of a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Counts {
     /// Bytes towards the client; on a link, bytes received from the other site.
@@ -118,7 +120,7 @@
         self.bytes_to_client += update.bytes_to_client;
         self.bytes_from_client += update.bytes_from_client;
         self.requests += update.requests;
-        // Where the clock was set back, the flow must not begin after its end.
+        // A flow must not begin after its end, even if the clock is set back.
         self.first = self.first.min(now);
         self.last = self.last.max(now);
         if let Some(latency) = update.latency {
@@ -140,7 +142,8 @@
         }
     }
 
-    /// The 99th percentile of the latencies, µs: the upper end of its bucket, which is at most twice too high; 0
+    /// The 99th percentile of the latencies, µs, rounded up to the end of its bucket: at most twice the exact
+    /// value from 64 µs on. Values beyond the last bucket's nominal end (33.6 s) are reported as that end; 0
     /// without latencies.
     pub fn p99(&self) -> u64 {
         let all: u64 = self.latencies.iter().map(|n| u64::from(*n)).sum();
@@ -158,21 +161,21 @@
 /// Why a flow is exported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// It was idle for the idle timeout.
+    /// The flow was idle for the idle timeout.
     Idle,
-    /// It lasted for the active timeout, and may continue.
+    /// The flow reached the active timeout, and may continue.
     Active,
-    /// The process ends.
+    /// The process is shutting down.
     End,
 }
 
 /// A flow to be exported.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Flow {
-    /// Its key.
+    /// The key.
     pub key: Key,
-    /// Its counts.
+    /// The counts.
     pub counts: Counts,
-    /// Why it is exported.
+    /// Why the flow is exported.
     pub reason: Reason,
 }
--- a/crates/deckproxy-flow/src/meter/heavy_hitters.rs
+++ b/crates/deckproxy-flow/src/meter/heavy_hitters.rs
@@ -1,4 +1,4 @@
-//! The keys with the greatest sums, in bounded memory.
+//! Heavy hitters: the keys with the largest sums, found in bounded memory.
 
 use super::index_u32;
 use ahash::RandomState;
@@ -11,25 +11,26 @@
 pub struct HeavyHitter<K> {
     /// The key.
     pub key: K,
-    /// Its sum, which may be too great.
+    /// The estimated sum, which is never less than the exact one.
     pub sum: u64,
-    /// How much too great the sum may be.
+    /// The largest amount by which the sum may exceed the exact one.
     pub error: u64,
 }
 
-/// Finds the keys with the greatest sums by the space-saving algorithm (Metwally, Agrawal, El Abbadi 2005). A sum is
-/// never too small, and too great by its error at most, which is below the total divided by the number of slots.
+/// Finds the keys with the largest sums by the space-saving algorithm (Metwally, Agrawal, El Abbadi 2005). A
+/// sum is never underestimated, and overestimated by at most its error, which is at most the total divided by
+/// the number of slots.
 pub struct HeavyHitters<K> {
     capacity: usize,
     slots: Vec<HeavyHitter<K>>,
     index: HashMap<K, u32, RandomState>,
-    /// Each slot once, under a sum that it had. It is brought up to date only when the smallest is needed, so that adding
-    /// to a key that has a slot moves nothing.
+    /// Each slot once, with a sum that may be outdated (too small). Sums are updated only when the smallest is
+    /// needed, so that adding to a key with a slot doesn't change the heap.
     smallest: BinaryHeap<Reverse<(u64, u32)>>,
 }
 
 impl<K: Copy + Eq + Hash> HeavyHitters<K> {
-    /// With so many slots, at least one.
+    /// Creates a sketch of `capacity` slots, at least one.
     pub fn new(capacity: usize) -> Self {
         HeavyHitters {
             capacity: capacity.max(1),
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Adds to a key's sum.
+    /// Adds an amount to a key's sum.
     pub fn add(&mut self, key: K, amount: u64) {
         if let Some(slot) = self.index.get(&key) {
             self.slots[*slot as usize].sum += amount;
@@ -55,24 +56,24 @@
         self.replace_smallest(key, amount);
     }
 
-    /// Gives a new key the slot of the smallest sum, which is its error from then on.
+    /// Assigns the slot with the smallest sum to a new key, whose error is that sum.
     fn replace_smallest(&mut self, key: K, amount: u64) {
         while let Some(mut top) = self.smallest.peek_mut() {
-            let Reverse((known_sum, slot)) = *top;
+            let Reverse((recorded_sum, slot)) = *top;
             let current = &mut self.slots[slot as usize];
-            if current.sum > known_sum {
+            if current.sum > recorded_sum {
                 *top = Reverse((current.sum, slot));
                 continue;
             }
             self.index.remove(&current.key);
-            *current = HeavyHitter { key, sum: known_sum + amount, error: known_sum };
+            *current = HeavyHitter { key, sum: recorded_sum + amount, error: recorded_sum };
             self.index.insert(key, slot);
-            *top = Reverse((known_sum + amount, slot));
+            *top = Reverse((recorded_sum + amount, slot));
             return;
         }
     }
 
-    /// The greatest sums, in descending order.
+    /// The `count` largest sums, in descending order.
     pub fn top(&self, count: usize) -> Vec<HeavyHitter<K>> {
         let mut all = self.slots.clone();
         all.sort_unstable_by_key(|slot| Reverse(slot.sum));
--- a/crates/deckproxy-flow/src/meter/mod.rs
+++ b/crates/deckproxy-flow/src/meter/mod.rs
@@ -1,11 +1,11 @@
-//! The flow table: who used the connections, counted exactly in bounded memory.
+//! The flow table: counts the traffic of each client exactly, in bounded memory.
 //!
-//! When the table is full, the smallest of a few entries is folded into a coarser one with its counts: first with a
-//! wider prefix of the client, then by class alone. What fits nowhere is counted in an overflow entry for each leg, so
-//! that the sums are exact at any time.
+//! When the table is full, the smallest of a few entries is folded into a coarser one, which adds its counts:
+//! first with a wider prefix of the client, then by leg, class and outcome alone. An update that fits in no
+//! entry is counted in the overflow entry of its leg, so that the sums are always exact.
 //!
 //! - [`flow`]: keys, updates, counts and flows.
-//! - [`heavy_hitters`]: the keys with the greatest sums.
+//! - [`heavy_hitters`]: the keys with the largest sums.
 
 pub mod flow;
 pub mod heavy_hitters;
@@ -21,14 +21,14 @@
 
 /// Unix milliseconds.
 pub type Millis = u64;
-/// A name by its number in the caller's list; 0: none.
+/// The number of a name in the caller's table; 0: none.
 pub type Name = u32;
 
-/// Smallest size of the table, entries.
-const LEAST_ENTRIES: usize = 16;
-/// Entries among which the one to fold is chosen.
+/// Smallest capacity of the table, entries.
+const MIN_ENTRIES: usize = 16;
+/// Number of entries from which the one to fold is chosen.
 const FOLD_CANDIDATES: usize = 8;
-/// Folds that are attempted to free one entry.
+/// Largest number of folds that are attempted to free one entry.
 const MAX_FOLDS: usize = 16;
 
 /// Limits of the table.
@@ -36,11 +36,11 @@
 pub struct Limits {
     /// Largest number of entries; at least 16.
     pub entries: usize,
-    /// Prefix lengths of a client's IPv4 and IPv6 address, bits.
+    /// Prefix lengths of IPv4 and IPv6 clients, bits.
     pub bits: (u8, u8),
-    /// The same once an entry is folded.
+    /// Prefix lengths of IPv4 and IPv6 clients in folded entries, bits.
     pub folded_bits: (u8, u8),
-    /// Age at which a flow is exported though it continues, ms.
+    /// Age at which a flow is exported even if it continues, ms.
     pub active: Millis,
     /// Idle time after which a flow has ended, ms.
     pub idle: Millis,
@@ -57,23 +57,23 @@
     counts: Counts,
 }
 
-/// The table.
+/// The table of flows.
 pub struct Meter {
     limits: Limits,
-    /// Positions of the entries by the hashes of their keys, which are stored in the entries alone.
+    /// Positions of the entries, by the hashes of their keys. The keys are stored only in the entries.
     index: HashTable<u32>,
-    /// Keyed anew by each process: whoever chooses addresses can't choose hashes.
+    /// Randomly keyed, so that clients can't cause hash collisions by their choice of addresses.
     hasher: RandomState,
     entries: Vec<Entry>,
-    /// Counts that fit nowhere, by leg.
+    /// Overflow entries, by leg.
     overflow: [Option<Counts>; LEGS.len()],
-    /// Where the next search for an entry to fold begins.
+    /// Position at which the next search for an entry to fold begins.
     fold_position: usize,
-    /// Where the next search for flows to export begins.
+    /// Position at which the next search for flows to export begins.
     export_position: usize,
-    /// Entries folded since the start.
+    /// Number of entries folded since the start.
     pub folds: u64,
-    /// Updates that went to an overflow entry since the start.
+    /// Number of updates counted in an overflow entry since the start.
     pub overflows: u64,
 }
 
@@ -91,11 +91,11 @@
             IpNet::new(Ipv6Addr::from(u128::from(v6) & mask).into(), bits)
         }
     };
-    // The prefix length was limited to what the family has.
+    // Never an error: the prefix length is limited to the address length.
     net.unwrap_or(IpNet::from(client))
 }
 
-/// The index of an entry, in 32 bits to save memory; the settings allow far fewer entries than 2^32.
+/// An index as 32 bits, which saves memory; the settings allow far fewer entries than 2^32.
 fn index_u32(index: usize) -> u32 {
     u32::try_from(index).unwrap_or(u32::MAX)
 }
@@ -103,7 +103,7 @@
 impl Meter {
     /// An empty table.
     pub fn new(limits: Limits) -> Self {
-        let limits = Limits { entries: limits.entries.max(LEAST_ENTRIES), ..limits };
+        let limits = Limits { entries: limits.entries.max(MIN_ENTRIES), ..limits };
         Meter {
             limits,
             index: HashTable::new(),
@@ -117,7 +117,7 @@
         }
     }
 
-    /// The network that stands for a client.
+    /// The prefix by which a client is counted.
     pub fn client(&self, address: IpAddr) -> IpNet {
         prefix(address.to_canonical(), self.limits.bits)
     }
@@ -134,7 +134,7 @@
 
     /// Memory of the table, bytes.
     pub fn memory_bytes(&self) -> usize {
-        // A slot of the index holds a position and a control byte; it is filled to 7 of 8 at most.
+        // Each bucket of the index has a position and a control byte; at most 7 of 8 buckets are filled.
         self.entries.capacity() * size_of::<Entry>() + self.index.capacity() * 8 / 7 * (size_of::<u32>() + 1)
     }
 
@@ -149,12 +149,12 @@
         if let Some(position) = self.find(&key) {
             return self.entries[position].counts.add(now, update);
         }
-        if self.entries.len() < self.limits.entries || self.free_entry() {
+        if self.entries.len() < self.limits.entries || self.try_free_entry() {
             let mut counts = Counts::new(now);
             counts.add(now, update);
             return self.insert(key, counts);
         }
-        // The table is full: an existing coarser entry takes it, or the overflow entry.
+        // The table is full: count the update in an existing coarser entry, or else in the overflow entry.
         let mut coarser = self.coarser(&key);
         while let Some(key) = coarser {
             if let Some(position) = self.find(&key) {
@@ -181,7 +181,7 @@
         if let Ok(slot) = self.index.find_entry(hash(&self.entries[position].key), is_removed) {
             slot.remove();
         }
-        // The last entry takes its position.
+        // `swap_remove` moves the last entry to the removed one's position.
         if last != position
             && let Some(slot) =
                 self.index.find_mut(hash(&self.entries[last].key), |other| *other as usize == last)
@@ -203,8 +203,8 @@
         }
     }
 
-    /// Folds entries until one is free. Returns whether one is.
-    fn free_entry(&mut self) -> bool {
+    /// Folds entries until one is free. Returns whether that succeeded.
+    fn try_free_entry(&mut self) -> bool {
         for _ in 0..MAX_FOLDS {
             let Some(position) = self.next_to_fold() else { continue };
             let Some(coarser) = self.coarser(&self.entries[position].key) else { continue };
@@ -221,7 +221,7 @@
         false
     }
 
-    /// The position of the smallest of the next few entries that can be folded.
+    /// The position of the smallest entry that can be folded, among the next few.
     fn next_to_fold(&mut self) -> Option<usize> {
         let count = self.entries.len();
         let candidates = (0..FOLD_CANDIDATES.min(count)).map(|i| (self.fold_position + i) % count);
@@ -234,8 +234,8 @@
         smallest
     }
 
-    /// Looks at some entries in turn, and takes out the flows that are due for export. Returns whether it has reached
-    /// the end of the table.
+    /// Checks up to `max_entries` entries in turn, and removes the flows that are due for export. Returns
+    /// whether it reached the end of the table.
     pub fn take_due(&mut self, now: Millis, max_entries: usize, flows: &mut Vec<Flow>) -> bool {
         if self.export_position == 0 {
             self.take_due_overflow(now, flows);
@@ -249,7 +249,8 @@
                 self.export_position += 1;
                 continue;
             };
-            // A flow that continues is removed too: its next update begins it anew, and nothing is counted twice.
+            // A flow that continues is removed too: its next update starts a new record, so nothing is
+            // counted twice.
             let Entry { key, counts } = self.remove(self.export_position);
             flows.push(Flow { key, counts, reason });
         }
@@ -270,13 +271,13 @@
         if now.saturating_sub(counts.last) >= self.limits.idle {
             return Some(Reason::Idle);
         }
-        // A flow that seems to begin in the future was counted before the clock was set back.
+        // A flow that begins in the future was first counted before the clock was set back.
         let is_old = now.saturating_sub(counts.first) >= self.limits.active;
         let is_future = counts.first > now + self.limits.active;
         (is_old || is_future).then_some(Reason::Active)
     }
 
-    /// Takes out all flows, as the process ends.
+    /// Removes and returns all flows, at the end of the process.
     pub fn take_all(&mut self) -> Vec<Flow> {
         self.index.clear();
         let entries = std::mem::take(&mut self.entries).into_iter().map(|entry| (entry.key, entry.counts));
--- a/crates/deckproxy-flow/src/scheduler.rs
+++ b/crates/deckproxy-flow/src/scheduler.rs
@@ -1,14 +1,14 @@
-//! A cooperative scheduler of background tasks, for the time that requests leave.
+//! A cooperative scheduler of background tasks, which run in the time that requests leave free.
 //!
-//! A task has a priority weight, a time slice and a maximum delay. In each turn the event loop asks which task to run in
-//! the time that is left of the turn:
+//! A task has a priority weight, a time slice and a maximum delay. In each turn the event loop calls
+//! [`Scheduler::next`] for the task to run in the time that is left of the turn:
 //!
 //! 1. A task that has been ready for its maximum delay is overdue. Overdue tasks run first, in the order of their
 //!    deadlines, even if no time is left.
-//! 2. Otherwise the ready task with the lowest virtual runtime (run time divided by priority weight) runs, among those
-//!    whose time slice fits.
+//! 2. Otherwise the ready task with the lowest virtual runtime (run time divided by priority weight) runs,
+//!    among those whose time slice fits.
 //!
-//! So no task starves, and a busy event loop grants each task at most one slice per maximum delay.
+//! So no task starves, and in a loop without time left each task runs for at most one slice per maximum delay.
 
 use std::collections::BTreeMap;
 
@@ -22,7 +22,7 @@
 pub struct TaskSettings {
     /// The task's share of the time relative to other tasks, at least 1.
     pub priority_weight: u32,
-    /// The longest time for which the task may run at once.
+    /// The longest time for which the task may run without a break.
     pub time_slice: Micros,
     /// How long the task may be ready before it becomes overdue.
     pub max_delay: Micros,
@@ -31,9 +31,9 @@
 #[derive(Clone, Debug)]
 struct Task {
     settings: TaskSettings,
-    /// Since when the task has work to do; none: it has none.
+    /// Since when the task has had work to do; `None`: it has none.
     ready_since: Option<Micros>,
-    /// When the task becomes ready by its timer.
+    /// When the task's timer fires and makes it ready.
     wake_at: Option<Micros>,
     /// Run time divided by the priority weight.
     virtual_runtime: f64,
@@ -45,7 +45,7 @@
         self.wake_at.is_some_and(|at| at <= now)
     }
 
-    /// When the task becomes overdue; none if it isn't ready.
+    /// When the task becomes overdue; `None` if it isn't ready.
     fn deadline(&self) -> Option<Micros> {
         self.ready_since.map(|since| since + self.settings.max_delay)
     }
@@ -55,12 +55,12 @@
     }
 }
 
-/// What a task was granted so far.
+/// Statistics of a task's slices so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TaskStatistics {
     /// The number of slices.
     pub slices: u64,
-    /// The longest time for which the task was ready before a slice.
+    /// The longest time for which the task was ready before it ran.
     pub longest_delay: Micros,
 }
 
@@ -69,11 +69,11 @@
 pub struct Scheduler {
     tasks: BTreeMap<TaskId, Task>,
     last_id: TaskId,
-    /// The lowest virtual runtime of the ready tasks. A task that becomes ready starts from here, so that it can't claim
-    /// time for which it had no work.
+    /// The lowest virtual runtime of the ready tasks; it never decreases. A task that becomes ready starts at
+    /// least from here, so that it gets no credit for the time in which it had no work.
     min_virtual_runtime: f64,
-    /// The number of ready tasks. This and the next two fields summarize `tasks`, so that a turn without background
-    /// work costs next to nothing.
+    /// The number of ready tasks. This and the next two fields are computed from `tasks` whenever that
+    /// changes, so that a turn without background work costs very little.
     ready_tasks: usize,
     /// When the first timer fires.
     first_timer: Option<Micros>,
@@ -119,13 +119,13 @@
         }
     }
 
-    /// The task to run now with its time slice, or none; `time_left`: what is left of the event loop's turn.
+    /// The task to run now with its time slice, or `None`; `time_left`: the rest of the event loop's turn.
     pub fn next(&mut self, now: Micros, time_left: Micros) -> Option<(TaskId, Micros)> {
         self.fire_timers(now);
         if self.ready_tasks == 0 {
             return None;
         }
-        let (id, task) = self.first_overdue(now).or_else(|| self.least_served(time_left))?;
+        let (id, task) = self.first_overdue(now).or_else(|| self.lowest_runtime(time_left))?;
         Some((id, task.settings.time_slice))
     }
 
@@ -154,7 +154,7 @@
         self.next_due
     }
 
-    /// What a task was granted so far; zeros for an unknown task.
+    /// The statistics of a task; zeros for an unknown task.
     pub fn statistics(&self, id: TaskId) -> TaskStatistics {
         self.tasks.get(&id).map_or(TaskStatistics::default(), |task| task.statistics)
     }
@@ -184,7 +184,7 @@
         let due = self.tasks.iter().filter(|(_, task)| task.is_timer_due(now));
         let due: Vec<TaskId> = due.map(|(id, _)| *id).collect();
         for id in due {
-            // The timer of a task that is ready already has fired too.
+            // Also reset the timer of a task that was already ready.
             if let Some(task) = self.tasks.get_mut(&id) {
                 task.wake_at = None;
             }
@@ -203,7 +203,7 @@
     }
 
     /// The ready task with the lowest virtual runtime whose time slice fits.
-    fn least_served(&self, time_left: Micros) -> Option<(TaskId, &Task)> {
+    fn lowest_runtime(&self, time_left: Micros) -> Option<(TaskId, &Task)> {
         self.ready()
             .filter(|(_, task)| task.settings.time_slice <= time_left)
             .min_by(|(_, a), (_, b)| a.virtual_runtime.total_cmp(&b.virtual_runtime))
--- a/crates/deckproxy-flow/tests/meter.rs
+++ b/crates/deckproxy-flow/tests/meter.rs
@@ -1,4 +1,5 @@
-//! The meter: sums are exact however flows are folded, memory is bounded, and the sketch keeps its error bound.
+//! The meter: sums are exact however flows are folded, memory is bounded, and heavy hitters are within their
+//! error bound.
 
 use deckproxy_flow::meter::{
     Flow, HeavyHitter, HeavyHitters, Key, Leg, Limits, Meter, Outcome, Reason, Update,
@@ -39,24 +40,25 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Against a map without a bound: the sums by class and outcome are the same, however small the table is.
+    /// Compares the meter with an unbounded map: the sums in total, by leg and by class are equal, however
+    /// small the table is.
     #[test]
     fn sums_are_exact_however_much_is_folded(
         steps in prop::collection::vec((any::<u32>(), 1u32..4, 0u32..5, 0u64..1 << 34, 0u64..400), 1..600),
         entries in 16usize..64,
     ) {
         let mut meter = Meter::new(Limits { entries, active: 500, idle: 100, ..Limits::default() });
-        let mut plain: HashMap<u32, [u64; 3]> = HashMap::new();
+        let mut expected: HashMap<u32, [u64; 3]> = HashMap::new();
         let mut legs: HashMap<Leg, [u64; 3]> = HashMap::new();
         let (mut exported, mut now) = (Vec::new(), 1000u64);
         for (client, class, member, bytes_to_client, later) in steps {
-            // Now and then the clock steps back.
+            // Sometimes the clock is set back.
             now = if later > 390 { now.saturating_sub(300) } else { now + later / 10 };
             let client = if client % 5 == 0 { IpAddr::from(Ipv6Addr::from(u128::from(client) << 90)) } else { v4(client) };
             let outcome = if bytes_to_client % 2 == 0 { Outcome::Served } else { Outcome::Canceled };
             meter.count(now, key(&meter, client, class, member, outcome), &served(bytes_to_client));
             let leg = if member == 0 { Leg::Client } else { Leg::Member };
-            for sum in [plain.entry(class).or_default(), legs.entry(leg).or_default()] {
+            for sum in [expected.entry(class).or_default(), legs.entry(leg).or_default()] {
                 *sum = [sum[0] + bytes_to_client, sum[1] + 3, sum[2] + 1];
             }
             prop_assert!(meter.len() <= entries);
@@ -64,14 +66,14 @@
         }
         exported.extend(meter.take_all());
         prop_assert!(meter.is_empty());
-        let all = plain.values().fold([0; 3], |a, b| [a[0] + b[0], a[1] + b[1], a[2] + b[2]]);
+        let all = expected.values().fold([0; 3], |a, b| [a[0] + b[0], a[1] + b[1], a[2] + b[2]]);
         prop_assert_eq!(sums(&exported), all);
-        // No folding mixes what clients got with what members sent.
+        // Folding never mixes bytes of different legs.
         for (leg, sum) in legs {
             prop_assert_eq!(sums(exported.iter().filter(|f| f.key.leg == leg)), sum);
         }
         if meter.overflows == 0 {
-            for (class, sum) in plain {
+            for (class, sum) in expected {
                 prop_assert_eq!(sums(exported.iter().filter(|f| f.key.class == class)), sum);
             }
         }
@@ -80,19 +82,19 @@
     #[test]
     fn the_sum_of_a_heavy_hitter_is_within_its_error(adds in prop::collection::vec((0u32..60, 1u64..1000), 1..800), slots in 1usize..40) {
         let mut top = HeavyHitters::new(slots);
-        let mut plain: HashMap<u32, u64> = HashMap::new();
+        let mut expected: HashMap<u32, u64> = HashMap::new();
         for (key, amount) in adds {
             top.add(key, amount);
-            *plain.entry(key).or_default() += amount;
+            *expected.entry(key).or_default() += amount;
         }
-        let total: u64 = plain.values().sum();
+        let total: u64 = expected.values().sum();
         for HeavyHitter { key, sum, error } in top.top(slots) {
-            prop_assert!(sum >= plain[&key] && sum - error <= plain[&key]);
+            prop_assert!(sum >= expected[&key] && sum - error <= expected[&key]);
             prop_assert!(error <= total / slots as u64);
         }
-        // A key with more than an even share of the total is found.
+        // Each key whose sum exceeds the total divided by the number of slots is found.
         let found: Vec<u32> = top.top(slots).into_iter().map(|hitter| hitter.key).collect();
-        for (key, sum) in &plain {
+        for (key, sum) in &expected {
             prop_assert!(*sum <= total / slots as u64 || found.contains(key));
         }
     }
@@ -101,7 +103,7 @@
 #[test]
 fn a_scan_of_addresses_exceeds_no_limit_and_loses_no_counts() {
     let mut meter = Meter::new(Limits { entries: 1000, ..Limits::default() });
-    // One that asks for much among 65,536 that ask once.
+    // One busy client among 65,536 clients with one request each.
     let busy = key(&meter, v4(0x7f00_0001), 1, 0, Outcome::Served);
     let mut most = 0;
     for n in 0..65_536u32 {
--- a/crates/deckproxy-flow/tests/scheduler.rs
+++ b/crates/deckproxy-flow/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler of background tasks: no starvation, shares by weight, and no overrun but by overdue tasks.
+//! The scheduler of background tasks: no starvation, shares by weight, and no overrun except by overdue tasks.
 
 use deckproxy_flow::scheduler::{Scheduler, TaskId, TaskSettings};
 use proptest::prelude::*;
@@ -11,8 +11,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, rng_seed: proptest::test_runner::RngSeed::Fixed(17), ..Default::default() })]
 
-    /// An event loop leaves between no and much time: each ready task runs within its maximum delay and at
-    /// most one overdue slice for each task before it.
+    /// However much time the event loop leaves free, each ready task runs within its maximum delay and at most one
+    /// overdue slice of each other task.
     #[test]
     fn no_task_starves(
         tasks in prop::collection::vec((1u32..9, 20u64..200, 500u64..20_000), 1..8),
@@ -25,7 +25,7 @@
         for (left, elapsed) in turns {
             now += elapsed;
             let mut left = left;
-            // One slice in a turn without time left, as in the gateway.
+            // A turn without time left has at most one slice, as in the gateway.
             while let Some((id, slice)) = scheduler.next(now, left) {
                 now += slice;
                 scheduler.slice_ended(now, id, slice, true);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_task_that_becomes_ready_claims_no_time_from_before() {
+fn a_task_that_becomes_ready_gets_no_credit_for_idle_time() {
     let mut scheduler = Scheduler::default();
     let (steady, late) = (scheduler.add(settings(1, 100, 1 << 40)), scheduler.add(settings(1, 100, 1 << 40)));
     scheduler.wake(0, steady);
