--- a/crates/deckproxy-recovery/src/admission/mod.rs
+++ b/crates/deckproxy-recovery/src/admission/mod.rs
@@ -105,14 +105,14 @@
         if is_retry {
             self.counters.retries += 1;
         } else {
-            self.counters.firsts += 1;
+            self.counters.first_attempts += 1;
         }
         let Some(storm) = &mut self.storm else { return };
         storm.count(now, |counts| {
             if is_retry {
                 counts.retries += 1;
             } else {
-                counts.firsts += 1;
+                counts.first_attempts += 1;
             }
         });
         // Requests that the cap rejected add to the pressure: they were not served.
@@ -152,7 +152,7 @@
         if is_retry {
             self.counters.admitted_retries += 1;
         } else {
-            self.counters.admitted_firsts += 1;
+            self.counters.admitted_first_attempts += 1;
             if let Some(budget) = self.budgets.get_mut(class) {
                 budget.earn();
             }
--- a/crates/deckproxy-recovery/src/admission/types.rs
+++ b/crates/deckproxy-recovery/src/admission/types.rs
@@ -104,11 +104,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// First attempts that arrived.
-    pub firsts: u64,
+    pub first_attempts: u64,
     /// Retries that arrived.
     pub retries: u64,
     /// First attempts admitted.
-    pub admitted_firsts: u64,
+    pub admitted_first_attempts: u64,
     /// Retries admitted.
     pub admitted_retries: u64,
     /// Retries rejected because they arrived before their retry-after time.
--- a/crates/deckproxy-recovery/src/retry_storm.rs
+++ b/crates/deckproxy-recovery/src/retry_storm.rs
@@ -60,7 +60,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counts {
     /// First attempts that arrived.
-    pub firsts: u64,
+    pub first_attempts: u64,
     /// Retries that arrived.
     pub retries: u64,
     /// Requests admitted.
@@ -77,7 +77,7 @@
 
 impl Counts {
     fn add(&mut self, other: &Counts) {
-        self.firsts += other.firsts;
+        self.first_attempts += other.first_attempts;
         self.retries += other.retries;
         self.admitted += other.admitted;
         self.capped += other.capped;
@@ -243,7 +243,7 @@
         let recent = self.recent();
         let is_significant = recent.ended() >= self.limits.min_ended;
         let is_bad = is_significant && recent.served_share() < self.limits.bad_share;
-        let is_retried = recent.retries as f64 > self.limits.retry_ratio * recent.firsts as f64;
+        let is_retried = recent.retries as f64 > self.limits.retry_ratio * recent.first_attempts as f64;
         self.bad_windows = if is_bad && is_retried { self.bad_windows + 1 } else { 0 };
         if self.bad_windows < BAD_WINDOWS_IN_STORM {
             return;
--- a/crates/deckproxy-recovery/tests/recovery.rs
+++ b/crates/deckproxy-recovery/tests/recovery.rs
@@ -36,14 +36,14 @@
         steps in prop::collection::vec((0u64..40, 0usize..3, 0u64..6, 0u32..30, any::<bool>()), 1..800),
     ) {
         let mut admission = admission(Settings::default());
-        let (mut now, mut firsts, mut retries) = (1e6, [0u64; 3], [0u64; 3]);
+        let (mut now, mut first_attempts, mut retries) = (1e6, [0u64; 3], [0u64; 3]);
         for (client, class, object, later, served) in steps {
             now += f64::from(later);
             let before = admission.counters;
             let verdict = admission.request(now, request(client, class, object, 1000.0));
-            let admitted = [admission.counters.admitted_firsts - before.admitted_firsts, admission.counters.admitted_retries - before.admitted_retries];
+            let admitted = [admission.counters.admitted_first_attempts - before.admitted_first_attempts, admission.counters.admitted_retries - before.admitted_retries];
             prop_assert_eq!(verdict == Verdict::Admit, admitted[0] + admitted[1] == 1);
-            firsts[class] += admitted[0];
+            first_attempts[class] += admitted[0];
             retries[class] += admitted[1];
             if verdict == Verdict::Admit {
                 let outcome = if served { RequestOutcome::Served } else { RequestOutcome::Failed };
@@ -55,7 +55,7 @@
         }
         let limits = BudgetLimits::default();
         for class in 0..3 {
-            prop_assert!(retries[class] as f64 <= firsts[class] as f64 * limits.share + limits.max_saved + 1e-6);
+            prop_assert!(retries[class] as f64 <= first_attempts[class] as f64 * limits.share + limits.max_saved + 1e-6);
         }
     }
 
@@ -83,7 +83,7 @@
         let end = now + windows * limits.window;
         while now < end {
             now += 1000.0 / rate;
-            storm.count(now, |c| c.firsts += 1);
+            storm.count(now, |c| c.first_attempts += 1);
             if storm.admits(now, 0.0) {
                 storm.count(now, |c| { c.admitted += 1; c.served += 1 });
             } else {
@@ -101,7 +101,7 @@
         let mut admitted = [0u32; 2];
         for i in 0..40_000u64 {
             now += 0.5;
-            storm.count(now, |c| { c.firsts += 1; c.retries += 1 });
+            storm.count(now, |c| { c.first_attempts += 1; c.retries += 1 });
             let class = (i.wrapping_mul(seed | 1) >> 7) as usize % 2;
             if storm.admits(now, class as f64) {
                 // Only a tenth of the admitted requests is served, so that the storm continues.
