--- a/crates/deckproxy-recovery/src/admission/mod.rs
+++ b/crates/deckproxy-recovery/src/admission/mod.rs
@@ -138,7 +138,7 @@
 
     fn try_admit_below_cap(&mut self, now: Millis, priority_weight: f64) -> bool {
         let Some(storm) = &mut self.storm else { return true };
-        let is_below = storm.admits(now, priority_weight);
+        let is_below = storm.try_admit(now, priority_weight);
         if !is_below {
             storm.count(now, |counts| counts.capped += 1);
         }
--- a/crates/deckproxy-recovery/src/retry_storm.rs
+++ b/crates/deckproxy-recovery/src/retry_storm.rs
@@ -182,7 +182,7 @@
     /// Admits a request if the cap allows it, and takes its token. `priority_weight`: the rank of its class
     /// among all classes, 0 to 1; in a storm the last tokens are left to higher weights. Returns whether the
     /// request is admitted.
-    pub fn admits(&mut self, now: Millis, priority_weight: f64) -> bool {
+    pub fn try_admit(&mut self, now: Millis, priority_weight: f64) -> bool {
         self.tick(now);
         let Some(cap) = self.cap else { return true };
         let weight = priority_weight.clamp(0.0, 1.0);
--- a/crates/deckproxy-recovery/tests/recovery.rs
+++ b/crates/deckproxy-recovery/tests/recovery.rs
@@ -73,7 +73,7 @@
         for (later, served) in bad {
             now += f64::from(later);
             storm.count(now, |c| c.retries += 1);
-            if storm.admits(now, 0.0) {
+            if storm.try_admit(now, 0.0) {
                 storm.count(now, |c| { c.admitted += 1; if served { c.served += 1 } else { c.wasted += 1 } });
             } else {
                 storm.count(now, |c| c.capped += 1);
@@ -84,7 +84,7 @@
         while now < end {
             now += 1000.0 / rate;
             storm.count(now, |c| c.first_attempts += 1);
-            if storm.admits(now, 0.0) {
+            if storm.try_admit(now, 0.0) {
                 storm.count(now, |c| { c.admitted += 1; c.served += 1 });
             } else {
                 storm.count(now, |c| c.capped += 1);
@@ -103,7 +103,7 @@
             now += 0.5;
             storm.count(now, |c| { c.first_attempts += 1; c.retries += 1 });
             let class = (i.wrapping_mul(seed | 1) >> 7) as usize % 2;
-            if storm.admits(now, class as f64) {
+            if storm.try_admit(now, class as f64) {
                 // Only a tenth of the admitted requests is served, so that the storm continues.
                 storm.count(now, |c| { c.admitted += 1; if i % 10 == 0 { c.served += 1 } else { c.wasted += 1 } });
                 if storm.cap().is_some() {
