--- a/crates/deckproxy-recovery/src/recovery_ramp.rs
+++ b/crates/deckproxy-recovery/src/recovery_ramp.rs
@@ -9,9 +9,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     /// Backoff before the first trial request, in milliseconds; it doubles with each failure.
-    pub min_wait: Millis,
+    pub min_backoff: Millis,
     /// Longest backoff before a trial request, in milliseconds.
-    pub max_wait: Millis,
+    pub max_backoff: Millis,
     /// Number of requests in flight at which the ramp ends: from there on they are not limited.
     pub full: u32,
     /// Share of a step's requests that may fail, 0 to 1. Above it, the limit is halved.
@@ -20,7 +20,7 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { min_wait: 100.0, max_wait: 5000.0, full: 64, max_failures: 0.2 }
+        Limits { min_backoff: 100.0, max_backoff: 5000.0, full: 64, max_failures: 0.2 }
     }
 }
 
@@ -53,13 +53,13 @@
 impl RecoveryRamp {
     /// The ramp of a target that is available: its requests are not limited.
     pub fn new(limits: Limits) -> Self {
-        RecoveryRamp { limits, state: State::Full, in_flight: 0, backoff: limits.min_wait }
+        RecoveryRamp { limits, state: State::Full, in_flight: 0, backoff: limits.min_backoff }
     }
 
     /// The target was lost: no request may be sent until the backoff has passed.
     pub fn lost(&mut self, now: Millis) {
         self.state = State::Down { until: now + self.backoff };
-        self.backoff = (self.backoff * 2.0).min(self.limits.max_wait);
+        self.backoff = (self.backoff * 2.0).min(self.limits.max_backoff);
     }
 
     /// The target is reported available again: a trial request may be sent at once.
@@ -73,7 +73,7 @@
     pub fn try_acquire(&mut self, now: Millis) -> bool {
         // More than the longest backoff is left only if the clock was set back: the trial is due.
         if let State::Down { until } = self.state
-            && (now >= until || until - now > self.limits.max_wait)
+            && (now >= until || until - now > self.limits.max_backoff)
         {
             self.state = State::step(1);
         }
@@ -109,7 +109,7 @@
         self.state = match next {
             0 => State::Down { until: now + self.backoff },
             next if next >= self.limits.full => {
-                self.backoff = self.limits.min_wait;
+                self.backoff = self.limits.min_backoff;
                 State::Full
             }
             next => State::step(next),
--- a/crates/deckproxy-recovery/tests/recovery.rs
+++ b/crates/deckproxy-recovery/tests/recovery.rs
@@ -178,7 +178,7 @@
             }
         }
         (0..in_flight).for_each(|_| ramp.release(now, true));
-        now += limits.max_wait;
+        now += limits.max_backoff;
         let mut attempts = 0;
         while ramp.limit().is_some() {
             attempts += 1;
