--- a/crates/deckproxy-recovery/src/admission/mod.rs
+++ b/crates/deckproxy-recovery/src/admission/mod.rs
@@ -43,7 +43,7 @@
             retries: RetryTracker::new(settings.remembered, settings.remembered_for, seed),
             budgets: budgets.unwrap_or_default(),
             storm: settings.storm.map(RetryStorm::new),
-            class_shedding: ClassShedding::new(settings.shedding_steps.clone(), settings.shedding_times),
+            class_shedding: ClassShedding::new(settings.shedding_steps.clone(), settings.shedding_delays),
             schedule: RetryAfterSchedule::new(!seed),
             counters: Counters::default(),
             settings,
--- a/crates/deckproxy-recovery/src/admission/types.rs
+++ b/crates/deckproxy-recovery/src/admission/types.rs
@@ -33,7 +33,7 @@
     /// The classes to shed, in order.
     pub shedding_steps: Vec<class_shedding::Step>,
     /// How long the pressure must be past a threshold before a class is shed or admitted again.
-    pub shedding_times: class_shedding::Times,
+    pub shedding_delays: class_shedding::Delays,
     /// Shortest retry-after time, in milliseconds.
     pub min_retry_after: Millis,
     /// Longest retry-after time, in milliseconds.
@@ -53,7 +53,7 @@
             enforces_retry_after: true,
             spreads_retry_after: true,
             shedding_steps: Vec::new(),
-            shedding_times: class_shedding::Times::default(),
+            shedding_delays: class_shedding::Delays::default(),
             min_retry_after: 50.0,
             max_retry_after: 500.0,
             remembered: 65_536,
--- a/crates/deckproxy-recovery/src/class_shedding.rs
+++ b/crates/deckproxy-recovery/src/class_shedding.rs
@@ -20,16 +20,16 @@
 
 /// How long the pressure must be past a threshold before a class is shed or admitted again.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Times {
+pub struct Delays {
     /// Time at or above `shed_from` until a class is shed, in milliseconds.
     pub shed_after: Millis,
     /// Time below `restore_below` until the class is admitted again, in milliseconds.
     pub restore_after: Millis,
 }
 
-impl Default for Times {
+impl Default for Delays {
     fn default() -> Self {
-        Times { shed_after: 1000.0, restore_after: 3000.0 }
+        Delays { shed_after: 1000.0, restore_after: 3000.0 }
     }
 }
 
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug)]
 pub struct ClassShedding {
     steps: Vec<Step>,
-    times: Times,
+    delays: Delays,
     /// Number of steps in effect, counted from the first.
     level: usize,
     /// Since when the pressure has been at or above the threshold of the next step.
@@ -50,8 +50,8 @@
 
 impl ClassShedding {
     /// Starts with no class shed.
-    pub fn new(steps: Vec<Step>, times: Times) -> Self {
-        ClassShedding { steps, times, level: 0, shed_since: None, restore_since: None, changes: 0 }
+    pub fn new(steps: Vec<Step>, delays: Delays) -> Self {
+        ClassShedding { steps, delays, level: 0, shed_since: None, restore_since: None, changes: 0 }
     }
 
     /// Updates the shed classes for the present pressure, by one step at most.
@@ -60,9 +60,9 @@
         let should_restore = self.level > 0 && pressure < self.steps[self.level - 1].restore_below;
         self.shed_since = held_since(self.shed_since, now, should_shed);
         self.restore_since = held_since(self.restore_since, now, should_restore);
-        if self.shed_since.is_some_and(|since| now - since >= self.times.shed_after) {
+        if self.shed_since.is_some_and(|since| now - since >= self.delays.shed_after) {
             self.change_to(self.level + 1);
-        } else if self.restore_since.is_some_and(|since| now - since >= self.times.restore_after) {
+        } else if self.restore_since.is_some_and(|since| now - since >= self.delays.restore_after) {
             self.change_to(self.level - 1);
         }
     }
--- a/crates/deckproxy-recovery/tests/recovery.rs
+++ b/crates/deckproxy-recovery/tests/recovery.rs
@@ -2,7 +2,7 @@
 
 use deckproxy_recovery::admission::{Admission, Class, RequestInfo, RequestOutcome, Settings, Verdict};
 use deckproxy_recovery::budget::{Budget, Limits as BudgetLimits};
-use deckproxy_recovery::class_shedding::{ClassShedding, Step, Times};
+use deckproxy_recovery::class_shedding::{ClassShedding, Delays, Step};
 use deckproxy_recovery::recovery_ramp::{Limits as RampLimits, RecoveryRamp};
 use deckproxy_recovery::retries::{RequestKey, RetryTracker};
 use deckproxy_recovery::retry_after::{Bounds, RetryAfterSchedule};
@@ -142,8 +142,8 @@
     #[test]
     fn class_shedding_never_flaps(pressures in prop::collection::vec((0.0f64..1.0, 1u32..400), 1..400)) {
         let step = |class, shed_from| Step { class, shed_from, restore_below: shed_from - 0.3 };
-        let times = Times { shed_after: 1000.0, restore_after: 3000.0 };
-        let mut shedding = ClassShedding::new(vec![step(0, 0.5), step(1, 0.7)], times);
+        let delays = Delays { shed_after: 1000.0, restore_after: 3000.0 };
+        let mut shedding = ClassShedding::new(vec![step(0, 0.5), step(1, 0.7)], delays);
         let (mut now, mut last, mut changed) = (0.0, 0, -1e9);
         for (pressure, later) in pressures {
             now += f64::from(later);
@@ -151,7 +151,7 @@
             let level = shedding.level();
             if level != last {
                 prop_assert_eq!(level.abs_diff(last), 1);
-                let least = if level > last { times.shed_after } else { times.restore_after };
+                let least = if level > last { delays.shed_after } else { delays.restore_after };
                 prop_assert!(now - changed >= least, "{} ms after the last change", now - changed);
                 (last, changed) = (level, now);
             }
