--- a/crates/deckproxy-flow/src/export/records.rs
+++ b/crates/deckproxy-flow/src/export/records.rs
@@ -1,7 +1,7 @@
 //! Conversion of a flow to a record: its values in the order of the template's fields.
 
 use crate::codec::{Value, elements};
-use crate::meter::{Flow, Leg, Outcome, Reason};
+use crate::meter::{EndReason, Flow, Leg, Outcome};
 use bytes::Bytes;
 use ipnet::IpNet;
 use std::net::IpAddr;
@@ -65,10 +65,10 @@
 }
 
 /// The number of the end reason in IANA's registry (flowEndReason, 136).
-fn end_reason(reason: Reason) -> u64 {
+fn end_reason(reason: EndReason) -> u64 {
     match reason {
-        Reason::Idle => 1,
-        Reason::Active => 2,
-        Reason::End => 4,
+        EndReason::Idle => 1,
+        EndReason::Active => 2,
+        EndReason::End => 4,
     }
 }
--- a/crates/deckproxy-flow/src/meter/flow.rs
+++ b/crates/deckproxy-flow/src/meter/flow.rs
@@ -160,7 +160,7 @@
 
 /// Why a flow is exported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum EndReason {
     /// The flow was idle for the idle timeout.
     Idle,
     /// The flow reached the active timeout, and may continue.
@@ -177,5 +177,5 @@
     /// The counts.
     pub counts: Counts,
     /// Why the flow is exported.
-    pub reason: Reason,
+    pub reason: EndReason,
 }
--- a/crates/deckproxy-flow/src/meter/mod.rs
+++ b/crates/deckproxy-flow/src/meter/mod.rs
@@ -10,7 +10,7 @@
 pub mod flow;
 pub mod heavy_hitters;
 
-pub use flow::{Counts, Flow, Key, Leg, Outcome, Reason, Update};
+pub use flow::{Counts, EndReason, Flow, Key, Leg, Outcome, Update};
 pub use heavy_hitters::{HeavyHitter, HeavyHitters};
 
 use ahash::RandomState;
@@ -261,20 +261,20 @@
         for (leg, overflow) in LEGS.into_iter().zip(&mut self.overflow) {
             let is_due = |counts: &mut Counts| now.saturating_sub(counts.first) >= self.limits.active;
             if let Some(counts) = overflow.take_if(is_due) {
-                flows.push(Flow { key: Key::overflow(leg), counts, reason: Reason::Active });
+                flows.push(Flow { key: Key::overflow(leg), counts, reason: EndReason::Active });
             }
         }
     }
 
     /// Why a flow is due for export, if it is.
-    fn export_reason(&self, now: Millis, counts: &Counts) -> Option<Reason> {
+    fn export_reason(&self, now: Millis, counts: &Counts) -> Option<EndReason> {
         if now.saturating_sub(counts.last) >= self.limits.idle {
-            return Some(Reason::Idle);
+            return Some(EndReason::Idle);
         }
         // A flow that begins in the future was first counted before the clock was set back.
         let is_old = now.saturating_sub(counts.first) >= self.limits.active;
         let is_future = counts.first > now + self.limits.active;
-        (is_old || is_future).then_some(Reason::Active)
+        (is_old || is_future).then_some(EndReason::Active)
     }
 
     /// Removes and returns all flows, at the end of the process.
@@ -283,6 +283,6 @@
         let entries = std::mem::take(&mut self.entries).into_iter().map(|entry| (entry.key, entry.counts));
         let overflow = LEGS.into_iter().zip(std::mem::take(&mut self.overflow));
         let overflow = overflow.filter_map(|(leg, counts)| counts.map(|counts| (Key::overflow(leg), counts)));
-        entries.chain(overflow).map(|(key, counts)| Flow { key, counts, reason: Reason::End }).collect()
+        entries.chain(overflow).map(|(key, counts)| Flow { key, counts, reason: EndReason::End }).collect()
     }
 }
--- a/crates/deckproxy-flow/tests/meter.rs
+++ b/crates/deckproxy-flow/tests/meter.rs
@@ -2,7 +2,7 @@
 //! error bound.
 
 use deckproxy_flow::meter::{
-    Flow, HeavyHitter, HeavyHitters, Key, Leg, Limits, Meter, Outcome, Reason, Update,
+    EndReason, Flow, HeavyHitter, HeavyHitters, Key, Leg, Limits, Meter, Outcome, Update,
 };
 use proptest::prelude::*;
 use std::collections::HashMap;
@@ -148,17 +148,17 @@
     meter.count(50, key(2), &served(10));
     let mut exported = Vec::new();
     assert!(meter.take_due(100, 10, &mut exported), "it reached the end of the table");
-    assert_eq!(reasons(&exported), [(key(1), Reason::Idle, 1)]);
+    assert_eq!(reasons(&exported), [(key(1), EndReason::Idle, 1)]);
     for now in (60..1060).step_by(50) {
         meter.count(now, key(2), &served(10));
     }
     exported.clear();
     meter.take_due(1055, 10, &mut exported);
-    assert_eq!(reasons(&exported), [(key(2), Reason::Active, 21)]);
+    assert_eq!(reasons(&exported), [(key(2), EndReason::Active, 21)]);
     meter.count(1056, key(2), &served(1 << 40));
     meter.count(1056, key(2), &served(1 << 40));
     let end = meter.take_all();
-    assert_eq!(reasons(&end), [(key(2), Reason::End, 2)]);
+    assert_eq!(reasons(&end), [(key(2), EndReason::End, 2)]);
     assert_eq!(end[0].counts.bytes_to_client, 2 << 40, "beyond 2^32");
 }
 
