--- a/crates/deckproxy-flow/src/export/mod.rs
+++ b/crates/deckproxy-flow/src/export/mod.rs
@@ -189,7 +189,7 @@
             spool.restore_loss(message.loss);
         }
         let flows: Vec<Flow> = unsent.into_iter().flat_map(|message| message.flows).collect();
-        spool.put_back(flows.into_iter());
+        spool.requeue(flows.into_iter());
     }
 
     /// A message was written completely.
--- a/crates/deckproxy-flow/src/spool.rs
+++ b/crates/deckproxy-flow/src/spool.rs
@@ -77,7 +77,7 @@
     }
 
     /// Returns flows to the front of the queue that were removed but not exported.
-    pub fn put_back(&mut self, flows: impl DoubleEndedIterator<Item = Flow>) {
+    pub fn requeue(&mut self, flows: impl DoubleEndedIterator<Item = Flow>) {
         for flow in flows.rev() {
             if self.queue.len() >= self.capacity {
                 self.merge_older();
