--- a/crates/deckproxy-flow/src/export/messages.rs
+++ b/crates/deckproxy-flow/src/export/messages.rs
@@ -22,7 +22,7 @@
         let spool = &self.spools[self.spool_index(index)];
         let needs_templates =
             collector.transport == Transport::Udp && collector.needs_templates(now, &self.settings);
-        let has_work = !spool.is_empty() || !spool.loss().is_none() || needs_templates;
+        let has_work = !spool.is_empty() || !spool.loss().is_zero() || needs_templates;
         has_work
             && collector.has_token(self.settings.message_rate)
             && collector.bytes_in_flight() < self.settings.max_in_flight
@@ -81,7 +81,7 @@
         let spool_index = self.spool_index(index);
         let spool = &mut self.spools[spool_index];
         let mut loss = spool.take_loss();
-        if loss.is_none() {
+        if loss.is_zero() {
             return loss;
         }
         let numbers = [u64::from(self.settings.domain), loss.flows, loss.octets, loss.requests];
--- a/crates/deckproxy-flow/src/export/mod.rs
+++ b/crates/deckproxy-flow/src/export/mod.rs
@@ -94,7 +94,7 @@
 
     /// Whether nothing is left to export or report.
     pub fn is_settled(&self) -> bool {
-        self.backlog() == Backlog::default() && self.unreported_loss().is_none()
+        self.backlog() == Backlog::default() && self.unreported_loss().is_zero()
     }
 
     /// For each collector, whether it is connected.
--- a/crates/deckproxy-flow/src/spool.rs
+++ b/crates/deckproxy-flow/src/spool.rs
@@ -20,7 +20,7 @@
 
 impl Loss {
     /// Whether nothing was lost.
-    pub fn is_none(&self) -> bool {
+    pub fn is_zero(&self) -> bool {
         *self == Loss::default()
     }
 
--- a/crates/deckproxy-flow/tests/export.rs
+++ b/crates/deckproxy-flow/tests/export.rs
@@ -175,7 +175,7 @@
         5000,
         "each request is exported or reported as lost"
     );
-    assert!(exporter.unreported_loss().is_none());
+    assert!(exporter.unreported_loss().is_zero());
 }
 
 #[test]
