--- a/crates/deckproxy-flow/src/export/mod.rs
+++ b/crates/deckproxy-flow/src/export/mod.rs
@@ -93,7 +93,7 @@
     }
 
     /// Whether nothing is left to export or report.
-    pub fn is_settled(&self) -> bool {
+    pub fn is_drained(&self) -> bool {
         self.backlog() == Backlog::default() && self.unreported_loss().is_zero()
     }
 
--- a/crates/deckproxy-flow/tests/export.rs
+++ b/crates/deckproxy-flow/tests/export.rs
@@ -343,7 +343,7 @@
         let requests = [collectors[0].requests, collectors[1].requests];
         // A new replica receives the flows pushed since it was added.
         let expected = if replicate { [60, 20] } else { [60, 0] };
-        assert_eq!((requests, exporter.is_settled()), (expected, true), "replicate: {replicate}");
+        assert_eq!((requests, exporter.is_drained()), (expected, true), "replicate: {replicate}");
     }
 }
 
--- a/crates/deckproxy/src/program/flows/mod.rs
+++ b/crates/deckproxy/src/program/flows/mod.rs
@@ -247,7 +247,7 @@
     /// Exports the flows that are left, for as long as the settings allow.
     fn finish(&mut self, cx: &Context<'_>, out: &mut Effects) -> bool {
         if let Some(deadline) = self.flush_deadline {
-            return self.exporter.is_settled() || cx.now >= deadline;
+            return self.exporter.is_drained() || cx.now >= deadline;
         }
         let deadline = cx.now + self.operator.flush_timeout();
         self.flush_deadline = Some(deadline);
@@ -256,7 +256,7 @@
         }
         out.push_back(Effect::WakeTask { task: self.send_task, at: None });
         out.push_back(Effect::WakeLoopAt(deadline));
-        self.exporter.is_settled() || cx.now >= deadline
+        self.exporter.is_drained() || cx.now >= deadline
     }
 
     /// Takes collectors, rates and times from a new operator file.
