--- a/crates/deckproxy-flow/src/account/attempts.rs
+++ b/crates/deckproxy-flow/src/account/attempts.rs
@@ -1,14 +1,14 @@
 //! Accounting of attempts in flight to members.
 
 use super::{Micros, RequestSource, millis};
-use crate::meter::{Key, Leg, Meter, Name, Outcome, Update};
+use crate::meter::{Key, Leg, Meter, NameId, Outcome, Update};
 use ahash::RandomState;
 use std::collections::HashMap;
 
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     source: RequestSource,
-    member: Name,
+    member: NameId,
     /// Bytes written to the member.
     bytes_written: u64,
     started_at: Micros,
@@ -22,7 +22,7 @@
 
 impl Attempts {
     /// An attempt was started.
-    pub fn started(&mut self, now: Micros, key: u64, source: RequestSource, member: Name) {
+    pub fn started(&mut self, now: Micros, key: u64, source: RequestSource, member: NameId) {
         self.in_flight.insert(key, Attempt { source, member, bytes_written: 0, started_at: now });
     }
 
@@ -64,7 +64,7 @@
 
     /// Counts bytes received from and sent to a member that belong to no attempt in flight: health checks,
     /// cancellations and late answers.
-    pub fn count_other_bytes(meter: &mut Meter, now: Micros, member: Name, received: u64, sent: u64) {
+    pub fn count_other_bytes(meter: &mut Meter, now: Micros, member: NameId, received: u64, sent: u64) {
         if received + sent > 0 {
             let flow = Key { member, ..Key::of(Leg::Member) };
             meter.count(
--- a/crates/deckproxy-flow/src/account/client.rs
+++ b/crates/deckproxy-flow/src/account/client.rs
@@ -5,16 +5,16 @@
 //! count as cancelled.
 
 use super::{Micros, millis};
-use crate::meter::{Key, Leg, Meter, Name, Outcome, Update};
+use crate::meter::{Key, Leg, Meter, NameId, Outcome, Update};
 use ipnet::IpNet;
 use std::collections::VecDeque;
 
 /// A request without a completely written answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Request {
-    class: Name,
+    class: NameId,
     /// The site to which the request was forwarded; 0: none.
-    site: Name,
+    site: NameId,
     /// Size in bytes.
     bytes: u64,
     received_at: Micros,
@@ -60,7 +60,7 @@
 
     /// A request of `bytes` bytes was received. A request with the id of an open one is counted as invalid at once,
     /// because the connection can't continue after it.
-    pub fn request_received(&mut self, meter: &mut Meter, now: Micros, id: u32, class: Name, bytes: u64) {
+    pub fn request_received(&mut self, meter: &mut Meter, now: Micros, id: u32, class: NameId, bytes: u64) {
         let request = Request { class, site: 0, bytes, received_at: now };
         if self.open_requests.iter().any(|(open_id, _)| *open_id == id) {
             self.count_request(meter, now, &request, Outcome::Invalid, 0);
@@ -70,7 +70,7 @@
     }
 
     /// An open request was forwarded to another site.
-    pub fn request_forwarded(&mut self, id: u32, site: Name) {
+    pub fn request_forwarded(&mut self, id: u32, site: NameId) {
         if let Some((_, request)) = self.open_requests.iter_mut().find(|(open_id, _)| *open_id == id) {
             request.site = site;
         }
--- a/crates/deckproxy-flow/src/account/link.rs
+++ b/crates/deckproxy-flow/src/account/link.rs
@@ -1,10 +1,10 @@
 //! Accounting of links to other sites.
 
 use super::{Micros, RequestSource, millis};
-use crate::meter::{Key, Leg, Meter, Name, Outcome, Update};
+use crate::meter::{Key, Leg, Meter, NameId, Outcome, Update};
 
 /// Counts bytes received from, and sent to, another site over a link.
-pub fn count_link_bytes(meter: &mut Meter, now: Micros, site: Name, received: u64, sent: u64) {
+pub fn count_link_bytes(meter: &mut Meter, now: Micros, site: NameId, received: u64, sent: u64) {
     if received + sent > 0 {
         let flow = Key { site, ..Key::of(Leg::Link) };
         meter.count(
--- a/crates/deckproxy-flow/src/account/mod.rs
+++ b/crates/deckproxy-flow/src/account/mod.rs
@@ -17,7 +17,7 @@
 pub use client::ClientAccount;
 pub use names::{Names, OTHERS};
 
-use crate::meter::{Millis, Name};
+use crate::meter::{Millis, NameId};
 use ipnet::IpNet;
 
 /// Microseconds on the meter's clock.
@@ -29,9 +29,9 @@
     /// The client's network; `None` for a request that was received over a link.
     pub client: Option<IpNet>,
     /// The request class.
-    pub class: Name,
+    pub class: NameId,
     /// The site that forwarded the request; 0: it was received from a client of this site.
-    pub site: Name,
+    pub site: NameId,
 }
 
 /// Converts microseconds to the meter's milliseconds.
--- a/crates/deckproxy-flow/src/account/names.rs
+++ b/crates/deckproxy-flow/src/account/names.rs
@@ -1,6 +1,6 @@
 //! The table that numbers the names of classes, members and sites.
 
-use crate::meter::Name;
+use crate::meter::NameId;
 use ahash::RandomState;
 use std::collections::HashMap;
 
@@ -12,7 +12,7 @@
 #[derive(Debug)]
 pub struct Names {
     by_number: Vec<Box<str>>,
-    numbers: HashMap<Box<str>, Name, RandomState>,
+    numbers: HashMap<Box<str>, NameId, RandomState>,
     capacity: usize,
 }
 
@@ -27,13 +27,13 @@
     }
 
     /// The number of a name; a new name is assigned one.
-    pub fn number(&mut self, name: &str) -> Name {
+    pub fn number(&mut self, name: &str) -> NameId {
         if let Some(number) = self.numbers.get(name) {
             return *number;
         }
         let is_last = self.by_number.len() + 1 >= self.capacity;
         let name = if is_last { OTHERS } else { name };
-        let next = Name::try_from(self.by_number.len()).unwrap_or(Name::MAX);
+        let next = NameId::try_from(self.by_number.len()).unwrap_or(NameId::MAX);
         *self.numbers.entry(name.into()).or_insert_with(|| {
             self.by_number.push(name.into());
             next
@@ -41,7 +41,7 @@
     }
 
     /// The name with a number; empty if the number is not assigned.
-    pub fn name(&self, number: Name) -> &str {
+    pub fn name(&self, number: NameId) -> &str {
         self.by_number.get(number as usize).map_or("", |name| name)
     }
 }
--- a/crates/deckproxy-flow/src/meter/flow.rs
+++ b/crates/deckproxy-flow/src/meter/flow.rs
@@ -1,6 +1,6 @@
 //! Flow keys, updates, counts, and the flows passed to the exporter.
 
-use super::{Millis, Name};
+use super::{Millis, NameId};
 use ipnet::IpNet;
 
 /// How a request ended.
@@ -43,11 +43,11 @@
     /// The client's prefix; `None`: all clients.
     pub client: Option<IpNet>,
     /// The request class; 0: all classes.
-    pub class: Name,
+    pub class: NameId,
     /// The member that received the attempt; 0: none.
-    pub member: Name,
+    pub member: NameId,
     /// The site at the other end of the link; 0: no link.
-    pub site: Name,
+    pub site: NameId,
     /// The outcome of the requests; `None`: any, or no request.
     pub outcome: Option<Outcome>,
     /// How coarse the key is: 0 as configured, 1 with the wider prefix, 2 without client, member and site, 3
--- a/crates/deckproxy-flow/src/meter/mod.rs
+++ b/crates/deckproxy-flow/src/meter/mod.rs
@@ -22,7 +22,7 @@
 /// Unix milliseconds.
 pub type Millis = u64;
 /// The number of a name in the caller's table; 0: none.
-pub type Name = u32;
+pub type NameId = u32;
 
 /// Smallest capacity of the table, entries.
 const MIN_ENTRIES: usize = 16;
--- a/crates/deckproxy/src/program/flows/accounting.rs
+++ b/crates/deckproxy/src/program/flows/accounting.rs
@@ -6,7 +6,7 @@
 use crate::transport::write_buffer::WrittenMessage;
 use ahash::RandomState;
 use deckproxy_flow::account::{Attempts, ClientAccount, Micros, Names, RequestSource, link};
-use deckproxy_flow::meter::{HeavyHitter, HeavyHitters, Limits, Meter, Name, Outcome};
+use deckproxy_flow::meter::{HeavyHitter, HeavyHitters, Limits, Meter, NameId, Outcome};
 use deckproxy_sites::responder::RunId;
 use ipnet::IpNet;
 use std::collections::HashMap;
@@ -24,7 +24,7 @@
     /// Numbers of the names of classes, members and sites.
     pub(super) names: Names,
     /// Numbers of the classes that the settings have.
-    classes: HashMap<Box<str>, Name, RandomState>,
+    classes: HashMap<Box<str>, NameId, RandomState>,
     /// Clients that are connected.
     pub(super) clients: HashMap<ClientId, ClientAccount, RandomState>,
     /// Attempts in flight.
@@ -78,7 +78,7 @@
     }
 
     /// The number of a class; 0 for an unknown one.
-    fn class(&self, name: &str) -> Name {
+    fn class(&self, name: &str) -> NameId {
         self.classes.get(name).copied().unwrap_or(0)
     }
 
