--- a/crates/deckproxy-flow/src/export/effects.rs
+++ b/crates/deckproxy-flow/src/export/effects.rs
@@ -61,9 +61,9 @@
     /// Requests of those flows.
     pub requests: u64,
     /// Dropped flows, counted each time that a message that reports them is created.
-    pub lost: u64,
+    pub lost_flows: u64,
     /// Connections to collectors that were lost.
-    pub breaks: u64,
+    pub connections_lost: u64,
 }
 
 /// Flows that are not exported yet.
--- a/crates/deckproxy-flow/src/export/messages.rs
+++ b/crates/deckproxy-flow/src/export/messages.rs
@@ -89,7 +89,7 @@
         if !self.collectors[index].encoder.record(&self.templates.loss, &record) {
             spool.restore_loss(std::mem::take(&mut loss));
         }
-        self.counters.lost += loss.flows;
+        self.counters.lost_flows += loss.flows;
         loss
     }
 
--- a/crates/deckproxy-flow/src/export/mod.rs
+++ b/crates/deckproxy-flow/src/export/mod.rs
@@ -174,7 +174,7 @@
             State::Down { .. } => return,
             State::Connecting => {}
             State::Up => {
-                self.counters.breaks += 1;
+                self.counters.connections_lost += 1;
                 self.effects.push_back(Effect::Log(LogEvent::Lost(index)));
             }
         }
--- a/crates/deckproxy/src/program/flows/mod.rs
+++ b/crates/deckproxy/src/program/flows/mod.rs
@@ -312,7 +312,7 @@
             Field::value("requests", counters.requests),
         ];
         let lost = [
-            Field::value("flows", counters.lost),
+            Field::value("flows", counters.lost_flows),
             Field::value("unreported", self.exporter.unreported_loss().flows),
         ];
         vec![
@@ -327,7 +327,7 @@
             ),
             Field::value("merged", self.exporter.merged()),
             Field::group("lost", lost),
-            Field::value("connections_lost", counters.breaks),
+            Field::value("connections_lost", counters.connections_lost),
             Field::items("top", top),
         ]
     }
