--- a/crates/deckproxy-flow/src/export/collector.rs
+++ b/crates/deckproxy-flow/src/export/collector.rs
@@ -121,7 +121,7 @@
         rate == 0 || self.tokens >= TOKENS_PER_MESSAGE
     }
 
-    /// Takes the tokens of one message.
+    /// Consumes the tokens of one message.
     pub(super) fn take_token(&mut self) {
         self.tokens = self.tokens.saturating_sub(TOKENS_PER_MESSAGE);
     }
@@ -133,7 +133,7 @@
         self.transport == Transport::Udp && is_old
     }
 
-    /// Whether the next message contains the first templates and nothing else, as over UDP.
+    /// Whether the next message contains only templates: over UDP, the first one of a connection.
     pub(super) fn is_templates_only(&self) -> bool {
         self.transport == Transport::Udp && self.templates_sent_at.is_none()
     }
--- a/crates/deckproxy-recovery/src/admission/types.rs
+++ b/crates/deckproxy-recovery/src/admission/types.rs
@@ -27,8 +27,8 @@
     pub storm: Option<retry_storm::Limits>,
     /// Whether clients that retry before their retry-after time are rejected until it has passed.
     pub enforces_retry_after: bool,
-    /// Whether retry-after times are spread so that retries arrive evenly; otherwise clients get the shortest
-    /// time allowed.
+    /// Whether retry-after times are spread so that retries arrive evenly; otherwise clients receive the
+    /// shortest time allowed.
     pub spreads_retry_after: bool,
     /// The classes to shed, in order.
     pub shedding_steps: Vec<class_shedding::Step>,
@@ -38,9 +38,9 @@
     pub min_retry_after: Millis,
     /// Longest retry-after time, in milliseconds.
     pub max_retry_after: Millis,
-    /// Number of rejected or failed requests that are retained at least, to detect retries, if they are recent enough.
+    /// Smallest number of recently rejected or failed requests that are retained to detect retries.
     pub remembered: usize,
-    /// Time for which they are retained at least, unless as many newer ones arrive before that, in milliseconds.
+    /// Shortest time for which they are retained, unless that number of newer ones arrives before, in milliseconds.
     pub remembered_for: Millis,
 }
 
--- a/crates/deckproxy-recovery/src/retry_storm.rs
+++ b/crates/deckproxy-recovery/src/retry_storm.rs
@@ -179,7 +179,7 @@
         add(&mut self.current);
     }
 
-    /// Admits a request if the cap allows it, and takes its token. `priority_weight`: the rank of its class
+    /// Admits a request if the cap allows it, and consumes a token. `priority_weight`: the rank of its class
     /// among all classes, 0 to 1; in a storm the last tokens are left to higher weights. Returns whether the
     /// request is admitted.
     pub fn try_admit(&mut self, now: Millis, priority_weight: f64) -> bool {
--- a/crates/deckproxy-recovery/tests/recovery.rs
+++ b/crates/deckproxy-recovery/tests/recovery.rs
@@ -117,7 +117,7 @@
         prop_assert!(admitted[0] > 5 && admitted[1] >= admitted[0], "{:?}", admitted);
     }
 
-    /// Clients that are rejected together retry within the bounds, and no interval gets much more retries
+    /// Clients that are rejected together retry within the bounds, and no interval has many more retries
     /// than its capacity while there is free capacity.
     #[test]
     fn rejected_clients_return_as_a_stream(count in 1usize..400, rate in 20.0f64..2000.0, max in 300.0f64..5000.0) {
