--- a/crates/deckproxy/src/program/flows/mod.rs
+++ b/crates/deckproxy/src/program/flows/mod.rs
@@ -247,7 +247,7 @@
     /// Exports the flows that are left, for as long as the settings allow.
     fn finish(&mut self, cx: &Context<'_>, out: &mut Effects) -> bool {
         if let Some(deadline) = self.flush_deadline {
-            return self.exporter.is_settled() || cx.now >= deadline;
+            return self.exporter.is_drained() || cx.now >= deadline;
         }
         let deadline = cx.now + self.operator.flush_timeout();
         self.flush_deadline = Some(deadline);
@@ -256,7 +256,7 @@
         }
         out.push_back(Effect::WakeTask { task: self.send_task, at: None });
         out.push_back(Effect::WakeLoopAt(deadline));
-        self.exporter.is_settled() || cx.now >= deadline
+        self.exporter.is_drained() || cx.now >= deadline
     }
 
     /// Takes collectors, rates and times from a new operator file.
@@ -312,7 +312,7 @@
             Field::value("requests", counters.requests),
         ];
         let lost = [
-            Field::value("flows", counters.lost),
+            Field::value("flows", counters.lost_flows),
             Field::value("unreported", self.exporter.unreported_loss().flows),
         ];
         vec![
@@ -327,7 +327,7 @@
             ),
             Field::value("merged", self.exporter.merged()),
             Field::group("lost", lost),
-            Field::value("connections_lost", counters.breaks),
+            Field::value("connections_lost", counters.connections_lost),
             Field::items("top", top),
         ]
     }
