--- a/crates/deckproxy-fleet/src/fleet/datagrams.rs
+++ b/crates/deckproxy-fleet/src/fleet/datagrams.rs
@@ -5,7 +5,7 @@
 use crate::gossip_store::{Delta, Digest};
 use crate::health_checks::HealthCheckSchedule;
 use crate::instance::Instance;
-use crate::wire::{Body, DropReason, LARGEST_BODY, Packet};
+use crate::wire::{Body, DropReason, MAX_BODY_BYTES, Packet};
 use std::net::SocketAddr;
 
 /// Within this time after the start, in milliseconds, a higher incarnation of our name is an earlier process whose clock
@@ -128,7 +128,7 @@
             let acknowledged = present.map(|position| position.version);
             self.acknowledgements.digest_received(now, &from.name, acknowledged, &timeouts);
         }
-        let comparison = self.store.compare(now, &from.name, digest, LARGEST_BODY);
+        let comparison = self.store.compare(now, &from.name, digest, MAX_BODY_BYTES);
         if !comparison.delta.authors.is_empty() {
             self.send(from, Body::Delta(comparison.delta));
         }
--- a/crates/deckproxy-fleet/src/fleet/gossip.rs
+++ b/crates/deckproxy-fleet/src/fleet/gossip.rs
@@ -4,7 +4,7 @@
 use crate::Millis;
 use crate::gossip_store::Key;
 use crate::instance::Instance;
-use crate::wire::{Body, LARGEST_BODY};
+use crate::wire::{Body, MAX_BODY_BYTES};
 use rand::seq::{IndexedRandom, IteratorRandom};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -45,7 +45,7 @@
     pub(super) fn push(&mut self, now: Millis) {
         for to in self.sample_alive(PUSH_FANOUT) {
             let after = self.store.last_version().saturating_sub(PUSHED_ENTRIES);
-            let delta = self.store.recent(now, after, LARGEST_BODY);
+            let delta = self.store.recent(now, after, MAX_BODY_BYTES);
             self.send(&to, Body::Delta(delta));
         }
     }
--- a/crates/deckproxy-fleet/src/fleet/mod.rs
+++ b/crates/deckproxy-fleet/src/fleet/mod.rs
@@ -30,7 +30,7 @@
 use crate::overload::Overload;
 use crate::swim::Swim;
 use crate::view::View;
-use crate::wire::{LARGEST_BODY, Wire};
+use crate::wire::{MAX_BODY_BYTES, Wire};
 use observation::Observation;
 use peers::Peer;
 use rand::{RngExt, SeedableRng};
@@ -95,7 +95,7 @@
         Fleet {
             wire: Wire::new(&settings.fleet, settings.prefixes.clone()),
             clock,
-            swim: Swim::new(own.clone(), settings.swim, LARGEST_BODY, seed),
+            swim: Swim::new(own.clone(), settings.swim, MAX_BODY_BYTES, seed),
             store: GossipStore::new(own.name.clone(), own.incarnation, Limits::default()),
             acknowledgements: Acknowledgements::default(),
             view: View { is_stale: true, expected: 1, alive: 1, confirmed: 1, since: now, ..View::default() },
--- a/crates/deckproxy-fleet/src/gossip_store/entry.rs
+++ b/crates/deckproxy-fleet/src/gossip_store/entry.rs
@@ -5,9 +5,9 @@
 use serde::{Deserialize, Serialize};
 
 /// Largest value of an entry, in bytes: several entries must fit into one datagram.
-pub const LARGEST_VALUE: usize = 200;
+pub const MAX_VALUE_BYTES: usize = 200;
 /// Longest subject of an entry, in bytes.
-pub const LONGEST_SUBJECT: usize = 64;
+pub const MAX_SUBJECT_BYTES: usize = 64;
 
 /// The kinds of entries. The numbers are sent over the network.
 pub mod kinds {
@@ -84,5 +84,5 @@
 
 /// Whether a key and a value are within the size limits.
 pub(super) fn fits(key: &Key, value: Option<&Vec<u8>>) -> bool {
-    key.subject.len() <= LONGEST_SUBJECT && value.is_none_or(|value| value.len() <= LARGEST_VALUE)
+    key.subject.len() <= MAX_SUBJECT_BYTES && value.is_none_or(|value| value.len() <= MAX_VALUE_BYTES)
 }
--- a/crates/deckproxy-fleet/src/gossip_store/mod.rs
+++ b/crates/deckproxy-fleet/src/gossip_store/mod.rs
@@ -18,7 +18,7 @@
 mod messages;
 
 pub use anti_entropy::Comparison;
-pub use entry::{Entry, EntryView, Key, LARGEST_VALUE, LONGEST_SUBJECT, kinds};
+pub use entry::{Entry, EntryView, Key, MAX_SUBJECT_BYTES, MAX_VALUE_BYTES, kinds};
 pub use merge::MergeOutcome;
 pub use messages::{AuthorUpdate, Delta, Digest, EntryUpdate, Mark, Position};
 
--- a/crates/deckproxy-fleet/src/instance.rs
+++ b/crates/deckproxy-fleet/src/instance.rs
@@ -8,7 +8,7 @@
 pub type Name = Arc<str>;
 
 /// Longest name of an instance or a zone, in bytes.
-pub const LONGEST_NAME: usize = 63;
+pub const MAX_NAME_BYTES: usize = 63;
 
 /// One incarnation of an instance, as it describes itself. The order of the fields is the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -42,9 +42,9 @@
     }
 }
 
-/// Whether a name has 1 to [`LONGEST_NAME`] bytes, all of them allowed.
+/// Whether a name has 1 to [`MAX_NAME_BYTES`] bytes, all of them allowed.
 pub fn is_valid_name(name: &str) -> bool {
-    (1..=LONGEST_NAME).contains(&name.len()) && name.bytes().all(is_name_byte)
+    (1..=MAX_NAME_BYTES).contains(&name.len()) && name.bytes().all(is_name_byte)
 }
 
 /// Whether a byte is allowed in a name: a-z, 0-9, "-", "." and "_".
--- a/crates/deckproxy-fleet/src/overload/rejected_requests/tests.rs
+++ b/crates/deckproxy-fleet/src/overload/rejected_requests/tests.rs
@@ -11,7 +11,7 @@
     here.record(1000.0, 7, rejection(1400.0, true));
     here.record(1000.0, 8, rejection(3000.0, false));
     let batch = here.next_batch(1000.0).unwrap();
-    assert!(postcard::to_stdvec(&batch).unwrap().len() <= crate::gossip_store::LARGEST_VALUE);
+    assert!(postcard::to_stdvec(&batch).unwrap().len() <= crate::gossip_store::MAX_VALUE_BYTES);
     there.merge(91_200.0, &"a".into(), 5, 200.0, &batch);
     // The clocks differ: the batch's age relates them.
     assert_eq!(there.get(7), Some(rejection(91_400.0, true)));
--- a/crates/deckproxy-fleet/src/overload/summary/tests.rs
+++ b/crates/deckproxy-fleet/src/overload/summary/tests.rs
@@ -25,7 +25,7 @@
         (tally.admitted, tally.served, tally.rejected) = (u16::MAX, u16::MAX, u16::MAX);
     }
     let bytes = postcard::to_stdvec(&full).unwrap();
-    assert!(bytes.len() <= crate::gossip_store::LARGEST_VALUE, "{}", bytes.len());
+    assert!(bytes.len() <= crate::gossip_store::MAX_VALUE_BYTES, "{}", bytes.len());
     assert_eq!(postcard::from_bytes::<Summary>(&bytes).unwrap(), full);
 }
 
--- a/crates/deckproxy-fleet/src/wire.rs
+++ b/crates/deckproxy-fleet/src/wire.rs
@@ -4,16 +4,16 @@
 //! over all of that. None of it authenticates the sender: the operators' prefixes and the network have to.
 
 use crate::gossip_store::{Delta, Digest};
-use crate::instance::{Instance, LONGEST_NAME};
+use crate::instance::{Instance, MAX_NAME_BYTES};
 use ipnet::IpNet;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Largest datagram, in bytes: no network fragments it.
-pub const LARGEST_DATAGRAM: usize = 1200;
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
 /// Bytes that are left for a body, whatever the sender's names.
-pub const LARGEST_BODY: usize = LARGEST_DATAGRAM - FRAME - 2 * LONGEST_NAME - SENDER;
+pub const MAX_BODY_BYTES: usize = MAX_DATAGRAM_BYTES - FRAME - 2 * MAX_NAME_BYTES - SENDER;
 /// Version of the encoding; datagrams of another one are dropped.
 const VERSION: u8 = 1;
 /// Bytes of version, fleet and checksum.
@@ -53,7 +53,7 @@
 pub enum DropReason {
     /// It is from an address outside the operators' prefixes.
     ForeignAddress,
-    /// It exceeds [`LARGEST_DATAGRAM`].
+    /// It exceeds [`MAX_DATAGRAM_BYTES`].
     TooLarge,
     /// The checksum does not match, or the message cannot be decoded.
     Garbled,
@@ -84,13 +84,13 @@
         Wire { fleet: xxh3_64(fleet.as_bytes()), prefixes }
     }
 
-    /// The datagram of a packet; `None` where it would exceed [`LARGEST_DATAGRAM`].
+    /// The datagram of a packet; `None` where it would exceed [`MAX_DATAGRAM_BYTES`].
     pub fn encode(&self, packet: &Packet) -> Option<Vec<u8>> {
         let mut bytes = vec![VERSION];
         bytes.extend(self.fleet.to_le_bytes());
         let mut bytes = postcard::to_extend(packet, bytes).ok()?;
         bytes.extend(crc32c::crc32c(&bytes).to_le_bytes());
-        (bytes.len() <= LARGEST_DATAGRAM).then_some(bytes)
+        (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
     }
 
     /// The packet in a datagram.
@@ -101,7 +101,7 @@
         if !self.prefixes.iter().any(|prefix| prefix.contains(&from.ip().to_canonical())) {
             return Err(DropReason::ForeignAddress);
         }
-        if datagram.len() > LARGEST_DATAGRAM {
+        if datagram.len() > MAX_DATAGRAM_BYTES {
             return Err(DropReason::TooLarge);
         }
         let (content, checksum) = datagram.split_last_chunk::<4>().ok_or(DropReason::Garbled)?;
