--- a/crates/deckproxy-fleet/src/acknowledgements.rs
+++ b/crates/deckproxy-fleet/src/acknowledgements.rs
@@ -1,36 +1,36 @@
-//! Whether others receive our heartbeats, as their digests acknowledge.
+//! Whether other instances receive our heartbeats, according to the acknowledgements in their digests.
 //!
-//! An instance whose own heartbeats do not come back in the others' digests is cut off as much as one that receives none.
+//! An instance whose heartbeats are not acknowledged by the others is as isolated as one that receives no heartbeats.
 
 use crate::Millis;
 use crate::instance::Name;
 use crate::liveness::Timeouts;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Own heartbeats that are remembered.
-const HEARTBEATS: usize = 64;
+/// Number of own heartbeats that are retained.
+const MAX_HEARTBEATS: usize = 64;
 
-/// An own heartbeat.
+/// A heartbeat of this instance.
 #[derive(Clone, Copy, Debug)]
 struct Heartbeat {
     version: u64,
     written_at: Millis,
 }
 
-/// The last digest of another instance.
+/// The last digest from another instance.
 #[derive(Clone, Copy, Debug)]
 struct LastDigest {
     received_at: Millis,
-    /// It acknowledged a recent heartbeat.
+    /// It acknowledged all heartbeats except recent ones.
     is_current: bool,
 }
 
-/// Digests that were received lately.
+/// Number of instances with a recent digest.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DigestCount {
-    /// All of them.
+    /// All such instances.
     pub received: usize,
-    /// Those that acknowledged a recent heartbeat.
+    /// Those whose digest acknowledged all heartbeats except recent ones.
     pub current: usize,
 }
 
@@ -42,15 +42,15 @@
 }
 
 impl Acknowledgements {
-    /// A heartbeat was written under that version.
+    /// Records that a heartbeat was written with this version.
     pub fn heartbeat_written(&mut self, now: Millis, version: u64) {
         self.heartbeats.push_back(Heartbeat { version, written_at: now });
-        if self.heartbeats.len() > HEARTBEATS {
+        if self.heartbeats.len() > MAX_HEARTBEATS {
             self.heartbeats.pop_front();
         }
     }
 
-    /// A digest came that acknowledges our entries up to a version; `None`: none of the present incarnation.
+    /// Records a digest that acknowledges our entries up to a version; `None`: no entry of the current incarnation.
     pub fn digest_received(
         &mut self,
         now: Millis,
@@ -58,27 +58,28 @@
         acknowledged: Option<u64>,
         timeouts: &Timeouts,
     ) {
-        // The first heartbeat that is missing shows for how long the sender has not heard us.
-        let is_missing = |heartbeat: &&Heartbeat| acknowledged.is_none_or(|upto| heartbeat.version > upto);
+        // The oldest unacknowledged heartbeat shows for how long the sender has not received any from us.
+        let is_missing =
+            |heartbeat: &&Heartbeat| acknowledged.is_none_or(|version| heartbeat.version > version);
         let missing = self.heartbeats.iter().find(is_missing);
         let is_recent = |heartbeat: &Heartbeat| now - heartbeat.written_at <= timeouts.suspect_after;
         let is_current = acknowledged.is_some() && missing.is_none_or(is_recent);
         self.digests.insert(from.clone(), LastDigest { received_at: now, is_current });
     }
 
-    /// Counts the last digests of instances that `counts`, received after `since` and not longer ago than a heartbeat may
-    /// take.
+    /// Counts the instances selected by `is_included` whose last digest was received at `since` or later, and no longer ago
+    /// than `suspect_after`.
     pub fn count(
         &self,
         now: Millis,
         timeouts: &Timeouts,
         since: Millis,
-        counts: impl Fn(&Name) -> bool,
+        is_included: impl Fn(&Name) -> bool,
     ) -> DigestCount {
         let mut count = DigestCount::default();
         for (name, digest) in &self.digests {
             let is_recent = now - digest.received_at <= timeouts.suspect_after && digest.received_at >= since;
-            if is_recent && counts(name) {
+            if is_recent && is_included(name) {
                 count.received += 1;
                 count.current += usize::from(digest.is_current);
             }
@@ -86,7 +87,7 @@
         count
     }
 
-    /// Forgets an instance.
+    /// Removes an instance.
     pub fn forget(&mut self, name: &str) {
         self.digests.remove(name);
     }
--- a/crates/deckproxy-fleet/src/liveness.rs
+++ b/crates/deckproxy-fleet/src/liveness.rs
@@ -1,32 +1,32 @@
-//! Whether another instance is alive, from SWIM's membership and its heartbeats in the gossip store.
+//! The status of other instances, from SWIM membership and their heartbeats in the gossip store.
 
 use crate::Millis;
 
-/// Milliseconds that each instance of a fleet adds to the heartbeat interval at least, so that the heartbeats of all cost a
-/// bounded number of bytes a second.
+/// Minimum heartbeat interval per instance of the fleet, in milliseconds: it bounds the bytes a second that the heartbeats
+/// of all instances cost.
 const INTERVAL_PER_INSTANCE: Millis = 10.0;
-/// Heartbeat intervals of silence after which an instance is suspect.
+/// Heartbeat intervals without a heartbeat after which an instance is suspect.
 const SUSPECT_INTERVALS: f64 = 3.0;
-/// Heartbeat intervals of silence after which an instance that SWIM considers dead is lost.
+/// Heartbeat intervals without a heartbeat after which an instance that SWIM considers dead is lost.
 const LOST_INTERVALS: f64 = 5.0;
-/// So many times the time to be lost, an instance is lost even while SWIM holds it for alive.
-const LOST_DESPITE_SWIM: f64 = 2.0;
+/// Multiple of `lost_after` after which a silent instance is lost even if SWIM considers it alive.
+const LOST_DESPITE_SWIM_FACTOR: f64 = 2.0;
 
-/// Times by which other instances are judged; they grow with the fleet, as gossip takes longer in a larger one.
+/// Timeouts that determine the status of other instances; they grow with the fleet, as gossip takes longer in a larger one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timeouts {
-    /// From one heartbeat to the next, in milliseconds.
+    /// Interval between heartbeats, in milliseconds.
     pub heartbeat_interval: Millis,
-    /// Silence, in milliseconds, after which an instance is suspect: it counts as unheard and keeps its members.
+    /// Silence, in milliseconds, after which an instance is suspect: it no longer counts as alive, but keeps its members.
     pub suspect_after: Millis,
     /// Silence, in milliseconds, after which an instance that SWIM considers dead is lost: others observe its members. It
-    /// exceeds `suspect_after` by more than a heartbeat takes to reach all, so that an instance that is cut off has stopped
-    /// before others take over.
+    /// exceeds `suspect_after` by more than the time in which a heartbeat reaches all instances, so that an instance that is
+    /// cut off has stopped before others take over.
     pub lost_after: Millis,
 }
 
 impl Timeouts {
-    /// For a fleet of so many instances, which write a heartbeat every `interval` milliseconds or less often.
+    /// The timeouts for a fleet of this many instances, which write heartbeats at least `interval` milliseconds apart.
     pub fn for_fleet(interval: Millis, instances: usize) -> Self {
         let interval = interval.max(INTERVAL_PER_INSTANCE * instances as f64);
         Timeouts {
@@ -42,25 +42,25 @@
 pub enum PeerStatus {
     /// Its heartbeats arrive.
     Alive,
-    /// It has been silent for a moment, or SWIM holds it for dead while its heartbeats still arrive.
+    /// Its last heartbeat is old, or SWIM considers it dead but it has not been silent for long enough to be lost.
     Suspect,
-    /// It is taken for dead.
+    /// It is considered dead.
     Lost,
-    /// It announced that it leaves.
+    /// It has announced its departure.
     Left,
 }
 
 impl PeerStatus {
-    /// From whether SWIM holds the instance for alive, how long it has been silent (`None`: it has no entry), and whether
-    /// it announced that it leaves.
+    /// Derives the status from whether SWIM considers the instance alive, the time since its last entry in the gossip store
+    /// (`None`: it has no entry), and whether it has announced its departure.
     pub fn of(timeouts: &Timeouts, alive: bool, silence: Option<Millis>, left: bool) -> Self {
         let silence = silence.unwrap_or(Millis::INFINITY);
         match (left, alive) {
             (true, _) => PeerStatus::Left,
             (_, true) if silence <= timeouts.suspect_after => PeerStatus::Alive,
             (_, false) if silence > timeouts.lost_after => PeerStatus::Lost,
-            // SWIM is late to find out what the gossip store shows.
-            _ if silence > LOST_DESPITE_SWIM * timeouts.lost_after => PeerStatus::Lost,
+            // SWIM has not yet detected what the gossip store shows.
+            _ if silence > LOST_DESPITE_SWIM_FACTOR * timeouts.lost_after => PeerStatus::Lost,
             _ => PeerStatus::Suspect,
         }
     }
--- a/crates/deckproxy-fleet/src/swim.rs
+++ b/crates/deckproxy-fleet/src/swim.rs
@@ -1,4 +1,4 @@
-//! Membership by SWIM (the crate `foca`), with time and messages passed in and out.
+//! SWIM membership based on the `foca` crate; the caller supplies the time and transports the messages.
 
 use crate::Millis;
 use crate::instance::{Instance, Name};
@@ -13,11 +13,11 @@
 /// How quickly failed instances are detected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SwimTiming {
-    /// From one probe of an instance to the next, in milliseconds.
+    /// Interval between probes, in milliseconds.
     pub probe_period: Millis,
-    /// Time for an answer before others are asked to probe, in milliseconds. Less than a third of the period.
+    /// Time to wait for a response before requesting indirect probes, in milliseconds. Less than a third of the period.
     pub probe_timeout: Millis,
-    /// Time that a suspect has to refute the suspicion, in milliseconds.
+    /// Time that a suspected instance has to refute the suspicion, in milliseconds.
     pub suspicion: Millis,
 }
 
@@ -27,35 +27,35 @@
     }
 }
 
-/// Instances that are asked to probe one that did not answer.
+/// Number of instances that are requested to probe one that did not respond.
 const INDIRECT_PROBES: u8 = 3;
-/// Times that a membership update is passed on.
-const TRANSMISSIONS: u8 = 10;
-/// Instances that each round of SWIM's gossip goes to.
+/// Number of times that a membership update is retransmitted.
+const MAX_TRANSMISSIONS: u8 = 10;
+/// Number of instances that receive each round of SWIM's gossip.
 const GOSSIP_FANOUT: u8 = 2;
 
 /// A change of the membership.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembershipChange {
-    /// An instance is alive, or has another incarnation.
+    /// An instance is alive, or has a new incarnation.
     Up(Instance),
     /// An instance is considered dead.
     Down(Instance),
-    /// We were declared dead, and continue as this.
+    /// This instance was declared dead while alive, and continues under this identity.
     Renewed(Instance),
 }
 
-/// A timer of SWIM's, ordered by time, then by SWIM's own order, then by when it was set.
+/// A SWIM timer, ordered by due time, then by `foca`'s order of timers, then by when it was set.
 struct ScheduledTimer {
     at: Millis,
-    order: u64,
+    sequence_number: u64,
     timer: Timer<Instance>,
 }
 
 impl ScheduledTimer {
     fn key(&self) -> (u64, &Timer<Instance>, u64) {
-        // Times are not negative: their bits are in their order.
-        (self.at.max(0.0).to_bits(), &self.timer, self.order)
+        // The bit patterns of non-negative floats sort in numeric order.
+        (self.at.max(0.0).to_bits(), &self.timer, self.sequence_number)
     }
 }
 
@@ -79,19 +79,19 @@
     }
 }
 
-/// SWIM for one instance.
+/// The SWIM protocol state of one instance.
 pub struct Swim {
     foca: Foca<Instance, PostcardCodec, Pcg64Mcg, NoCustomBroadcast>,
     runtime: AccumulatingRuntime<Instance>,
     timers: BinaryHeap<Reverse<ScheduledTimer>>,
     /// Number of timers set so far.
-    order: u64,
+    timers_set: u64,
     alive: BTreeMap<Name, Instance>,
     messages: VecDeque<SwimMessage>,
     changes: VecDeque<MembershipChange>,
 }
 
-/// A message of SWIM to an instance.
+/// A SWIM message to an instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SwimMessage {
     /// The receiver.
@@ -104,46 +104,46 @@
     Duration::from_secs_f64(ms.max(1.0) / 1000.0)
 }
 
-fn count(n: u8) -> NonZeroUsize {
+fn non_zero(n: u8) -> NonZeroUsize {
     NonZeroUsize::new(usize::from(n)).unwrap_or(NonZeroUsize::MIN)
 }
 
-fn config(timing: SwimTiming, largest_message: usize) -> Config {
+fn config(timing: SwimTiming, max_message_bytes: usize) -> Config {
     Config {
         probe_period: duration(timing.probe_period),
         probe_rtt: duration(timing.probe_timeout),
-        num_indirect_probes: count(INDIRECT_PROBES),
-        max_transmissions: NonZeroU8::new(TRANSMISSIONS).unwrap_or(NonZeroU8::MIN),
+        num_indirect_probes: non_zero(INDIRECT_PROBES),
+        max_transmissions: NonZeroU8::new(MAX_TRANSMISSIONS).unwrap_or(NonZeroU8::MIN),
         suspect_to_down_after: duration(timing.suspicion),
-        // Names are few; a dead instance is remembered until it returns in another incarnation.
+        // There are few names, so a dead instance is remembered until it returns with a new incarnation.
         remove_down_after: None,
-        max_packet_size: NonZeroUsize::new(largest_message).unwrap_or(NonZeroUsize::MIN),
+        max_packet_size: NonZeroUsize::new(max_message_bytes).unwrap_or(NonZeroUsize::MIN),
         notify_down_members: true,
         periodic_announce: None,
         periodic_announce_to_down_members: None,
         periodic_gossip: Some(foca::PeriodicParams {
             frequency: duration(timing.probe_period / 2.0),
-            num_members: count(GOSSIP_FANOUT),
+            num_members: non_zero(GOSSIP_FANOUT),
         }),
     }
 }
 
 impl Swim {
-    /// For an instance that knows no other yet. `largest_message`: in bytes.
-    pub fn new(own: Instance, timing: SwimTiming, largest_message: usize, seed: u64) -> Self {
-        let config = config(timing, largest_message);
+    /// Creates the state of an instance that knows no other yet.
+    pub fn new(own: Instance, timing: SwimTiming, max_message_bytes: usize, seed: u64) -> Self {
+        let config = config(timing, max_message_bytes);
         Swim {
             foca: Foca::new(own, config, Pcg64Mcg::seed_from_u64(seed), PostcardCodec),
             runtime: AccumulatingRuntime::new(),
             timers: BinaryHeap::new(),
-            order: 0,
+            timers_set: 0,
             alive: BTreeMap::new(),
             messages: VecDeque::new(),
             changes: VecDeque::new(),
         }
     }
 
-    /// Ourselves, in the present incarnation and renewal.
+    /// This instance, with its current incarnation and renewal count.
     pub fn own(&self) -> &Instance {
         self.foca.identity()
     }
@@ -153,29 +153,29 @@
         &self.alive
     }
 
-    /// Takes the next message to send.
+    /// Removes and returns the next message to send.
     pub fn next_message(&mut self) -> Option<SwimMessage> {
         self.messages.pop_front()
     }
 
-    /// Takes the next change of the membership.
+    /// Removes and returns the next change of the membership.
     pub fn next_change(&mut self) -> Option<MembershipChange> {
         self.changes.pop_front()
     }
 
-    /// When the next timer is due.
+    /// The time at which the next timer is due.
     pub fn next_due(&self) -> Option<Millis> {
         self.timers.peek().map(|Reverse(timer)| timer.at)
     }
 
-    /// Announces ourselves to an instance that was unknown, or considered dead, and has sent something.
+    /// Announces this instance to one that was unknown or considered dead and has sent a datagram.
     pub fn announce(&mut self, now: Millis, to: &Instance) {
-        // An error means that we are not active; the next instance that is heard brings another occasion.
+        // An error means that this instance is not active; the next datagram from such an instance triggers a retry.
         let _ = self.foca.announce(to.clone(), &mut self.runtime);
         self.collect(now);
     }
 
-    /// Handles a received message; one that cannot be decoded changes nothing.
+    /// Handles a received message; one that cannot be decoded is ignored.
     pub fn handle_message(&mut self, now: Millis, message: &[u8]) {
         let _ = self.foca.handle_data(message, &mut self.runtime);
         self.collect(now);
@@ -185,13 +185,13 @@
     pub fn tick(&mut self, now: Millis) {
         while self.timers.peek().is_some_and(|Reverse(timer)| timer.at <= now) {
             let Some(Reverse(due)) = self.timers.pop() else { break };
-            // A timer of a state that has passed meanwhile is an error, and means nothing.
+            // A timer that was set for an earlier state yields an error, which is safe to ignore.
             let _ = self.foca.handle_timer(due.timer, &mut self.runtime);
             self.collect(now);
         }
     }
 
-    /// An incarnation of our name was at or above ours: we continue above it.
+    /// Raises the own incarnation above `known`, another incarnation under the same name, where it is not higher already.
     pub fn raise_incarnation(&mut self, now: Millis, known: u64) {
         let own = self.own().clone();
         if known >= own.incarnation {
@@ -202,35 +202,35 @@
         }
     }
 
-    /// Announces that we leave, so that the others need not detect it.
+    /// Announces the departure, so that the others do not have to detect it as a failure.
     pub fn leave(&mut self, now: Millis) {
         let _ = self.foca.leave_cluster(&mut self.runtime);
         self.collect(now);
     }
 
-    /// Collects what SWIM wants to send, to schedule and to notify.
+    /// Collects the messages, timers and notifications that SWIM produced.
     fn collect(&mut self, now: Millis) {
         while let Some((to, bytes)) = self.runtime.to_send() {
             self.messages.push_back(SwimMessage { to, bytes: bytes.to_vec() });
         }
         while let Some((after, timer)) = self.runtime.to_schedule() {
-            self.order += 1;
+            self.timers_set += 1;
             let at = now + after.as_secs_f64() * 1000.0;
-            self.timers.push(Reverse(ScheduledTimer { at, order: self.order, timer }));
+            self.timers.push(Reverse(ScheduledTimer { at, sequence_number: self.timers_set, timer }));
         }
         while let Some(notification) = self.runtime.to_notify() {
-            self.notified(notification);
+            self.handle_notification(notification);
         }
     }
 
-    fn notified(&mut self, notification: OwnedNotification<Instance>) {
+    fn handle_notification(&mut self, notification: OwnedNotification<Instance>) {
         match notification {
-            OwnedNotification::MemberUp(instance) => self.up(instance),
-            // A new incarnation of a dead instance is notified by `MemberUp`.
+            OwnedNotification::MemberUp(instance) => self.member_up(instance),
+            // A new incarnation of a dead instance is reported by `MemberUp` instead.
             OwnedNotification::Rename(_, instance) if self.alive.contains_key(&instance.name) => {
-                self.up(instance);
+                self.member_up(instance);
             }
-            OwnedNotification::MemberDown(instance) => self.down(instance),
+            OwnedNotification::MemberDown(instance) => self.member_down(instance),
             OwnedNotification::Rejoin(own) => self.changes.push_back(MembershipChange::Renewed(own)),
             OwnedNotification::Rename(..)
             | OwnedNotification::Active
@@ -239,12 +239,12 @@
         }
     }
 
-    fn up(&mut self, instance: Instance) {
+    fn member_up(&mut self, instance: Instance) {
         self.alive.insert(instance.name.clone(), instance.clone());
         self.changes.push_back(MembershipChange::Up(instance));
     }
 
-    fn down(&mut self, instance: Instance) {
+    fn member_down(&mut self, instance: Instance) {
         let known = self.alive.get(&instance.name);
         if known.is_some_and(|known| known.precedence() <= instance.precedence()) {
             self.alive.remove(&instance.name);
--- a/crates/deckproxy-fleet/src/view.rs
+++ b/crates/deckproxy-fleet/src/view.rs
@@ -1,44 +1,46 @@
-//! What an instance sees of its fleet, whether it is in the majority, and at which rate it may act.
+//! An instance's view of its fleet: whether it is in the majority partition, and at which rate it may run health checks.
 
 use crate::Millis;
 
-/// Largest rate of an instance that has just come to the majority.
+/// Maximum rate of an instance whose partition has just become the majority.
 const UNSETTLED_RATE: f64 = 0.5;
 
 /// An instance's view of the fleet.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct View {
-    /// Instances that the fleet should have.
+    /// Number of instances that the fleet should have.
     pub expected: usize,
-    /// Those that are alive, ourselves included.
+    /// Number of instances that are alive, including this one.
     pub alive: usize,
-    /// Those of them that receive our heartbeats, as far as their digests show; ourselves included.
+    /// Estimate, from recent digests, of how many of those receive our heartbeats; including this one.
     pub confirmed: usize,
-    /// Since when all but this is as it is.
+    /// When any other field last changed.
     pub since: Millis,
-    /// This part of the fleet is the majority.
+    /// This partition of the fleet is the majority.
     pub is_majority: bool,
-    /// It has been the majority for long enough for those who acted before to have noticed.
+    /// It has been the majority for long enough for the instances that acted before to have noticed.
     pub is_settled: bool,
-    /// The process was paused, or has just started, and has not received enough since.
+    /// The process was paused or has just started, and its view is not yet up to date.
     pub is_stale: bool,
 }
 
 impl View {
-    /// Takes what is seen now; `since` stays where nothing changed.
-    pub fn update(&mut self, now: Millis, seen: &View) {
-        let seen = View { since: self.since, ..*seen };
-        if seen != *self {
-            *self = View { since: now, ..seen };
+    /// Updates the view from an observation; `since` changes only if another field does.
+    pub fn update(&mut self, now: Millis, observed: &View) {
+        let observed = View { since: self.since, ..*observed };
+        if observed != *self {
+            *self = View { since: now, ..observed };
         }
     }
 
-    /// The share of its full rate at which this part of the fleet checks members: all of it in the majority, which takes
-    /// over from the others; elsewhere the part's own share of the fleet. So all parts together act at one and a half times
-    /// the rate of the undivided fleet at most, and at its rate at most where no part is the majority.
+    /// The share of the full rate at which this partition of the fleet checks members. The majority partition checks at the
+    /// full rate, as it takes over from the others; any other partition checks in proportion to its share of the fleet. All
+    /// partitions together thus check at most at one and a half times the rate of the undivided fleet, and at most at its
+    /// rate where no partition is the majority.
     ///
-    /// An instance that has just come to the majority, or with it, acts at half the rate for a moment: those that acted
-    /// before may not have received word of it yet, and stop only when they do, or when they notice that they are cut off.
+    /// A partition that has just become the majority, or an instance that has just joined it, checks at half the rate or
+    /// less at first: the instances that acted before stop only when they learn of the change, or detect that they are cut
+    /// off.
     pub fn rate(&self) -> f64 {
         let share = self.confirmed as f64 / self.expected.max(1) as f64;
         match (self.is_stale, self.is_majority, self.is_settled) {
@@ -50,8 +52,8 @@
     }
 }
 
-/// Whether a part of the fleet is the majority: more than half of it, and of two halves the one that has the instance with
-/// the first of all names.
+/// Whether a partition of the fleet is the majority: more than half of the instances, or exactly half of them including the
+/// instance whose name sorts first.
 pub fn is_majority(confirmed: usize, expected: usize, has_first: bool) -> bool {
     2 * confirmed > expected || 2 * confirmed == expected && has_first
 }
