--- a/crates/deckproxy-fleet/src/health.rs
+++ b/crates/deckproxy-fleet/src/health.rs
@@ -1,9 +1,9 @@
-//! The health of members: from an observer's checks and attempts to its report, and from all reports to whether the member
-//! is ejected.
+//! The health of members: how an observer derives its report from health checks and attempts, and how the reports of all
+//! observers decide whether a member is ejected.
 //!
-//! A member is ejected only where as many observers as are wanted report that it fails, and none reports otherwise. It
-//! returns in steps: it answers checks again, then its observers alone send it requests (a half-open trial), then all
-//! others do, each at a moment of its own.
+//! A member is ejected only if the required number of observers report it failing or half-open and none reports it healthy.
+//! It is reinstated in steps: first it passes health checks again, then only its observers send it requests (a half-open
+//! trial), then all other instances do, each after a delay of its own.
 
 use crate::Millis;
 use serde::{Deserialize, Serialize};
@@ -11,12 +11,12 @@
 /// An observer's report on a member. The order of the variants is the wire format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Health {
-    /// It answers checks.
+    /// It passes health checks.
     #[default]
     Healthy,
-    /// It does not answer checks.
+    /// It does not pass health checks.
     Failing,
-    /// It answers checks again, and is on trial with requests of its observers.
+    /// It passes health checks again, and is on trial with requests from its observers.
     HalfOpen,
 }
 
@@ -31,16 +31,17 @@
     }
 }
 
-/// What it takes to change an observer's report.
+/// Thresholds at which an observer's report changes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Thresholds {
-    /// Failed checks in a row after which a member fails.
+    /// Consecutive failed checks after which a member is reported failing.
     pub failures: u32,
-    /// Good checks in a row after which a failing member is on trial.
+    /// Consecutive successful checks after which a failing member is on trial.
     pub successes: u32,
-    /// Good attempts that end the trial.
+    /// Successful attempts that end the trial.
     pub trial_successes: u32,
-    /// Milliseconds without a failure that end the trial too, where few requests come.
+    /// Time without a failure, in milliseconds, after which a successful check ends the trial too, for members that receive
+    /// few requests.
     pub trial_time: Millis,
 }
 
@@ -50,36 +51,36 @@
     }
 }
 
-/// An observer's evidence on one member.
+/// An observer's state on one member: its current report and the evidence for the next one.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Monitor {
     health: Health,
-    /// Checks in a row that ended like the last one.
+    /// Number of consecutive checks with the same result as the last one.
     streak: u32,
     last_was_good: bool,
-    /// Good attempts in the state.
+    /// Successful attempts since the state began.
     good_attempts: u32,
     /// When the state began.
-    since: Millis,
+    state_since: Millis,
 }
 
 impl Monitor {
-    /// The health to report.
+    /// The health that this observer reports.
     pub fn health(&self) -> Health {
         self.health
     }
 
-    /// Whether that has been observed and is not only the initial assumption: an observer that has just taken over a
-    /// failing member must not report it healthy before it has seen that.
+    /// Whether the health rests on checks rather than on the initial assumption: an observer that has just taken over a
+    /// failing member must not report it healthy before a check has succeeded.
     pub fn is_observed(&self) -> bool {
         self.health != Health::Healthy || self.last_was_good
     }
 
     fn change_to(&mut self, now: Millis, health: Health) {
-        (self.health, self.good_attempts, self.since) = (health, 0, now);
+        (self.health, self.good_attempts, self.state_since) = (health, 0, now);
     }
 
-    /// A health check of this observer ended.
+    /// Records the result of a health check by this observer.
     pub fn health_checked(&mut self, now: Millis, thresholds: &Thresholds, good: bool) {
         self.streak = if self.last_was_good == good { self.streak + 1 } else { 1 };
         self.last_was_good = good;
@@ -90,16 +91,16 @@
             (Health::Failing, true) if self.streak >= thresholds.successes => {
                 self.change_to(now, Health::HalfOpen);
             }
-            // One failure ends a trial.
+            // A single failure ends a trial.
             (Health::HalfOpen, false) => self.change_to(now, Health::Failing),
-            (Health::HalfOpen, true) if now - self.since >= thresholds.trial_time => {
+            (Health::HalfOpen, true) if now - self.state_since >= thresholds.trial_time => {
                 self.change_to(now, Health::Healthy);
             }
             _ => {}
         }
     }
 
-    /// An attempt of this observer's requests ended; it counts during a trial only.
+    /// Records the result of an attempt by this observer; it has an effect during a trial only.
     pub fn attempt_ended(&mut self, now: Millis, thresholds: &Thresholds, good: bool) {
         if self.health != Health::HalfOpen {
             return;
@@ -117,18 +118,20 @@
 /// Whether the fleet ejects a member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Ejection {
-    /// No instance does.
+    /// No instance ejects it.
     #[default]
     None,
-    /// All do except its observers, which send it trial requests.
+    /// All instances eject it except its observers, which send it trial requests.
     ExceptObservers,
-    /// All do.
+    /// All instances eject it.
     All,
 }
 
-/// Combines the reports on a member. `wanted`: observers that have to agree. `ejected`: it is ejected so far; that stays so
-/// until an observer reports it healthy or none reports anything any more, as when one of its observers is lost.
-pub fn combine(reports: impl Iterator<Item = Health>, wanted: usize, ejected: bool) -> Ejection {
+/// Combines the reports on a member.
+///
+/// `required` is the number of observers that have to agree before a member is ejected. A member that is already `ejected`
+/// remains so, even when one of its observers is lost, until an observer reports it healthy or there are no reports.
+pub fn combine(reports: impl Iterator<Item = Health>, required: usize, ejected: bool) -> Ejection {
     let (mut failing, mut half_open, mut healthy) = (0, 0, 0);
     for report in reports {
         match report {
@@ -137,8 +140,8 @@
             Health::Healthy => healthy += 1,
         }
     }
-    let needed = if ejected { 1 } else { wanted.max(1) };
-    // One healthy report outweighs the others: those observers may be cut off themselves.
+    let needed = if ejected { 1 } else { required.max(1) };
+    // One healthy report overrules the others: their observers may be partitioned from the member.
     if healthy > 0 || failing + half_open < needed {
         Ejection::None
     } else if half_open > 0 {
