--- a/crates/deckproxy-fleet/src/instance.rs
+++ b/crates/deckproxy-fleet/src/instance.rs
@@ -1,4 +1,4 @@
-//! An instance of the program, and which of several incarnations under one name counts.
+//! An instance of the program, and which of several incarnations under one name takes precedence.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 /// The name of an instance, a zone or a member.
 pub type Name = Arc<str>;
 
-/// Longest name of an instance or a zone, in bytes.
+/// Maximum length of the name of an instance or a zone, in bytes.
 pub const MAX_NAME_BYTES: usize = 63;
 
 /// One incarnation of an instance, as it describes itself. The order of the fields is the wire format.
@@ -17,13 +17,13 @@
     pub name: Name,
     /// The zone in which it runs.
     pub zone: Name,
-    /// Where it receives datagrams.
+    /// The address at which it receives datagrams.
     pub address: SocketAddr,
-    /// Number of this process among those under the name: a later one has a higher number.
+    /// Distinguishes processes under the same name: a later process has a higher number.
     pub incarnation: u64,
-    /// How often this process was declared dead while it was alive, and refuted that.
+    /// Number of times that this process was declared dead while alive, and refuted it.
     pub renewals: u32,
-    /// Its share of the health checks relative to other instances, 1 to 1000.
+    /// Its weight in the distribution of health checks, 1 to 1000.
     pub weight: u16,
 }
 
@@ -36,7 +36,7 @@
             && self.address.port() > 0
     }
 
-    /// The order of incarnations and renewals under one name; the greater one counts.
+    /// Orders incarnations and renewals under one name; the greatest takes precedence.
     pub fn precedence(&self) -> (u64, u32) {
         (self.incarnation, self.renewals)
     }
@@ -53,7 +53,7 @@
 }
 
 impl foca::Identity for Instance {
-    /// Instances are told apart by name: a restart at another address replaces the earlier incarnation too.
+    /// Instances are identified by name, so that a restart at another address replaces the earlier incarnation too.
     type Addr = Name;
 
     fn renew(&self) -> Option<Self> {
--- a/crates/deckproxy-fleet/src/lib.rs
+++ b/crates/deckproxy-fleet/src/lib.rs
@@ -1,19 +1,20 @@
-//! What the instances of one fleet know of each other, and what they do together.
+//! Membership, gossip, distributed health checks and load shedding among the instances of a fleet.
 //!
-//! A state machine without I/O and clock: datagrams, results of health checks, the list of members and the time go in;
-//! datagrams, health checks and the set of ejected members come out ([`fleet::Fleet`]). Each instance decides alone at any
-//! moment; what it receives only makes it decide better, and nothing waits for it. See `docs/design/fleet.md`.
+//! [`fleet::Fleet`] is a state machine without I/O or a clock. Its inputs are datagrams, results of health checks,
+//! the list of members and the time; its outputs are datagrams, health checks and the set of ejected members. Each instance
+//! decides on its own at any time: data from other instances improves its decisions, but it never waits for them. See
+//! `docs/design/fleet.md`.
 //!
-//! - [`instance`]: names, incarnations and which of several counts.
-//! - [`wire`]: datagrams, and why one is dropped.
-//! - [`clock`]: time that stands still while the process is paused.
+//! - [`instance`]: names and incarnations, and which incarnation takes precedence.
+//! - [`wire`]: the encoding of datagrams, and the reasons for which they are dropped.
+//! - [`clock`]: a clock that excludes pauses of the process.
 //! - [`swim`]: membership by SWIM (the crate `foca`).
-//! - [`gossip_store`]: small versioned entries of each instance, replicated to all.
-//! - [`liveness`], [`acknowledgements`], [`view`]: which instances are alive, whether they hear us, and whether this part
-//!   of the fleet is the majority.
+//! - [`gossip_store`]: small versioned entries of each instance, replicated to all instances.
+//! - [`liveness`], [`acknowledgements`], [`view`]: which instances are alive, whether they receive our heartbeats, and
+//!   whether this partition of the fleet is the majority.
 //! - [`rendezvous`]: which instance observes which member.
-//! - [`health`]: from health checks and attempts to the ejection of members.
-//! - [`overload`]: load shedding and retry-after times that all instances apply alike.
+//! - [`health`]: the health of members from health checks and attempts, and when to eject them.
+//! - [`overload`]: load shedding and retry-after times that all instances apply consistently.
 #![forbid(unsafe_code)]
 
 pub mod acknowledgements;
@@ -30,5 +31,5 @@
 pub mod view;
 pub mod wire;
 
-/// A time of the host's monotonic clock, or a span, in milliseconds. Only differences of times mean anything.
+/// A time on the host's monotonic clock, or a duration, in milliseconds. Only differences between times are meaningful.
 pub type Millis = f64;
--- a/crates/deckproxy-fleet/src/wire.rs
+++ b/crates/deckproxy-fleet/src/wire.rs
@@ -1,7 +1,7 @@
-//! Datagrams between instances: their encoding, and why one is dropped.
+//! The encoding of datagrams between instances, and the reasons for which they are dropped.
 //!
 //! A datagram is a version byte, an eight-byte hash of the fleet's name, a message in the postcard encoding and a CRC-32C
-//! over all of that. None of it authenticates the sender: the operators' prefixes and the network have to.
+//! over all of that. The encoding does not authenticate the sender: that is left to the configured prefixes and the network.
 
 use crate::gossip_store::{Delta, Digest};
 use crate::instance::{Instance, MAX_NAME_BYTES};
@@ -10,30 +10,31 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Largest datagram, in bytes: no network fragments it.
+/// Maximum size of a datagram, in bytes; small enough not to be fragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
-/// Bytes that are left for a body, whatever the sender's names.
-pub const MAX_BODY_BYTES: usize = MAX_DATAGRAM_BYTES - FRAME - 2 * MAX_NAME_BYTES - SENDER;
-/// Version of the encoding; datagrams of another one are dropped.
+/// Maximum size of a body, in bytes; it fits with the longest names of the sender.
+pub const MAX_BODY_BYTES: usize = MAX_DATAGRAM_BYTES - FRAME_BYTES - 2 * MAX_NAME_BYTES - MAX_SENDER_BYTES;
+/// Version of the encoding; datagrams of another version are dropped.
 const VERSION: u8 = 1;
-/// Bytes of version, fleet and checksum.
-const FRAME: usize = 1 + 8 + 4;
-/// Most bytes of the sender beside its names: lengths, address, incarnation, renewals, weight and the body's kind.
-const SENDER: usize = 40;
+/// Size of the version, fleet hash and checksum, in bytes.
+const FRAME_BYTES: usize = 1 + 8 + 4;
+/// Maximum size of the sender without its names, in bytes: lengths, address, incarnation, renewals, weight and the body's
+/// kind.
+const MAX_SENDER_BYTES: usize = 40;
 
-/// What a datagram carries. The order of the variants and fields is the wire format.
+/// The content of a datagram. The order of the variants and fields is the wire format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Body {
-    /// A greeting to an instance that is not heard.
+    /// A greeting to an instance that is not considered alive.
     Hello {
-        /// It answers a greeting.
+        /// This is the reply to a greeting.
         is_reply: bool,
-        /// The receiver's last known incarnation, where that is a later one than the receiver's own.
+        /// The receiver's last known incarnation, if it is higher than the one that the receiver uses.
         known_incarnation: Option<u64>,
     },
-    /// A message of SWIM.
+    /// A SWIM message.
     Swim(Vec<u8>),
-    /// What the sender has of the gossip store.
+    /// The sender's versions of the gossip store's entries.
     Digest(Digest),
     /// Entries of the gossip store.
     Delta(Delta),
@@ -48,10 +49,10 @@
     pub body: Body,
 }
 
-/// Why a datagram is dropped.
+/// The reason for which a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DropReason {
-    /// It is from an address outside the operators' prefixes.
+    /// It is from an address outside the configured prefixes.
     ForeignAddress,
     /// It exceeds [`MAX_DATAGRAM_BYTES`].
     TooLarge,
@@ -63,7 +64,7 @@
     OtherFleet,
     /// It is from an earlier incarnation of its sender, or from an instance under our own name.
     StaleIncarnation,
-    /// The sender is new, and as many instances are known as are allowed.
+    /// The sender is new, and the limit on known instances is reached.
     TooManyInstances,
 }
 
@@ -79,12 +80,12 @@
 }
 
 impl Wire {
-    /// For the fleet of that name, whose instances have addresses in one of the prefixes.
+    /// Creates the codec of the fleet with this name; datagrams from addresses outside the prefixes are dropped.
     pub fn new(fleet: &str, prefixes: Vec<IpNet>) -> Self {
         Wire { fleet: xxh3_64(fleet.as_bytes()), prefixes }
     }
 
-    /// The datagram of a packet; `None` where it would exceed [`MAX_DATAGRAM_BYTES`].
+    /// Encodes a packet as a datagram; `None` if it would exceed [`MAX_DATAGRAM_BYTES`].
     pub fn encode(&self, packet: &Packet) -> Option<Vec<u8>> {
         let mut bytes = vec![VERSION];
         bytes.extend(self.fleet.to_le_bytes());
@@ -93,10 +94,10 @@
         (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
     }
 
-    /// The packet in a datagram.
+    /// Checks a datagram and decodes its packet.
     ///
     /// # Errors
-    /// Any reason but the last two, which depend on what is known of the sender.
+    /// Any [`DropReason`] but the last two, which depend on what is known of the sender.
     pub fn decode(&self, from: SocketAddr, datagram: &[u8]) -> Result<Packet, DropReason> {
         if !self.prefixes.iter().any(|prefix| prefix.contains(&from.ip().to_canonical())) {
             return Err(DropReason::ForeignAddress);
