--- a/crates/deckproxy-fleet/src/gossip_store/anti_entropy.rs
+++ b/crates/deckproxy-fleet/src/gossip_store/anti_entropy.rs
@@ -1,4 +1,4 @@
-//! Compares stores by digests and collects what the other one lacks.
+//! Compares stores by their digests, and collects the entries that the other store lacks.
 
 use super::messages::{AuthorUpdate, Delta, Digest, EntryUpdate, Mark, Position};
 use super::{Author, GossipStore, hash};
@@ -6,25 +6,26 @@
 use crate::instance::Name;
 use std::collections::BTreeSet;
 
-/// Most authors in one digest, so that it fits into a datagram; where there are more, digests take turns.
-const DIGEST_AUTHORS: usize = 40;
-/// Bytes that an author's header takes beside the name: two versions, the incarnation and the number of entries.
-const AUTHOR_HEADER: usize = 36;
-/// Bytes that must be left after an author's header for it to be worth beginning.
-const SMALLEST_ENTRY: usize = 32;
-/// Bytes that an entry takes beside its subject and value: kind, version, age, time to live and lengths.
-const ENTRY_HEADER: usize = 24;
+/// Maximum number of authors in one digest, so that it fits into a datagram; if there are more, successive digests rotate
+/// through them.
+const MAX_DIGEST_AUTHORS: usize = 40;
+/// Size of an author's header without the name, in bytes: two versions, the incarnation and the number of entries.
+const AUTHOR_HEADER_BYTES: usize = 36;
+/// Minimum space after an author's header, in bytes; with less remaining, the author is omitted.
+const MIN_ENTRY_BYTES: usize = 32;
+/// Size of an entry without its subject and value, in bytes: kind, version, age, time to live and lengths.
+const ENTRY_HEADER_BYTES: usize = 24;
 
-/// What follows from another instance's digest.
+/// The result of comparing another instance's digest with this store.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Comparison {
     /// Entries that the other instance lacks, as many as fit.
     pub delta: Delta,
-    /// Asks the other instance for what is missing here; `None` where nothing is.
+    /// A request for the entries that are missing here; `None` if there are none.
     pub request: Option<Digest>,
 }
 
-/// An author of whose entries another instance lacks those after a version.
+/// An author of whom another instance lacks the entries after a version.
 struct Missing {
     author: Name,
     after: u64,
@@ -33,35 +34,35 @@
 impl GossipStore {
     /// The digest to send to an instance.
     pub fn digest(&mut self, to: &str) -> Digest {
-        let complete = self.authors.len() <= DIGEST_AUTHORS;
-        let skip = if complete { 0 } else { self.turn % self.authors.len() };
-        self.turn = self.turn.wrapping_add(DIGEST_AUTHORS);
+        let complete = self.authors.len() <= MAX_DIGEST_AUTHORS;
+        let skip = if complete { 0 } else { self.rotation % self.authors.len() };
+        self.rotation = self.rotation.wrapping_add(MAX_DIGEST_AUTHORS);
         let rotated = self.authors.iter().cycle().skip(skip).take(self.authors.len());
-        let marks = rotated.take(DIGEST_AUTHORS).map(|(name, author)| mark(name, author)).collect();
+        let marks = rotated.take(MAX_DIGEST_AUTHORS).map(|(name, author)| mark(name, author)).collect();
         Digest { receiver: self.position(to), marks, complete, is_request: false }
     }
 
-    /// Compares the digest that `from` sent with this store. `budget`: bytes that the delta may have.
+    /// Compares the digest that `from` sent with this store. `budget` is the maximum size of the delta, in bytes.
     pub fn compare(&mut self, now: Millis, from: &str, digest: &Digest, budget: usize) -> Comparison {
-        let missing = self.missing_there(digest);
+        let missing = self.missing_at_peer(digest);
         let delta = self.delta(now, &missing, budget);
         let request = if digest.is_request { None } else { self.request(from, digest) };
         Comparison { delta, request }
     }
 
-    /// The owner's last entries after a version, for an instance that has all before them.
+    /// The owner's entries after a version, for an instance that has all earlier ones.
     pub fn recent(&self, now: Millis, after: u64, budget: usize) -> Delta {
         self.delta(now, &[Missing { author: self.own.clone(), after }], budget)
     }
 
-    fn by_hash(&self, hash: u64) -> Option<(&Name, &Author)> {
+    fn author_by_hash(&self, hash: u64) -> Option<(&Name, &Author)> {
         self.names.get(&hash).and_then(|name| self.authors.get_key_value(name))
     }
 
-    fn missing_there(&self, digest: &Digest) -> Vec<Missing> {
+    fn missing_at_peer(&self, digest: &Digest) -> Vec<Missing> {
         let mut missing = Vec::new();
         for mark in &digest.marks {
-            let Some((name, author)) = self.by_hash(mark.author) else { continue };
+            let Some((name, author)) = self.author_by_hash(mark.author) else { continue };
             if author.incarnation > mark.incarnation {
                 missing.push(Missing { author: name.clone(), after: 0 });
             } else if author.incarnation == mark.incarnation && author.version > mark.version {
@@ -73,24 +74,25 @@
             let unmarked = self.authors.keys().filter(|name| !marked.contains(&hash(name)));
             missing.extend(unmarked.map(|name| Missing { author: name.clone(), after: 0 }));
         }
-        // The own entries first, as others may have none of them; the rest take turns.
+        // Own entries come first, as no other instance may have them yet. The authors after the first are rotated, so that
+        // each is included in turn when not all fit.
         missing.sort_by_key(|missing| missing.author != self.own);
         if missing.len() > 2 {
-            let turn = self.turn % (missing.len() - 1);
-            missing[1..].rotate_left(turn);
+            let rotation = self.rotation % (missing.len() - 1);
+            missing[1..].rotate_left(rotation);
         }
         missing
     }
 
     fn request(&self, from: &str, digest: &Digest) -> Option<Digest> {
-        let marks: Vec<Mark> = digest.marks.iter().filter_map(|mark| self.behind(mark)).collect();
+        let marks: Vec<Mark> = digest.marks.iter().filter_map(|mark| self.position_if_behind(mark)).collect();
         let receiver = self.position(from);
         (!marks.is_empty()).then_some(Digest { receiver, marks, complete: false, is_request: true })
     }
 
-    /// The position here, where it is behind another instance's mark.
-    fn behind(&self, mark: &Mark) -> Option<Mark> {
-        let here = self.by_hash(mark.author).map(|(_, author)| author.position());
+    /// This store's position, if it is behind another instance's mark.
+    fn position_if_behind(&self, mark: &Mark) -> Option<Mark> {
+        let here = self.author_by_hash(mark.author).map(|(_, author)| author.position());
         if here.is_some_and(|here| here >= mark.position()) {
             return None;
         }
@@ -100,16 +102,16 @@
 
     fn delta(&self, now: Millis, missing: &[Missing], budget: usize) -> Delta {
         let mut delta = Delta::default();
-        let mut left = budget;
+        let mut remaining = budget;
         for Missing { author: name, after } in missing {
             let Some(author) = self.authors.get(name) else { continue };
-            let header = name.len() + AUTHOR_HEADER;
-            if left < header + SMALLEST_ENTRY {
+            let header = name.len() + AUTHOR_HEADER_BYTES;
+            if remaining < header + MIN_ENTRY_BYTES {
                 break;
             }
-            left -= header;
-            let update = author_update(now, name, author, *after, &mut left);
-            // A new incarnation is announced even when nothing was written in it yet.
+            remaining -= header;
+            let update = author_update(now, name, author, *after, &mut remaining);
+            // A new incarnation is announced even before an entry is written in it.
             if update.up_to > *after || *after == 0 {
                 delta.authors.push(update);
             }
@@ -122,8 +124,14 @@
     Mark { author: hash(name), incarnation: author.incarnation, version: author.version }
 }
 
-/// An author's entries after a version, as many as fit into the bytes that are `left`.
-fn author_update(now: Millis, name: &Name, author: &Author, after: u64, left: &mut usize) -> AuthorUpdate {
+/// An author's entries after a version, as many as fit into the `remaining` bytes.
+fn author_update(
+    now: Millis,
+    name: &Name,
+    author: &Author,
+    after: u64,
+    remaining: &mut usize,
+) -> AuthorUpdate {
     let live = author.entries.iter().filter(|(_, entry)| entry.version > after && !entry.is_expired(now));
     let mut newer: Vec<_> = live.collect();
     newer.sort_by_key(|(_, entry)| entry.version);
@@ -135,13 +143,13 @@
         entries: Vec::new(),
     };
     for (key, entry) in newer {
-        let size = key.subject.len() + entry.value.as_ref().map_or(0, Vec::len) + ENTRY_HEADER;
-        if size > *left {
-            // The receiver asks for the rest with its next digest.
+        let size = key.subject.len() + entry.value.as_ref().map_or(0, Vec::len) + ENTRY_HEADER_BYTES;
+        if size > *remaining {
+            // The receiver requests the rest with its next digest.
             update.up_to = update.entries.last().map_or(after, |last| last.version);
             break;
         }
-        *left -= size;
+        *remaining -= size;
         update.entries.push(EntryUpdate {
             key: key.clone(),
             version: entry.version,
--- a/crates/deckproxy-fleet/src/gossip_store/entry.rs
+++ b/crates/deckproxy-fleet/src/gossip_store/entry.rs
@@ -1,15 +1,15 @@
-//! Entries of the gossip store, their keys and the kinds of entries there are.
+//! Entries of the gossip store, their keys and their kinds.
 
 use crate::Millis;
 use crate::instance::Name;
 use serde::{Deserialize, Serialize};
 
-/// Largest value of an entry, in bytes: several entries must fit into one datagram.
+/// Maximum size of an entry's value, in bytes: several entries must fit into one datagram.
 pub const MAX_VALUE_BYTES: usize = 200;
-/// Longest subject of an entry, in bytes.
+/// Maximum length of an entry's subject, in bytes.
 pub const MAX_SUBJECT_BYTES: usize = 64;
 
-/// The kinds of entries. The numbers are sent over the network.
+/// The kinds of entries. The numbers are part of the wire format.
 pub mod kinds {
     /// An instance's heartbeat ([`crate::fleet::Heartbeat`]).
     pub const HEARTBEAT: u8 = 0;
@@ -17,12 +17,13 @@
     pub const HEALTH: u8 = 1;
     /// An instance's request counts ([`crate::overload::summary::Summary`]).
     pub const SUMMARY: u8 = 2;
-    /// The load shedding that the leader decided ([`crate::overload::shed_level::ShedLevel`]).
+    /// The load shedding decided by the leader ([`crate::overload::shed_level::ShedLevel`]).
     pub const SHED_LEVEL: u8 = 3;
-    /// Requests that an instance rejected ([`crate::overload::rejected::RejectionBatch`]); the subject is a slot number.
+    /// Requests that an instance rejected ([`crate::overload::rejection_batch::RejectionBatch`]); the subject is a slot
+    /// number.
     pub const REJECTIONS: u8 = 4;
 
-    /// Kinds that change so often that stores are not compared by them.
+    /// Kinds that change so often that they are excluded from the checksum by which stores are compared.
     pub const VOLATILE: [u8; 4] = [HEARTBEAT, SUMMARY, SHED_LEVEL, REJECTIONS];
 }
 
@@ -36,7 +37,7 @@
 }
 
 impl Key {
-    /// The key of an entry of a kind of which each author has one only.
+    /// The key for a kind of which each author has a single entry.
     pub fn of_kind(kind: u8) -> Self {
         Key { kind, subject: Name::from("") }
     }
@@ -47,16 +48,16 @@
 pub struct Entry {
     /// The author's version number.
     pub version: u64,
-    /// When it was written, on the clock of this instance.
+    /// When it was written, on this instance's clock.
     pub written_at: Millis,
     /// Time to live after `written_at`, in milliseconds.
     pub ttl: u32,
-    /// The value; `None` when the author withdrew the entry.
+    /// The value; `None` if the author withdrew the entry.
     pub value: Option<Vec<u8>>,
 }
 
 impl Entry {
-    /// Whether the time to live is over.
+    /// Whether the time to live has elapsed.
     pub fn is_expired(&self, now: Millis) -> bool {
         now - self.written_at >= f64::from(self.ttl)
     }
@@ -67,10 +68,10 @@
     }
 }
 
-/// A live entry as [`super::GossipStore::entries_of_kind`] yields it.
+/// A live entry, as returned by [`super::GossipStore::read`] and [`super::GossipStore::entries_of_kind`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EntryView<'a> {
-    /// Who wrote it.
+    /// The instance that wrote it.
     pub author: &'a Name,
     /// What it is about.
     pub subject: &'a Name,
@@ -83,6 +84,6 @@
 }
 
 /// Whether a key and a value are within the size limits.
-pub(super) fn fits(key: &Key, value: Option<&Vec<u8>>) -> bool {
+pub(super) fn is_within_limits(key: &Key, value: Option<&Vec<u8>>) -> bool {
     key.subject.len() <= MAX_SUBJECT_BYTES && value.is_none_or(|value| value.len() <= MAX_VALUE_BYTES)
 }
--- a/crates/deckproxy-fleet/src/gossip_store/messages.rs
+++ b/crates/deckproxy-fleet/src/gossip_store/messages.rs
@@ -1,4 +1,4 @@
-//! Messages by which two gossip stores are reconciled. The order of the fields is the wire format.
+//! The messages that reconcile two gossip stores. The order of the fields is the wire format.
 
 use super::entry::Key;
 use crate::instance::Name;
@@ -9,11 +9,11 @@
 pub struct Position {
     /// The author's incarnation.
     pub incarnation: u64,
-    /// The last version number in it.
+    /// The last version number in this incarnation.
     pub version: u64,
 }
 
-/// How far an instance is with the entries of one author.
+/// How much of one author's entries an instance has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Mark {
     /// Hash of the author's name.
@@ -25,26 +25,26 @@
 }
 
 impl Mark {
-    /// The mark's position in the author's sequence.
+    /// The position in the author's sequence that the mark denotes.
     pub fn position(&self) -> Position {
         Position { incarnation: self.incarnation, version: self.version }
     }
 }
 
-/// What an instance has of the store.
+/// Summary of the entries that an instance has.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// The sender's position in the entries of the receiver, which acknowledges what it has received from it.
+    /// The sender's position in the receiver's own entries; acknowledges those up to it.
     pub receiver: Option<Position>,
-    /// Positions by author; where there are too many for one digest, the next one has others.
+    /// Positions by author; if there are too many authors for one digest, the next digest covers others.
     pub marks: Vec<Mark>,
     /// `marks` covers all authors that the sender knows.
     pub complete: bool,
-    /// A request for the entries after `marks`, which is not answered by another digest.
+    /// Requests the entries after `marks`; the receiver does not respond with a digest.
     pub is_request: bool,
 }
 
-/// An entry as it is sent.
+/// An entry as sent between instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EntryUpdate {
     /// Its key.
@@ -53,9 +53,9 @@
     pub version: u64,
     /// Time since it was written, in milliseconds.
     pub age: u32,
-    /// Time to live from when it was written, in milliseconds.
+    /// Time to live since it was written, in milliseconds.
     pub ttl: u32,
-    /// The value; `None` when the author withdrew the entry.
+    /// The value; `None` if the author withdrew the entry.
     pub value: Option<Vec<u8>>,
 }
 
@@ -66,17 +66,17 @@
     pub author: Name,
     /// Its incarnation.
     pub incarnation: u64,
-    /// The entries begin after this version.
+    /// The entries start after this version.
     pub after: u64,
     /// All live entries up to this version are included.
     pub up_to: u64,
-    /// The entries in the order of their versions.
+    /// The entries, ordered by version.
     pub entries: Vec<EntryUpdate>,
 }
 
 /// Entries that the receiver lacks.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Delta {
-    /// By author.
+    /// The entries, grouped by author.
     pub authors: Vec<AuthorUpdate>,
 }
