--- a/crates/deckproxy-fleet/src/fleet/observation.rs
+++ b/crates/deckproxy-fleet/src/fleet/observation.rs
@@ -1,4 +1,4 @@
-//! Checks the health of this instance's share of the members, and reports on them.
+//! Checks the health of the members assigned to this instance, and reports on them.
 
 use super::{Effect, Fleet, ListedMember, kinds};
 use crate::Millis;
@@ -9,10 +9,10 @@
 
 /// A report's time to live, in milliseconds.
 const REPORT_TTL: Millis = 15_000.0;
-/// Time after which an unchanged report is written again, in milliseconds.
+/// Minimum time after which an unchanged report is written again, in milliseconds.
 const REPORT_REFRESH: Millis = 5000.0;
 
-/// What this instance knows of a member that it observes.
+/// The state of a member that this instance observes.
 pub(super) struct Observation {
     monitor: Monitor,
     /// When the report was last written.
@@ -49,25 +49,27 @@
         self.reassign = true;
     }
 
-    /// Number of members that this instance observes.
+    /// Number of members that are assigned to this instance.
     pub fn observed_count(&self) -> usize {
         self.health_checks.len()
     }
 
-    /// Whether this instance observes a member.
+    /// Whether a member is assigned to this instance.
     pub fn observes(&self, member: u32) -> bool {
         self.health_checks.is_assigned(member)
     }
 
-    /// A requested health check ended.
-    pub fn health_checked(&mut self, now: Millis, member: u32, good: bool) {
-        // One from before a pause, or of a member that others observe by now, does not count.
+    /// Records the result of a requested health check.
+    pub fn health_checked(&mut self, now: Millis, member: u32, succeeded: bool) {
+        // A check that began before a pause, or of a member that has been reassigned since, does not count.
         if self.health_checks.finish(member) && self.stale_since.is_none() {
-            self.record(now, member, |monitor, thresholds| monitor.health_checked(now, thresholds, good));
+            self.record(now, member, |monitor, thresholds| {
+                monitor.health_checked(now, thresholds, succeeded)
+            });
         }
     }
 
-    /// Whether any member is on trial with this instance's requests, so that `attempt_ended` has to be called.
+    /// Whether any member is on trial with this instance's requests, so that `attempt_ended` must be called.
     pub fn has_trials(&self) -> bool {
         self.observations.values().any(Observation::is_on_trial)
     }
@@ -77,18 +79,18 @@
         self.observations.get(&member).is_some_and(Observation::is_on_trial)
     }
 
-    /// An attempt at a member ended.
-    pub fn attempt_ended(&mut self, now: Millis, member: u32, good: bool) {
+    /// Records the result of an attempt at a member.
+    pub fn attempt_ended(&mut self, now: Millis, member: u32, succeeded: bool) {
         if self.is_on_trial(member) {
-            self.record(now, member, |monitor, thresholds| monitor.attempt_ended(now, thresholds, good));
+            self.record(now, member, |monitor, thresholds| monitor.attempt_ended(now, thresholds, succeeded));
         }
     }
 
-    /// Changes the evidence on a member, and writes the report where that changed or has to be refreshed.
-    fn record(&mut self, now: Millis, member: u32, change: impl FnOnce(&mut Monitor, &Thresholds)) {
+    /// Updates the state of a member, and writes the report if it has changed or has to be refreshed.
+    fn record(&mut self, now: Millis, member: u32, update: impl FnOnce(&mut Monitor, &Thresholds)) {
         let observation = self.observations.entry(member).or_default();
         let before = observation.monitor.health();
-        change(&mut observation.monitor, &self.settings.thresholds);
+        update(&mut observation.monitor, &self.settings.thresholds);
         let health = observation.monitor.health();
         let refresh = now - observation.reported_at >= REPORT_REFRESH && observation.monitor.is_observed();
         if health == before && !refresh {
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Assigns members anew where that is needed, and starts the health checks that are due.
+    /// Reassigns members if needed, and starts the health checks that are due.
     pub(super) fn check_members(&mut self, now: Millis) {
         if self.settings.observers == 0 || self.view.is_stale {
             return;
@@ -130,16 +132,17 @@
         let others = present.map(|peer| candidate(&peer.instance));
         // Index 0 is this instance.
         let candidates: Vec<Candidate> = std::iter::once(candidate(&own)).chain(others).collect();
-        let wanted = self.settings.observers;
+        let observer_count = self.settings.observers;
         let assigned = self.members.values().filter(|member| {
-            member.ready && observers(&member.name, &member.zone, &candidates, wanted).contains(&0)
+            member.ready && observers(&member.name, &member.zone, &candidates, observer_count).contains(&0)
         });
         let assigned = assigned.map(|member| (member.id, &*member.name));
         let interval = self.settings.health_check_interval;
         self.health_checks.assign(now, interval, self.view.rate(), &own.name, assigned);
     }
 
-    /// Withdraws the reports on members that others observe by now, or they would count beside those of the others.
+    /// Withdraws the reports on members that have been reassigned, as they would count in addition to those of the new
+    /// observers.
     fn withdraw_reports(&mut self, now: Millis) {
         let is_assigned = |id: &u32| self.health_checks.is_assigned(*id);
         let withdrawn: Vec<u32> = self.observations.keys().copied().filter(|id| !is_assigned(id)).collect();
--- a/crates/deckproxy-fleet/src/health.rs
+++ b/crates/deckproxy-fleet/src/health.rs
@@ -57,9 +57,9 @@
     health: Health,
     /// Number of consecutive checks with the same result as the last one.
     streak: u32,
-    last_was_good: bool,
+    last_check_succeeded: bool,
     /// Successful attempts since the state began.
-    good_attempts: u32,
+    successful_attempts: u32,
     /// When the state began.
     state_since: Millis,
 }
@@ -73,18 +73,18 @@
     /// Whether the health rests on checks rather than on the initial assumption: an observer that has just taken over a
     /// failing member must not report it healthy before a check has succeeded.
     pub fn is_observed(&self) -> bool {
-        self.health != Health::Healthy || self.last_was_good
+        self.health != Health::Healthy || self.last_check_succeeded
     }
 
     fn change_to(&mut self, now: Millis, health: Health) {
-        (self.health, self.good_attempts, self.state_since) = (health, 0, now);
+        (self.health, self.successful_attempts, self.state_since) = (health, 0, now);
     }
 
     /// Records the result of a health check by this observer.
-    pub fn health_checked(&mut self, now: Millis, thresholds: &Thresholds, good: bool) {
-        self.streak = if self.last_was_good == good { self.streak + 1 } else { 1 };
-        self.last_was_good = good;
-        match (self.health, good) {
+    pub fn health_checked(&mut self, now: Millis, thresholds: &Thresholds, succeeded: bool) {
+        self.streak = if self.last_check_succeeded == succeeded { self.streak + 1 } else { 1 };
+        self.last_check_succeeded = succeeded;
+        match (self.health, succeeded) {
             (Health::Healthy, false) if self.streak >= thresholds.failures => {
                 self.change_to(now, Health::Failing);
             }
@@ -101,15 +101,15 @@
     }
 
     /// Records the result of an attempt by this observer; it has an effect during a trial only.
-    pub fn attempt_ended(&mut self, now: Millis, thresholds: &Thresholds, good: bool) {
+    pub fn attempt_ended(&mut self, now: Millis, thresholds: &Thresholds, succeeded: bool) {
         if self.health != Health::HalfOpen {
             return;
         }
-        self.good_attempts += u32::from(good);
-        if !good {
+        self.successful_attempts += u32::from(succeeded);
+        if !succeeded {
             self.streak = 0;
             self.change_to(now, Health::Failing);
-        } else if self.good_attempts >= thresholds.trial_successes {
+        } else if self.successful_attempts >= thresholds.trial_successes {
             self.change_to(now, Health::Healthy);
         }
     }
--- a/crates/deckproxy-fleet/src/health_checks.rs
+++ b/crates/deckproxy-fleet/src/health_checks.rs
@@ -34,8 +34,8 @@
     /// Sets the members to observe, with the name of each.
     ///
     /// A newly assigned member is first checked within half of the interval that results from the rate, but no sooner than
-    /// one such interval after its last check: when members move between the partitions of a split fleet, a partition that
-    /// checks at a reduced rate must not start with a burst.
+    /// one such interval after its last check: while one partition of a split fleet takes over, the other, which checks at a
+    /// reduced rate, must not start with a burst.
     pub fn assign<'a>(
         &mut self,
         now: Millis,
