--- a/crates/deckproxy-fleet/src/fleet/admission.rs
+++ b/crates/deckproxy-fleet/src/fleet/admission.rs
@@ -1,4 +1,4 @@
-//! Load shedding of an instance among the others: what it shares, and log lines for the operators.
+//! Connects an instance's load shedding to the fleet: the entries that it shares, and log lines for operators.
 
 use super::Fleet;
 use crate::Millis;
@@ -6,22 +6,22 @@
 use crate::overload::summary::RESOURCES;
 use crate::overload::{Overload, Presence, PresentInstance, RequestInfo, RequestOutcome, Ticket, Verdict};
 
-/// Wording of the resources in log lines, with the verb's number.
+/// Names of the resources in log lines, each with the matching form of the verb.
 const RESOURCE_NAMES: [(&str, &str); RESOURCES] = [("the caches", "are"), ("the path to the sources", "is")];
 
 impl Fleet {
-    /// The state of load shedding; `None` where the fleet does not handle overload together.
+    /// The state of load shedding; `None` if coordinated load shedding is disabled.
     pub fn overload(&self) -> Option<&Overload> {
         self.overload.as_deref()
     }
 
-    /// Decides on a client's request; `None` where the fleet does not handle overload together.
+    /// Decides whether to admit a client's request; `None` if coordinated load shedding is disabled.
     pub fn request(&mut self, now: Millis, request: RequestInfo) -> Option<Verdict> {
         self.overload.as_mut().map(|overload| overload.request(now, request))
     }
 
-    /// An admitted request ended. `retry_after`: the decision module's time in milliseconds, where it rejected the request.
-    /// Returns the retry-after time to give.
+    /// Records the end of an admitted request. `retry_after` is the time in milliseconds with which the decision module
+    /// rejected it, if it did. Returns the retry-after time to send.
     pub fn request_ended(
         &mut self,
         now: Millis,
@@ -51,7 +51,7 @@
         let Some(mut overload) = self.overload.take() else { return };
         let before = *overload.level();
         let writes = overload.tick(now, &self.presence(), &self.store);
-        // While load is shed, entries do not wait for the next round of digests.
+        // While load is shed, new entries are pushed at once instead of with the next round of digests.
         let is_urgent = !writes.is_empty() && overload.level().sheds();
         for write in writes {
             let written = self.store.write(now, write.key, write.ttl, write.value);
@@ -67,7 +67,7 @@
     }
 }
 
-/// A line for the operators where the shedding of a resource begins or ends.
+/// A log line for operators when load shedding begins or ends for a resource.
 fn log_line(before: &ShedLevel, now: &ShedLevel) -> Option<String> {
     let lines = before.lines.iter().zip(&now.lines);
     let changes = RESOURCE_NAMES.into_iter().zip(lines).filter_map(|((name, verb), change)| match change {
--- a/crates/deckproxy-fleet/src/fleet/datagrams.rs
+++ b/crates/deckproxy-fleet/src/fleet/datagrams.rs
@@ -8,10 +8,10 @@
 use crate::wire::{Body, DropReason, MAX_BODY_BYTES, Packet};
 use std::net::SocketAddr;
 
-/// Within this time after the start, in milliseconds, a higher incarnation of our name is an earlier process whose clock
-/// was ahead; later it is another process that has replaced us.
-const START_PHASE: Millis = 10_000.0;
-/// From one announcement to an instance that SWIM does not consider alive to the next, in milliseconds.
+/// Time after the start, in milliseconds, within which a higher incarnation of our name that another instance reports is
+/// that of an earlier process whose clock was ahead; later it is that of a process that has replaced this one.
+const STARTUP_PERIOD: Millis = 10_000.0;
+/// Minimum interval between announcements to an instance that SWIM does not consider alive, in milliseconds.
 const ANNOUNCE_INTERVAL: Millis = 250.0;
 
 impl Fleet {
@@ -31,7 +31,7 @@
         self.process_membership(now);
     }
 
-    /// Passes a packet of a sender that counts: not of an earlier incarnation, and not one too many.
+    /// Accepts a packet unless its sender is of an earlier incarnation, uses our name or exceeds the limit on instances.
     fn check_sender(&mut self, packet: Packet) -> Result<Packet, DropReason> {
         let from = &packet.from;
         if from.name == self.own().name {
@@ -47,7 +47,8 @@
         let known = in_store.max(self.peers.get(&from.name).map(|peer| peer.instance.incarnation));
         match known {
             Some(known) if known > from.incarnation => {
-                // An instance that has just started with its clock behind has to learn it, or it is never heard.
+                // An instance that started with its clock behind needs the known incarnation: its datagrams are dropped
+                // until it uses a higher one.
                 if matches!(packet.body, Body::Hello { .. }) {
                     let to = from.clone();
                     self.send(&to, Body::Hello { is_reply: true, known_incarnation: Some(known) });
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Another process has replaced us under our name: takes no part in the fleet any more.
+    /// Leaves the fleet for good, as another process has replaced this one under its name.
     fn supersede(&mut self) {
         self.superseded = true;
         let name = self.own().name.clone();
@@ -75,8 +76,8 @@
         let own_time = self.clock.read(now).own;
         let is_alive = self.swim.alive().contains_key(&from.name);
         self.record_peer(&from);
-        // A sender that SWIM does not consider alive may consider us alive and no longer greet us, while we send it nothing;
-        // so any datagram of it is answered by an announcement. SWIM answers its own messages itself.
+        // A sender that SWIM does not consider alive may consider us alive and therefore send no greeting, while we send it
+        // nothing. So any datagram from it triggers an announcement, except SWIM messages, which SWIM responds to itself.
         if !is_alive && !matches!(body, Body::Swim(_)) {
             self.announce_to(now, own_time, &from);
         }
@@ -107,7 +108,7 @@
         known_incarnation: Option<u64>,
     ) {
         if let Some(known) = known_incarnation.filter(|known| *known >= self.own().incarnation) {
-            if now - self.started_at > START_PHASE {
+            if now - self.started_at > STARTUP_PERIOD {
                 return self.supersede();
             }
             self.swim.raise_incarnation(own_time, known);
@@ -142,7 +143,7 @@
         self.counters.over_limit += outcome.over_limit as u64;
         let own = self.own().incarnation;
         let is_replaced = outcome.own_later_incarnation.is_some_and(|later| later > own);
-        if is_replaced && now - self.started_at > START_PHASE {
+        if is_replaced && now - self.started_at > STARTUP_PERIOD {
             return self.supersede();
         }
         if outcome.new_entries > 0 {
--- a/crates/deckproxy-fleet/src/fleet/ejection.rs
+++ b/crates/deckproxy-fleet/src/fleet/ejection.rs
@@ -1,4 +1,4 @@
-//! Decides which members are ejected, from the reports of all observers.
+//! Decides which members are ejected, based on the reports of all observers.
 
 use super::{Effect, Fleet, kinds};
 use crate::Millis;
@@ -8,25 +8,25 @@
 use crate::rendezvous::keyed_uniform;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Steps between 0 and 1 of the draw that orders members for ejection.
+/// Resolution of the hash-based number from 0 to 1 that orders members for ejection.
 const ORDER_STEPS: f64 = 1e9;
 
 /// An observer's report on a member.
 struct Report {
     health: Health,
-    /// The observer is lost.
+    /// Whether the observer is lost.
     from_lost: bool,
 }
 
-/// A member to eject; the order decides which ones are where not all can be.
+/// A member to eject; the order decides which members are ejected when the limit does not allow all of them.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Nominee {
+struct EjectionCandidate {
     order: u64,
     id: u32,
 }
 
 impl Fleet {
-    /// Members that are ejected here.
+    /// The members that this instance ejects.
     pub fn ejected(&self) -> &BTreeSet<u32> {
         &self.ejected
     }
@@ -35,7 +35,7 @@
         if self.view.is_stale {
             return;
         }
-        let mut ejected = self.limit_ejections(self.nominees(now));
+        let mut ejected = self.limit_ejections(self.candidates(now));
         self.delay_reinstatements(now, &mut ejected);
         if ejected != self.ejected {
             self.log_ejections(&ejected);
@@ -55,25 +55,26 @@
         reports
     }
 
-    /// The members that the reports on them would have ejected, by kind.
-    fn nominees(&self, now: Millis) -> BTreeMap<u32, Vec<Nominee>> {
+    /// The members that should be ejected according to the reports on them, by kind; the limit is not yet applied.
+    fn candidates(&self, now: Millis) -> BTreeMap<u32, Vec<EjectionCandidate>> {
         let reports = self.reports(now);
-        let mut nominees: BTreeMap<u32, Vec<Nominee>> = BTreeMap::new();
+        let mut candidates: BTreeMap<u32, Vec<EjectionCandidate>> = BTreeMap::new();
         for member in self.members.values().filter(|member| member.ready) {
             let Some(reports) = reports.get(&member.name) else { continue };
-            if self.is_nominated(member.id, reports) {
+            if self.should_eject(member.id, reports) {
                 let order = (keyed_uniform(&member.name, "") * ORDER_STEPS) as u64;
-                nominees.entry(member.kind).or_default().push(Nominee { order, id: member.id });
+                candidates.entry(member.kind).or_default().push(EjectionCandidate { order, id: member.id });
             }
         }
-        nominees
+        candidates
     }
 
-    fn is_nominated(&self, member: u32, reports: &[Report]) -> bool {
-        // The last report of a lost observer neither ejects a member nor reinstates one: its successors have to check first.
+    fn should_eject(&self, member: u32, reports: &[Report]) -> bool {
+        // The last report of a lost observer neither ejects a member nor reinstates one: its successors have to check the
+        // member first.
         let ejected = self.ejected.contains(&member);
-        let counts = |report: &&Report| !report.from_lost || ejected && report.health != Health::Healthy;
-        let counted = reports.iter().filter(counts).map(|report| report.health);
+        let is_counted = |report: &&Report| !report.from_lost || ejected && report.health != Health::Healthy;
+        let counted = reports.iter().filter(is_counted).map(|report| report.health);
         match combine(counted, self.settings.observers, ejected) {
             Ejection::None => false,
             Ejection::ExceptObservers => !self.health_checks.is_assigned(member),
@@ -81,20 +82,21 @@
         }
     }
 
-    /// Never ejects so many of a kind that the others could not carry their load; the same ones on every instance.
-    fn limit_ejections(&self, nominees: BTreeMap<u32, Vec<Nominee>>) -> BTreeSet<u32> {
+    /// Limits the ejected share of each kind's ready members, so that the others can carry their load. Every instance
+    /// selects the same members.
+    fn limit_ejections(&self, candidates: BTreeMap<u32, Vec<EjectionCandidate>>) -> BTreeSet<u32> {
         let mut ejected = BTreeSet::new();
-        for (kind, mut nominees) in nominees {
+        for (kind, mut candidates) in candidates {
             let ready = self.members.values().filter(|member| member.ready && member.kind == kind).count();
-            let most = (ready as f64 * self.settings.max_ejected_share) as usize;
-            nominees.sort_unstable();
-            ejected.extend(nominees.into_iter().take(most).map(|nominee| nominee.id));
+            let max_ejected = (ready as f64 * self.settings.max_ejected_share) as usize;
+            candidates.sort_unstable();
+            ejected.extend(candidates.into_iter().take(max_ejected).map(|candidate| candidate.id));
         }
         ejected
     }
 
-    /// Keeps members ejected for a moment that each instance draws for itself, so that requests do not all return at once.
-    /// Observers do not wait: they have tried the member already.
+    /// Delays the reinstatement of members by a time that differs between instances, so that their requests do not all
+    /// return at once. Observers do not wait: they have already sent the member trial requests.
     fn delay_reinstatements(&mut self, now: Millis, ejected: &mut BTreeSet<u32>) {
         let reinstated: Vec<u32> = self.ejected.difference(ejected).copied().collect();
         for id in reinstated {
--- a/crates/deckproxy-fleet/src/fleet/gossip.rs
+++ b/crates/deckproxy-fleet/src/fleet/gossip.rs
@@ -1,4 +1,4 @@
-//! Writes heartbeats and spreads the gossip store.
+//! Writes heartbeats, and sends digests, pushes and greetings.
 
 use super::{Fleet, Heartbeat, kinds};
 use crate::Millis;
@@ -9,16 +9,16 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Instances that a round's digests go to.
+/// Number of instances that receive a digest in each round.
 const DIGEST_FANOUT: usize = 2;
-/// Instances that new entries are pushed to at once.
+/// Number of instances to which new entries are pushed at once.
 const PUSH_FANOUT: usize = 3;
-/// Most addresses that are greeted at a time.
-const GREETING_FANOUT: usize = 3;
-/// Last entries that are pushed: the receivers have those before them, or request them with their next digest.
+/// Maximum number of addresses that are sent a greeting in each round.
+const HELLO_FANOUT: usize = 3;
+/// Number of latest entries that are pushed: receivers have the earlier ones, or get them by the exchange of digests.
 const PUSHED_ENTRIES: u64 = 2;
-/// A heartbeat's time to live, in times after which its author is lost.
-const HEARTBEAT_TTL: f64 = 3.0;
+/// A heartbeat's time to live, as a multiple of `lost_after`.
+const HEARTBEAT_TTL_FACTOR: f64 = 3.0;
 
 impl Fleet {
     pub(super) fn write_heartbeat(&mut self, now: Millis) {
@@ -28,12 +28,12 @@
             known_instances: u16::try_from(self.known_instances()).unwrap_or(u16::MAX),
         };
         let value = postcard::to_stdvec(&heartbeat).unwrap_or_default();
-        let ttl = (HEARTBEAT_TTL * self.timeouts().lost_after) as u32;
+        let ttl = (HEARTBEAT_TTL_FACTOR * self.timeouts().lost_after) as u32;
         self.store.write(now, Key::of_kind(kinds::HEARTBEAT), ttl, Some(value));
         self.acknowledgements.heartbeat_written(now, self.store.last_version());
     }
 
-    /// Sends digests to some instances.
+    /// Sends digests to a random sample of the instances that are alive.
     pub(super) fn send_digests(&mut self) {
         for to in self.sample_alive(DIGEST_FANOUT) {
             let digest = self.store.digest(&to.name);
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Sends the own last entries to some instances at once.
+    /// Pushes this instance's latest entries to a random sample of the instances that are alive.
     pub(super) fn push(&mut self, now: Millis) {
         for to in self.sample_alive(PUSH_FANOUT) {
             let after = self.store.last_version().saturating_sub(PUSHED_ENTRIES);
@@ -55,8 +55,9 @@
         alive.sample(&mut self.rng, count).cloned().collect()
     }
 
-    /// Greets some of those that SWIM does not consider alive: seeds, and instances that were lost.
-    pub(super) fn greet(&mut self) {
+    /// Sends greetings to a random sample of the seeds and known instances that SWIM does not consider alive and that have
+    /// not left.
+    pub(super) fn send_hellos(&mut self) {
         let alive = self.swim.alive();
         let reached: BTreeSet<SocketAddr> = alive.values().map(|peer| self.address_of(peer)).collect();
         let seeds = self.settings.seeds.iter().copied();
@@ -65,7 +66,7 @@
         let own = self.settings.own.address;
         let unreached = seeds.chain(lost).filter(|to| !reached.contains(to) && *to != own);
         let unreached: BTreeSet<SocketAddr> = unreached.collect();
-        for to in unreached.into_iter().sample(&mut self.rng, GREETING_FANOUT) {
+        for to in unreached.into_iter().sample(&mut self.rng, HELLO_FANOUT) {
             self.send_to(to, Body::Hello { is_reply: false, known_incarnation: None });
         }
     }
--- a/crates/deckproxy-fleet/src/fleet/mod.rs
+++ b/crates/deckproxy-fleet/src/fleet/mod.rs
@@ -1,10 +1,10 @@
-//! One instance of a fleet as a state machine: datagrams, results of health checks and the time in; datagrams, health checks
-//! and the set of ejected members out.
+//! One instance of a fleet as a state machine: its inputs are datagrams, results of health checks and the time; its outputs
+//! are datagrams, health checks and the set of ejected members.
 //!
 //! - `types`: settings, effects and counters.
-//! - `datagrams`, `gossip`, `sending`: what is received, spread and sent.
+//! - `datagrams`, `gossip`, `sending`: received datagrams, periodic gossip, and sending within the byte budget.
 //! - `peers`, `view_update`: the other instances, and the view of the fleet.
-//! - `observation`, `ejection`: health checks of members, and which of them are ejected.
+//! - `observation`, `ejection`: health checks of members, and the ejection of members.
 //! - `admission`: load shedding.
 
 mod admission;
@@ -38,13 +38,14 @@
 use sending::ByteBudget;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Longest time from one tick to the next, in milliseconds.
+/// Maximum time between two ticks, in milliseconds.
 pub const TICK: Millis = 100.0;
-/// From one greeting of instances that are not heard to the next, in milliseconds.
-const GREETING_INTERVAL: Millis = 1000.0;
-/// Factors by which periodic intervals vary, so that instances do not fall into step.
+/// Interval between greetings to instances that are not alive, in milliseconds; expired entries are removed at the
+/// same interval.
+const HELLO_INTERVAL: Millis = 1000.0;
+/// Jitter factors of periodic intervals; they keep instances from synchronizing.
 const JITTER: std::ops::Range<f64> = 0.9..1.1;
-/// Sets the random numbers apart from those that SWIM draws from the same seed.
+/// Separates this generator's random numbers from those that SWIM draws with the same seed.
 const SEED_MASK: u64 = 0x666c_6565_7400_0000;
 
 /// One instance of a fleet.
@@ -60,24 +61,25 @@
     members: BTreeMap<u32, ListedMember>,
     observations: BTreeMap<u32, Observation>,
     health_checks: HealthCheckSchedule,
-    /// Members have to be assigned to observers anew.
+    /// Members have to be reassigned to observers.
     reassign: bool,
     ejected: BTreeSet<u32>,
-    /// When the ejection of each member that is to be reinstated ends.
+    /// When each member that is about to be reinstated is reinstated.
     reinstatements: BTreeMap<u32, Millis>,
     overload: Option<Box<Overload>>,
     rng: Pcg64Mcg,
     started_at: Millis,
-    /// Start of the process or end of a pause; nothing is decided for the fleet until enough was received since then.
+    /// Start of the process or end of a pause, while the view is stale. Until the view is up to date again, no members are
+    /// checked, ejected or reinstated.
     stale_since: Option<Millis>,
-    /// Since when this part has been the majority, with a view that is not stale.
+    /// Since when this partition has been the majority, with a view that is not stale.
     majority_since: Option<Millis>,
-    /// Another process has replaced us under our name.
+    /// Another process has replaced this one under its name.
     superseded: bool,
     leaving: bool,
     next_heartbeat: Millis,
     next_digests: Millis,
-    next_greeting: Millis,
+    next_hello: Millis,
     budget: ByteBudget,
     open_requests: u32,
     status: FleetStatus,
@@ -87,7 +89,7 @@
 }
 
 impl Fleet {
-    /// An instance that starts now and knows no other.
+    /// Creates an instance that starts now and knows no other.
     pub fn new(now: Millis, settings: Settings, seed: u64) -> Self {
         let own = settings.own.clone();
         let mut clock = PauseAwareClock::new(settings.pause_threshold);
@@ -115,7 +117,7 @@
             leaving: false,
             next_heartbeat: now,
             next_digests: now,
-            next_greeting: now,
+            next_hello: now,
             budget: ByteBudget::new(now, settings.bytes_per_second),
             open_requests: 0,
             status: FleetStatus::default(),
@@ -125,7 +127,7 @@
         }
     }
 
-    /// Takes the next effect to carry out.
+    /// Removes and returns the next effect for the caller to carry out.
     pub fn next_effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
@@ -140,22 +142,22 @@
         &self.store
     }
 
-    /// Ourselves, in the present incarnation and renewal.
+    /// This instance, with its current incarnation and renewal count.
     pub fn own(&self) -> &Instance {
         self.swim.own()
     }
 
-    /// The settings in force.
+    /// The current settings.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// The other instances of a status.
+    /// The other instances with a status.
     pub fn instances_with(&self, status: PeerStatus) -> impl Iterator<Item = &Instance> {
         self.peers.values().filter(move |peer| peer.status == status).map(|peer| &peer.instance)
     }
 
-    /// The status of another instance; `None` where it is not known.
+    /// The status of another instance; `None` if it is not known.
     pub fn status_of(&self, name: &str) -> Option<PeerStatus> {
         self.peers.get(name).map(|peer| peer.status)
     }
@@ -165,7 +167,8 @@
         self.open_requests = open_requests;
     }
 
-    /// Leaves the fleet: announces it, and does nothing for the fleet any more.
+    /// Announces the departure from the fleet, and stops health checks and periodic work. Received datagrams are still
+    /// handled.
     pub fn leave(&mut self, now: Millis) {
         if std::mem::replace(&mut self.leaving, true) || self.superseded {
             return;
@@ -179,9 +182,8 @@
         self.process_membership(now);
     }
 
-    /// Takes new settings. The instance itself, the fleet's name, SWIM's timing and the handling of overload stay as they
-    /// are, since the others or SWIM know the old ones; returns whether the new settings differ in these and so need a
-    /// restart.
+    /// Applies new settings. The instance itself, the fleet's name, SWIM's timing and the overload settings are retained, as
+    /// other instances or SWIM depend on them; returns whether the new settings differ in these and so need a restart.
     pub fn reload(&mut self, new: Settings) -> bool {
         self.wire = Wire::new(&self.settings.fleet, new.prefixes.clone());
         let old = std::mem::replace(&mut self.settings, new);
@@ -199,7 +201,7 @@
         needs_restart
     }
 
-    /// When `tick` has to be called at the latest.
+    /// The latest time at which `tick` has to be called.
     pub fn next_due(&self) -> Millis {
         let swim = self.swim.next_due().map(|own_time| self.clock.to_host(own_time));
         let last_tick = self.budget.refilled_at().max(self.started_at);
@@ -207,7 +209,7 @@
         due.into_iter().flatten().fold(f64::MAX, f64::min)
     }
 
-    /// Does what is due.
+    /// Runs timers, periodic work and decisions that are due.
     pub fn tick(&mut self, now: Millis) {
         self.check_clock(now);
         self.budget.refill(now, self.settings.bytes_per_second);
@@ -233,14 +235,14 @@
             self.next_digests = now + self.settings.digest_interval * self.rng.random_range(JITTER);
             self.send_digests();
         }
-        if now >= self.next_greeting {
-            self.next_greeting = now + GREETING_INTERVAL * self.rng.random_range(JITTER);
-            self.greet();
+        if now >= self.next_hello {
+            self.next_hello = now + HELLO_INTERVAL * self.rng.random_range(JITTER);
+            self.send_hellos();
             self.store.drop_expired(now);
         }
     }
 
-    /// Reads the clock: a pause of the process makes the view stale.
+    /// Checks the clock for a pause of the process, which makes the view stale.
     fn check_clock(&mut self, now: Millis) {
         let Some(pause) = self.clock.read(now).pause else { return };
         self.counters.pauses += 1;
@@ -255,7 +257,7 @@
         Timeouts::for_fleet(self.settings.heartbeat_interval, self.view.expected)
     }
 
-    /// Reports the status where it has changed.
+    /// Reports the status if it has changed.
     fn report_status(&mut self, now: Millis) {
         let names = |status| self.instances_with(status).map(|instance| instance.name.clone()).collect();
         let status = FleetStatus {
--- a/crates/deckproxy-fleet/src/fleet/peers.rs
+++ b/crates/deckproxy-fleet/src/fleet/peers.rs
@@ -1,4 +1,4 @@
-//! The other instances that are known, and the status of each.
+//! The other known instances, and their status.
 
 use super::{Fleet, Heartbeat, kinds};
 use crate::Millis;
@@ -7,20 +7,20 @@
 use crate::swim::MembershipChange;
 use crate::wire::Body;
 
-/// Most instances that are known at a time.
-const MOST_PEERS: usize = 2048;
+/// Maximum number of other instances that are known at a time.
+const MAX_PEERS: usize = 2048;
 
 /// Another instance of the fleet.
 pub(super) struct Peer {
-    /// Its last incarnation.
+    /// Its latest known identity.
     pub(super) instance: Instance,
     /// Its status.
     pub(super) status: PeerStatus,
-    /// It announced that it leaves.
+    /// It has announced its departure.
     pub(super) left: bool,
-    /// Since when it has been lost or has left.
+    /// Since when it has been lost or left; `None` while it is present.
     absent_since: Option<Millis>,
-    /// When we last announced ourselves to it.
+    /// When this instance last announced itself to it.
     pub(super) announced_at: Millis,
 }
 
@@ -39,22 +39,22 @@
 impl Fleet {
     /// Whether an instance is known or may be added.
     pub(super) fn has_capacity_for(&self, name: &Name) -> bool {
-        self.peers.len() < MOST_PEERS || self.peers.contains_key(name)
+        self.peers.len() < MAX_PEERS || self.peers.contains_key(name)
     }
 
-    /// Number of instances that are known and have not left, ourselves included.
+    /// Number of known instances that have not left, including this one.
     pub(super) fn known_instances(&self) -> usize {
         self.peers.values().filter(|peer| peer.status != PeerStatus::Left).count() + 1
     }
 
-    /// Records an instance in its last incarnation.
+    /// Adds an instance, or updates it unless a later incarnation is known.
     pub(super) fn record_peer(&mut self, instance: &Instance) {
         if instance.name == self.own().name || !self.has_capacity_for(&instance.name) {
             return;
         }
         let known = self.peers.get(&instance.name).map(|peer| peer.instance.incarnation);
         let is_new = known.is_none_or(|known| known < instance.incarnation);
-        // A new instance or incarnation is present from now on, and observes its share of the members.
+        // A new instance or incarnation is present from now on, so its share of the members is assigned to it.
         self.reassign |= is_new;
         let peer = self.peers.entry(instance.name.clone()).or_insert_with(|| Peer::new(instance));
         if is_new {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Marks the instances whose heartbeats announce that they leave.
+    /// Marks the instances whose heartbeats announce their departure.
     pub(super) fn read_departures(&mut self, now: Millis) {
         let heartbeats = self.store.entries_of_kind(now, kinds::HEARTBEAT);
         let leaving = heartbeats.filter_map(|entry| {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Takes up SWIM's changes, sends its messages, and updates the status of all peers and the view.
+    /// Applies SWIM's membership changes, sends its messages, and updates the status of all peers and the view.
     pub(super) fn process_membership(&mut self, now: Millis) {
         while let Some(change) = self.swim.next_change() {
             match change {
@@ -101,7 +101,7 @@
 
     fn update_peers(&mut self, now: Millis) {
         let timeouts = self.timeouts();
-        let mut forgotten = Vec::new();
+        let mut expired = Vec::new();
         for (name, peer) in &mut self.peers {
             let alive = self.swim.alive().contains_key(name);
             let silence = self.store.silence(now, name);
@@ -111,10 +111,10 @@
             if status.is_present() {
                 peer.absent_since = None;
             } else if now - *peer.absent_since.get_or_insert(now) > self.settings.forget_after {
-                forgotten.push(name.clone());
+                expired.push(name.clone());
             }
         }
-        for name in forgotten {
+        for name in expired {
             self.peers.remove(&name);
             self.store.forget(&name);
             self.acknowledgements.forget(&name);
