--- a/crates/deckproxy-fleet/tests/gossip_store.rs
+++ b/crates/deckproxy-fleet/tests/gossip_store.rs
@@ -1,5 +1,5 @@
-//! The gossip store against a simple model: whatever the order, duplication and loss of datagrams, all stores end with the
-//! same entries, and those are the last ones that their authors wrote.
+//! Compares the gossip store with a simple model: regardless of reordering, duplication and loss of datagrams, all stores
+//! converge to the same entries, which are the last ones that their authors wrote.
 
 use deckproxy_fleet::gossip_store::{Delta, Digest, EntryView, GossipStore, Key, Limits};
 use deckproxy_fleet::instance::Name;
@@ -8,7 +8,7 @@
 
 /// Time to live of entries, in milliseconds.
 const TTL: u32 = 60_000;
-/// Bytes of a delta.
+/// Maximum size of a delta, in bytes.
 const BUDGET: usize = 1000;
 
 fn name(i: usize) -> Name {
@@ -22,14 +22,15 @@
 #[derive(Clone, Debug)]
 enum Step {
     Write(usize, u8, Option<u8>),
-    /// One sends another its digest; what follows from it is lost or duplicated by the bits of `fate`.
+    /// One instance sends its digest to another; the bits of `fate` decide which of the resulting messages are lost or
+    /// duplicated.
     Exchange {
         from: usize,
         to: usize,
         fate: u8,
     },
     Restart(usize),
-    /// An old datagram is received again.
+    /// An old message is delivered again.
     Replay(prop::sample::Index),
     Wait(u16),
 }
@@ -46,7 +47,7 @@
     prop::collection::vec(step, 1..120)
 }
 
-/// The last value of each key, with when it was written.
+/// The last value of each key, and when it was written.
 type Written = BTreeMap<Key, (f64, Option<Vec<u8>>)>;
 
 #[derive(Clone)]
@@ -59,7 +60,7 @@
     now: f64,
     stores: Vec<GossipStore>,
     incarnations: Vec<u64>,
-    /// By author, in its present incarnation.
+    /// The entries that each author has written in its current incarnation.
     model: Vec<Written>,
     sent: Vec<(usize, Sent)>,
 }
@@ -89,19 +90,19 @@
         }
     }
 
-    /// Delivers a digest and all that follows from it, by `fate`.
+    /// Delivers a digest and all resulting messages, except those that are lost; the bits of `fate` decide.
     fn exchange(&mut self, from: usize, to: usize, mut fate: u8) {
         let digest = self.stores[from].digest(&name(to));
         let mut first = self.sent.len();
         self.sent.push((to, Sent::Digest(from, digest)));
         while first < self.sent.len() && self.sent.len() < 4000 {
             let (to, message) = self.sent[first].clone();
-            let (lost, doubled) = (fate & 1 == 1, fate & 2 == 2);
+            let (lost, duplicated) = (fate & 1 == 1, fate & 2 == 2);
             fate = fate.rotate_right(2);
             if !lost {
                 self.deliver(to, message.clone());
             }
-            if doubled {
+            if duplicated {
                 self.deliver(to, message);
             }
             first += 1;
@@ -142,7 +143,7 @@
         for step in &steps {
             network.step(step);
         }
-        // All datagrams arrive for a while.
+        // Several rounds in which no message is lost.
         for _ in 0..4 {
             for from in 0..4 {
                 for to in (0..4).filter(|to| *to != from) {
@@ -155,9 +156,9 @@
             for (author, written) in network.model.iter().enumerate() {
                 for (key, (at, value)) in written {
                     let here = store.read(network.now, &name(author), key).map(|entry| entry.value.to_vec());
-                    // An entry expires its time to live after it was written, and nowhere before.
-                    let counts = network.now - at < f64::from(TTL) - 50.0;
-                    if counts {
+                    // An entry expires when its time to live since it was written has elapsed, and in no store earlier.
+                    let is_live = network.now - at < f64::from(TTL) - 50.0;
+                    if is_live {
                         prop_assert_eq!(&here, value);
                     } else if network.now - at >= f64::from(TTL) + 1.0 {
                         prop_assert_eq!(here, None);
@@ -170,7 +171,7 @@
         }
     }
 
-    /// An entry expires at the same time everywhere, however long it was on its way.
+    /// An entry expires at the same time in all stores, however long it was in transit.
     #[test]
     fn an_entry_keeps_its_age_when_it_is_passed_on(hops in prop::collection::vec(0..4000u16, 1..6)) {
         let mut stores: Vec<GossipStore> = (0..=hops.len()).map(|i| GossipStore::new(name(i), 1, Limits::default())).collect();
@@ -237,7 +238,8 @@
     assert!(rounds > 5, "a datagram is bounded");
 }
 
-/// A check of the check: a store that took up an earlier incarnation would have another checksum.
+/// Entries of a stale incarnation are dropped. A store that merged them would have another checksum, so the checksums
+/// compared in the other tests detect that fault.
 #[test]
 fn a_store_with_a_stale_incarnation_has_another_checksum() {
     let mut old = GossipStore::new(name(1), 1, Limits::default());
@@ -249,7 +251,7 @@
     let outcome = reader.merge(0.0, old.recent(0.0, 0, BUDGET));
     assert_eq!((outcome.new_entries, outcome.stale_incarnations), (0, 1));
     let sum = reader.checksum(0.0, &[]);
-    let mut misled = GossipStore::new(name(2), 1, Limits::default());
-    misled.merge(0.0, old.recent(0.0, 0, BUDGET));
-    assert_ne!(misled.checksum(0.0, &[]), sum);
+    let mut stale = GossipStore::new(name(2), 1, Limits::default());
+    stale.merge(0.0, old.recent(0.0, 0, BUDGET));
+    assert_ne!(stale.checksum(0.0, &[]), sum);
 }
--- a/crates/deckproxy-fleet/tests/instances.rs
+++ b/crates/deckproxy-fleet/tests/instances.rs
@@ -1,16 +1,16 @@
-//! Several instances in simulated time: membership, health checks and ejected members.
+//! Several instances in simulated time: membership, health checks and ejection of members.
 
 use deckproxy_fleet::liveness::PeerStatus;
 use deckproxy_rig::simulated_fleet::{NetworkConditions, SimulatedFleet, address, name};
 
-/// Time for all to hear each other after a start, in milliseconds.
+/// Maximum time after a start until all instances are alive to each other, in milliseconds.
 const CONVERGENCE: f64 = 8000.0;
 
 fn converged(instances: usize, seed: u64) -> SimulatedFleet {
     let mut sim = SimulatedFleet::new(instances, 2, 12, NetworkConditions::default(), seed);
     assert!(
         sim.until(CONVERGENCE, SimulatedFleet::hears_all).is_some(),
-        "all hear each other: {:?}",
+        "all instances are alive to each other: {:?}",
         sim.logs
     );
     sim.run(4000.0);
@@ -118,7 +118,7 @@
             "seed {seed}: {}",
             sim.peak_check_ratio(from, 2000.0)
         );
-        // It did not take others for dead because it was paused itself.
+        // It did not declare others dead because of its own pause.
         assert!(
             sim.logs.iter().all(|line| line.instance == 1 || !line.text.contains("declared dead")),
             "{:?}",
@@ -143,8 +143,8 @@
                 .count() as f64
                 / (12.0 * 2.0 * 8.0)
         };
-        assert!((0.9..1.1).contains(&by(&majority)), "the majority does all: {}", by(&majority));
-        assert!((0.3..0.45).contains(&by(&minority)), "the minority its share: {}", by(&minority));
+        assert!((0.9..1.1).contains(&by(&majority)), "the majority performs all checks: {}", by(&majority));
+        assert!((0.3..0.45).contains(&by(&minority)), "the minority performs its share: {}", by(&minority));
         sim.blocked_pairs.clear();
         let healed = sim.until(8000.0, SimulatedFleet::hears_all);
         assert!(healed.is_some(), "{:?}", sim.logs);
@@ -154,8 +154,8 @@
 }
 
 #[test]
-fn instances_that_are_not_heard_stop_though_they_hear_all() {
-    // Nothing arrives from the two at the three; the other direction works.
+fn instances_whose_datagrams_are_lost_reduce_their_checks() {
+    // Datagrams from instances 3 and 4 to the other three are lost; the reverse direction works.
     let mut sim = converged(5, 40);
     let from = sim.now;
     for one in [3, 4] {
@@ -164,16 +164,16 @@
     sim.run(15_000.0);
     assert!(sim.peak_check_ratio(from, 2000.0) < 2.0, "{}", sim.peak_check_ratio(from, 2000.0));
     let settled = sim.now - 8000.0;
-    let few = sim.health_checks.iter().filter(|check| check.at >= settled && check.instance >= 3).count()
-        as f64
-        / (12.0 * 2.0 * 8.0);
-    assert!(few < 0.5, "{few}");
+    let isolated_rate =
+        sim.health_checks.iter().filter(|check| check.at >= settled && check.instance >= 3).count() as f64
+            / (12.0 * 2.0 * 8.0);
+    assert!(isolated_rate < 0.5, "{isolated_rate}");
     sim.blocked_pairs.clear();
     assert!(sim.until(8000.0, SimulatedFleet::hears_all).is_some());
 }
 
 #[test]
-fn loss_and_reordering_neither_kill_nor_split() {
+fn loss_and_reordering_do_not_break_up_the_fleet() {
     for loss in [0.1, 0.3] {
         let net = NetworkConditions { lost_share: loss, duplicated_share: 0.2, max_delay: 60.0 };
         let mut sim = SimulatedFleet::new(6, 2, 12, net, 50);
@@ -216,7 +216,7 @@
     assert!(others.clone().all(|i| sim.fleet(i).ejected().contains(&4)), "and they alone");
     sim.run(8000.0);
     assert!((0..5).all(|i| sim.fleet(i).ejected().is_empty()), "{:?}", sim.logs);
-    // The others reinstated it one by one.
+    // The other instances reinstated it one after the other.
     let mut reinstated: Vec<f64> = sim
         .ejections
         .iter()
@@ -231,7 +231,7 @@
 #[test]
 fn an_observer_that_is_cut_off_ejects_nothing() {
     let mut sim = converged(5, 80);
-    // Instance 1 reaches no member; all others do.
+    // Instance 1 reaches no member; the others reach all of them.
     sim.unreachable_members.extend((0..12).map(|member| (1, member)));
     sim.run(15_000.0);
     assert!((0..5).all(|i| sim.fleet(i).ejected().is_empty()), "{:?}", sim.logs);
@@ -251,7 +251,7 @@
 #[test]
 fn an_instance_that_knows_no_other_is_not_the_majority() {
     let mut sim = SimulatedFleet::new(3, 1, 12, NetworkConditions::default(), 90);
-    // Before any datagram has arrived.
+    // Both are killed before any datagram has arrived.
     sim.kill(0);
     sim.kill(1);
     sim.run(10_000.0);
@@ -264,18 +264,18 @@
 fn the_later_of_two_processes_with_one_name_counts() {
     let mut sim = converged(4, 95);
     // Another process with the name i002, at another address and started later.
-    let rival = {
+    let replacement = {
         let mut settings = deckproxy_rig::simulated_fleet::settings(2, 2, u64::MAX / 2);
         settings.own.address = address(9);
         settings
     };
-    let mut fleet = deckproxy_fleet::fleet::Fleet::new(sim.now, rival, 5);
+    let mut fleet = deckproxy_fleet::fleet::Fleet::new(sim.now, replacement, 5);
     for _ in 0..40 {
         fleet.tick(sim.now);
         while let Some(effect) = fleet.next_effect() {
             if let deckproxy_fleet::fleet::Effect::Send { to, bytes } = effect {
                 sim.send(1.0, address(9), to, bytes.clone());
-                // Its datagrams also arrive at the one whose name it has.
+                // Its datagrams also arrive at the instance whose name it uses.
                 sim.send(1.0, address(9), address(2), bytes);
             }
         }
@@ -317,7 +317,11 @@
                     && !observers.contains(&ejection.instance)
             })
             .collect();
-        assert!(reinstated.is_empty(), "seed {seed}: sent there again: {reinstated:?} {:?}", sim.logs);
+        assert!(
+            reinstated.is_empty(),
+            "seed {seed}: reinstated while failing: {reinstated:?} {:?}",
+            sim.logs
+        );
         sim.failing_members.remove(&4);
         sim.run(14_000.0);
         assert!(
@@ -330,7 +334,7 @@
 
 #[test]
 fn lost_datagrams_make_no_instance_lost_and_few_suspect() {
-    let (mut suspect, mut lost, mut looks) = (0, 0, 0);
+    let (mut suspect, mut lost, mut samples) = (0, 0, 0);
     for seed in 1..13 {
         let mut sim = converged(5, seed);
         sim.network = NetworkConditions { lost_share: 0.3, duplicated_share: 0.2, max_delay: 60.0 };
@@ -342,13 +346,14 @@
                     let status = sim.fleet(i).status_of(&name(j));
                     suspect += usize::from(status == Some(PeerStatus::Suspect));
                     lost += usize::from(status == Some(PeerStatus::Lost));
-                    looks += 1;
+                    samples += 1;
                 }
             }
         }
     }
-    // A silent moment makes an instance suspect and hands nothing over. Heartbeats pushed beside the digests, and heartbeats
-    // that count against SWIM's verdict, make this a tenth; without them the bound on checks is reached ten times as often.
-    assert!(suspect * 100 < looks, "{suspect} suspect, {lost} lost of {looks}");
-    assert_eq!(lost, 0, "{suspect} suspect of {looks}");
+    // Short silence makes an instance suspect, which reassigns no members. Pushing entries in addition to the digests, and
+    // weighing heartbeats against SWIM's verdict, reduce the suspect share to a tenth; without both, the bound on checks is
+    // reached ten times as often.
+    assert!(suspect * 100 < samples, "{suspect} suspect, {lost} lost of {samples}");
+    assert_eq!(lost, 0, "{suspect} suspect of {samples}");
 }
--- a/crates/deckproxy-fleet/tests/rendezvous.rs
+++ b/crates/deckproxy-fleet/tests/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Which instance observes which member, and the bound on the health checks over all ways to split a fleet.
+//! The assignment of observers to members, and the bound on health checks over all partitions of a fleet.
 
 use deckproxy_fleet::instance::Name;
 use deckproxy_fleet::rendezvous::{Candidate, observers};
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn observers_are_of_the_own_zone_first_and_spread_evenly() {
+fn observers_in_the_members_zone_come_first_and_the_load_is_even() {
     let all = fleet(12, 3);
     let mut counts: BTreeMap<usize, usize> = BTreeMap::new();
     for m in 0..3000 {
@@ -28,7 +28,7 @@
         }
     }
     assert!(counts.values().all(|n| (400..600).contains(n)), "{counts:?}");
-    // A zone without enough instances gets observers of other zones.
+    // In a zone without enough instances, observers of other zones are added.
     let few: Vec<Candidate> =
         all.iter().filter(|c| &*c.zone != "z1" || &*c.name == "i001").cloned().collect();
     let two = observers("m1", "z1", &few, 2);
@@ -68,7 +68,7 @@
     View { expected, alive: confirmed, confirmed, since: 0.0, is_majority, is_settled, is_stale }.rate()
 }
 
-/// The health checks of one member relative to those intended, where each part of a fleet hears just itself.
+/// The health checks of one member relative to the intended number, where each part of a fleet reaches only itself.
 fn load(parts: &[Vec<usize>], n: usize, wanted: usize) -> f64 {
     let each = parts.iter().map(|part| {
         rate(part.len(), n, part.contains(&0)) * part.len().min(wanted) as f64 / wanted.min(n) as f64
@@ -76,7 +76,7 @@
     each.sum()
 }
 
-/// All ways to split a set into parts.
+/// All partitions of a set.
 fn partitions(n: usize) -> Vec<Vec<Vec<usize>>> {
     if n == 0 {
         return vec![vec![]];
@@ -107,25 +107,25 @@
             }
         }
     }
-    assert!(worst > 1.3, "the bound is nearly reached: {worst}");
+    assert!(worst > 1.3, "the bound is almost reached: {worst}");
 }
 
-/// Where views are not partitions and each instance hears any set: how many times the load a member may get. This bounds the
-/// rule alone: SWIM and the gossip store pass on what goes round a broken path, so that such views do not last.
+/// Bounds the checks of a member where views do not form partitions and each instance reaches any set of others. This is the
+/// bound of the rule alone: SWIM and the gossip store route around a broken path, so that such views do not last.
 #[test]
 fn the_load_is_bounded_over_all_views_of_five_instances() {
     let n = 5usize;
     let mut worst: f64 = 0.0;
-    // The instances in the order of their draws for the member: the first two of those in view observe.
+    // The instances are in the order of their scores for the member: the first two in a view observe it.
     for views in 0..(1u32 << (n * (n - 1))) {
         let mut sum = 0.0;
         for i in 0..n {
             let others = views >> (i * (n - 1)) & 0b1111;
-            // Bit j of `others` is instance j, or j + 1 from ourselves on.
+            // Bit j of `others` is instance j, or instance j + 1 if j >= i.
             let better = (0..i).filter(|j| others >> j & 1 == 1).count();
             if better < 2 {
-                let heard = 1 + others.count_ones() as usize;
-                sum += rate(heard, n, true) / 2.0;
+                let reachable = 1 + others.count_ones() as usize;
+                sum += rate(reachable, n, true) / 2.0;
             }
         }
         worst = worst.max(sum);
--- a/crates/deckproxy-fleet/tests/schedules.rs
+++ b/crates/deckproxy-fleet/tests/schedules.rs
@@ -1,5 +1,5 @@
-//! Hundreds of random schedules of kills, pauses, splits, one-way faults, restarts, loss and reordering, and what must hold
-//! in all of them. `DECKPROXY_SCHEDULES` sets how many are played, `DECKPROXY_SCHEDULE` plays that one alone.
+//! Checks invariants over hundreds of random schedules of kills, pauses, splits, one-way faults, restarts, loss and
+//! reordering. `DECKPROXY_SCHEDULES` sets the number of schedules, `DECKPROXY_SCHEDULE` runs a single one by its number.
 
 use deckproxy_rig::simulated_fleet::{NetworkConditions, Peak, SimulatedFleet};
 use proptest::prelude::*;
@@ -7,15 +7,16 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-fn schedules(usual: u64) -> std::ops::Range<u64> {
+/// The numbers of the schedules to run, `default_count` of them unless the environment says otherwise.
+fn schedules(default_count: u64) -> std::ops::Range<u64> {
     let number = |name| std::env::var(name).ok().and_then(|n| n.parse().ok());
     match number("DECKPROXY_SCHEDULE") {
         Some(one) => one..one + 1,
-        None => 0..number("DECKPROXY_SCHEDULES").unwrap_or(usual),
+        None => 0..number("DECKPROXY_SCHEDULES").unwrap_or(default_count),
     }
 }
 
-/// Plays a schedule of 30 s, one fault at a time with others beside it now and then; returns what it was.
+/// Runs a schedule of 30 s of random faults, some of which overlap; returns a description of its events.
 fn play(sim: &mut SimulatedFleet, rng: &mut Pcg64Mcg, loss: bool) -> Vec<String> {
     let mut events = Vec::new();
     let end = sim.now + 30_000.0;
@@ -23,17 +24,17 @@
     while sim.now < end {
         let n = sim.count();
         let one = rng.random_range(0..n);
-        let lasts = rng.random_range(500.0..6000.0);
+        let duration = rng.random_range(500.0..6000.0);
         match rng.random_range(0..6) {
             0 if sim.running().len() > n / 2 + 1 && sim.running().contains(&one) => {
                 sim.kill(one);
                 events.push(format!("{:.0} kill {one}", sim.now));
-                heals.push((sim.now + lasts, 0, one));
+                heals.push((sim.now + duration, 0, one));
             }
             1 if sim.running().contains(&one) && sim.running().len() > n / 2 + 1 => {
                 sim.pause(one);
                 events.push(format!("{:.0} stop {one}", sim.now));
-                heals.push((sim.now + lasts, 1, one));
+                heals.push((sim.now + duration, 1, one));
             }
             2 | 3 if sim.blocked_pairs.is_empty() => {
                 let mut all: Vec<usize> = (0..n).collect();
@@ -53,7 +54,7 @@
                     sim.split(&parts);
                     events.push(format!("{:.0} split {parts:?}", sim.now));
                 }
-                heals.push((sim.now + lasts, 2, 0));
+                heals.push((sim.now + duration, 2, 0));
             }
             4 if loss => {
                 sim.network = NetworkConditions {
@@ -62,7 +63,7 @@
                     max_delay: 80.0,
                 };
                 events.push(format!("{:.0} loss {:.2}", sim.now, sim.network.lost_share));
-                heals.push((sim.now + lasts, 3, 0));
+                heals.push((sim.now + duration, 3, 0));
             }
             _ => {}
         }
@@ -97,7 +98,7 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let n = rng.random_range(3..8);
         let mut sim = SimulatedFleet::new(n, 2, 8, NetworkConditions::default(), seed);
-        // A part in which no instance is left that knew all others can only learn the fleet's size from the operators.
+        // A partition without an instance that knew all others can get the fleet's size only from the settings.
         sim.expected_instances = n;
         sim.run(6000.0);
         let from = sim.now;
@@ -108,7 +109,7 @@
         let Peak { ratio, checks } = sim.check_peak(from, 2000.0);
         worst = worst.max(ratio);
         assert!(ratio < 2.0, "seed {seed}, {n} instances: {ratio} times the probes: {checks:?} {events:#?}");
-        // After that each member has its observers, and no more.
+        // Afterwards each member has exactly its intended observers.
         sim.run(4000.0);
         let from = sim.now;
         sim.run(12_000.0);
@@ -148,7 +149,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, ..ProptestConfig::default() })]
 
-    /// Garbled, truncated, foreign or random datagrams change nothing.
+    /// Corrupted, truncated, foreign or random datagrams have no effect.
     #[test]
     fn invalid_datagrams_change_nothing(bytes in prop::collection::vec(any::<u8>(), 0..1300), flips in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..4)) {
         use deckproxy_fleet::fleet::{Effect, Fleet};
@@ -158,7 +159,7 @@
         let good = std::iter::from_fn(|| other.next_effect()).find_map(|e| match e {
             Effect::Send { bytes, .. } => Some(bytes),
             _ => None,
-        }).expect("it greets its seed");
+        }).expect("it sends a greeting to its seed");
         let mut bad = good.clone();
         for (at, flip) in &flips {
             let at = at.index(bad.len());
--- a/crates/deckproxy-fleet/tests/wire_format.rs
+++ b/crates/deckproxy-fleet/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! The bytes of what is sent between instances: fields in the order of plain tuples, so that instances of different versions
-//! understand each other.
+//! The encoding of messages between instances: their fields are encoded in order, like those of plain tuples, so that
+//! instances of different versions interoperate.
 
 use deckproxy_fleet::fleet::{Heartbeat, kinds};
 use deckproxy_fleet::gossip_store::{AuthorUpdate, Delta, Digest, EntryUpdate, Key, Mark, Position};
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn kinds_have_their_numbers() {
+fn entry_kinds_keep_their_numbers() {
     let all = [kinds::HEARTBEAT, kinds::HEALTH, kinds::SUMMARY, kinds::SHED_LEVEL, kinds::REJECTIONS];
     assert_eq!(all, [0, 1, 2, 3, 4]);
 }
