--- a/crates/deckproxy-fleet/src/fleet/mod.rs
+++ b/crates/deckproxy-fleet/src/fleet/mod.rs
@@ -39,7 +39,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Maximum time between two ticks, in milliseconds.
-pub const TICK: Millis = 100.0;
+pub const MAX_TICK_INTERVAL: Millis = 100.0;
 /// Interval between greetings to instances that are not alive, in milliseconds; expired entries are removed at the
 /// same interval.
 const HELLO_INTERVAL: Millis = 1000.0;
@@ -205,7 +205,7 @@
     pub fn next_due(&self) -> Millis {
         let swim = self.swim.next_due().map(|own_time| self.clock.to_host(own_time));
         let last_tick = self.budget.refilled_at().max(self.started_at);
-        let due = [swim, self.health_checks.next_due(), Some(last_tick + TICK)];
+        let due = [swim, self.health_checks.next_due(), Some(last_tick + MAX_TICK_INTERVAL)];
         due.into_iter().flatten().fold(f64::MAX, f64::min)
     }
 
--- a/crates/deckproxy-rig/src/simulated_fleet/event_loop.rs
+++ b/crates/deckproxy-rig/src/simulated_fleet/event_loop.rs
@@ -4,7 +4,7 @@
 use super::settings::{address, instance_at};
 use super::{Ejection, HealthCheck, LogLine, SimulatedFleet};
 use deckproxy_fleet::Millis;
-use deckproxy_fleet::fleet::{Effect, Fleet, TICK};
+use deckproxy_fleet::fleet::{Effect, Fleet, MAX_TICK_INTERVAL};
 use rand::RngExt;
 use std::net::SocketAddr;
 
@@ -43,7 +43,7 @@
     /// Runs until a time, ms.
     pub fn run_to(&mut self, end: Millis) {
         while self.now < end {
-            let next = (self.now + TICK / 4.0).min(end);
+            let next = (self.now + MAX_TICK_INTERVAL / 4.0).min(end);
             while let Some((at, event)) = self.events.pop(next) {
                 self.now = self.now.max(at);
                 self.handle(event);
