--- a/crates/deckproxy-fleet/src/fleet/ejection.rs
+++ b/crates/deckproxy-fleet/src/fleet/ejection.rs
@@ -2,7 +2,7 @@
 
 use super::{Effect, Fleet, kinds};
 use crate::Millis;
-use crate::health::{Ejection, Health, combine};
+use crate::health::{Ejection, Health, combine_reports};
 use crate::instance::Name;
 use crate::liveness::PeerStatus;
 use crate::rendezvous::keyed_uniform;
@@ -75,7 +75,7 @@
         let ejected = self.ejected.contains(&member);
         let is_counted = |report: &&Report| !report.from_lost || ejected && report.health != Health::Healthy;
         let counted = reports.iter().filter(is_counted).map(|report| report.health);
-        match combine(counted, self.settings.observers, ejected) {
+        match combine_reports(counted, self.settings.observers, ejected) {
             Ejection::None => false,
             Ejection::ExceptObservers => !self.health_checks.is_assigned(member),
             Ejection::All => true,
--- a/crates/deckproxy-fleet/src/health.rs
+++ b/crates/deckproxy-fleet/src/health.rs
@@ -131,7 +131,7 @@
 ///
 /// `required` is the number of observers that have to agree before a member is ejected. A member that is already `ejected`
 /// remains so, even when one of its observers is lost, until an observer reports it healthy or there are no reports.
-pub fn combine(reports: impl Iterator<Item = Health>, required: usize, ejected: bool) -> Ejection {
+pub fn combine_reports(reports: impl Iterator<Item = Health>, required: usize, ejected: bool) -> Ejection {
     let (mut failing, mut half_open, mut healthy) = (0, 0, 0);
     for report in reports {
         match report {
--- a/crates/deckproxy-fleet/src/health/tests.rs
+++ b/crates/deckproxy-fleet/src/health/tests.rs
@@ -37,13 +37,13 @@
 #[test]
 fn a_single_failing_observer_ejects_nothing() {
     use Health::{Failing, HalfOpen, Healthy};
-    let new = |reports: &[Health]| combine(reports.iter().copied(), 2, false);
+    let new = |reports: &[Health]| combine_reports(reports.iter().copied(), 2, false);
     assert_eq!(new(&[Failing]), Ejection::None);
     assert_eq!(new(&[Failing, Healthy]), Ejection::None);
     assert_eq!(new(&[Failing, Failing]), Ejection::All);
     assert_eq!(new(&[Failing, HalfOpen]), Ejection::ExceptObservers);
     assert_eq!(new(&[Failing, HalfOpen, Healthy]), Ejection::None);
-    let still = |reports: &[Health]| combine(reports.iter().copied(), 2, true);
+    let still = |reports: &[Health]| combine_reports(reports.iter().copied(), 2, true);
     assert_eq!((still(&[Failing]), still(&[HalfOpen])), (Ejection::All, Ejection::ExceptObservers));
     assert_eq!((still(&[Failing, Healthy]), still(&[])), (Ejection::None, Ejection::None));
 }
