--- a/crates/deckproxy-fleet/src/fleet/gossip.rs
+++ b/crates/deckproxy-fleet/src/fleet/gossip.rs
@@ -45,7 +45,7 @@
     pub(super) fn push(&mut self, now: Millis) {
         for to in self.sample_alive(PUSH_FANOUT) {
             let after = self.store.last_version().saturating_sub(PUSHED_ENTRIES);
-            let delta = self.store.recent(now, after, MAX_BODY_BYTES);
+            let delta = self.store.own_entries_after(now, after, MAX_BODY_BYTES);
             self.send(&to, Body::Delta(delta));
         }
     }
--- a/crates/deckproxy-fleet/src/gossip_store/anti_entropy.rs
+++ b/crates/deckproxy-fleet/src/gossip_store/anti_entropy.rs
@@ -51,7 +51,7 @@
     }
 
     /// The owner's entries after a version, for an instance that has all earlier ones.
-    pub fn recent(&self, now: Millis, after: u64, budget: usize) -> Delta {
+    pub fn own_entries_after(&self, now: Millis, after: u64, budget: usize) -> Delta {
         self.delta(now, &[Missing { author: self.own.clone(), after }], budget)
     }
 
--- a/crates/deckproxy-fleet/tests/gossip_store.rs
+++ b/crates/deckproxy-fleet/tests/gossip_store.rs
@@ -201,12 +201,12 @@
     (0..5).for_each(|i| assert!(writer.write(0.0, key(i), TTL, Some(vec![0]))));
     assert!(!writer.write(0.0, key(9), TTL, Some(vec![0; 201])), "a value over 200 bytes");
     let mut reader = GossipStore::new(name(0), 1, limits);
-    let outcome = reader.merge(0.0, writer.recent(0.0, 0, BUDGET));
+    let outcome = reader.merge(0.0, writer.own_entries_after(0.0, 0, BUDGET));
     assert_eq!((outcome.new_entries, outcome.over_limit), (2, 3));
     for i in 2..8 {
         let mut other = GossipStore::new(name(i), 1, Limits::default());
         other.write(0.0, key(0), TTL, Some(vec![0]));
-        reader.merge(0.0, other.recent(0.0, 0, BUDGET));
+        reader.merge(0.0, other.own_entries_after(0.0, 0, BUDGET));
     }
     assert_eq!(reader.size().authors, 3, "authors");
     let mut own = GossipStore::new(name(0), 1, limits);
@@ -247,11 +247,11 @@
     let mut new = GossipStore::new(name(1), 2, Limits::default());
     new.write(0.0, key(2), TTL, Some(vec![8]));
     let mut reader = GossipStore::new(name(0), 1, Limits::default());
-    reader.merge(0.0, new.recent(0.0, 0, BUDGET));
-    let outcome = reader.merge(0.0, old.recent(0.0, 0, BUDGET));
+    reader.merge(0.0, new.own_entries_after(0.0, 0, BUDGET));
+    let outcome = reader.merge(0.0, old.own_entries_after(0.0, 0, BUDGET));
     assert_eq!((outcome.new_entries, outcome.stale_incarnations), (0, 1));
     let sum = reader.checksum(0.0, &[]);
     let mut stale = GossipStore::new(name(2), 1, Limits::default());
-    stale.merge(0.0, old.recent(0.0, 0, BUDGET));
+    stale.merge(0.0, old.own_entries_after(0.0, 0, BUDGET));
     assert_ne!(stale.checksum(0.0, &[]), sum);
 }
