--- a/crates/deckproxy-fleet/src/fleet/observation.rs
+++ b/crates/deckproxy-fleet/src/fleet/observation.rs
@@ -64,7 +64,7 @@
         // A check that began before a pause, or of a member that has been reassigned since, does not count.
         if self.health_checks.finish(member) && self.stale_since.is_none() {
             self.record(now, member, |monitor, thresholds| {
-                monitor.health_checked(now, thresholds, succeeded)
+                monitor.health_checked(now, thresholds, succeeded);
             });
         }
     }
