--- a/crates/deckproxy-sites/src/requester/connections.rs
+++ b/crates/deckproxy-sites/src/requester/connections.rs
@@ -147,6 +147,6 @@
 /// Sends an endpoint no new attempts for a while; it finishes those that it received. An endpoint that names no time
 /// is about to be replaced by another process.
 fn suspend(endpoint: &mut Endpoint, now: Millis, go_away: &GoAway) {
-    let span = if go_away.retry_after > 0.0 { go_away.retry_after } else { DEFAULT_UNAVAILABLE_TIME };
-    endpoint.unavailable_until = Some(now + span);
+    let duration = if go_away.retry_after > 0.0 { go_away.retry_after } else { DEFAULT_UNAVAILABLE_TIME };
+    endpoint.unavailable_until = Some(now + duration);
 }
--- a/crates/deckproxy-sites/src/requester/queue.rs
+++ b/crates/deckproxy-sites/src/requester/queue.rs
@@ -4,8 +4,8 @@
 use crate::Millis;
 use std::collections::BTreeSet;
 
-/// Time keys per millisecond.
-const KEYS_PER_MS: f64 = 1000.0;
+/// Microseconds per millisecond.
+const MICROS_PER_MS: f64 = 1000.0;
 
 /// A time as an ordered key, µs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -14,12 +14,12 @@
 impl TimeKey {
     /// The key of a time.
     pub(super) fn at(time: Millis) -> Self {
-        TimeKey((time.max(0.0) * KEYS_PER_MS) as u64)
+        TimeKey((time.max(0.0) * MICROS_PER_MS) as u64)
     }
 
     /// The earliest time later than every time with this key, ms.
     pub(super) fn upper_bound(self) -> Millis {
-        (self.0 + 1) as f64 / KEYS_PER_MS
+        (self.0 + 1) as f64 / MICROS_PER_MS
     }
 }
 
--- a/crates/deckproxy-sites/src/responder/attempts.rs
+++ b/crates/deckproxy-sites/src/responder/attempts.rs
@@ -12,7 +12,7 @@
 impl Responder {
     /// Accepts an attempt, unless its number was used before.
     pub(super) fn attempt_received(&mut self, now: Millis, connection: ConnectionId, request: Request) {
-        let Some(peer) = self.peers.get(&connection) else { return };
+        let Some(peer) = self.connections.get(&connection) else { return };
         let key = peer.session.clone();
         let Some(session) = self.sessions.get_mut(&key) else { return };
         let number = request.number;
@@ -52,7 +52,7 @@
 
     /// Releases an attempt: the requesting side needs nothing further of it.
     pub(super) fn release(&mut self, connection: ConnectionId, number: u64) {
-        let Some(peer) = self.peers.get(&connection) else { return };
+        let Some(peer) = self.connections.get(&connection) else { return };
         let Some(session) = self.sessions.get_mut(&peer.session) else { return };
         if number < session.lowest_open_attempt {
             return;
@@ -71,7 +71,7 @@
 
     /// Reports the status of an attempt whose connection was lost, and attaches it to the current connection.
     pub(super) fn resume(&mut self, now: Millis, connection: ConnectionId, number: u64) {
-        let Some(peer) = self.peers.get(&connection) else { return };
+        let Some(peer) = self.connections.get(&connection) else { return };
         let key = peer.session.clone();
         let Some(session) = self.sessions.get_mut(&key) else { return };
         let credit_window = session.credit_window;
@@ -105,12 +105,12 @@
     /// Processes the requesting side's lowest open attempt number: attempts with lower numbers have ended, whatever
     /// their last known state. They are discarded, and are not accepted if they arrive later.
     pub fn discard_attempts_below(&mut self, connection: ConnectionId, lowest_open_attempt: u64) {
-        let Some(peer) = self.peers.get(&connection) else { return };
+        let Some(peer) = self.connections.get(&connection) else { return };
         let Some(session) = self.sessions.get_mut(&peer.session) else { return };
         session.lowest_open_attempt = session.lowest_open_attempt.max(lowest_open_attempt);
         let open = session.attempts.split_off(&session.lowest_open_attempt);
-        let over = std::mem::replace(&mut session.attempts, open);
-        for attempt in over.into_values() {
+        let ended = std::mem::replace(&mut session.attempts, open);
+        for attempt in ended.into_values() {
             self.discard(attempt.progress);
         }
     }
--- a/crates/deckproxy-sites/src/responder/mod.rs
+++ b/crates/deckproxy-sites/src/responder/mod.rs
@@ -20,7 +20,7 @@
 pub use types::{Effect, RunId, RunResult, Usage};
 
 use crate::{ConnectionId, LinkLimits, Millis};
-use connections::Peer;
+use connections::PeerConnection;
 use session::{Session, SessionKey};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -43,7 +43,7 @@
 pub struct Responder {
     limits: LinkLimits,
     sessions: BTreeMap<SessionKey, Session>,
-    peers: BTreeMap<ConnectionId, Peer>,
+    connections: BTreeMap<ConnectionId, PeerConnection>,
     runs: BTreeMap<RunId, AttemptKey>,
     last_run: RunId,
     /// Bytes of responses that are not released yet.
@@ -62,7 +62,7 @@
         Responder {
             limits,
             sessions: BTreeMap::new(),
-            peers: BTreeMap::new(),
+            connections: BTreeMap::new(),
             runs: BTreeMap::new(),
             last_run: 0,
             retained_bytes: 0,
@@ -83,7 +83,7 @@
         Usage {
             runs: self.runs.len(),
             sessions: self.sessions.len(),
-            connections: self.peers.len(),
+            connections: self.connections.len(),
             retained_bytes: self.retained_bytes,
         }
     }
--- a/crates/deckproxy-sites/src/responder/responses.rs
+++ b/crates/deckproxy-sites/src/responder/responses.rs
@@ -25,7 +25,7 @@
         };
         let has_body = !result.body.is_empty();
         self.effects.push_back(Effect::Send(connection, Payload::Response(head)));
-        if let Some(peer) = self.peers.get_mut(&connection).filter(|_| has_body) {
+        if let Some(peer) = self.connections.get_mut(&connection).filter(|_| has_body) {
             peer.send_queue.push_back(number);
         }
     }
@@ -33,7 +33,7 @@
     /// Returns the next chunk for a connection that can send more. The bodies of a connection are sent in round-robin
     /// order, one chunk each; a body without credit leaves the queue until its window is extended.
     pub fn next_chunk(&mut self, connection: ConnectionId) -> Option<Payload> {
-        let peer = self.peers.get_mut(&connection)?;
+        let peer = self.connections.get_mut(&connection)?;
         let session = self.sessions.get_mut(&peer.session)?;
         for _ in 0..peer.send_queue.len() {
             let number = peer.send_queue.pop_front()?;
@@ -58,7 +58,7 @@
 
     /// Extends the credit window of a body, and queues the body again if it can be sent.
     pub(super) fn extend_window(&mut self, connection: ConnectionId, update: &WindowUpdate) {
-        let Some(peer) = self.peers.get_mut(&connection) else { return };
+        let Some(peer) = self.connections.get_mut(&connection) else { return };
         let Some(session) = self.sessions.get_mut(&peer.session) else { return };
         let Some(attempt) = session.attempts.get_mut(&update.number) else { return };
         let AttemptProgress::Completed(response) = &mut attempt.progress else { return };
--- a/crates/deckproxy-sites/src/site/mod.rs
+++ b/crates/deckproxy-sites/src/site/mod.rs
@@ -61,7 +61,7 @@
 impl SiteGateway {
     /// Creates a gateway whose process has just started. `epoch`: a number that no other process uses.
     pub fn new(config: SiteConfig, epoch: u64, now: Millis) -> Self {
-        let mut site = SiteGateway {
+        let mut gateway = SiteGateway {
             peers: Vec::new(),
             epoch,
             routes: RouteTable::new(&config.own_site, config.rules),
@@ -79,9 +79,9 @@
             trust: config.trust,
         };
         for peer in &config.peers {
-            site.add_peer(now, peer);
+            gateway.add_peer(now, peer);
         }
-        site
+        gateway
     }
 
     /// Removes and returns the next effect for the caller to execute.
