--- a/crates/deckproxy-sites/src/close.rs
+++ b/crates/deckproxy-sites/src/close.rs
@@ -8,7 +8,7 @@
 pub enum CloseReason {
     /// Nothing was received within the silence timeout.
     Silent,
-    /// The peer was removed from the configuration and no exchange is open.
+    /// The peer was removed from the configuration, and no exchange is open or the connection was silent.
     PeerRemoved,
     /// The other side sent a goodbye.
     Goodbye,
--- a/crates/deckproxy-sites/src/frame.rs
+++ b/crates/deckproxy-sites/src/frame.rs
@@ -58,7 +58,7 @@
     /// A purge from the sender's own feed, or one that it relays.
     #[prost(message, tag = "12")]
     Purge(Purge),
-    /// The serving side accepts no new attempts on any connection.
+    /// The serving side asks the requesting side to send no new attempts, on any connection.
     #[prost(message, tag = "13")]
     GoAway(GoAway),
 }
@@ -296,13 +296,13 @@
     pub origin_number: u64,
 }
 
-/// Announces that the serving side accepts no new attempts.
+/// Asks the requesting side to send no new attempts to the sender's process.
 #[derive(Clone, PartialEq, Message)]
 pub struct GoAway {
-    /// Why, for the log.
+    /// Why no new attempts are to be sent, for the log.
     #[prost(string, tag = "1")]
     pub reason: String,
-    /// Time after which the requesting side may retry, ms; 0: not known.
+    /// Time after which the requesting side may send attempts again, ms; 0: not known.
     #[prost(double, tag = "2")]
     pub retry_after: f64,
 }
--- a/crates/deckproxy-sites/src/limits.rs
+++ b/crates/deckproxy-sites/src/limits.rs
@@ -19,7 +19,7 @@
     pub max_exchanges: usize,
     /// Most requests that wait for one exchange, in addition to its leader.
     pub max_waiters: usize,
-    /// Most bytes of responses retained for peers without a connection.
+    /// Size of all retained responses above which those without a connection are evicted, bytes.
     pub max_retained: usize,
     /// Time over which a recovered endpoint's share grows to its full size, ms.
     pub recovery_ramp: Millis,
--- a/crates/deckproxy-sites/src/purges/mod.rs
+++ b/crates/deckproxy-sites/src/purges/mod.rs
@@ -149,8 +149,8 @@
         }
     }
 
-    /// Drops purges after which all older copies have expired, and peers from which nothing was received for two copy
-    /// lifetimes.
+    /// Drops purges after which all older copies have expired, and peers whose last hello, purge or heartbeat response
+    /// was received more than two copy lifetimes ago.
     pub fn tick(&mut self, now: Millis) {
         let copy_lifetime = self.limits.copy_lifetime;
         let expired =
@@ -162,7 +162,7 @@
     }
 
     /// Processes a purge that the peer with the given epoch sent. Returns the notice for this site and the number of
-    /// the new entry, or `None` if the purge is known already or the peer is not.
+    /// the new entry, or `None` if the purge is known already or the peer is unknown.
     pub fn received(&mut self, now: Millis, from_epoch: u64, purge: Purge) -> Option<(PurgeNotice, u64)> {
         let peer = self.peers.get_mut(&from_epoch)?;
         peer.last_received = now;
--- a/crates/deckproxy-sites/src/requester/connections.rs
+++ b/crates/deckproxy-sites/src/requester/connections.rs
@@ -144,8 +144,8 @@
     }
 }
 
-/// Sends an endpoint no new attempts for a while; it finishes those that it received. An endpoint that names no time
-/// is about to be replaced by another process.
+/// Stops sending new attempts to an endpoint for a while; it still completes those that it received. An endpoint that
+/// specifies no retry time is about to be replaced by another process.
 fn suspend(endpoint: &mut Endpoint, now: Millis, go_away: &GoAway) {
     let duration = if go_away.retry_after > 0.0 { go_away.retry_after } else { DEFAULT_UNAVAILABLE_TIME };
     endpoint.unavailable_until = Some(now + duration);
--- a/crates/deckproxy-sites/src/requester/endpoint.rs
+++ b/crates/deckproxy-sites/src/requester/endpoint.rs
@@ -10,11 +10,12 @@
 const INITIAL_BACKOFF: Millis = 25.0;
 /// Longest backoff before a reconnect, ms.
 const MAX_BACKOFF: Millis = 250.0;
-/// Attempts in flight allowed to an endpoint immediately after a recovery.
+/// Constant part of the limit of attempts in flight to an endpoint during its recovery ramp.
 const RECOVERY_ATTEMPTS: f64 = 16.0;
-/// Additional attempts in flight allowed at the end of the recovery ramp, after which there is no limit.
+/// Part of that limit that grows with the square of the endpoint's share, up to this number at the end of the ramp;
+/// after the ramp there is no limit.
 const RAMP_ATTEMPTS: f64 = 1024.0;
-/// Load share of an endpoint that has just recovered.
+/// Share of its full load that an endpoint receives when it has just recovered.
 const MIN_SHARE: f64 = 0.05;
 
 /// A heartbeat whose response was not received yet.
@@ -65,9 +66,9 @@
     pub(super) unresolved: BTreeMap<u64, Option<ConnectionId>>,
     /// Time since which no connection is up; `None` while one is up.
     pub(super) down_since: Option<Millis>,
-    /// When it last came up; its load share grows from then on.
+    /// When it last came up; its share grows from then on.
     pub(super) recovered_at: Millis,
-    /// Time until which it accepts no attempts.
+    /// Time until which it accepts no new attempts, after a `GoAway`.
     pub(super) unavailable_until: Option<Millis>,
     pub(super) next_connect_at: Millis,
     backoff: Millis,
@@ -106,7 +107,7 @@
         self.is_up() && self.unavailable_until.is_none_or(|until| now >= until)
     }
 
-    /// Whether fewer connections are open or being opened than intended.
+    /// Whether fewer connections are open or being opened than the target.
     pub(super) fn lacks_connections(&self) -> bool {
         self.connections.len() + self.connecting < self.target_connections
     }
@@ -135,12 +136,13 @@
         (!numbers.is_empty()).then(|| Payload::Resume(AttemptNumbers { numbers }))
     }
 
-    /// Share of its full load at this point of the recovery ramp, up to 1.
+    /// Share of its full load that it receives at this point of the recovery ramp, up to 1.
     fn share(&self, now: Millis, ramp: Millis) -> f64 {
         if ramp <= 0.0 { 1.0 } else { ((now - self.recovered_at) / ramp).clamp(MIN_SHARE, 1.0) }
     }
 
-    /// Load and round trip time relative to its share; the next attempt is sent to the endpoint with the lowest cost.
+    /// Product of load and round trip time, divided by its share; the next attempt is sent to the endpoint with the
+    /// lowest cost.
     pub(super) fn cost(&self, now: Millis, ramp: Millis) -> f64 {
         (self.attempts.len() as f64 + 1.0) * (1.0 + self.estimate.round_trip()) / self.share(now, ramp)
     }
--- a/crates/deckproxy-sites/src/requester/exchange.rs
+++ b/crates/deckproxy-sites/src/requester/exchange.rs
@@ -73,9 +73,9 @@
     /// The requests that wait for its response; the first one is the leader.
     pub(super) waiters: VecDeque<Waiter>,
     pub(super) attempt: Option<Attempt>,
-    /// Whether its next attempt is a retry.
+    /// Whether its next attempt is a retry, or replaces one that was not sent because its leader was rejected.
     pub(super) is_retry: bool,
-    /// When it is rejected; set once it is queued for an endpoint.
+    /// When it is rejected if no attempt was sent by then; set when it is queued for an endpoint.
     pub(super) queued_until: Option<Millis>,
 }
 
--- a/crates/deckproxy-sites/src/requester/types.rs
+++ b/crates/deckproxy-sites/src/requester/types.rs
@@ -82,7 +82,7 @@
 pub struct Counters {
     /// Requests received for forwarding.
     pub requests: u64,
-    /// Requests queued for an endpoint.
+    /// Requests queued for an endpoint; a request that is queued again counts again.
     pub queued: u64,
     /// Requests that joined the exchange of another request.
     pub collapsed: u64,
@@ -90,7 +90,7 @@
     pub attempts: u64,
     /// Attempts sent that were retries.
     pub retries: u64,
-    /// Requests rejected because no endpoint was available and had capacity within the queue timeout.
+    /// Requests rejected because no available endpoint had capacity within the queue timeout.
     pub rejected_unreachable: u64,
     /// Requests rejected because the response would have missed the deadline.
     pub rejected_saturated: u64,
--- a/crates/deckproxy-sites/src/responder/connections.rs
+++ b/crates/deckproxy-sites/src/responder/connections.rs
@@ -101,7 +101,8 @@
         }
     }
 
-    /// Announces to all requesting sides, present and future, that no new attempts are accepted.
+    /// Asks all requesting sides, on current and future connections, to send no new attempts. Attempts that still
+    /// arrive are executed.
     pub fn go_away(&mut self, reason: &str, retry_after: Millis) {
         let shutdown = Shutdown { reason: reason.to_string(), retry_after };
         for connection in self.connections.keys() {
--- a/crates/deckproxy-sites/src/responder/mod.rs
+++ b/crates/deckproxy-sites/src/responder/mod.rs
@@ -31,7 +31,7 @@
     attempt: u64,
 }
 
-/// The announcement that no new attempts are accepted.
+/// The request to all requesting sides to send no new attempts to this process.
 #[derive(Clone, Debug)]
 struct Shutdown {
     reason: String,
--- a/crates/deckproxy-sites/src/responder/session.rs
+++ b/crates/deckproxy-sites/src/responder/session.rs
@@ -23,7 +23,7 @@
 }
 
 impl RetainedResponse {
-    /// Whether credit allows a further part of the body to be sent.
+    /// Whether more of the body may be sent within the credit window.
     pub(super) fn is_sendable(&self) -> bool {
         self.sent < self.result.body.len().min(self.credit_limit)
     }
--- a/crates/deckproxy-sites/src/routes/validation.rs
+++ b/crates/deckproxy-sites/src/routes/validation.rs
@@ -66,12 +66,12 @@
         /// The sites passed; the last one appears twice.
         path: Vec<String>,
     },
-    /// The request would pass more sites than the first site allows.
+    /// The request would be forwarded more often than the first site allows.
     #[error("object {object:016x} takes over {max_hops} hops: {}", path.join(" > "))]
     TooManyHops {
         /// Number of the object.
         object: u64,
-        /// Largest number of hops that the first site allows.
+        /// How often the first site allows a request to be forwarded.
         max_hops: u32,
         /// The sites passed.
         path: Vec<String>,
@@ -85,7 +85,7 @@
     pub site: String,
     /// Its routes.
     pub rules: Vec<RouteRule>,
-    /// Most sites that a request may pass.
+    /// How often a request may be forwarded.
     pub max_hops: u32,
 }
 
--- a/crates/deckproxy-sites/src/site/config.rs
+++ b/crates/deckproxy-sites/src/site/config.rs
@@ -23,10 +23,10 @@
     pub peers: Vec<PeerConfig>,
     /// The routes.
     pub rules: Vec<RouteRule>,
-    /// Most sites that a request may pass.
+    /// How often a request may be forwarded, from its first site to its home.
     pub max_hops: u32,
     /// Limits of the links.
     pub link: LinkLimits,
-    /// Conditions under which copies are trusted.
+    /// Limits of the trust in copies.
     pub trust: TrustLimits,
 }
--- a/crates/deckproxy-sites/src/site/copy_age.rs
+++ b/crates/deckproxy-sites/src/site/copy_age.rs
@@ -9,9 +9,9 @@
 const RENEWAL_SHARE: f64 = 0.2;
 
 impl SiteGateway {
-    /// Limits the age of this site's copies to the grace period while a peer that may have been notified of purges of
-    /// this site's objects is unreachable: a copy within the limit is younger than any purge that must be enforced by
-    /// now.
+    /// Keeps the age of this site's copies below the grace period while a peer that may have been notified of purges of
+    /// this site's objects is unreachable, or its purges may be missing: a copy within the limit is more recent than
+    /// any purge that must be enforced by now.
     pub(super) fn limit_copy_age(&mut self, now: Millis) {
         let unreachable = self.unreachable_peer(now).filter(|_| !self.trust.serve_when_partitioned);
         let Some(site) = unreachable else {
@@ -27,7 +27,7 @@
         if self.copy_age_limited_at.is_none_or(|at| now - at >= grace * RENEWAL_SHARE) {
             self.copy_age_limited_at = Some(now);
             self.copy_age_limits += 1;
-            // Copies age until the next renewal; a second interval is left as a margin.
+            // Copies grow older by one interval until the next renewal; a second interval is left as a margin.
             self.effects.push_back(Effect::LimitCopyAge(grace * (1.0 - 2.0 * RENEWAL_SHARE)));
         }
     }
--- a/crates/deckproxy-sites/src/site/effects.rs
+++ b/crates/deckproxy-sites/src/site/effects.rs
@@ -13,7 +13,7 @@
 pub enum Destination {
     /// On this site.
     Local,
-    /// On that site, over the links to it.
+    /// On another site: this is the next site to which the request is forwarded.
     Remote(String),
     /// It can't be routed.
     Unroutable(Unroutable),
@@ -24,7 +24,7 @@
 pub enum Unroutable {
     /// It would return to a site that it has passed.
     Loop,
-    /// It has passed as many sites as it may.
+    /// It was already forwarded as often as it may be.
     TooManyHops,
 }
 
@@ -60,7 +60,7 @@
     Cancel(RunId),
     /// Apply a purge that another site relayed.
     Purge(PurgeNotice),
-    /// Serve no copy older than this, ms, because purges may be missing.
+    /// Discard the copies that are now older than this, ms, because purges may be missing.
     LimitCopyAge(Millis),
     /// Write a log line.
     Log(LogEvent),
@@ -93,9 +93,9 @@
     Goodbye(String),
     /// A gap was detected in a peer's purge log.
     PurgesMissing,
-    /// This site's copies are served only up to an age.
+    /// This site's copies are served only up to a maximum age.
     CopyAgeLimited {
-        /// The site that is unreachable.
+        /// The site that is unreachable, or whose purges may be missing.
         site: String,
         /// The largest age, ms.
         max_age: Millis,
--- a/crates/deckproxy-sites/src/site/messages.rs
+++ b/crates/deckproxy-sites/src/site/messages.rs
@@ -9,7 +9,7 @@
 
 /// Most characters of a goodbye's reason that are logged.
 const MAX_REASON: usize = 200;
-/// Most sites that a received request may have passed, whatever the configuration.
+/// Longest site path accepted in a received request, whatever hop limit is configured.
 const MAX_SITE_PATH: usize = 16;
 
 impl SiteGateway {
@@ -92,7 +92,8 @@
         }
     }
 
-    /// Whether the site path of a request is invalid for one that the given site forwarded.
+    /// Whether the site path of a request received from the given site is invalid: it must end with that site, must not
+    /// contain this site, and must not be too long.
     fn is_misrouted(&self, from_site: &str, request: &Request) -> bool {
         let path = &request.site_path;
         path.last().is_none_or(|last| last != from_site)
--- a/crates/deckproxy-sites/src/site/mod.rs
+++ b/crates/deckproxy-sites/src/site/mod.rs
@@ -30,7 +30,7 @@
 struct Peer {
     site: String,
     requester: Requester,
-    /// Whether it was removed from the configuration; open exchanges are completed.
+    /// Whether it was removed from the configuration: it gets no new requests, and its open exchanges are completed.
     is_removed: bool,
 }
 
@@ -50,9 +50,9 @@
     /// The index of the peer that each request is forwarded to.
     requests: HashMap<RequestToken, usize>,
     effects: VecDeque<Effect>,
-    /// When the age of this site's copies was last limited; `None` while it is not.
+    /// When the limit on the age of this site's copies was last set or renewed; `None` while there is none.
     copy_age_limited_at: Option<Millis>,
-    /// How often the age of this site's copies was limited since the start.
+    /// How often the limit on the age of this site's copies was set or renewed since the start.
     pub copy_age_limits: u64,
     /// Requests sent to the home since the start because copies were not trusted.
     pub distrusted: DistrustCounters,
@@ -99,7 +99,7 @@
         &self.link
     }
 
-    /// The conditions under which copies are trusted.
+    /// The limits of the trust in copies.
     pub fn trust_limits(&self) -> &TrustLimits {
         &self.trust
     }
@@ -167,12 +167,13 @@
     }
 
     /// The time by which [`SiteGateway::tick`] must be called next for the timers of the requesting sides. The timeouts
-    /// of the serving side, of handshakes and of the copy age limit are not included.
+    /// of the serving side, of handshakes and of the copy age limit are not included: for these the caller must also
+    /// call `tick` at regular intervals.
     pub fn next_timer(&self) -> Option<Millis> {
         self.peers.iter().filter_map(|peer| peer.requester.next_timer()).min_by(f64::total_cmp)
     }
 
-    /// Announces on all links that this process accepts no new attempts.
+    /// Asks all requesting sides to send no new attempts to this process.
     pub fn go_away(&mut self, reason: &str, retry_after: Millis) {
         self.responder.go_away(reason, retry_after);
         self.collect_responder_effects();
--- a/crates/deckproxy-sites/src/throughput.rs
+++ b/crates/deckproxy-sites/src/throughput.rs
@@ -110,7 +110,7 @@
         self.bodies_in_progress += 1;
     }
 
-    /// Records that a body of several chunks is complete or canceled.
+    /// Records that a body of several chunks is complete, or that its transfer was abandoned.
     pub fn body_ended(&mut self, now: Millis) {
         self.bodies_in_progress = self.bodies_in_progress.saturating_sub(1);
         if self.bodies_in_progress == 0 {
