--- a/crates/deckproxy-operator/src/sites.rs
+++ b/crates/deckproxy-operator/src/sites.rs
@@ -42,7 +42,7 @@
             credit_window: link.credit_kb.unwrap_or(defaults::link::CREDIT_WINDOW_KB) as usize * 1024,
             max_exchanges: link.most_crossings.unwrap_or(defaults::link::MAX_CROSSINGS) as usize,
             max_waiters: link.waiters.unwrap_or(defaults::link::MAX_WAITERS) as usize,
-            max_retained: link.retain_kb.unwrap_or(defaults::link::MAX_RETAINED_KB) as usize * 1024,
+            max_retained_bytes: link.retain_kb.unwrap_or(defaults::link::MAX_RETAINED_KB) as usize * 1024,
             recovery_ramp: f64::from(link.ramp_ms.unwrap_or(defaults::link::RECOVERY_RAMP_MS)),
             queue_timeout: f64::from(link.hold_ms.unwrap_or(defaults::link::QUEUE_TIMEOUT_MS)),
             retry_ratio: link.repeats_share.unwrap_or(defaults::link::RETRY_RATIO),
--- a/crates/deckproxy-sites/src/limits.rs
+++ b/crates/deckproxy-sites/src/limits.rs
@@ -20,7 +20,7 @@
     /// Most requests that wait for one exchange, in addition to its leader.
     pub max_waiters: usize,
     /// Size of all retained responses above which those without a connection are evicted, bytes.
-    pub max_retained: usize,
+    pub max_retained_bytes: usize,
     /// Time over which a recovered endpoint's share grows to its full size, ms.
     pub recovery_ramp: Millis,
     /// How long a request waits for an endpoint before it is rejected, ms.
--- a/crates/deckproxy-sites/src/responder/responses.rs
+++ b/crates/deckproxy-sites/src/responder/responses.rs
@@ -71,7 +71,7 @@
     /// Evicts the oldest responses without a connection while too many bytes are retained. Responses with a connection
     /// are kept: the requesting side's credit window and deadline bound how long they are retained.
     pub(super) fn evict(&mut self) {
-        while self.retained_bytes > self.limits.max_retained {
+        while self.retained_bytes > self.limits.max_retained_bytes {
             let Some((key, number)) = self.oldest_evictable() else { return };
             let session = self.sessions.get_mut(&key);
             let Some(attempt) = session.and_then(|session| session.attempts.get_mut(&number)) else { return };
--- a/crates/deckproxy-sites/tests/common/mod.rs
+++ b/crates/deckproxy-sites/tests/common/mod.rs
@@ -11,7 +11,7 @@
     credit_window: 300,
     max_exchanges: 4,
     max_waiters: 2,
-    max_retained: 1000,
+    max_retained_bytes: 1000,
     recovery_ramp: 0.0,
     queue_timeout: 100.0,
     retry_ratio: 0.1,
--- a/crates/deckproxy-sites/tests/schedules/simulation.rs
+++ b/crates/deckproxy-sites/tests/schedules/simulation.rs
@@ -47,7 +47,7 @@
             credit_window: 256,
             max_exchanges: 200,
             max_waiters: 8,
-            max_retained: 2000,
+            max_retained_bytes: 2000,
             recovery_ramp: 100.0,
             queue_timeout: 60.0,
             retry_ratio: 0.2,
