--- a/crates/deckproxy-sites/src/purges/mod.rs
+++ b/crates/deckproxy-sites/src/purges/mod.rs
@@ -111,7 +111,7 @@
     }
 
     /// Appends a purge from the site's own feed. Returns its number.
-    pub fn notified(&mut self, now: Millis, notice: PurgeNotice) -> u64 {
+    pub fn purge_notified(&mut self, now: Millis, notice: PurgeNotice) -> u64 {
         let origin = PurgeOrigin { epoch: self.epoch, number: self.next_number };
         let times = PurgeTimes { purged_at: now - notice.age, notified_at: now };
         self.append(notice, times, Vec::new(), origin)
@@ -163,7 +163,12 @@
 
     /// Processes a purge that the peer with the given epoch sent. Returns the notice for this site and the number of
     /// the new entry, or `None` if the purge is known already or the peer is unknown.
-    pub fn received(&mut self, now: Millis, from_epoch: u64, purge: Purge) -> Option<(PurgeNotice, u64)> {
+    pub fn purge_received(
+        &mut self,
+        now: Millis,
+        from_epoch: u64,
+        purge: Purge,
+    ) -> Option<(PurgeNotice, u64)> {
         let peer = self.peers.get_mut(&from_epoch)?;
         peer.last_received = now;
         if purge.number <= peer.received {
@@ -210,7 +215,7 @@
     pub fn fill_hello(&self, now: Millis, to_epoch: Option<u64>, hello: Hello) -> Hello {
         Hello {
             epoch: self.epoch,
-            purges_received: to_epoch.map_or(0, |epoch| self.received_from(epoch)),
+            purges_received: to_epoch.map_or(0, |epoch| self.last_received_from(epoch)),
             purges_epoch: to_epoch.unwrap_or(0),
             purge_history: now - self.complete_since,
             ..hello
@@ -264,7 +269,7 @@
     }
 
     /// Number of the last entry received from the log of the process with the given epoch; 0 if there is none.
-    pub fn received_from(&self, epoch: u64) -> u64 {
+    pub fn last_received_from(&self, epoch: u64) -> u64 {
         self.peers.get(&epoch).map_or(0, |peer| peer.received)
     }
 
--- a/crates/deckproxy-sites/src/requester/timers.rs
+++ b/crates/deckproxy-sites/src/requester/timers.rs
@@ -49,7 +49,7 @@
             sequence: 0,
             unix_time,
             last_purge: purges.last_number(),
-            purges_received: endpoint.epoch.map_or(0, |epoch| purges.received_from(epoch)),
+            purges_received: endpoint.epoch.map_or(0, |epoch| purges.last_received_from(epoch)),
             lowest_open_attempt: endpoint.lowest_open_attempt(),
         };
         self.send_heartbeats(now, index, &heartbeat);
--- a/crates/deckproxy-sites/src/site/messages.rs
+++ b/crates/deckproxy-sites/src/site/messages.rs
@@ -117,7 +117,7 @@
             sequence: heartbeat.sequence,
             unix_time,
             last_purge: self.purges.last_number(),
-            purges_received: self.purges.received_from(epoch),
+            purges_received: self.purges.last_received_from(epoch),
             lowest_open_attempt: 0,
         };
         self.effects.push_back(Effect::Send(connection, Payload::Pong(pong).into()));
@@ -126,7 +126,7 @@
     /// Processes a relayed purge: if it is new, applies it on this site and relays it.
     fn purge_received(&mut self, now: Millis, from_epoch: u64, purge: Purge) {
         let gaps_before = self.purges.gaps;
-        if let Some((notice, number)) = self.purges.received(now, from_epoch, purge) {
+        if let Some((notice, number)) = self.purges.purge_received(now, from_epoch, purge) {
             self.effects.push_back(Effect::Purge(notice));
             self.broadcast_purge(now, number);
         }
--- a/crates/deckproxy-sites/src/site/mod.rs
+++ b/crates/deckproxy-sites/src/site/mod.rs
@@ -149,7 +149,7 @@
 
     /// Processes a purge from the site's own feed: logs it and sends it to the peers.
     pub fn purge_notified(&mut self, now: Millis, notice: PurgeNotice) {
-        let number = self.purges.notified(now, notice);
+        let number = self.purges.purge_notified(now, notice);
         self.broadcast_purge(now, number);
     }
 
--- a/crates/deckproxy-sites/tests/purges.rs
+++ b/crates/deckproxy-sites/tests/purges.rs
@@ -51,20 +51,20 @@
     let (mut a, mut b) = (log("a", 1), log("b", 2));
     exchange_hellos(&mut a, &mut b, ["a", "b"], [1, 2], 0.0);
     for n in 0..4 {
-        a.notified(10.0, object(n, 5.0));
+        a.purge_notified(10.0, object(n, 5.0));
     }
     let all: Vec<_> = a.entries_after(20.0, 0).collect();
-    assert!(b.received(30.0, 1, all[0].clone()).is_some());
-    assert!(b.received(31.0, 1, all[0].clone()).is_none(), "received already");
-    let (purge, number) = b.received(32.0, 1, all[1].clone()).unwrap();
+    assert!(b.purge_received(30.0, 1, all[0].clone()).is_some());
+    assert!(b.purge_received(31.0, 1, all[0].clone()).is_none(), "received already");
+    let (purge, number) = b.purge_received(32.0, 1, all[1].clone()).unwrap();
     assert_eq!((purge, number), (object(1, 15.0), 2));
     receive_pong(&mut b, 1, 33.0, 34.0, 2);
     assert_eq!(b.check_trust(40.0, "a"), Ok(()));
-    b.received(41.0, 1, all[3].clone());
-    assert_eq!((b.gaps, b.received_from(1)), (1, 4));
+    b.purge_received(41.0, 1, all[3].clone());
+    assert_eq!((b.gaps, b.last_received_from(1)), (1, 4));
     receive_pong(&mut b, 1, 42.0, 43.0, 4);
     assert_eq!(b.check_trust(44.0, "a"), Err(Distrust::PurgesMissed));
-    assert!(b.received(45.0, 1, all[2].clone()).is_none(), "too late: a later one was received");
+    assert!(b.purge_received(45.0, 1, all[2].clone()).is_none(), "too late: a later one was received");
     receive_pong(&mut b, 1, 10_042.0, 10_043.0, 4);
     assert_eq!(b.check_trust(10_044.0, "a"), Ok(()), "the copies that it could have voided have expired");
 }
@@ -115,11 +115,11 @@
     let (mut a, mut b) = (log("a", 1), log("b", 2));
     exchange_hellos(&mut a, &mut b, ["a", "b"], [1, 2], 0.0);
     for n in 0..3 {
-        a.notified(10.0, object(n, 0.0));
+        a.purge_notified(10.0, object(n, 0.0));
     }
     let first: Vec<_> = a.entries_after(11.0, 0).collect();
-    b.received(12.0, 1, first[0].clone());
-    b.received(12.0, 1, first[1].clone());
+    b.purge_received(12.0, 1, first[0].clone());
+    b.purge_received(12.0, 1, first[1].clone());
     let [from, _] = exchange_hellos(&mut a, &mut b, ["a", "b"], [1, 2], 500.0);
     let rest: Vec<u64> = a.entries_after(500.0, from).map(|p| p.number).collect();
     assert_eq!(rest, [3]);
@@ -141,7 +141,7 @@
     pair(0, 1);
     pair(1, 2);
     pair(2, 0);
-    logs[0].notified(10.0, object(7, 0.0));
+    logs[0].purge_notified(10.0, object(7, 0.0));
     let mut received = [0; 3];
     for _ in 0..6 {
         for from in 0..3 {
@@ -149,7 +149,7 @@
             for to in (0..3).filter(|to| *to != from) {
                 for purge in &all {
                     received[to] +=
-                        usize::from(logs[to].received(20.0, from as u64 + 1, purge.clone()).is_some());
+                        usize::from(logs[to].purge_received(20.0, from as u64 + 1, purge.clone()).is_some());
                 }
             }
         }
@@ -161,12 +161,12 @@
 #[test]
 fn a_copy_may_be_served_unless_a_later_purge_is_in_force() {
     let mut a = log("a", 1);
-    a.notified(5000.0, object(7, 100.0));
+    a.purge_notified(5000.0, object(7, 100.0));
     assert!(a.may_serve(5400.0, 7, 3, 4000.0), "the notification is younger than half of the grace");
     assert!(!a.may_serve(5500.0, 7, 3, 4000.0));
     assert!(a.may_serve(5500.0, 7, 3, 4900.0), "issued at the purge or after it");
     assert!(a.may_serve(5500.0, 8, 3, 4000.0), "another object of the group");
-    a.notified(5000.0, PurgeNotice { object: None, group: 3, age: 0.0 });
+    a.purge_notified(5000.0, PurgeNotice { object: None, group: 3, age: 0.0 });
     assert!(!a.may_serve(5500.0, 8, 3, 4000.0));
     a.tick(16_000.0);
     assert!(a.is_empty() && a.may_serve(16_000.0, 7, 3, 0.0), "copies that old have expired by themselves");
