--- a/crates/deckproxy-sites/src/purges/mod.rs
+++ b/crates/deckproxy-sites/src/purges/mod.rs
@@ -171,14 +171,14 @@
     ) -> Option<(PurgeNotice, u64)> {
         let peer = self.peers.get_mut(&from_epoch)?;
         peer.last_received = now;
-        if purge.number <= peer.received {
+        if purge.number <= peer.last_purge {
             return None;
         }
-        if purge.number != peer.received + 1 {
+        if purge.number != peer.last_purge + 1 {
             peer.distrusted_until = peer.distrusted_until.max(now + self.limits.copy_lifetime);
             self.gaps += 1;
         }
-        peer.received = purge.number;
+        peer.last_purge = purge.number;
         let origin = PurgeOrigin { epoch: purge.origin_epoch, number: purge.origin_number };
         let relayed_by = peer.site.clone();
         if self.known_origins.contains(&origin) || purge.site_path.contains(&self.own_site) {
@@ -270,7 +270,7 @@
 
     /// Number of the last entry received from the log of the process with the given epoch; 0 if there is none.
     pub fn last_received_from(&self, epoch: u64) -> u64 {
-        self.peers.get(&epoch).map_or(0, |peer| peer.received)
+        self.peers.get(&epoch).map_or(0, |peer| peer.last_purge)
     }
 
     /// Whether a copy that the origin issued at `issued_at` or later may be served: no purge that is enforced by now
--- a/crates/deckproxy-sites/src/purges/peer.rs
+++ b/crates/deckproxy-sites/src/purges/peer.rs
@@ -23,8 +23,8 @@
     pub(super) site: String,
     /// When the last hello, purge or heartbeat response was received from the peer.
     pub(super) last_received: Millis,
-    /// Number of its last entry that was received.
-    pub(super) received: u64,
+    /// Number of the last entry that was received from the log.
+    pub(super) last_purge: u64,
     /// The last time, on this side's clock, at which this side is known to have had all entries of the peer's log.
     confirmed_at: Option<Millis>,
     /// Until this time, a copy that a missed purge voids may still be cached.
@@ -39,7 +39,7 @@
         PeerLog {
             site,
             last_received: 0.0,
-            received: 0,
+            last_purge: 0,
             confirmed_at: None,
             distrusted_until,
             clock_skew: None,
@@ -57,7 +57,7 @@
         self.last_received = now;
         let skew = heartbeat.unix_time - (unix_time - (now - sent_at) / 2.0);
         self.clock_skew = Some(self.clock_skew.map_or(skew, |old| old + SKEW_WEIGHT * (skew - old)));
-        if self.received >= heartbeat.last_purge {
+        if self.last_purge >= heartbeat.last_purge {
             self.confirmed_at = Some(self.confirmed_at.map_or(sent_at, |old| old.max(sent_at)));
         }
     }
