--- a/crates/deckproxy-sites/tests/purges.rs
+++ b/crates/deckproxy-sites/tests/purges.rs
@@ -73,7 +73,11 @@
 fn the_lease_runs_from_the_heartbeat_and_only_while_no_purge_is_missing() {
     let (mut a, mut b) = (log("a", 1), log("b", 2));
     exchange_hellos(&mut a, &mut b, ["a", "b"], [1, 2], 0.0);
-    assert_eq!(b.check_trust(1.0, "a"), Err(Distrust::LeaseExpired), "no heartbeat was answered yet");
+    assert_eq!(
+        b.check_trust(1.0, "a"),
+        Err(Distrust::LeaseExpired),
+        "no response to a heartbeat was received yet"
+    );
     receive_pong(&mut b, 1, 100.0, 650.0, 0);
     assert_eq!(b.check_trust(799.0, "a"), Ok(()));
     assert_eq!(
@@ -82,7 +86,11 @@
         "700 ms after the heartbeat was sent, however late the response"
     );
     receive_pong(&mut b, 1, 900.0, 910.0, 5);
-    assert_eq!(b.check_trust(911.0, "a"), Err(Distrust::LeaseExpired), "five purges are in flight");
+    assert_eq!(
+        b.check_trust(911.0, "a"),
+        Err(Distrust::LeaseExpired),
+        "five purges have not been received yet"
+    );
 }
 
 #[test]
@@ -159,15 +167,21 @@
 }
 
 #[test]
-fn a_copy_may_be_served_unless_a_later_purge_is_in_force() {
+fn a_copy_may_be_served_unless_a_later_purge_is_enforced() {
     let mut a = log("a", 1);
     a.purge_notified(5000.0, object(7, 100.0));
-    assert!(a.may_serve(5400.0, 7, 3, 4000.0), "the notification is younger than half of the grace");
+    assert!(
+        a.may_serve(5400.0, 7, 3, 4000.0),
+        "the notification is more recent than half of the grace period"
+    );
     assert!(!a.may_serve(5500.0, 7, 3, 4000.0));
     assert!(a.may_serve(5500.0, 7, 3, 4900.0), "issued at the purge or after it");
     assert!(a.may_serve(5500.0, 8, 3, 4000.0), "another object of the group");
     a.purge_notified(5000.0, PurgeNotice { object: None, group: 3, age: 0.0 });
     assert!(!a.may_serve(5500.0, 8, 3, 4000.0));
     a.tick(16_000.0);
-    assert!(a.is_empty() && a.may_serve(16_000.0, 7, 3, 0.0), "copies that old have expired by themselves");
+    assert!(
+        a.is_empty() && a.may_serve(16_000.0, 7, 3, 0.0),
+        "all copies older than the purges have expired"
+    );
 }
--- a/crates/deckproxy-sites/tests/requester.rs
+++ b/crates/deckproxy-sites/tests/requester.rs
@@ -12,8 +12,8 @@
 use deckproxy_sites::requester::{Effect, EndpointsUp, ForwardedRequest, Reply, Requester, RetrySafety};
 use std::ops::Range;
 
-/// A requester with one endpoint.
-struct Side {
+/// A requester with one endpoint, and the purge log that it consults.
+struct Fixture {
     requester: Requester,
     purges: PurgeLog,
 }
@@ -29,15 +29,15 @@
     ForwardedRequest { request, object, deadline, retry_safety, may_collapse, priority_rank: 0.5 }
 }
 
-impl Side {
-    /// With one established connection, 1.
+impl Fixture {
+    /// Creates a requester with one established connection, 1.
     fn connected() -> Self {
         let mut requester = Requester::new(LINK, 1, &[9], 0.0);
         requester.connected(0.0, 0, 1);
         requester.hello_received(0.0, 1, &hello(77));
-        let mut side = Side { requester, purges: PurgeLog::new("a", 1, TRUST, 0.0) };
-        side.effects();
-        side
+        let mut fixture = Fixture { requester, purges: PurgeLog::new("a", 1, TRUST, 0.0) };
+        fixture.effects();
+        fixture
     }
 
     fn effects(&mut self) -> Vec<Effect> {
@@ -104,32 +104,33 @@
 
 #[test]
 fn after_a_lost_connection_no_attempt_is_sent_before_the_status_is_known() {
-    let mut side = Side::connected();
-    let first = side.request(10.0, 1, forwarded_request(5, RetrySafety::Idempotent, 900.0));
-    let effects = side.reconnect(20.0, 77);
+    let mut fixture = Fixture::connected();
+    let first = fixture.request(10.0, 1, forwarded_request(5, RetrySafety::Idempotent, 900.0));
+    let effects = fixture.reconnect(20.0, 77);
     assert_eq!(resumed_attempts(&effects), [first]);
     assert_eq!(sent_attempt(&effects), None, "the first attempt may still be in flight");
-    side.requester.tick(40.0, 40.0, &side.purges);
-    assert_eq!(sent_attempt(&side.effects()), None);
-    side.receive(50.0, 2, status(first, AttemptState::NeverReceived));
-    let second = sent_attempt(&side.effects()).expect("it was never received: another attempt is sent");
+    fixture.requester.tick(40.0, 40.0, &fixture.purges);
+    assert_eq!(sent_attempt(&fixture.effects()), None);
+    fixture.receive(50.0, 2, status(first, AttemptState::NeverReceived));
+    let second = sent_attempt(&fixture.effects())
+        .expect("another attempt is sent, as the first one was never received");
     assert!(second > first, "under a new number, as the old one is fenced");
-    side.receive(60.0, 2, response(second, Outcome::Served, 0));
-    assert_eq!(replies(&side.effects()).len(), 1);
+    fixture.receive(60.0, 2, response(second, Outcome::Served, 0));
+    assert_eq!(replies(&fixture.effects()).len(), 1);
 }
 
 #[test]
 fn a_running_attempt_is_reattached_and_its_response_is_passed_on() {
-    let mut side = Side::connected();
-    let number = side.request(10.0, 1, forwarded_request(5, RetrySafety::NotIdempotent, 900.0));
-    side.reconnect(20.0, 77);
-    side.receive(40.0, 2, status(number, AttemptState::Running));
-    assert!(side.effects().is_empty());
-    side.receive(90.0, 2, response(number, Outcome::Served, 4));
+    let mut fixture = Fixture::connected();
+    let number = fixture.request(10.0, 1, forwarded_request(5, RetrySafety::NotIdempotent, 900.0));
+    fixture.reconnect(20.0, 77);
+    fixture.receive(40.0, 2, status(number, AttemptState::Running));
+    assert!(fixture.effects().is_empty());
+    fixture.receive(90.0, 2, response(number, Outcome::Served, 4));
     let chunk = BodyChunk { number, offset: 0, bytes: Bytes::from_static(b"done") };
-    side.receive(91.0, 2, Payload::Chunk(chunk));
+    fixture.receive(91.0, 2, Payload::Chunk(chunk));
     let reply = Reply::Served { body: Bytes::from_static(b"done"), issued_at: None, tag: String::new() };
-    assert_eq!(replies(&side.effects()), [(1, reply)]);
+    assert_eq!(replies(&fixture.effects()), [(1, reply)]);
 }
 
 #[test]
@@ -137,21 +138,21 @@
     for (retry_safety, is_retried) in [(RetrySafety::NotIdempotent, false), (RetrySafety::Idempotent, true)] {
         // The endpoint's process was replaced, the serving side does not know the status, or the session timed out.
         for case in 0..3 {
-            let mut side = Side::connected();
-            let number = side.request(10.0, 1, forwarded_request(5, retry_safety, 5000.0));
+            let mut fixture = Fixture::connected();
+            let number = fixture.request(10.0, 1, forwarded_request(5, retry_safety, 5000.0));
             let effects = match case {
-                0 => side.reconnect(20.0, 78),
+                0 => fixture.reconnect(20.0, 78),
                 1 => {
-                    side.reconnect(20.0, 77);
-                    side.receive(40.0, 2, status(number, AttemptState::Unknown));
-                    side.effects()
+                    fixture.reconnect(20.0, 77);
+                    fixture.receive(40.0, 2, status(number, AttemptState::Unknown));
+                    fixture.effects()
                 }
                 _ => {
-                    side.requester.disconnected(20.0, 1, &[]);
-                    side.requester.tick(20.0 + 1000.0 + 2.0, 0.0, &side.purges);
-                    side.requester.connected(1030.0, 0, 2);
-                    side.requester.hello_received(1030.0, 2, &hello(77));
-                    side.effects()
+                    fixture.requester.disconnected(20.0, 1, &[]);
+                    fixture.requester.tick(20.0 + 1000.0 + 2.0, 0.0, &fixture.purges);
+                    fixture.requester.connected(1030.0, 0, 2);
+                    fixture.requester.hello_received(1030.0, 2, &hello(77));
+                    fixture.effects()
                 }
             };
             assert_eq!(sent_attempt(&effects).is_some(), is_retried, "{retry_safety:?} {case}");
@@ -163,72 +164,72 @@
 
 #[test]
 fn an_attempt_that_was_not_written_is_sent_again_at_once_on_another_connection() {
-    let mut side = Side::connected();
-    side.requester.connected(5.0, 0, 2);
-    side.requester.hello_received(5.0, 2, &hello(77));
-    side.effects();
-    let number = side.request(10.0, 1, forwarded_request(5, RetrySafety::NotIdempotent, 900.0));
-    side.requester.disconnected(20.0, 1, &[number]);
-    assert!(sent_attempt(&side.effects()).is_some_and(|second| second != number));
+    let mut fixture = Fixture::connected();
+    fixture.requester.connected(5.0, 0, 2);
+    fixture.requester.hello_received(5.0, 2, &hello(77));
+    fixture.effects();
+    let number = fixture.request(10.0, 1, forwarded_request(5, RetrySafety::NotIdempotent, 900.0));
+    fixture.requester.disconnected(20.0, 1, &[number]);
+    assert!(sent_attempt(&fixture.effects()).is_some_and(|second| second != number));
 }
 
 #[test]
-fn requests_for_one_part_collapse_and_the_next_waiter_leads_after_a_failure() {
-    let mut side = Side::connected();
-    let first = side.request(10.0, 1, forwarded_request(5, RetrySafety::Idempotent, 900.0));
+fn requests_for_one_part_collapse_and_the_next_waiter_becomes_the_leader_after_a_failure() {
+    let mut fixture = Fixture::connected();
+    let first = fixture.request(10.0, 1, forwarded_request(5, RetrySafety::Idempotent, 900.0));
     for token in 2..=3 {
-        side.requester.request(11.0, token, forwarded_request(5, RetrySafety::Idempotent, 900.0));
+        fixture.requester.request(11.0, token, forwarded_request(5, RetrySafety::Idempotent, 900.0));
     }
-    assert_eq!(sent_attempt(&side.effects()), None, "they wait for the first one's response");
+    assert_eq!(sent_attempt(&fixture.effects()), None, "they wait for the first one's response");
     // The third waiter is over the limit, and is forwarded in an exchange of its own.
-    side.requester.request(11.0, 4, forwarded_request(5, RetrySafety::Idempotent, 900.0));
-    assert!(sent_attempt(&side.effects()).is_some());
-    side.receive(20.0, 1, response(first, Outcome::Failed, 0));
-    let effects = side.effects();
+    fixture.requester.request(11.0, 4, forwarded_request(5, RetrySafety::Idempotent, 900.0));
+    assert!(sent_attempt(&fixture.effects()).is_some());
+    fixture.receive(20.0, 1, response(first, Outcome::Failed, 0));
+    let effects = fixture.effects();
     assert_eq!(replies(&effects), [(1, Reply::Failed)]);
-    let second = sent_attempt(&effects).expect("the next waiter leads");
-    side.receive(30.0, 1, response(second, Outcome::Rejected, 0));
+    let second = sent_attempt(&effects).expect("the next waiter becomes the leader");
+    fixture.receive(30.0, 1, response(second, Outcome::Rejected, 0));
     let rejected = Reply::Rejected { retry_after: 120.0 };
     let expected = [(2, rejected.clone()), (3, rejected)];
-    assert_eq!(replies(&side.effects()), expected, "with the retry-after as it was received");
+    assert_eq!(replies(&fixture.effects()), expected, "with the retry-after as it was received");
 }
 
 #[test]
 fn a_canceled_leader_does_not_cancel_the_exchange() {
-    let mut side = Side::connected();
-    let number = side.request(10.0, 1, forwarded_request(5, RetrySafety::Idempotent, 900.0));
-    side.requester.request(11.0, 2, forwarded_request(5, RetrySafety::Idempotent, 900.0));
-    side.requester.cancel(12.0, 1);
-    assert_eq!(side.effects(), [], "the other request still waits");
-    side.receive(20.0, 1, response(number, Outcome::Served, 0));
-    let tokens: Vec<u64> = replies(&side.effects()).iter().map(|(token, _)| *token).collect();
+    let mut fixture = Fixture::connected();
+    let number = fixture.request(10.0, 1, forwarded_request(5, RetrySafety::Idempotent, 900.0));
+    fixture.requester.request(11.0, 2, forwarded_request(5, RetrySafety::Idempotent, 900.0));
+    fixture.requester.cancel(12.0, 1);
+    assert_eq!(fixture.effects(), [], "the other request still waits");
+    fixture.receive(20.0, 1, response(number, Outcome::Served, 0));
+    let tokens: Vec<u64> = replies(&fixture.effects()).iter().map(|(token, _)| *token).collect();
     assert_eq!(tokens, [2]);
-    let number = side.request(30.0, 3, forwarded_request(6, RetrySafety::Idempotent, 900.0));
-    side.requester.cancel(31.0, 3);
+    let number = fixture.request(30.0, 3, forwarded_request(6, RetrySafety::Idempotent, 900.0));
+    fixture.requester.cancel(31.0, 3);
     let release = Effect::Send(1, Payload::Release(AttemptNumbers { numbers: vec![number] }));
-    assert_eq!(side.effects(), [release], "no request waits: the attempt is released");
+    assert_eq!(fixture.effects(), [release], "no request waits for it: the attempt is released");
 }
 
 #[test]
 fn without_an_endpoint_requests_are_queued_and_then_rejected_with_a_retry_after() {
-    let mut side = Side::connected();
-    side.requester.disconnected(10.0, 1, &[]);
-    side.effects();
-    side.requester.request(20.0, 1, forwarded_request(5, RetrySafety::NotIdempotent, 900.0));
-    assert_eq!(replies(&side.effects()), []);
-    side.requester.tick(60.0, 0.0, &side.purges);
-    assert_eq!(replies(&side.effects()), []);
-    side.requester.tick(121.0, 0.0, &side.purges);
-    let rejected = replies(&side.effects());
+    let mut fixture = Fixture::connected();
+    fixture.requester.disconnected(10.0, 1, &[]);
+    fixture.effects();
+    fixture.requester.request(20.0, 1, forwarded_request(5, RetrySafety::NotIdempotent, 900.0));
+    assert_eq!(replies(&fixture.effects()), []);
+    fixture.requester.tick(60.0, 0.0, &fixture.purges);
+    assert_eq!(replies(&fixture.effects()), []);
+    fixture.requester.tick(121.0, 0.0, &fixture.purges);
+    let rejected = replies(&fixture.effects());
     assert!(
         matches!(rejected[..], [(1, Reply::Rejected { retry_after })] if retry_after >= 50.0),
         "{rejected:?}"
     );
     // A request that is queued while an endpoint recovers is sent.
-    side.requester.request(130.0, 2, forwarded_request(6, RetrySafety::NotIdempotent, 900.0));
-    side.requester.connected(140.0, 0, 2);
-    side.requester.hello_received(150.0, 2, &hello(77));
-    assert!(sent_attempt(&side.effects()).is_some());
+    fixture.requester.request(130.0, 2, forwarded_request(6, RetrySafety::NotIdempotent, 900.0));
+    fixture.requester.connected(140.0, 0, 2);
+    fixture.requester.hello_received(150.0, 2, &hello(77));
+    assert!(sent_attempt(&fixture.effects()).is_some());
 }
 
 #[test]
@@ -282,13 +283,13 @@
     let mut requester = two_endpoints(0.0);
     let used = connections_used(&mut requester, 10.0, 0..40);
     assert_eq!(used.iter().filter(|connection| **connection == 1).count(), 20, "{used:?}");
-    // One sends a GoAway: all new requests are sent to the other.
+    // The first endpoint sends a GoAway: all new requests are sent to the second one.
     let mut purges = PurgeLog::new("a", 1, TRUST, 0.0);
     let go_away = GoAway { reason: "a planned end".into(), retry_after: 100.0 };
     requester.receive(20.0, 20.0, 1, Payload::GoAway(go_away), &mut purges);
     assert_eq!(connections_used(&mut requester, 30.0, 100..120), [2; 20]);
-    // It is available again, and the other one is lost: attempts in flight there wait, new requests are sent to the
-    // first.
+    // The first endpoint is available again, and the connection to the second one is lost: its attempts in flight wait,
+    // and new requests are sent to the first one.
     requester.disconnected(140.0, 2, &[]);
     requester.tick(140.0, 140.0, &purges);
     assert_eq!(connections_used(&mut requester, 141.0, 200..220), [1; 20]);
@@ -315,25 +316,28 @@
 
 #[test]
 fn open_exchanges_are_bounded() {
-    let mut side = Side::connected();
+    let mut fixture = Fixture::connected();
     for token in 0..4 {
-        side.request(10.0, token, forwarded_request(100 + token, RetrySafety::Idempotent, 900.0));
+        fixture.request(10.0, token, forwarded_request(100 + token, RetrySafety::Idempotent, 900.0));
     }
-    side.requester.request(10.0, 9, forwarded_request(999, RetrySafety::Idempotent, 900.0));
-    assert_eq!(replies(&side.effects()), [(9, Reply::Rejected { retry_after: 50.0 })]);
+    fixture.requester.request(10.0, 9, forwarded_request(999, RetrySafety::Idempotent, 900.0));
+    assert_eq!(replies(&fixture.effects()), [(9, Reply::Rejected { retry_after: 50.0 })]);
 }
 
 #[test]
 fn messages_that_are_not_allowed_are_reported() {
-    let mut side = Side::connected();
-    let number = side.request(10.0, 1, forwarded_request(5, RetrySafety::Idempotent, 900.0));
+    let mut fixture = Fixture::connected();
+    let number = fixture.request(10.0, 1, forwarded_request(5, RetrySafety::Idempotent, 900.0));
     let chunk = |offset, bytes: &'static [u8]| {
         Payload::Chunk(BodyChunk { number, offset, bytes: Bytes::from_static(bytes) })
     };
-    assert!(!side.receive(11.0, 1, chunk(0, b"before its head")));
-    assert!(side.receive(12.0, 1, response(number, Outcome::Served, 4)));
-    assert!(!side.receive(13.0, 1, chunk(2, b"cd")), "a chunk out of order");
-    assert!(!side.receive(14.0, 1, chunk(0, b"abcde")), "more than the body's length");
-    assert!(!side.receive(15.0, 1, response(number, Outcome::Served, 100_000_000)), "a body over the limit");
-    assert!(!side.receive(16.0, 1, Payload::Request(Request::default())), "a message to the serving side");
+    assert!(!fixture.receive(11.0, 1, chunk(0, b"before its head")));
+    assert!(fixture.receive(12.0, 1, response(number, Outcome::Served, 4)));
+    assert!(!fixture.receive(13.0, 1, chunk(2, b"cd")), "a chunk out of order");
+    assert!(!fixture.receive(14.0, 1, chunk(0, b"abcde")), "more than the body's length");
+    assert!(
+        !fixture.receive(15.0, 1, response(number, Outcome::Served, 100_000_000)),
+        "a body over the limit"
+    );
+    assert!(!fixture.receive(16.0, 1, Payload::Request(Request::default())), "a message to the serving side");
 }
--- a/crates/deckproxy-sites/tests/responder.rs
+++ b/crates/deckproxy-sites/tests/responder.rs
@@ -59,10 +59,10 @@
     assert_eq!(started_run(&mut responder), None, "it was reported as never received: it is fenced");
     assert_eq!(responder.duplicates, 2);
     responder.discard_attempts_below(2, 3);
-    assert_eq!(effects(&mut responder), [Effect::Cancel(1)], "it is over for the requesting side");
+    assert_eq!(effects(&mut responder), [Effect::Cancel(1)], "the requesting side has ended the attempt");
     responder.receive(6.0, 1, request(1));
     responder.receive(6.0, 1, request(2));
-    assert_eq!(started_run(&mut responder), None, "numbers that are over are not accepted");
+    assert_eq!(started_run(&mut responder), None, "numbers of attempts that have ended are not accepted");
 }
 
 #[test]
--- a/crates/deckproxy-sites/tests/schedules/network.rs
+++ b/crates/deckproxy-sites/tests/schedules/network.rs
@@ -7,6 +7,8 @@
 pub const CLOSE_DELAY: f64 = 10.0;
 /// Time until the second end detects a reset, ms.
 const RESET_DELAY: f64 = 30.0;
+/// Time until the other end detects that a process was killed, ms.
+const KILL_DELAY: f64 = 1.0;
 
 /// One direction of a connection: frames in order, each with its arrival time.
 #[derive(Default)]
@@ -22,7 +24,7 @@
     pub directions: [Direction; 2],
     /// Whether each end still considers the connection open.
     pub is_open: [bool; 2],
-    /// Whether all frames are held back without either end detecting it.
+    /// Whether no frames are delivered, without either end being notified of it.
     pub is_silent: bool,
 }
 
@@ -110,7 +112,8 @@
         connection.is_silent = false;
     }
 
-    /// Closes the connection for the end that opened it; the frames that it wrote still arrive at the other end, late.
+    /// Ends the connection at once for the end that opened it; the frames that this end wrote still arrive at the other
+    /// end, at the given time or later.
     pub fn abandon(&mut self, now: f64, id: u64, arrives_at: f64) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let [to_server, to_client] = &mut connection.directions;
@@ -127,7 +130,7 @@
         for connection in self.connections.values_mut() {
             let end = connection.end_of(site);
             connection.is_open[end] = false;
-            connection.directions[end].closes_at = Some(now + 1.0);
+            connection.directions[end].closes_at = Some(now + KILL_DELAY);
             connection.directions[1 - end].frames.clear();
         }
     }
--- a/crates/deckproxy-sites/tests/schedules/simulation.rs
+++ b/crates/deckproxy-sites/tests/schedules/simulation.rs
@@ -17,6 +17,7 @@
 
 /// Duration of one step, ms.
 const STEP: f64 = 5.0;
+/// Grace period of purges, ms.
 const PURGE_GRACE: f64 = 200.0;
 /// Age of a purge after which the copies that it voids have expired at the home, ms.
 const COPY_EXPIRY: f64 = 1500.0;
@@ -25,7 +26,7 @@
 const SITES: [&str; 2] = ["a", "b"];
 
 pub fn site_config(own_site: &str, peer: &str) -> SiteConfig {
-    let home = RouteRule {
+    let route_to_peer = RouteRule {
         class: None,
         prefix: if peer == "a" { 0xa << 60 } else { 0xb << 60 },
         prefix_digits: 1,
@@ -37,7 +38,7 @@
     SiteConfig {
         own_site: own_site.to_string(),
         peers: vec![PeerConfig { site: peer.to_string(), endpoints: 1, connections: 2 }],
-        rules: vec![home],
+        rules: vec![route_to_peer],
         max_hops: 2,
         link: LinkLimits {
             heartbeat_interval: 20.0,
@@ -116,21 +117,21 @@
             self.inject_faults();
         }
         self.end_runs();
-        self.carry_out_effects();
+        self.execute_effects();
         self.deliver();
         for site in &mut self.sites {
             site.tick(self.now, self.now);
         }
-        self.carry_out_effects();
+        self.execute_effects();
     }
 
-    fn carry_out_effects(&mut self) {
+    fn execute_effects(&mut self) {
         loop {
             let mut is_idle = true;
             for index in 0..self.sites.len() {
                 while let Some(effect) = self.sites[index].next_effect() {
                     is_idle = false;
-                    self.carry_out(index, effect);
+                    self.execute_effect(index, effect);
                 }
                 for connection in self.network.connection_ids() {
                     while let Some(frame) = self.sites[index].next_chunk(connection) {
@@ -152,7 +153,7 @@
         }
     }
 
-    fn carry_out(&mut self, site: usize, effect: Effect) {
+    fn execute_effect(&mut self, site: usize, effect: Effect) {
         match effect {
             Effect::Connect { peer, endpoint } => self.connect(site, peer, endpoint),
             Effect::Send(connection, frame) => self.write(site, connection, frame),
@@ -203,7 +204,7 @@
 
     fn replied(&mut self, site: usize, token: RequestToken, reply: Reply) {
         let now = self.now;
-        let name = self.tokens.remove(&(site, token)).expect("one response to a request");
+        let name = self.tokens.remove(&(site, token)).expect("a response to a request that is not open");
         let tracked = self.requests.get_mut(&name).unwrap();
         assert!(!tracked.is_answered, "{name}: a second response");
         tracked.is_answered = true;
@@ -296,12 +297,12 @@
                 Arrival::Frame(frame) => {
                     if self.network.connections[&connection].is_open[receiver] {
                         self.sites[site].receive(self.now, self.now, connection, *frame);
-                        self.carry_out_effects();
+                        self.execute_effects();
                     }
                 }
                 Arrival::End => {
                     self.sites[site].disconnected(self.now, connection, &[]);
-                    self.carry_out_effects();
+                    self.execute_effects();
                 }
             }
         }
@@ -433,7 +434,7 @@
             priority_rank: 0.5,
         };
         self.sites[site].request(self.now, token, home, forwarded);
-        self.carry_out_effects();
+        self.execute_effects();
     }
 
     /// Cancels the first open request.
