--- a/crates/deckproxy-sites/tests/schedules/main.rs
+++ b/crates/deckproxy-sites/tests/schedules/main.rs
@@ -83,10 +83,10 @@
             .map(|thread| thread.join().expect("a schedule violates a guarantee: see above"))
             .fold(Responses::default(), Responses::add)
     });
-    assert!(served as u64 > schedules * 100, "too little was served to mean anything: {served}");
+    assert!(served as u64 > schedules * 100, "too few requests were served for a meaningful test: {served}");
     // Some fail by design or because their deadline passes; many more would mean that requests wait for events that
     // never occur.
-    assert!(failed * 4 < served, "{failed} failed beside {served} served");
+    assert!(failed * 4 < served, "{failed} requests failed and only {served} were served");
 }
 
 /// A serving side must accept no other message before the hello.
--- a/crates/deckproxy-sites/tests/schedules/simulation.rs
+++ b/crates/deckproxy-sites/tests/schedules/simulation.rs
@@ -308,7 +308,7 @@
         }
     }
 
-    /// Whether an event occurs in this step that occurs once in the given number of steps on average.
+    /// Draws at random whether an event occurs in this step that occurs once in the given number of steps on average.
     fn one_in(&mut self, steps: u32) -> bool {
         self.rng.random_range(0..steps) == 0
     }
