--- a/crates/deckproxy-sites/src/requester/resume.rs
+++ b/crates/deckproxy-sites/src/requester/resume.rs
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Acts on the status of an attempt whose connection was lost. `connection`: where its response arrives, if one
-    /// follows.
+    /// Reattaches to an attempt whose connection was lost, retries it or ends its exchange, depending on its status.
+    /// `connection`: the one on which its response arrives, if one follows.
     pub(super) fn resolve(
         &mut self,
         now: Millis,
--- a/crates/deckproxy-sites/src/responder/attempts.rs
+++ b/crates/deckproxy-sites/src/responder/attempts.rs
@@ -50,7 +50,8 @@
         self.evict();
     }
 
-    /// Releases an attempt: the requesting side needs nothing further of it.
+    /// Releases an attempt that the requesting side has ended: discards its state, and fences its number if the attempt
+    /// may still arrive.
     pub(super) fn release(&mut self, connection: ConnectionId, number: u64) {
         let Some(peer) = self.connections.get(&connection) else { return };
         let Some(session) = self.sessions.get_mut(&peer.session) else { return };
--- a/crates/deckproxy-sites/src/routes/validation.rs
+++ b/crates/deckproxy-sites/src/routes/validation.rs
@@ -89,8 +89,8 @@
     pub max_hops: u32,
 }
 
-/// Finds the errors within one site's routes: overlapping rules, next sites that are not peers, routes that lead back
-/// to this site, and forwarding or copy settings on the site's own objects.
+/// Finds the errors within one site's routes: overlapping rules, next sites that are this site or not peers, and
+/// forwarding or copy settings on the site's own objects.
 pub fn validate(own_site: &str, peers: &[&str], rules: &[RouteRule]) -> Vec<RouteError> {
     type Matched<'a> = (Option<&'a str>, u64, u32);
     // For each class and prefix: the last group and the index of each rule, keyed by its first group.
--- a/crates/deckproxy-sites/src/throughput.rs
+++ b/crates/deckproxy-sites/src/throughput.rs
@@ -10,7 +10,7 @@
 /// Length of a sample window, ms. The estimate is the highest sample of the current and the previous window: a lower
 /// sample may only mean that the sender was idle. After two windows without a sample the throughput is unknown.
 const SAMPLE_WINDOW: Millis = 5000.0;
-/// Initial estimate of the response size for requests that state none, bytes.
+/// Initial value of the moving average of response sizes, bytes; expected for requests that state no size.
 const INITIAL_TYPICAL_SIZE: f64 = 8.0 * 1024.0;
 /// Weight of a new response in the moving average of response sizes.
 const TYPICAL_SIZE_WEIGHT: f64 = 0.05;
@@ -41,7 +41,7 @@
     /// The highest samples of the current and the previous window, bytes per ms.
     best_samples: [Option<f64>; 2],
     window_start: Millis,
-    /// Typical size of a response, bytes.
+    /// Moving average of the sizes of responses, bytes.
     typical_size: f64,
     /// Expected bytes of all responses in flight.
     expected_in_flight: f64,
