--- a/crates/deckproxy-sites/src/limits.rs
+++ b/crates/deckproxy-sites/src/limits.rs
@@ -19,8 +19,8 @@
     pub max_exchanges: usize,
     /// Most requests that wait for one exchange, in addition to its leader.
     pub max_waiters: usize,
-    /// Most bytes of responses retained for peers without a connection.
-    pub max_retained: usize,
+    /// Size of all retained responses above which those without a connection are evicted, bytes.
+    pub max_retained_bytes: usize,
     /// Time over which a recovered endpoint's share grows to its full size, ms.
     pub recovery_ramp: Millis,
     /// How long a request waits for an endpoint before it is rejected, ms.
--- a/crates/deckproxy-sites/src/routes/validation.rs
+++ b/crates/deckproxy-sites/src/routes/validation.rs
@@ -66,12 +66,12 @@
         /// The sites passed; the last one appears twice.
         path: Vec<String>,
     },
-    /// The request would pass more sites than the first site allows.
+    /// The request would be forwarded more often than the first site allows.
     #[error("object {object:016x} takes over {max_hops} hops: {}", path.join(" > "))]
     TooManyHops {
         /// Number of the object.
         object: u64,
-        /// Largest number of hops that the first site allows.
+        /// How often the first site allows a request to be forwarded.
         max_hops: u32,
         /// The sites passed.
         path: Vec<String>,
@@ -85,12 +85,12 @@
     pub site: String,
     /// Its routes.
     pub rules: Vec<RouteRule>,
-    /// Most sites that a request may pass.
+    /// How often a request may be forwarded.
     pub max_hops: u32,
 }
 
-/// Finds the errors within one site's routes: overlapping rules, next sites that are not peers, routes that lead back
-/// to this site, and forwarding or copy settings on the site's own objects.
+/// Finds the errors within one site's routes: overlapping rules, next sites that are this site or not peers, and
+/// forwarding or copy settings on the site's own objects.
 pub fn validate(own_site: &str, peers: &[&str], rules: &[RouteRule]) -> Vec<RouteError> {
     type Matched<'a> = (Option<&'a str>, u64, u32);
     // For each class and prefix: the last group and the index of each rule, keyed by its first group.
--- a/crates/deckproxy-sites/src/site/messages.rs
+++ b/crates/deckproxy-sites/src/site/messages.rs
@@ -9,7 +9,7 @@
 
 /// Most characters of a goodbye's reason that are logged.
 const MAX_REASON: usize = 200;
-/// Most sites that a received request may have passed, whatever the configuration.
+/// Longest site path accepted in a received request, whatever hop limit is configured.
 const MAX_SITE_PATH: usize = 16;
 
 impl SiteGateway {
@@ -92,7 +92,8 @@
         }
     }
 
-    /// Whether the site path of a request is invalid for one that the given site forwarded.
+    /// Whether the site path of a request received from the given site is invalid: it must end with that site, must not
+    /// contain this site, and must not be too long.
     fn is_misrouted(&self, from_site: &str, request: &Request) -> bool {
         let path = &request.site_path;
         path.last().is_none_or(|last| last != from_site)
@@ -116,7 +117,7 @@
             sequence: heartbeat.sequence,
             unix_time,
             last_purge: self.purges.last_number(),
-            purges_received: self.purges.received_from(epoch),
+            purges_received: self.purges.last_received_from(epoch),
             lowest_open_attempt: 0,
         };
         self.effects.push_back(Effect::Send(connection, Payload::Pong(pong).into()));
@@ -125,7 +126,7 @@
     /// Processes a relayed purge: if it is new, applies it on this site and relays it.
     fn purge_received(&mut self, now: Millis, from_epoch: u64, purge: Purge) {
         let gaps_before = self.purges.gaps;
-        if let Some((notice, number)) = self.purges.received(now, from_epoch, purge) {
+        if let Some((notice, number)) = self.purges.purge_received(now, from_epoch, purge) {
             self.effects.push_back(Effect::Purge(notice));
             self.broadcast_purge(now, number);
         }
