--- a/crates/deckproxy-recovery/src/recovery_ramp.rs
+++ b/crates/deckproxy-recovery/src/recovery_ramp.rs
@@ -56,14 +56,14 @@
         RecoveryRamp { limits, state: State::Full, in_flight: 0, backoff: limits.min_backoff }
     }
 
-    /// The target was lost: no request may be sent until the backoff has passed.
-    pub fn lost(&mut self, now: Millis) {
+    /// Records that the target was lost: no request may be sent until the backoff has passed.
+    pub fn mark_lost(&mut self, now: Millis) {
         self.state = State::Down { until: now + self.backoff };
         self.backoff = (self.backoff * 2.0).min(self.limits.max_backoff);
     }
 
-    /// The target is reported available again: a trial request may be sent at once.
-    pub fn returned(&mut self) {
+    /// Records that the target is reported available again: a trial request may be sent at once.
+    pub fn mark_available(&mut self) {
         if matches!(self.state, State::Down { .. }) {
             self.state = State::step(1);
         }
@@ -97,7 +97,7 @@
         }
         let (limit, ended, failures) = (*limit, *successes + *failures, *failures);
         if limit == 1 && failures > 0 {
-            self.lost(now);
+            self.mark_lost(now);
         } else if ended >= limit {
             self.finish_step(now, limit, ended, failures);
         }
--- a/crates/deckproxy-recovery/tests/recovery.rs
+++ b/crates/deckproxy-recovery/tests/recovery.rs
@@ -164,7 +164,7 @@
     fn a_ramp_begins_with_one_request_and_ends(steps in prop::collection::vec((any::<bool>(), any::<bool>(), 0u32..300), 0..200)) {
         let limits = RampLimits::default();
         let mut ramp = RecoveryRamp::new(limits);
-        ramp.lost(0.0);
+        ramp.mark_lost(0.0);
         let (mut now, mut in_flight) = (0.0, 0u32);
         for (sends, success, later) in steps {
             now += f64::from(later);
@@ -193,7 +193,7 @@
 #[test]
 fn a_lost_target_gets_one_trial_request_however_many_wait() {
     let mut ramp = RecoveryRamp::new(RampLimits::default());
-    ramp.lost(0.0);
+    ramp.mark_lost(0.0);
     assert!((0..100).all(|_| !ramp.try_acquire(50.0)));
     let acquired = (0..100).filter(|_| ramp.try_acquire(150.0)).count();
     assert_eq!(acquired, 1);
