--- a/crates/deckproxy-recovery/src/admission/mod.rs
+++ b/crates/deckproxy-recovery/src/admission/mod.rs
@@ -12,14 +12,14 @@
 use crate::retry_storm::RetryStorm;
 use crate::{ClassIndex, Millis};
 
-/// Requests that must have ended in the recent windows for the pressure to be more than 0.
+/// Requests that must have ended or been rejected by the cap in the recent windows, or the pressure is taken as 0.
 const MIN_ENDED_FOR_PRESSURE: u64 = 20;
 /// A retry that is early by less than this is accepted, in milliseconds.
 const EARLY_TOLERANCE: Millis = 1.0;
 /// Share of the served rate that is planned for retries; the rest is for first attempts.
 const RETRY_RATE_SHARE: f64 = 0.25;
 /// Lowest rate at which retries are scheduled, per second.
-const MIN_RETURN_RATE: f64 = 1.0;
+const MIN_RETRY_RATE: f64 = 1.0;
 
 /// The admission control of one gateway.
 #[derive(Debug)]
@@ -123,8 +123,8 @@
         self.class_shedding.update(now, pressure);
     }
 
-    /// How early a retry arrives, in milliseconds; `None`: it is not early. More than the longest retry-after
-    /// time is left only if the clock was set back: the retry is not early then.
+    /// How early a retry arrives, in milliseconds; `None`: it is not early. A retry that seems early by more than the
+    /// longest retry-after time is not: the clock was set back.
     fn early_by(&self, now: Millis, rejection: Rejection) -> Option<Millis> {
         let early_by = rejection.retry_at - now;
         let is_early = (EARLY_TOLERANCE..=self.settings.max_retry_after).contains(&early_by);
@@ -138,11 +138,11 @@
 
     fn try_admit_below_cap(&mut self, now: Millis, priority_weight: f64) -> bool {
         let Some(storm) = &mut self.storm else { return true };
-        let is_below = storm.try_admit(now, priority_weight);
-        if !is_below {
+        let is_admitted = storm.try_admit(now, priority_weight);
+        if !is_admitted {
             storm.count(now, |counts| counts.capped += 1);
         }
-        is_below
+        is_admitted
     }
 
     fn admit(&mut self, now: Millis, class: ClassIndex, is_retry: bool) -> Verdict {
@@ -166,16 +166,16 @@
         Verdict::Reject { retry_after }
     }
 
-    /// The retry-after time of a client that is rejected now, in milliseconds and at least `min`, if the
-    /// settings allow that.
+    /// The retry-after time of a client that is rejected now, in milliseconds: at least `min`, and at most the
+    /// longest of the settings, which takes precedence.
     fn retry_after(&mut self, now: Millis, min: Millis) -> Millis {
         let max = self.settings.max_retry_after;
         if !self.settings.spreads_retry_after {
             return min.min(max);
         }
         let served_rate = self.storm.as_ref().map_or(0.0, RetryStorm::served_rate);
-        let return_rate = (served_rate * RETRY_RATE_SHARE).max(MIN_RETURN_RATE);
-        self.schedule.schedule(now, Bounds { min, max }, return_rate)
+        let retry_rate = (served_rate * RETRY_RATE_SHARE).max(MIN_RETRY_RATE);
+        self.schedule.schedule(now, Bounds { min, max }, retry_rate)
     }
 
     /// An admitted request has ended. `retry_after`: the decision module's retry-after time in milliseconds,
--- a/crates/deckproxy-recovery/src/admission/types.rs
+++ b/crates/deckproxy-recovery/src/admission/types.rs
@@ -8,9 +8,9 @@
 pub struct Class {
     /// Rank of the class among all classes by priority weight, 0 to 1.
     pub priority_weight: f64,
-    /// Whether its requests may be rejected, which is harmless if a retry has no side effects.
+    /// Whether its requests may be rejected: retrying them must be harmless.
     pub can_be_rejected: bool,
-    /// In a storm, a request whose client will wait for less time than this is rejected, in milliseconds.
+    /// Time left below which a request is rejected in a storm, in milliseconds.
     pub min_time_left: Millis,
 }
 
@@ -38,9 +38,10 @@
     pub min_retry_after: Millis,
     /// Longest retry-after time, in milliseconds.
     pub max_retry_after: Millis,
-    /// Smallest number of recently rejected or failed requests that are retained to detect retries.
+    /// Number of recently rejected or failed requests that are retained at least, to detect retries.
     pub remembered: usize,
-    /// Shortest time for which they are retained, unless that number of newer ones arrives before, in milliseconds.
+    /// Shortest time for which they are retained, in milliseconds; less if more than `remembered` newer ones are
+    /// recorded before that.
     pub remembered_for: Millis,
 }
 
@@ -117,7 +118,7 @@
     pub no_budget: u64,
     /// Requests rejected by the cap in a storm.
     pub capped: u64,
-    /// Requests rejected in a storm because their clients would not wait long enough.
+    /// Requests rejected in a storm because the time left was less than [`Class::min_time_left`].
     pub too_late: u64,
     /// Requests rejected because their class is shed.
     pub class_shed: u64,
@@ -128,7 +129,7 @@
 pub struct Status {
     /// Number of storms since the start.
     pub storms: u64,
-    /// Number of classes that are shed.
+    /// Number of class shedding steps in effect.
     pub shedding_level: u64,
     /// Rejected or failed requests that are retained to detect retries.
     pub remembered: u64,
--- a/crates/deckproxy-recovery/src/aging_map.rs
+++ b/crates/deckproxy-recovery/src/aging_map.rs
@@ -26,7 +26,8 @@
         AgingMap { young, old, young_since: 0.0, capacity: capacity.max(1), span }
     }
 
-    /// Drops the old generation if the young one is full or older than `span`. Must be called before each insertion.
+    /// If the young generation is full or older than `span`, drops the old one and replaces it with the young one.
+    /// Must be called before each insertion.
     pub fn rotate(&mut self, now: Millis) {
         if self.young.len() >= self.capacity || now - self.young_since > self.span {
             self.old = std::mem::take(&mut self.young);
--- a/crates/deckproxy-recovery/src/budget.rs
+++ b/crates/deckproxy-recovery/src/budget.rs
@@ -1,8 +1,8 @@
-//! The retry budget: how many retries are admitted for each first attempt.
+//! The retry budget: limits the admitted retries relative to the admitted first attempts.
 //!
-//! Each first attempt adds a fraction of a retry to the budget, and each retry takes a whole one. Over any period the
-//! retries admitted are therefore at most that fraction of the first attempts plus what the budget had accumulated,
-//! however many layers retry and whatever fails.
+//! Each admitted first attempt adds a fraction of a retry to the budget, and each admitted retry takes a whole one.
+//! Over any period the admitted retries are therefore at most that fraction of the first attempts plus the retries
+//! that were available at its start, however many layers retry and whatever fails.
 
 /// Limits of a retry budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -19,8 +19,8 @@
     }
 }
 
-/// Retries that a budget starts with. Few, as a process that has just started receives the retries of all the requests
-/// that it has no record of.
+/// Retries that a budget starts with. There are few because a process that has just started receives retries of
+/// requests from before its start.
 const INITIAL_RETRIES: f64 = 1.0;
 
 /// A retry budget.
@@ -36,7 +36,7 @@
         Budget { limits, available: limits.max_saved.min(INITIAL_RETRIES) }
     }
 
-    /// A first attempt was admitted.
+    /// Adds the share of an admitted first attempt.
     pub fn earn(&mut self) {
         self.add(self.limits.share);
     }
--- a/crates/deckproxy-recovery/src/class_shedding.rs
+++ b/crates/deckproxy-recovery/src/class_shedding.rs
@@ -2,7 +2,7 @@
 //!
 //! Pressure ranges from 0 (all requests are served) to 1 (none is). A class is shed once the pressure has
 //! been at or above its upper threshold for a configured time, and admitted again once the pressure has been
-//! below its lower threshold for another; one class at a time. Pressure that varies between the thresholds,
+//! below its lower threshold for another (by default longer) time; one class at a time. Pressure that varies between the thresholds,
 //! or faster than these times, changes nothing.
 
 use crate::{ClassIndex, Millis};
@@ -58,8 +58,8 @@
     pub fn update(&mut self, now: Millis, pressure: f64) {
         let should_shed = self.steps.get(self.level).is_some_and(|step| pressure >= step.shed_from);
         let should_restore = self.level > 0 && pressure < self.steps[self.level - 1].restore_below;
-        self.shed_since = held_since(self.shed_since, now, should_shed);
-        self.restore_since = held_since(self.restore_since, now, should_restore);
+        self.shed_since = true_since(self.shed_since, now, should_shed);
+        self.restore_since = true_since(self.restore_since, now, should_restore);
         if self.shed_since.is_some_and(|since| now - since >= self.delays.shed_after) {
             self.change_to(self.level + 1);
         } else if self.restore_since.is_some_and(|since| now - since >= self.delays.restore_after) {
@@ -83,7 +83,7 @@
     }
 }
 
-/// Since when a condition has held without interruption. If the clock was set back, the time starts over at `now`.
-fn held_since(earlier: Option<Millis>, now: Millis, holds: bool) -> Option<Millis> {
-    holds.then(|| earlier.filter(|since| *since <= now).unwrap_or(now))
+/// Since when a condition has been true without interruption; `earlier`: since when it was at the last update. If the clock was set back, the time starts over at `now`.
+fn true_since(earlier: Option<Millis>, now: Millis, is_true: bool) -> Option<Millis> {
+    is_true.then(|| earlier.filter(|since| *since <= now).unwrap_or(now))
 }
--- a/crates/deckproxy-recovery/src/recovery_ramp.rs
+++ b/crates/deckproxy-recovery/src/recovery_ramp.rs
@@ -71,7 +71,7 @@
 
     /// Admits a request if the limit allows it, and counts it as in flight. Returns whether it was admitted.
     pub fn try_acquire(&mut self, now: Millis) -> bool {
-        // More than the longest backoff is left only if the clock was set back: the trial is due.
+        // If more than the longest backoff is left, the clock was set back: a trial is allowed at once.
         if let State::Down { until } = self.state
             && (now >= until || until - now > self.limits.max_backoff)
         {
--- a/crates/deckproxy-recovery/src/retries.rs
+++ b/crates/deckproxy-recovery/src/retries.rs
@@ -8,7 +8,7 @@
 use crate::aging_map::AgingMap;
 use ahash::RandomState;
 
-/// Identifies a request and its retries.
+/// Identifies a request: its retries have the same key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RequestKey {
     /// Number of the client.
--- a/crates/deckproxy-recovery/src/retry_after.rs
+++ b/crates/deckproxy-recovery/src/retry_after.rs
@@ -13,7 +13,7 @@
 
 /// Length of a slot, in milliseconds.
 const SLOT_LENGTH: Millis = 50.0;
-/// Smallest capacity of a slot, in clients.
+/// Smallest capacity of a slot, in retries.
 const MIN_SLOT_CAPACITY: f64 = 0.05;
 /// The schedule is cleared when the clock was set back by more slots than this.
 const MAX_SLOTS_SET_BACK: i64 = 100;
@@ -33,13 +33,13 @@
 #[derive(Debug)]
 pub struct RetryAfterSchedule {
     rng: Pcg64Mcg,
-    /// Clients scheduled in each slot; index 0 is slot number `first`.
+    /// Retries scheduled in each slot; index 0 is slot number `first_slot`.
     slots: VecDeque<u32>,
     /// Number of the first slot, counted from time 0 of the clock.
-    first: i64,
-    /// Clients scheduled although no slot within the bounds had free capacity.
+    first_slot: i64,
+    /// Retries scheduled although no slot within the bounds had free capacity.
     pub overbooked: u64,
-    /// All clients scheduled.
+    /// All retries scheduled.
     pub scheduled: u64,
 }
 
@@ -49,7 +49,7 @@
         RetryAfterSchedule {
             rng: Pcg64Mcg::seed_from_u64(seed),
             slots: VecDeque::new(),
-            first: 0,
+            first_slot: 0,
             overbooked: 0,
             scheduled: 0,
         }
@@ -73,33 +73,34 @@
             self.rng.random_range(from..=to)
         });
         self.slots[slot] += 1;
-        // No slot is later than the longest retry-after time, so the index is small.
-        let begin = self.first.saturating_add(i64::try_from(slot).unwrap_or(i64::MAX)) as f64 * SLOT_LENGTH;
+        // The index is small: no slot is later than the longest retry-after time.
+        let begin =
+            self.first_slot.saturating_add(i64::try_from(slot).unwrap_or(i64::MAX)) as f64 * SLOT_LENGTH;
         let retry_after = begin + self.rng.random::<f64>() * SLOT_LENGTH - now;
         retry_after.clamp(min.max(MIN_RETRY_AFTER).min(max), max)
     }
 
-    /// Drops the slots that have passed.
+    /// Drops the slots that have passed, or all of them if the clock was set back too far.
     fn advance(&mut self, now: Millis) {
         let current = (now / SLOT_LENGTH).floor() as i64;
-        if current < self.first - MAX_SLOTS_SET_BACK {
+        if current < self.first_slot - MAX_SLOTS_SET_BACK {
             self.slots.clear();
         }
-        while self.first < current && self.slots.pop_front().is_some() {
-            self.first += 1;
+        while self.first_slot < current && self.slots.pop_front().is_some() {
+            self.first_slot += 1;
         }
         if self.slots.is_empty() {
-            self.first = current;
+            self.first_slot = current;
         }
     }
 
     fn slot_index(&self, at: Millis) -> usize {
-        let slots_ahead = (at / SLOT_LENGTH).floor() as i64 - self.first;
+        let slots_ahead = (at / SLOT_LENGTH).floor() as i64 - self.first_slot;
         usize::try_from(slots_ahead).unwrap_or(0)
     }
 
-    /// The first slot with free capacity. Unused capacity, up to one client, carries over to the next slot: a
-    /// slot's own capacity may be less than one client.
+    /// The first slot with free capacity. Unused capacity of up to one retry carries over to the next slot, as
+    /// the capacity of a single slot may be less than one retry.
     fn free_slot(&self, range: RangeInclusive<usize>, rate: f64) -> Option<usize> {
         let capacity = (rate * SLOT_LENGTH / 1000.0).max(MIN_SLOT_CAPACITY);
         let mut free = 0.0;
--- a/crates/deckproxy-recovery/src/retry_storm.rs
+++ b/crates/deckproxy-recovery/src/retry_storm.rs
@@ -25,13 +25,13 @@
     pub good_share: f64,
     /// Retries per first attempt above which bad windows are a storm.
     pub retry_ratio: f64,
-    /// Requests that must have ended in the recent windows for a storm to be detected.
+    /// Number of requests that must have ended in the recent windows for these to count as bad.
     pub min_ended: u64,
     /// The initial cap in a storm, relative to the served rate.
     pub first_cap: f64,
     /// The lowest cap, in requests per second.
     pub min_cap: f64,
-    /// Factor by which the cap is raised after a good window.
+    /// Factor by which the cap is raised after a good window in which it rejected requests.
     pub increase: f64,
     /// Factor by which the cap is lowered after a bad window.
     pub decrease: f64,
@@ -98,19 +98,20 @@
 
 /// Number of recent windows that are evaluated together to detect a storm.
 const RECENT_WINDOWS: usize = 4;
-/// Number of bad windows in a row that are a storm.
-const BAD_WINDOWS_IN_STORM: u32 = 2;
+/// Number of bad windows in a row at which a storm starts.
+const BAD_WINDOWS_AT_START: u32 = 2;
 /// A gap of more windows than this between two calls means that the process was suspended or the clock was set: the
 /// current window starts over.
 const MAX_GAP_WINDOWS: f64 = 40.0;
 /// The cap counts as not reached if it rejected at most one request per this number of admitted ones.
 const ADMITTED_PER_CAPPED: u64 = 20;
-/// Number of reserves: the range of priority weights is divided into as many equal parts, with a reserve for each.
+/// Number of equal parts of the range of priority weights; each part has its own reserve of tokens.
 const RESERVES: usize = 4;
 /// Share of the cap that is divided evenly among the reserves.
 const RESERVED_SHARE: f64 = 0.2;
-/// Requests of the lowest priority weight leave the bucket's capacity divided by this to requests of higher weights.
-const LOWEST_WEIGHT_RESERVE_DIVISOR: f64 = 3.0;
+/// A request of the lowest priority weight takes a token of the shared bucket only if the bucket's capacity divided by
+/// this remains for higher weights, or if the bucket is full.
+const LOWEST_WEIGHT_HEADROOM_DIVISOR: f64 = 3.0;
 
 /// Storm detection and the cap of one gateway.
 #[derive(Clone, Debug)]
@@ -127,7 +128,9 @@
     /// Tokens reserved for each part of the range of priority weights, so that no class starves.
     reserves: [f64; RESERVES],
     refilled_at: Millis,
+    /// Bad windows in a row so far, while there is no storm.
     bad_windows: u32,
+    /// Windows in a row in which the cap was not reached, during a storm.
     calm_windows: u32,
     /// Number of storms since the start.
     pub storms: u64,
@@ -188,7 +191,7 @@
         let weight = priority_weight.clamp(0.0, 1.0);
         let max_tokens = (cap * self.limits.window / 1000.0).max(1.0);
         self.refill(now, cap, max_tokens);
-        let needed = 1.0 + (1.0 - weight) * max_tokens / LOWEST_WEIGHT_RESERVE_DIVISOR;
+        let needed = 1.0 + (1.0 - weight) * max_tokens / LOWEST_WEIGHT_HEADROOM_DIVISOR;
         let reserve = ((weight * RESERVES as f64) as usize).min(RESERVES - 1);
         let has_tokens = self.tokens >= needed.min(max_tokens);
         let source = if has_tokens { &mut self.tokens } else { &mut self.reserves[reserve] };
@@ -245,7 +248,7 @@
         let is_bad = is_significant && recent.served_share() < self.limits.bad_share;
         let is_retried = recent.retries as f64 > self.limits.retry_ratio * recent.first_attempts as f64;
         self.bad_windows = if is_bad && is_retried { self.bad_windows + 1 } else { 0 };
-        if self.bad_windows < BAD_WINDOWS_IN_STORM {
+        if self.bad_windows < BAD_WINDOWS_AT_START {
             return;
         }
         let served_rate = recent.served as f64 * 1000.0 / self.recent_span();
@@ -256,7 +259,7 @@
         self.recent_windows.clear();
     }
 
-    /// Adjusts the cap to the results of the last window, or ends the storm.
+    /// Raises or lowers the cap by the results of the last window, or ends the storm.
     fn adjust(&mut self, cap: f64, last: &Counts) {
         let limits = self.limits;
         let served_share = last.served_share();
