--- a/crates/deckproxy-recovery/src/class_shedding.rs
+++ b/crates/deckproxy-recovery/src/class_shedding.rs
@@ -2,8 +2,8 @@
 //!
 //! Pressure ranges from 0 (all requests are served) to 1 (none is). A class is shed once the pressure has
 //! been at or above its upper threshold for a configured time, and admitted again once the pressure has been
-//! below its lower threshold for another (by default longer) time; one class at a time. Pressure that varies between the thresholds,
-//! or faster than these times, changes nothing.
+//! below its lower threshold for another, by default longer, time. Classes are shed and admitted again one at a
+//! time. Pressure that varies between the thresholds, or faster than these times, changes nothing.
 
 use crate::{ClassIndex, Millis};
 
@@ -83,7 +83,8 @@
     }
 }
 
-/// Since when a condition has been true without interruption; `earlier`: since when it was at the last update. If the clock was set back, the time starts over at `now`.
+/// Since when a condition has been true without interruption; `earlier`: since when it was at the last update. If
+/// the clock was set back, the time starts over at `now`.
 fn true_since(earlier: Option<Millis>, now: Millis, is_true: bool) -> Option<Millis> {
     is_true.then(|| earlier.filter(|since| *since <= now).unwrap_or(now))
 }
--- a/crates/deckproxy-recovery/src/lib.rs
+++ b/crates/deckproxy-recovery/src/lib.rs
@@ -12,8 +12,7 @@
 //!   again; it starts at one trial request and grows while requests succeed.
 //!
 //! The decision module still selects the member and decides on retries, and may reject a request that was admitted
-//! here. All times are milliseconds on the caller's clock, and only differences
-//! between them matter.
+//! here. All times are milliseconds on the caller's clock, and only differences between them matter.
 #![forbid(unsafe_code)]
 
 pub mod admission;
