--- a/crates/deckproxy-flow/src/account/attempts.rs
+++ b/crates/deckproxy-flow/src/account/attempts.rs
@@ -14,7 +14,7 @@
     started_at: Micros,
 }
 
-/// The attempts in flight, by key. An attempt is counted when it ends, with the bytes written for it until then.
+/// The attempts in flight, by key. An attempt is counted when it ends, with the bytes written for it so far.
 #[derive(Debug, Default)]
 pub struct Attempts {
     in_flight: HashMap<u64, Attempt, RandomState>,
--- a/crates/deckproxy-flow/src/account/mod.rs
+++ b/crates/deckproxy-flow/src/account/mod.rs
@@ -5,8 +5,8 @@
 //! - [`link`]: bytes and requests of links to other sites.
 //! - [`names`]: the table that numbers the names of classes, members and sites.
 //!
-//! A byte is counted once the kernel has accepted it for sending or delivered it to the process. State is
-//! dropped with the request or connection that it belongs to.
+//! A byte counts as sent when the kernel has accepted it, and as received when the process has read it. State is
+//! dropped at the end of the request or connection that it belongs to.
 
 pub mod attempts;
 pub mod client;
--- a/crates/deckproxy-flow/src/account/names.rs
+++ b/crates/deckproxy-flow/src/account/names.rs
@@ -17,7 +17,8 @@
 }
 
 impl Names {
-    /// A table of at most `capacity` names, or of 2 if `capacity` is less. Number 0 is the empty name.
+    /// A table of at most `capacity` numbers, but of at least 2. Number 0 is the empty name, and the last number
+    /// that of [`OTHERS`].
     pub fn new(capacity: usize) -> Self {
         Names {
             by_number: vec!["".into()],
--- a/crates/deckproxy-flow/src/codec/decode/mod.rs
+++ b/crates/deckproxy-flow/src/codec/decode/mod.rs
@@ -1,6 +1,7 @@
 //! The decoder: reads messages as a collector does.
 //!
-//! Any input is safe: every length is checked, and each stored or returned collection has a limit.
+//! Any input can be decoded safely: every length is checked, and the size of each stored or returned collection is
+//! limited.
 
 mod sets;
 mod splitter;
@@ -91,7 +92,7 @@
     pub unknown_sets: usize,
     /// The number of templates that were defined or withdrawn.
     pub templates: usize,
-    /// Why the rest of the message was not decoded.
+    /// Why the rest of the message was not decoded; `None`: there was no error.
     pub error: Option<DecodeError>,
 }
 
--- a/crates/deckproxy-flow/src/codec/decode/splitter.rs
+++ b/crates/deckproxy-flow/src/codec/decode/splitter.rs
@@ -4,7 +4,8 @@
 use crate::codec::{IPFIX_HEADER_LENGTH, Version};
 use bytes::{Bytes, BytesMut};
 
-/// Buffers a byte stream and returns its messages.
+/// Buffers a byte stream and returns its messages. The buffer has no limit of its own: the caller must remove all
+/// complete messages after each [`MessageSplitter::push`], so that at most one message of 65,535 bytes remains.
 #[derive(Debug, Default)]
 pub struct MessageSplitter {
     buffer: BytesMut,
--- a/crates/deckproxy-flow/src/codec/encode.rs
+++ b/crates/deckproxy-flow/src/codec/encode.rs
@@ -113,8 +113,8 @@
         true
     }
 
-    /// Withdraws a template (RFC 7011, 8.1; IPFIX over TCP only). Returns false, and adds nothing, if the
-    /// message has no space for it.
+    /// Withdraws a template (RFC 7011, 8.1; IPFIX over TCP only); `scope`: the template's number of scope fields.
+    /// Returns false, and adds nothing, if the message has no space for it.
     pub fn withdraw(&mut self, id: u16, scope: u16) -> bool {
         if !self.reserve(self.template_set(scope), MIN_TEMPLATE_LENGTH, MIN_TEMPLATE_LENGTH) {
             return false;
--- a/crates/deckproxy-flow/src/export/collector.rs
+++ b/crates/deckproxy-flow/src/export/collector.rs
@@ -53,7 +53,7 @@
     /// Token bucket of the rate limit.
     tokens: u64,
     refilled_at: Millis,
-    /// Over UDP, the time before which no flows are sent after the first templates.
+    /// Over UDP, when the delay between the first templates and the first flows ends.
     flows_delayed_until: Millis,
 }
 
@@ -89,7 +89,7 @@
         self.backoff = FIRST_BACKOFF;
     }
 
-    /// Moves up a reconnect that is later than the longest backoff, which happens when the clock was set back.
+    /// Brings forward a reconnect that is due later than the longest backoff, because the clock was set back.
     pub(super) fn correct_reconnect(&mut self, now: Millis) {
         if let State::Down { reconnect_at } = &mut self.state
             && *reconnect_at > now + MAX_BACKOFF
@@ -116,7 +116,7 @@
         self.refilled_at = now;
     }
 
-    /// Whether the rate limit allows a message; a `rate` of 0 is no limit.
+    /// Whether the rate limit allows a message; `rate`: messages per second, 0 is no limit.
     pub(super) fn has_token(&self, rate: u32) -> bool {
         rate == 0 || self.tokens >= TOKENS_PER_MESSAGE
     }
--- a/crates/deckproxy-flow/src/export/effects.rs
+++ b/crates/deckproxy-flow/src/export/effects.rs
@@ -60,7 +60,7 @@
     pub octets: u64,
     /// Requests of those flows.
     pub requests: u64,
-    /// Dropped flows, counted each time that a message that reports them is created.
+    /// Dropped flows reported in messages; counted again if the message is not written and they are reported again.
     pub lost_flows: u64,
     /// Connections to collectors that were lost.
     pub connections_lost: u64,
--- a/crates/deckproxy-flow/src/export/mod.rs
+++ b/crates/deckproxy-flow/src/export/mod.rs
@@ -1,9 +1,9 @@
 //! The exporting process, without I/O: templates, messages and the state of the connections to collectors.
 //!
 //! Collectors are either replicas, each of which receives all flows from a spool of its own, or standbys, of
-//! which the first that is up receives all flows from one common spool. Neither protocol acknowledges
-//! messages: a message counts as sent once it is completely written to a connection, and its content is sent
-//! again otherwise. A collector detects missing messages by gaps in the sequence numbers.
+//! which the first that is up receives all flows from one common spool. Neither IPFIX nor NetFlow v9 acknowledges
+//! messages: a message counts as sent once it is completely written to a connection, and its content is sent again
+//! otherwise. A collector detects missing messages by gaps in the sequence numbers.
 //!
 //! - [`settings`]: the settings of the export.
 //! - [`effects`]: effects for the caller, log events and counters.
@@ -125,7 +125,7 @@
         collectors: &[(Transport, Option<CollectorIndex>)],
         now: Millis,
     ) {
-        debug_assert!(settings.has_same_restart_settings(&self.settings), "these take a restart");
+        debug_assert!(settings.has_same_restart_settings(&self.settings), "these require a restart");
         let is_kept = |index| collectors.iter().any(|(_, previous)| *previous == Some(index));
         for index in (0..self.collectors.len()).filter(|index| !is_kept(*index)) {
             // The caller closes the connection; flows of unwritten messages return to the spool.
@@ -224,14 +224,14 @@
     pub fn poll<'a>(&mut self, now: Millis, max_messages: usize, name: &impl Fn(u32) -> &'a str) -> bool {
         let mut messages_left = max_messages;
         let mut has_more = false;
-        let mut has_served = false;
+        let mut has_active = false;
         for index in 0..self.collectors.len() {
             self.poll_connection(now, index);
-            // A standby receives no messages while a collector before it in the list is up.
-            if !self.collectors[index].is_up() || (has_served && !self.settings.replicate) {
+            // A standby receives no messages while an earlier collector of the list is up.
+            if !self.collectors[index].is_up() || (has_active && !self.settings.replicate) {
                 continue;
             }
-            has_served = true;
+            has_active = true;
             while self.can_send(now, index) {
                 if messages_left == 0 {
                     has_more = true;
--- a/crates/deckproxy-flow/src/export/settings.rs
+++ b/crates/deckproxy-flow/src/export/settings.rs
@@ -15,7 +15,7 @@
 /// The settings of the export.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// The protocol.
+    /// The protocol version.
     pub version: Version,
     /// The observation domain.
     pub domain: u32,
@@ -29,7 +29,7 @@
     pub template_interval: Millis,
     /// Size of a spool, bytes: one for each replica, or one for all standbys.
     pub spool_size: usize,
-    /// Bytes in flight on one connection from which on no further message is sent on it.
+    /// Number of bytes in flight on a connection at which no further messages are sent on it.
     pub max_in_flight: usize,
     /// Time without progress after which a connection attempt, or a connection with messages in flight, is
     /// closed, ms.
--- a/crates/deckproxy-flow/src/lib.rs
+++ b/crates/deckproxy-flow/src/lib.rs
@@ -1,9 +1,9 @@
-//! Flow accounting and export: counts the traffic of each client exactly, in bounded memory, and exports the
-//! flows to collectors.
+//! Flow accounting and export: counts the traffic of clients in bounded memory without losing any of it, and
+//! exports the flows to collectors.
 //!
 //! - [`codec`]: IPFIX (RFC 7011) and NetFlow v9 (RFC 3954), encoding and decoding.
 //! - [`account`]: attributes the bytes of connections to requests and attempts.
-//! - [`meter`]: the table of flows; when it is full, small flows are folded into coarser ones.
+//! - [`meter`]: the table of flows; when it is full, small flows are folded into flows with coarser keys.
 //! - [`spool`]: the queue of flows for a collector, bounded in bytes: when full, flows are merged, then
 //!   dropped and counted.
 //! - [`export`]: the exporting process: templates, messages and connections to collectors.
--- a/crates/deckproxy-flow/src/meter/flow.rs
+++ b/crates/deckproxy-flow/src/meter/flow.rs
@@ -8,15 +8,15 @@
 pub enum Outcome {
     /// The request was served.
     Served,
-    /// Rejected by admission control.
+    /// The request was rejected by admission control.
     Rejected,
     /// The request failed.
     Failed,
-    /// Canceled by the client, or the client's connection was lost.
+    /// The client cancelled the request, or its connection was lost.
     Canceled,
-    /// Rejected as invalid.
+    /// The request was rejected as invalid.
     Invalid,
-    /// A cache answered that it has no copy.
+    /// A cache answered that it has no copy of the object.
     CacheMiss,
 }
 
@@ -56,7 +56,7 @@
 }
 
 impl Key {
-    /// The key of a leg without any further distinction.
+    /// The key of all traffic on a leg.
     pub const fn of(leg: Leg) -> Self {
         Key { leg, client: None, class: 0, member: 0, site: 0, outcome: None, folded: 0 }
     }
@@ -94,16 +94,16 @@
     pub bytes_from_client: u64,
     /// Requests that ended.
     pub requests: u64,
-    /// Time of the first update.
+    /// Earliest time of an update.
     pub first: Millis,
-    /// Time of the last update.
+    /// Latest time of an update.
     pub last: Millis,
     /// Histogram of the latencies.
     latencies: [u32; BUCKETS],
 }
 
 impl Counts {
-    /// Counts without updates.
+    /// Counts without updates; both times are `now`.
     pub(super) fn new(now: Millis) -> Self {
         Counts {
             bytes_to_client: 0,
--- a/crates/deckproxy-flow/src/meter/heavy_hitters.rs
+++ b/crates/deckproxy-flow/src/meter/heavy_hitters.rs
@@ -30,7 +30,7 @@
 }
 
 impl<K: Copy + Eq + Hash> HeavyHitters<K> {
-    /// Creates a sketch of `capacity` slots, at least one.
+    /// Tracks `capacity` keys, at least one.
     pub fn new(capacity: usize) -> Self {
         HeavyHitters {
             capacity: capacity.max(1),
--- a/crates/deckproxy-flow/src/meter/mod.rs
+++ b/crates/deckproxy-flow/src/meter/mod.rs
@@ -1,8 +1,8 @@
-//! The flow table: counts the traffic of each client exactly, in bounded memory.
+//! The flow table: counts the traffic by client in bounded memory; the sums are always exact.
 //!
-//! When the table is full, the smallest of a few entries is folded into a coarser one, which adds its counts:
-//! first with a wider prefix of the client, then by leg, class and outcome alone. An update that fits in no
-//! entry is counted in the overflow entry of its leg, so that the sums are always exact.
+//! When the table is full, the smallest of a few entries is folded: its counts are added to an entry with a
+//! coarser key, first one with a wider prefix of the client, then one of leg, class and outcome alone. An update
+//! that fits in no entry is counted in the overflow entry of its leg, so that nothing is lost.
 //!
 //! - [`flow`]: keys, updates, counts and flows.
 //! - [`heavy_hitters`]: the keys with the largest sums.
@@ -132,7 +132,7 @@
         self.entries.is_empty() && self.overflow.iter().all(Option::is_none)
     }
 
-    /// Memory of the table, bytes.
+    /// Memory allocated by the table, bytes.
     pub fn memory_bytes(&self) -> usize {
         // Each bucket of the index has a position and a control byte; at most 7 of 8 buckets are filled.
         self.entries.capacity() * size_of::<Entry>() + self.index.capacity() * 8 / 7 * (size_of::<u32>() + 1)
@@ -191,7 +191,7 @@
         self.entries.swap_remove(position)
     }
 
-    /// The key into which a key is folded.
+    /// The next coarser key, into which a key is folded; `None` for the coarsest ones.
     fn coarser(&self, key: &Key) -> Option<Key> {
         match key.folded {
             0 => {
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Folds entries until one is free. Returns whether that succeeded.
+    /// Folds up to [`MAX_FOLDS`] entries until one is free. Returns whether that succeeded.
     fn try_free_entry(&mut self) -> bool {
         for _ in 0..MAX_FOLDS {
             let Some(position) = self.next_to_fold() else { continue };
@@ -271,13 +271,13 @@
         if now.saturating_sub(counts.last) >= self.limits.idle {
             return Some(EndReason::Idle);
         }
-        // A flow that begins in the future was first counted before the clock was set back.
+        // A flow that begins far in the future was first counted before the clock was set back.
         let is_old = now.saturating_sub(counts.first) >= self.limits.active;
         let is_future = counts.first > now + self.limits.active;
         (is_old || is_future).then_some(EndReason::Active)
     }
 
-    /// Removes and returns all flows, at the end of the process.
+    /// Removes and returns all flows, when the process shuts down.
     pub fn take_all(&mut self) -> Vec<Flow> {
         self.index.clear();
         let entries = std::mem::take(&mut self.entries).into_iter().map(|entry| (entry.key, entry.counts));
--- a/crates/deckproxy-flow/src/scheduler.rs
+++ b/crates/deckproxy-flow/src/scheduler.rs
@@ -8,7 +8,7 @@
 //! 2. Otherwise the ready task with the lowest virtual runtime (run time divided by priority weight) runs,
 //!    among those whose time slice fits.
 //!
-//! So no task starves, and in a loop without time left each task runs for at most one slice per maximum delay.
+//! So no task starves, and in an event loop without time left each task runs for at most one slice per maximum delay.
 
 use std::collections::BTreeMap;
 
@@ -20,7 +20,7 @@
 /// How a task is scheduled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TaskSettings {
-    /// The task's share of the time relative to other tasks, at least 1.
+    /// The task's share of the run time relative to other tasks; 0 counts as 1.
     pub priority_weight: u32,
     /// The longest time for which the task may run without a break.
     pub time_slice: Micros,
@@ -149,7 +149,8 @@
         self.ready_tasks > 0
     }
 
-    /// The latest time for the next call of [`Scheduler::next`]: a timer fires, or a task becomes overdue.
+    /// The latest time for the next call of [`Scheduler::next`]: when the first timer fires or the first ready task
+    /// becomes overdue.
     pub fn next_due(&self) -> Option<Micros> {
         self.next_due
     }
@@ -159,6 +160,7 @@
         self.tasks.get(&id).map_or(TaskStatistics::default(), |task| task.statistics)
     }
 
+    /// Computes the fields that are derived from `tasks`.
     fn update_summary(&mut self) {
         self.ready_tasks = self.ready().count();
         self.first_timer = self.tasks.values().filter_map(|task| task.wake_at).min();
--- a/crates/deckproxy-flow/src/spool.rs
+++ b/crates/deckproxy-flow/src/spool.rs
@@ -7,7 +7,7 @@
 use crate::meter::{Flow, Key};
 use std::collections::{HashMap, VecDeque};
 
-/// Sums over dropped flows.
+/// Sums over flows that were dropped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Loss {
     /// Number of flows.
@@ -59,7 +59,7 @@
 const MIN_CAPACITY: usize = 16;
 
 impl Spool {
-    /// An empty queue of at most `bytes` bytes, but of at least 16 flows.
+    /// An empty queue with space for `bytes` bytes, but for at least 16 flows.
     pub fn new(bytes: usize) -> Self {
         let capacity = (bytes / FLOW_BYTES).max(MIN_CAPACITY);
         Spool { capacity, queue: VecDeque::new(), loss: Loss::default(), merged: 0 }
@@ -76,7 +76,7 @@
         self.queue.push_back(flow);
     }
 
-    /// Returns flows to the front of the queue that were removed but not exported.
+    /// Puts flows that were removed but not exported back at the front of the queue, in their order.
     pub fn requeue(&mut self, flows: impl DoubleEndedIterator<Item = Flow>) {
         for flow in flows.rev() {
             if self.queue.len() >= self.capacity {
@@ -132,12 +132,12 @@
         self.queue.is_empty()
     }
 
-    /// Resets the unreported loss and returns it, to be reported.
+    /// Resets the unreported loss, and returns it to be reported.
     pub fn take_loss(&mut self) -> Loss {
         std::mem::take(&mut self.loss)
     }
 
-    /// Adds a loss back that could not be reported.
+    /// Adds a loss back to the unreported loss, because the message that reported it was not sent.
     pub fn restore_loss(&mut self, loss: Loss) {
         self.loss.add(loss);
     }
