--- a/crates/deckproxy-flow/src/meter/mod.rs
+++ b/crates/deckproxy-flow/src/meter/mod.rs
@@ -37,18 +37,24 @@
     /// Largest number of entries; at least 16.
     pub entries: usize,
     /// Prefix lengths of IPv4 and IPv6 clients, bits.
-    pub bits: (u8, u8),
+    pub prefix_bits: (u8, u8),
     /// Prefix lengths of IPv4 and IPv6 clients in folded entries, bits.
-    pub folded_bits: (u8, u8),
+    pub folded_prefix_bits: (u8, u8),
     /// Age at which a flow is exported even if it continues, ms.
-    pub active: Millis,
+    pub active_timeout: Millis,
     /// Idle time after which a flow has ended, ms.
-    pub idle: Millis,
+    pub idle_timeout: Millis,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { entries: 16_384, bits: (32, 64), folded_bits: (16, 40), active: 60_000, idle: 15_000 }
+        Limits {
+            entries: 16_384,
+            prefix_bits: (32, 64),
+            folded_prefix_bits: (16, 40),
+            active_timeout: 60_000,
+            idle_timeout: 15_000,
+        }
     }
 }
 
@@ -119,7 +125,7 @@
 
     /// The prefix by which a client is counted.
     pub fn client(&self, address: IpAddr) -> IpNet {
-        prefix(address.to_canonical(), self.limits.bits)
+        prefix(address.to_canonical(), self.limits.prefix_bits)
     }
 
     /// Number of entries.
@@ -195,7 +201,7 @@
     fn coarser(&self, key: &Key) -> Option<Key> {
         match key.folded {
             0 => {
-                let client = key.client.map(|net| prefix(net.addr(), self.limits.folded_bits));
+                let client = key.client.map(|net| prefix(net.addr(), self.limits.folded_prefix_bits));
                 Some(Key { client, folded: 1, ..*key })
             }
             1 => Some(Key { client: None, member: 0, site: 0, folded: 2, ..*key }),
@@ -259,7 +265,7 @@
 
     fn take_due_overflow(&mut self, now: Millis, flows: &mut Vec<Flow>) {
         for (leg, overflow) in LEGS.into_iter().zip(&mut self.overflow) {
-            let is_due = |counts: &mut Counts| now.saturating_sub(counts.first) >= self.limits.active;
+            let is_due = |counts: &mut Counts| now.saturating_sub(counts.first) >= self.limits.active_timeout;
             if let Some(counts) = overflow.take_if(is_due) {
                 flows.push(Flow { key: Key::overflow(leg), counts, reason: EndReason::Active });
             }
@@ -268,12 +274,12 @@
 
     /// Why a flow is due for export, if it is.
     fn export_reason(&self, now: Millis, counts: &Counts) -> Option<EndReason> {
-        if now.saturating_sub(counts.last) >= self.limits.idle {
+        if now.saturating_sub(counts.last) >= self.limits.idle_timeout {
             return Some(EndReason::Idle);
         }
         // A flow that begins far in the future was first counted before the clock was set back.
-        let is_old = now.saturating_sub(counts.first) >= self.limits.active;
-        let is_future = counts.first > now + self.limits.active;
+        let is_old = now.saturating_sub(counts.first) >= self.limits.active_timeout;
+        let is_future = counts.first > now + self.limits.active_timeout;
         (is_old || is_future).then_some(EndReason::Active)
     }
 
--- a/crates/deckproxy-flow/tests/meter.rs
+++ b/crates/deckproxy-flow/tests/meter.rs
@@ -47,7 +47,7 @@
         steps in prop::collection::vec((any::<u32>(), 1u32..4, 0u32..5, 0u64..1 << 34, 0u64..400), 1..600),
         entries in 16usize..64,
     ) {
-        let mut meter = Meter::new(Limits { entries, active: 500, idle: 100, ..Limits::default() });
+        let mut meter = Meter::new(Limits { entries, active_timeout: 500, idle_timeout: 100, ..Limits::default() });
         let mut expected: HashMap<u32, [u64; 3]> = HashMap::new();
         let mut legs: HashMap<Leg, [u64; 3]> = HashMap::new();
         let (mut exported, mut now) = (Vec::new(), 1000u64);
@@ -140,7 +140,7 @@
 
 #[test]
 fn flows_are_exported_when_idle_when_old_and_at_the_end() {
-    let mut meter = Meter::new(Limits { active: 1000, idle: 100, ..Limits::default() });
+    let mut meter = Meter::new(Limits { active_timeout: 1000, idle_timeout: 100, ..Limits::default() });
     let key = |n: u32| Key { ..meter_key(n) };
     let reasons =
         |flows: &[Flow]| flows.iter().map(|f| (f.key, f.reason, f.counts.requests)).collect::<Vec<_>>();
@@ -168,7 +168,7 @@
 
 #[test]
 fn no_flow_ends_before_its_start_when_the_clock_is_set_back() {
-    let mut meter = Meter::new(Limits { active: 1000, idle: 100, ..Limits::default() });
+    let mut meter = Meter::new(Limits { active_timeout: 1000, idle_timeout: 100, ..Limits::default() });
     meter.count(1_000_000, meter_key(1), &served(10));
     meter.count(5_000, meter_key(1), &served(10));
     meter.count(900_000, meter_key(2), &served(10));
--- a/crates/deckproxy-operator/src/flows.rs
+++ b/crates/deckproxy-operator/src/flows.rs
@@ -42,14 +42,14 @@
         let v6 = meter.v6_bits.unwrap_or(defaults::meter::IPV6_BITS);
         Limits {
             entries: meter.entries.unwrap_or(defaults::meter::MAX_ENTRIES) as usize,
-            bits: prefix_bits(v4, v6),
+            prefix_bits: prefix_bits(v4, v6),
             // Where fewer bits are kept from the start, folding does not ask for more.
-            folded_bits: prefix_bits(
+            folded_prefix_bits: prefix_bits(
                 meter.folded_v4_bits.unwrap_or(defaults::meter::FOLDED_IPV4_BITS).min(v4),
                 meter.folded_v6_bits.unwrap_or(defaults::meter::FOLDED_IPV6_BITS).min(v6),
             ),
-            active: u64::from(meter.active_ms.unwrap_or(defaults::meter::ACTIVE_TIMEOUT_MS)),
-            idle: u64::from(meter.idle_ms.unwrap_or(defaults::meter::IDLE_TIMEOUT_MS)),
+            active_timeout: u64::from(meter.active_ms.unwrap_or(defaults::meter::ACTIVE_TIMEOUT_MS)),
+            idle_timeout: u64::from(meter.idle_ms.unwrap_or(defaults::meter::IDLE_TIMEOUT_MS)),
         }
     }
 
--- a/crates/deckproxy-operator/tests/files.rs
+++ b/crates/deckproxy-operator/tests/files.rs
@@ -143,7 +143,7 @@
     let flows = read(FLOWS.as_bytes()).unwrap().flows.unwrap();
     let (settings, limits) = (flows.settings(), flows.meter_limits());
     assert_eq!((settings.max_message, settings.message_rate, settings.replicate), (1400, 0, false));
-    assert_eq!((limits.active, limits.idle, limits.bits), (20_000, 15_000, (32, 64)));
+    assert_eq!((limits.active_timeout, limits.idle_timeout, limits.prefix_bits), (20_000, 15_000, (32, 64)));
     assert_eq!(flows.collector_endpoints().len(), 1);
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/flows.example.textproto");
     assert!(read(&std::fs::read(path).unwrap()).unwrap().flows.is_some());
--- a/crates/deckproxy/src/program/flows/mod.rs
+++ b/crates/deckproxy/src/program/flows/mod.rs
@@ -71,7 +71,7 @@
         tasks.wake(micros(now), send_task);
         Some(Box::new(Flows {
             log: log.clone(),
-            collect_interval: (limits.idle * 1000 / 4).clamp(20_000, 1_000_000),
+            collect_interval: (limits.idle_timeout * 1000 / 4).clamp(20_000, 1_000_000),
             accounting: Accounting::new(limits, classes),
             exporter: Exporter::new(flows.settings(), &transports, first_sequence, now as u64),
             collectors,
