--- a/crates/deckproxy-flow/src/codec/elements.rs
+++ b/crates/deckproxy-flow/src/codec/elements.rs
@@ -14,13 +14,13 @@
 /// The client's IPv4 address or prefix (sourceIPv4Address, 8).
 pub const CLIENT_V4: Element = iana(8);
 /// The length of an IPv4 prefix, bits (sourceIPv4PrefixLength, 9).
-pub const CLIENT_V4_LENGTH: Element = iana(9);
+pub const CLIENT_V4_PREFIX_LENGTH: Element = iana(9);
 /// Bytes received from the client, in NetFlow v9 (`OUT_BYTES`, 23); IPFIX uses the reverse of [`OCTETS`].
 pub const REVERSE_OCTETS_V9: Element = iana(23);
 /// The client's IPv6 address or prefix (sourceIPv6Address, 27).
 pub const CLIENT_V6: Element = iana(27);
 /// The length of an IPv6 prefix, bits (sourceIPv6PrefixLength, 29).
-pub const CLIENT_V6_LENGTH: Element = iana(29);
+pub const CLIENT_V6_PREFIX_LENGTH: Element = iana(29);
 /// Bytes that an exporter has exported (exportedOctetTotalCount, 40).
 pub const EXPORTED_OCTETS: Element = iana(40);
 /// Records that an exporter has exported (exportedFlowRecordTotalCount, 42).
@@ -57,11 +57,11 @@
 pub const IE_ENTERPRISE: Element = iana(346);
 
 /// The enterprise number of elements that count the other direction (RFC 5103, 6.1).
-pub const REVERSE: u32 = 29_305;
+pub const REVERSE_ENTERPRISE: u32 = 29_305;
 
 /// The element that counts the other direction of one of IANA's elements.
 pub const fn reverse(element: Element) -> Element {
-    Element { id: element.id, enterprise: Some(REVERSE) }
+    Element { id: element.id, enterprise: Some(REVERSE_ENTERPRISE) }
 }
 
 /// The enterprise number reserved for documentation (RFC 5612); the default until an installation sets its own.
--- a/crates/deckproxy-flow/src/export/templates.rs
+++ b/crates/deckproxy-flow/src/export/templates.rs
@@ -36,8 +36,20 @@
     pub(super) fn new(settings: &Settings) -> Self {
         let version = settings.version;
         Templates {
-            flow_v4: flow_template(settings, FLOW_V4_ID, elements::CLIENT_V4, elements::CLIENT_V4_LENGTH, 4),
-            flow_v6: flow_template(settings, FLOW_V6_ID, elements::CLIENT_V6, elements::CLIENT_V6_LENGTH, 16),
+            flow_v4: flow_template(
+                settings,
+                FLOW_V4_ID,
+                elements::CLIENT_V4,
+                elements::CLIENT_V4_PREFIX_LENGTH,
+                4,
+            ),
+            flow_v6: flow_template(
+                settings,
+                FLOW_V6_ID,
+                elements::CLIENT_V6,
+                elements::CLIENT_V6_PREFIX_LENGTH,
+                16,
+            ),
             loss: Template {
                 id: LOSS_ID,
                 scope: 1,
--- a/crates/deckproxy-lab/src/flows/record.rs
+++ b/crates/deckproxy-lab/src/flows/record.rs
@@ -144,7 +144,7 @@
                 let v4 = <[u8; 4]>::try_from(&bytes[..]).map(IpAddr::from).ok();
                 self.address = v4.or(<[u8; 16]>::try_from(&bytes[..]).map(IpAddr::from).ok());
             }
-            (elements::CLIENT_V4_LENGTH | elements::CLIENT_V6_LENGTH, _) => {
+            (elements::CLIENT_V4_PREFIX_LENGTH | elements::CLIENT_V6_PREFIX_LENGTH, _) => {
                 self.length = Some(value.number().unwrap_or(0));
             }
             _ => return false,
@@ -173,7 +173,7 @@
 /// under its number in NetFlow v9.
 fn is_project(element: Element, own: ProjectElement) -> bool {
     match element.enterprise {
-        Some(elements::REVERSE) => false,
+        Some(elements::REVERSE_ENTERPRISE) => false,
         Some(_) => element.id == own.id,
         None => element.id == V9_BASE + own.id,
     }
