--- a/crates/deckproxy-recovery/src/recovery_ramp.rs
+++ b/crates/deckproxy-recovery/src/recovery_ramp.rs
@@ -12,22 +12,22 @@
     pub min_backoff: Millis,
     /// Longest backoff before a trial request, in milliseconds.
     pub max_backoff: Millis,
-    /// Number of requests in flight at which the ramp ends: from there on they are not limited.
-    pub full: u32,
+    /// Limit at which the ramp ends: from there on, requests in flight are not limited.
+    pub unlimited_from: u32,
     /// Share of a step's requests that may fail, 0 to 1. Above it, the limit is halved.
     pub max_failures: f64,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { min_backoff: 100.0, max_backoff: 5000.0, full: 64, max_failures: 0.2 }
+        Limits { min_backoff: 100.0, max_backoff: 5000.0, unlimited_from: 64, max_failures: 0.2 }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
     /// The requests in flight are not limited.
-    Full,
+    Unlimited,
     /// No request may be sent before `until`.
     Down { until: Millis },
     /// At most `limit` requests may be in flight; the counts are the results of this step so far.
@@ -53,7 +53,7 @@
 impl RecoveryRamp {
     /// The ramp of a target that is available: its requests are not limited.
     pub fn new(limits: Limits) -> Self {
-        RecoveryRamp { limits, state: State::Full, in_flight: 0, backoff: limits.min_backoff }
+        RecoveryRamp { limits, state: State::Unlimited, in_flight: 0, backoff: limits.min_backoff }
     }
 
     /// Records that the target was lost: no request may be sent until the backoff has passed.
@@ -78,7 +78,7 @@
             self.state = State::step(1);
         }
         let acquired = match self.state {
-            State::Full => true,
+            State::Unlimited => true,
             State::Down { .. } => false,
             State::Ramping { limit, .. } => self.in_flight < limit,
         };
@@ -108,9 +108,9 @@
         let next = if has_failed { limit / 2 } else { limit * 2 };
         self.state = match next {
             0 => State::Down { until: now + self.backoff },
-            next if next >= self.limits.full => {
+            next if next >= self.limits.unlimited_from => {
                 self.backoff = self.limits.min_backoff;
-                State::Full
+                State::Unlimited
             }
             next => State::step(next),
         };
@@ -119,7 +119,7 @@
     /// Largest number of requests in flight; `None`: not limited.
     pub fn limit(&self) -> Option<u32> {
         match self.state {
-            State::Full => None,
+            State::Unlimited => None,
             State::Down { .. } => Some(0),
             State::Ramping { limit, .. } => Some(limit),
         }
