--- a/crates/deckproxy-flow/tests/account.rs
+++ b/crates/deckproxy-flow/tests/account.rs
@@ -22,10 +22,15 @@
 
 #[derive(Clone, Debug)]
 enum Step {
+    /// A request is received, with this id and length.
     Request(u32, u64),
+    /// Bytes that belong to no request are received.
     OtherBytes(u64),
+    /// The answer to a request is queued, with this length.
     Answer(u32, u64),
+    /// A message that answers no request is queued, with this length.
     Pong(u64),
+    /// The client cancels the request with this id.
     Cancel(u32),
     /// The kernel accepts this many bytes.
     Write(u64),
--- a/crates/deckproxy-flow/tests/codec.rs
+++ b/crates/deckproxy-flow/tests/codec.rs
@@ -197,7 +197,7 @@
     assert_eq!(decoder.decode(0, &message(2)).missing, 0);
     let lost = message(3);
     assert_eq!(decoder.decode(0, &message(1)).missing, 3, "over the wrap at 2^32");
-    assert_eq!(decoder.decode(0, &lost).missing, 0, "a late message is no gap of 2^32");
+    assert_eq!(decoder.decode(0, &lost).missing, 0, "a late message doesn't count as a gap of nearly 2^32");
 }
 
 #[test]
@@ -212,7 +212,11 @@
     let data = encoder.finish(0).unwrap();
     assert_eq!(decoder.decode(900, &data).records.len(), 1);
     let got = decoder.decode(1001, &data);
-    assert_eq!((got.records.len(), got.unknown_sets), (0, 1), "the template was not repeated for a second");
+    assert_eq!(
+        (got.records.len(), got.unknown_sets),
+        (0, 1),
+        "the template expired after a second without repetition"
+    );
     for id in 400..403 {
         encoder.template(&Template { id, ..template.clone() });
     }
@@ -248,7 +252,7 @@
     assert_eq!(Decoder::new(Limits::default()).decode(0, &message).records.len(), count);
 }
 
-/// A message can have padding before and after a record that fills it: the sum must not exceed the length limit.
+/// A record that fills a message can have padding before and after it: the message must still not exceed its limit.
 #[test]
 fn the_padding_of_two_sets_stays_within_the_limit() {
     let field = Field { element: elements::CLIENT_V4, length: 4 };
--- a/crates/deckproxy-flow/tests/export.rs
+++ b/crates/deckproxy-flow/tests/export.rs
@@ -135,7 +135,7 @@
     assert_eq!(
         collectors[0].element_names.len(),
         elements::PROJECT_ELEMENTS.len(),
-        "each of our elements is described once a connection"
+        "each of this project's elements is described once per connection"
     );
     assert_eq!((exporter.backlog(), exporter.counters.requests), (Backlog::default(), 250));
 }
@@ -241,7 +241,7 @@
     assert_eq!(repetitions(&collectors), 1);
     run(&mut exporter, 1200, &mut collectors, |_| true);
     assert_eq!(repetitions(&collectors), 2);
-    // A collector without templates decodes flows again once the templates are repeated.
+    // A collector that has lost its templates decodes flows again once the templates are repeated.
     collectors[0].decoder = None;
     for flow in flows(0..350) {
         exporter.push(flow);
@@ -341,7 +341,7 @@
         exporter.disconnected(5003, 0);
         run(&mut exporter, 60_000, &mut collectors, |_| true);
         let requests = [collectors[0].requests, collectors[1].requests];
-        // A new replica receives the flows pushed since it was added.
+        // A new replica receives the flows pushed since it was added, a standby none.
         let expected = if replicate { [60, 20] } else { [60, 0] };
         assert_eq!((requests, exporter.is_drained()), (expected, true), "replicate: {replicate}");
     }
--- a/crates/deckproxy-flow/tests/meter.rs
+++ b/crates/deckproxy-flow/tests/meter.rs
@@ -40,8 +40,8 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Compares the meter with an unbounded map: the sums in total, by leg and by class are equal, however
-    /// small the table is.
+    /// Compares the meter with an unbounded map: the sums in total and by leg are equal however small the table is,
+    /// and those by class as long as no update is counted in an overflow entry.
     #[test]
     fn sums_are_exact_however_much_is_folded(
         steps in prop::collection::vec((any::<u32>(), 1u32..4, 0u32..5, 0u64..1 << 34, 0u64..400), 1..600),
--- a/crates/deckproxy-recovery/tests/recovery.rs
+++ b/crates/deckproxy-recovery/tests/recovery.rs
@@ -59,9 +59,9 @@
         }
     }
 
-    /// Whatever happened before, once all admitted requests are served the storm ends within a known time:
+    /// Whatever happened before, once all admitted requests are served the storm ends within a bounded time:
     /// the lowest cap takes log(rate / min_cap) / log(increase) windows until it is not reached any more, and
-    /// `calm_windows` further windows end the storm.
+    /// `calm_windows` further windows end the storm. 12 windows are added as a margin.
     #[test]
     fn all_is_admitted_again_when_the_cause_is_over(
         bad in prop::collection::vec((0u32..12, any::<bool>()), 0..3000),
@@ -93,7 +93,7 @@
         prop_assert_eq!(storm.cap(), None, "after {} windows", windows);
     }
 
-    /// In a storm requests of every class are admitted, and more of those with a higher priority weight.
+    /// In a storm requests of every class are admitted, and at least as many of a higher priority weight as of a lower.
     #[test]
     fn no_class_starves_in_a_storm(seed in any::<u64>()) {
         let mut storm = RetryStorm::new(StormLimits::default());
@@ -118,9 +118,9 @@
     }
 
     /// Clients that are rejected together retry within the bounds, and no interval has many more retries
-    /// than its capacity while there is free capacity.
+    /// than its capacity as long as no slot is overbooked.
     #[test]
-    fn rejected_clients_return_as_a_stream(count in 1usize..400, rate in 20.0f64..2000.0, max in 300.0f64..5000.0) {
+    fn retries_of_rejected_clients_are_spread(count in 1usize..400, rate in 20.0f64..2000.0, max in 300.0f64..5000.0) {
         let mut schedule = RetryAfterSchedule::new(3);
         let now = 1_700_000_000_123.0;
         let bounds = Bounds { min: 50.0, max };
@@ -128,7 +128,7 @@
         prop_assert!(times.iter().all(|time| (50.0..=max).contains(time)));
         times.sort_by(f64::total_cmp);
         if schedule.overbooked == 0 {
-            // Any interval of 100 ms has its capacity and the partial slots at its two ends.
+            // At most the capacity of 100 ms, that of the slots of 50 ms at both ends, and what carries over.
             for i in 0..times.len() {
                 let within = times[i..].iter().take_while(|time| **time < times[i] + 100.0).count();
                 prop_assert!(within as f64 <= rate * 0.2 + 4.0, "{} in 100 ms at {} a second", within, rate);
@@ -138,7 +138,8 @@
         }
     }
 
-    /// Each level lasts for its minimum time, however the pressure varies.
+    /// The level changes by one step, and not before the delay of the change has passed since the last one, however
+    /// the pressure varies.
     #[test]
     fn class_shedding_never_flaps(pressures in prop::collection::vec((0.0f64..1.0, 1u32..400), 1..400)) {
         let step = |class, shed_from| Step { class, shed_from, restore_below: shed_from - 0.3 };
