--- a/crates/deckproxy-recovery/src/admission/mod.rs
+++ b/crates/deckproxy-recovery/src/admission/mod.rs
@@ -12,7 +12,7 @@
 use crate::retry_storm::RetryStorm;
 use crate::{ClassIndex, Millis};
 
-/// Requests that must have ended or been rejected by the cap in the recent windows, or the pressure is taken as 0.
+/// Requests that must have ended, or been rejected by the cap, in the recent windows for a pressure above 0.
 const MIN_ENDED_FOR_PRESSURE: u64 = 20;
 /// A retry that is early by less than this is accepted, in milliseconds.
 const EARLY_TOLERANCE: Millis = 1.0;
