--- a/crates/deckproxy-recovery/src/admission/types.rs
+++ b/crates/deckproxy-recovery/src/admission/types.rs
@@ -14,8 +14,8 @@
     pub min_time_left: Millis,
 }
 
-/// Settings of admission control. Each mechanism can be disabled; class shedding and the rate of scheduled
-/// retries depend on the counts of storm detection.
+/// Settings of admission control. Each mechanism can be disabled, so that the others can be evaluated without it;
+/// class shedding and the rate of scheduled retries depend on the counts of storm detection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The classes, by index.
