--- a/crates/deckproxy-flow/tests/meter.rs
+++ b/crates/deckproxy-flow/tests/meter.rs
@@ -141,7 +141,7 @@
 #[test]
 fn flows_are_exported_when_idle_when_old_and_at_the_end() {
     let mut meter = Meter::new(Limits { active_timeout: 1000, idle_timeout: 100, ..Limits::default() });
-    let key = |n: u32| Key { ..meter_key(n) };
+    let key = meter_key;
     let reasons =
         |flows: &[Flow]| flows.iter().map(|f| (f.key, f.reason, f.counts.requests)).collect::<Vec<_>>();
     meter.count(0, key(1), &served(10));
