--- a/crates/deckproxy-flow/src/meter/mod.rs
+++ b/crates/deckproxy-flow/src/meter/mod.rs
@@ -1,8 +1,8 @@
-//! The flow table: counts the traffic of each client exactly, in bounded memory.
+//! The flow table: counts the traffic by client in bounded memory; the sums are always exact.
 //!
-//! When the table is full, the smallest of a few entries is folded into a coarser one, which adds its counts:
-//! first with a wider prefix of the client, then by leg, class and outcome alone. An update that fits in no
-//! entry is counted in the overflow entry of its leg, so that the sums are always exact.
+//! When the table is full, the smallest of a few entries is folded: its counts are added to an entry with a
+//! coarser key, first one with a wider prefix of the client, then one of leg, class and outcome alone. An update
+//! that fits in no entry is counted in the overflow entry of its leg, so that nothing is lost.
 //!
 //! - [`flow`]: keys, updates, counts and flows.
 //! - [`heavy_hitters`]: the keys with the largest sums.
@@ -37,18 +37,24 @@
     /// Largest number of entries; at least 16.
     pub entries: usize,
     /// Prefix lengths of IPv4 and IPv6 clients, bits.
-    pub bits: (u8, u8),
+    pub prefix_bits: (u8, u8),
     /// Prefix lengths of IPv4 and IPv6 clients in folded entries, bits.
-    pub folded_bits: (u8, u8),
+    pub folded_prefix_bits: (u8, u8),
     /// Age at which a flow is exported even if it continues, ms.
-    pub active: Millis,
+    pub active_timeout: Millis,
     /// Idle time after which a flow has ended, ms.
-    pub idle: Millis,
+    pub idle_timeout: Millis,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { entries: 16_384, bits: (32, 64), folded_bits: (16, 40), active: 60_000, idle: 15_000 }
+        Limits {
+            entries: 16_384,
+            prefix_bits: (32, 64),
+            folded_prefix_bits: (16, 40),
+            active_timeout: 60_000,
+            idle_timeout: 15_000,
+        }
     }
 }
 
@@ -119,7 +125,7 @@
 
     /// The prefix by which a client is counted.
     pub fn client(&self, address: IpAddr) -> IpNet {
-        prefix(address.to_canonical(), self.limits.bits)
+        prefix(address.to_canonical(), self.limits.prefix_bits)
     }
 
     /// Number of entries.
@@ -132,7 +138,7 @@
         self.entries.is_empty() && self.overflow.iter().all(Option::is_none)
     }
 
-    /// Memory of the table, bytes.
+    /// Memory allocated by the table, bytes.
     pub fn memory_bytes(&self) -> usize {
         // Each bucket of the index has a position and a control byte; at most 7 of 8 buckets are filled.
         self.entries.capacity() * size_of::<Entry>() + self.index.capacity() * 8 / 7 * (size_of::<u32>() + 1)
@@ -191,11 +197,11 @@
         self.entries.swap_remove(position)
     }
 
-    /// The key into which a key is folded.
+    /// The next coarser key, into which a key is folded; `None` for the coarsest ones.
     fn coarser(&self, key: &Key) -> Option<Key> {
         match key.folded {
             0 => {
-                let client = key.client.map(|net| prefix(net.addr(), self.limits.folded_bits));
+                let client = key.client.map(|net| prefix(net.addr(), self.limits.folded_prefix_bits));
                 Some(Key { client, folded: 1, ..*key })
             }
             1 => Some(Key { client: None, member: 0, site: 0, folded: 2, ..*key }),
@@ -203,7 +209,7 @@
         }
     }
 
-    /// Folds entries until one is free. Returns whether that succeeded.
+    /// Folds up to [`MAX_FOLDS`] entries until one is free. Returns whether that succeeded.
     fn try_free_entry(&mut self) -> bool {
         for _ in 0..MAX_FOLDS {
             let Some(position) = self.next_to_fold() else { continue };
@@ -259,7 +265,7 @@
 
     fn take_due_overflow(&mut self, now: Millis, flows: &mut Vec<Flow>) {
         for (leg, overflow) in LEGS.into_iter().zip(&mut self.overflow) {
-            let is_due = |counts: &mut Counts| now.saturating_sub(counts.first) >= self.limits.active;
+            let is_due = |counts: &mut Counts| now.saturating_sub(counts.first) >= self.limits.active_timeout;
             if let Some(counts) = overflow.take_if(is_due) {
                 flows.push(Flow { key: Key::overflow(leg), counts, reason: EndReason::Active });
             }
@@ -268,16 +274,16 @@
 
     /// Why a flow is due for export, if it is.
     fn export_reason(&self, now: Millis, counts: &Counts) -> Option<EndReason> {
-        if now.saturating_sub(counts.last) >= self.limits.idle {
+        if now.saturating_sub(counts.last) >= self.limits.idle_timeout {
             return Some(EndReason::Idle);
         }
-        // A flow that begins in the future was first counted before the clock was set back.
-        let is_old = now.saturating_sub(counts.first) >= self.limits.active;
-        let is_future = counts.first > now + self.limits.active;
+        // A flow that begins far in the future was first counted before the clock was set back.
+        let is_old = now.saturating_sub(counts.first) >= self.limits.active_timeout;
+        let is_future = counts.first > now + self.limits.active_timeout;
         (is_old || is_future).then_some(EndReason::Active)
     }
 
-    /// Removes and returns all flows, at the end of the process.
+    /// Removes and returns all flows, when the process shuts down.
     pub fn take_all(&mut self) -> Vec<Flow> {
         self.index.clear();
         let entries = std::mem::take(&mut self.entries).into_iter().map(|entry| (entry.key, entry.counts));
