--- a/crates/deckproxy-fleet/src/clock.rs
+++ b/crates/deckproxy-fleet/src/clock.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reading {
     /// The time on this clock, excluding pauses.
-    pub own: Millis,
+    pub own_time: Millis,
     /// Length of the pause that has just ended; `None` if there was none.
     pub pause: Option<Millis>,
 }
@@ -41,7 +41,7 @@
             self.paused += gap;
             self.pauses += 1;
         }
-        Reading { own: now - self.paused, pause }
+        Reading { own_time: now - self.paused, pause }
     }
 
     /// Changes the longest gap that does not count as a pause.
@@ -50,8 +50,8 @@
     }
 
     /// Converts a time on this clock to the host's time.
-    pub fn to_host(&self, own: Millis) -> Millis {
-        own + self.paused
+    pub fn to_host(&self, own_time: Millis) -> Millis {
+        own_time + self.paused
     }
 }
 
--- a/crates/deckproxy-fleet/src/clock/tests.rs
+++ b/crates/deckproxy-fleet/src/clock/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn a_pause_is_excluded_from_own_time_and_reported_once() {
-    let reading = |own, pause| Reading { own, pause };
+    let reading = |own_time, pause| Reading { own_time, pause };
     let mut clock = PauseAwareClock::new(1000.0);
     assert_eq!(clock.read(500.0), reading(500.0, None));
     assert_eq!(clock.read(1500.0), reading(1500.0, None));
--- a/crates/deckproxy-fleet/src/fleet/datagrams.rs
+++ b/crates/deckproxy-fleet/src/fleet/datagrams.rs
@@ -73,7 +73,7 @@
 
     fn handle_packet(&mut self, now: Millis, packet: Packet) {
         let Packet { from, body } = packet;
-        let own_time = self.clock.read(now).own;
+        let own_time = self.clock.read(now).own_time;
         let is_alive = self.swim.alive().contains_key(&from.name);
         self.record_peer(&from);
         // A sender that SWIM does not consider alive may consider us alive and therefore send no greeting, while we send it
--- a/crates/deckproxy-fleet/src/fleet/mod.rs
+++ b/crates/deckproxy-fleet/src/fleet/mod.rs
@@ -176,7 +176,7 @@
         self.check_clock(now);
         self.write_heartbeat(now);
         self.push(now);
-        let own_time = self.clock.read(now).own;
+        let own_time = self.clock.read(now).own_time;
         self.swim.leave(own_time);
         self.health_checks = HealthCheckSchedule::default();
         self.process_membership(now);
@@ -216,7 +216,7 @@
         if self.superseded || self.leaving {
             return;
         }
-        let own_time = self.clock.read(now).own;
+        let own_time = self.clock.read(now).own_time;
         self.swim.tick(own_time);
         self.run_periodic(now);
         self.process_membership(now);
