--- a/crates/deckproxy-fleet/src/acknowledgements.rs
+++ b/crates/deckproxy-fleet/src/acknowledgements.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug)]
 struct LastDigest {
     received_at: Millis,
-    /// It acknowledged all heartbeats except recent ones.
+    /// It acknowledged all retained heartbeats that were written more than `suspect_after` ago.
     is_current: bool,
 }
 
@@ -30,7 +30,7 @@
 pub struct DigestCount {
     /// All such instances.
     pub received: usize,
-    /// Those whose digest acknowledged all heartbeats except recent ones.
+    /// Those whose digest acknowledged all retained heartbeats that were written more than `suspect_after` ago.
     pub current: usize,
 }
 
--- a/crates/deckproxy-fleet/src/clock.rs
+++ b/crates/deckproxy-fleet/src/clock.rs
@@ -1,7 +1,7 @@
 //! A clock that excludes the time for which the process was paused.
 //!
-//! A process that was stopped for seconds must not take the datagrams that it missed for silence of the other instances. Its
-//! SWIM timers therefore run on a clock that excludes such gaps.
+//! A process that was stopped for seconds received nothing in the meantime, which must not count as silence of the other
+//! instances. Its SWIM timers therefore run on a clock that excludes such gaps.
 
 use crate::Millis;
 
@@ -20,7 +20,7 @@
     last: Option<Millis>,
     /// Total length of all pauses.
     paused: Millis,
-    /// A longer gap than this between two readings is a pause.
+    /// Gap between two readings, in milliseconds, above which the process was paused.
     threshold: Millis,
     /// Number of pauses.
     pub pauses: u64,
--- a/crates/deckproxy-fleet/src/gossip_store/anti_entropy.rs
+++ b/crates/deckproxy-fleet/src/gossip_store/anti_entropy.rs
@@ -11,7 +11,7 @@
 const MAX_DIGEST_AUTHORS: usize = 40;
 /// Size of an author's header without the name, in bytes: two versions, the incarnation and the number of entries.
 const AUTHOR_HEADER_BYTES: usize = 36;
-/// Minimum space after an author's header, in bytes; with less remaining, the author is omitted.
+/// Minimum space for entries after an author's header, in bytes; if less would remain, no further author is added.
 const MIN_ENTRY_BYTES: usize = 32;
 /// Size of an entry without its subject and value, in bytes: kind, version, age, time to live and lengths.
 const ENTRY_HEADER_BYTES: usize = 24;
@@ -32,7 +32,7 @@
 }
 
 impl GossipStore {
-    /// The digest to send to an instance.
+    /// The next digest to send to an instance; advances the rotation through the authors.
     pub fn digest(&mut self, to: &str) -> Digest {
         let complete = self.authors.len() <= MAX_DIGEST_AUTHORS;
         let skip = if complete { 0 } else { self.rotation % self.authors.len() };
@@ -59,6 +59,7 @@
         self.names.get(&hash).and_then(|name| self.authors.get_key_value(name))
     }
 
+    /// The authors of whom the sender of a digest lacks entries, in the order in which they are sent.
     fn missing_at_peer(&self, digest: &Digest) -> Vec<Missing> {
         let mut missing = Vec::new();
         for mark in &digest.marks {
@@ -74,8 +75,8 @@
             let unmarked = self.authors.keys().filter(|name| !marked.contains(&hash(name)));
             missing.extend(unmarked.map(|name| Missing { author: name.clone(), after: 0 }));
         }
-        // Own entries come first, as no other instance may have them yet. The authors after the first are rotated, so that
-        // each is included in turn when not all fit.
+        // Own entries come first, as possibly no other instance has them yet. The authors after the first are rotated, so
+        // that each is included in turn when not all fit.
         missing.sort_by_key(|missing| missing.author != self.own);
         if missing.len() > 2 {
             let rotation = self.rotation % (missing.len() - 1);
@@ -84,6 +85,7 @@
         missing
     }
 
+    /// A request for the entries that are present at the sender of a digest but missing here.
     fn request(&self, from: &str, digest: &Digest) -> Option<Digest> {
         let marks: Vec<Mark> = digest.marks.iter().filter_map(|mark| self.position_if_behind(mark)).collect();
         let receiver = self.position(from);
@@ -100,6 +102,7 @@
         Some(Mark { author: mark.author, incarnation, version })
     }
 
+    /// The missing entries, as many as fit into `budget` bytes.
     fn delta(&self, now: Millis, missing: &[Missing], budget: usize) -> Delta {
         let mut delta = Delta::default();
         let mut remaining = budget;
--- a/crates/deckproxy-fleet/src/gossip_store/merge.rs
+++ b/crates/deckproxy-fleet/src/gossip_store/merge.rs
@@ -14,14 +14,14 @@
     pub new_entries: usize,
     /// Authors' updates that were dropped because they are from an earlier incarnation.
     pub stale_incarnations: usize,
-    /// Entries and authors that were dropped at a limit of the store.
+    /// Entries and authors that were dropped at a limit of the store, and authors with an invalid name.
     pub over_limit: usize,
     /// The incarnation of a later process that has written under the owner's name.
     pub own_later_incarnation: Option<u64>,
 }
 
 impl GossipStore {
-    /// Merges a delta. Entries that are already known, delayed or duplicated have no effect.
+    /// Merges a delta. Entries that are already known or outdated have no effect.
     pub fn merge(&mut self, now: Millis, delta: Delta) -> MergeOutcome {
         let mut outcome = MergeOutcome::default();
         for update in delta.authors {
--- a/crates/deckproxy-fleet/src/gossip_store/mod.rs
+++ b/crates/deckproxy-fleet/src/gossip_store/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! Each author numbers its entries in one sequence; a later version of a key replaces the earlier one. Two instances
 //! exchange digests (the last version that each has of every author) and send each other the missing entries in the order of
-//! their versions, so that an instance at version N of an author has all its live entries up to N. A lost datagram is made
-//! up for by later ones, and duplicate, delayed or old datagrams have no effect (the scheme of van Renesse and others,
+//! their versions, so that an instance at version N of an author has all its live entries up to N. Later datagrams make up
+//! for a lost one, and duplicate, delayed or old datagrams do no harm (the scheme of van Renesse and others,
 //! "Efficient reconciliation and flow control for anti-entropy protocols", 2008). Each entry is sent with its age, so that
 //! its time to live counts from when it was written, however it was forwarded.
 //!
@@ -79,6 +79,7 @@
     rotation: usize,
 }
 
+/// The hash of an author's name in [`Mark::author`].
 fn hash(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
@@ -121,8 +122,8 @@
         own.version += 1;
         // An instance that has only the previous entry must not retain it for longer than others retain this one.
         let previous = own.entries.get(&key);
-        let previous_ttl = previous.map_or(0.0, |old| old.expires_in(now));
-        let ttl = ttl.max(previous_ttl.max(0.0).ceil() as u32);
+        let remaining_ttl = previous.map_or(0.0, |old| old.expires_in(now));
+        let ttl = ttl.max(remaining_ttl.max(0.0).ceil() as u32);
         own.entries.insert(key, Entry { version: own.version, written_at: now, ttl, value });
         true
     }
--- a/crates/deckproxy-fleet/src/health.rs
+++ b/crates/deckproxy-fleet/src/health.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// An observer's state on one member: its current report and the evidence for the next one.
+/// An observer's state for one member: the health that it reports, and the results that lead to the next change.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Monitor {
     health: Health,
@@ -70,7 +70,7 @@
         self.health
     }
 
-    /// Whether the health rests on checks rather than on the initial assumption: an observer that has just taken over a
+    /// Whether the health is based on checks rather than on the initial assumption: an observer that has just taken over a
     /// failing member must not report it healthy before a check has succeeded.
     pub fn is_observed(&self) -> bool {
         self.health != Health::Healthy || self.last_check_succeeded
--- a/crates/deckproxy-fleet/src/health_checks.rs
+++ b/crates/deckproxy-fleet/src/health_checks.rs
@@ -11,8 +11,11 @@
 const ZERO_RATE_RETRY: f64 = 0.25;
 /// Intervals without a result after which a check no longer counts as in flight.
 const CHECK_TIMEOUT_INTERVALS: f64 = 2.0;
-/// Minimum rate for which first checks are scheduled.
+/// Lower bound on the rate from which the interval of first checks is computed, so that it is finite at rate 0.
 const MIN_RATE: f64 = 0.01;
+/// Jitter factors of the interval between checks of a member; they keep observers from synchronizing. They only ever lengthen
+/// the interval, so that no period has more checks than intended.
+const CHECK_JITTER: std::ops::Range<f64> = 1.0..1.08;
 
 /// The next and the current check of an observed member.
 #[derive(Clone, Copy, Debug)]
@@ -26,16 +29,17 @@
 pub struct HealthCheckSchedule {
     checks: BTreeMap<u32, Check>,
     /// When each member was last checked, including members that have since been reassigned: a member that is reassigned
-    /// back and forth is not checked each time that it returns.
+    /// back and forth is not checked at once on each return.
     last_checks: BTreeMap<u32, Millis>,
 }
 
 impl HealthCheckSchedule {
-    /// Sets the members to observe, with the name of each.
+    /// Sets the members to observe, with the name of each. `own` is the name of this instance, `rate` as in
+    /// [`Self::start_due`].
     ///
     /// A newly assigned member is first checked within half of the interval that results from the rate, but no sooner than
-    /// one such interval after its last check: while one partition of a split fleet takes over, the other, which checks at a
-    /// reduced rate, must not start with a burst.
+    /// one such interval after its last check: when a fleet is split and one partition takes over all members, the other
+    /// partition, which checks at a reduced rate, must not start with a burst.
     pub fn assign<'a>(
         &mut self,
         now: Millis,
@@ -86,9 +90,7 @@
             }
             let in_flight =
                 check.in_flight_since.is_some_and(|since| now - since < CHECK_TIMEOUT_INTERVALS * interval);
-            // The jitter keeps observers from synchronizing. It only ever lengthens the interval, so that no period has more
-            // checks than intended.
-            check.next = now + interval / rate * rng.random_range(1.0..1.08);
+            check.next = now + interval / rate * rng.random_range(CHECK_JITTER);
             if !in_flight {
                 check.in_flight_since = Some(now);
                 self.last_checks.insert(*member, now);
--- a/crates/deckproxy-fleet/src/lib.rs
+++ b/crates/deckproxy-fleet/src/lib.rs
@@ -31,5 +31,6 @@
 pub mod view;
 pub mod wire;
 
-/// A time on the host's monotonic clock, or a duration, in milliseconds. Only differences between times are meaningful.
+/// A time on a monotonic clock, by default the host's, or a duration, in milliseconds. Only differences between times are
+/// meaningful.
 pub type Millis = f64;
--- a/crates/deckproxy-fleet/src/liveness.rs
+++ b/crates/deckproxy-fleet/src/liveness.rs
@@ -5,14 +5,17 @@
 /// Minimum heartbeat interval per instance of the fleet, in milliseconds: it bounds the bytes a second that the heartbeats
 /// of all instances cost.
 const INTERVAL_PER_INSTANCE: Millis = 10.0;
-/// Heartbeat intervals without a heartbeat after which an instance is suspect.
+/// Silence, in heartbeat intervals, after which an instance is suspect.
 const SUSPECT_INTERVALS: f64 = 3.0;
-/// Heartbeat intervals without a heartbeat after which an instance that SWIM considers dead is lost.
+/// Silence, in heartbeat intervals, after which an instance that SWIM considers dead is lost.
 const LOST_INTERVALS: f64 = 5.0;
 /// Multiple of `lost_after` after which a silent instance is lost even if SWIM considers it alive.
 const LOST_DESPITE_SWIM_FACTOR: f64 = 2.0;
 
 /// Timeouts that determine the status of other instances; they grow with the fleet, as gossip takes longer in a larger one.
+///
+/// The silence of an instance is the time since it wrote the newest of its entries that has arrived; in an idle fleet, that
+/// is its last heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timeouts {
     /// Interval between heartbeats, in milliseconds.
@@ -42,7 +45,7 @@
 pub enum PeerStatus {
     /// Its heartbeats arrive.
     Alive,
-    /// Its last heartbeat is old, or SWIM considers it dead but it has not been silent for long enough to be lost.
+    /// It has been silent for longer than `suspect_after`, or SWIM considers it dead, but not for long enough to be lost.
     Suspect,
     /// It is considered dead.
     Lost,
--- a/crates/deckproxy-fleet/src/rendezvous.rs
+++ b/crates/deckproxy-fleet/src/rendezvous.rs
@@ -12,7 +12,7 @@
 mod seeds {
     /// The score of an instance for a member.
     pub const SCORE: u64 = 0;
-    /// A delay or an order that is derived from a name.
+    /// A delay or an order that is derived from names.
     pub const UNIFORM: u64 = 1;
     /// The hash of a name.
     pub const NAME: u64 = 2;
@@ -71,10 +71,10 @@
     xxh3_64_with_seed(name.as_bytes(), seeds::NAME)
 }
 
-/// A number from 0 to 1, derived from two names. It spreads over time what all instances would otherwise do at once, and
-/// orders members identically on all instances if `own` is empty.
-pub fn keyed_uniform(what: &str, own: &str) -> f64 {
-    let seed = xxh3_64_with_seed(what.as_bytes(), seeds::UNIFORM);
-    let key = xxh3_64_with_seed(own.as_bytes(), seed);
+/// A number from 0 to 1, derived by hashing the names of a member and an instance. It spreads an action over time that all
+/// instances would otherwise perform at once; with an empty instance name, it orders members identically on all instances.
+pub fn keyed_uniform(member: &str, instance: &str) -> f64 {
+    let seed = xxh3_64_with_seed(member.as_bytes(), seeds::UNIFORM);
+    let key = xxh3_64_with_seed(instance.as_bytes(), seed);
     key as f64 / u64::MAX as f64
 }
--- a/crates/deckproxy-fleet/src/swim.rs
+++ b/crates/deckproxy-fleet/src/swim.rs
@@ -27,9 +27,9 @@
     }
 }
 
-/// Number of instances that are requested to probe one that did not respond.
+/// Number of instances that are asked to probe one that did not respond.
 const INDIRECT_PROBES: u8 = 3;
-/// Number of times that a membership update is retransmitted.
+/// Maximum number of times that a membership update is sent.
 const MAX_TRANSMISSIONS: u8 = 10;
 /// Number of instances that receive each round of SWIM's gossip.
 const GOSSIP_FANOUT: u8 = 2;
@@ -41,7 +41,7 @@
     Up(Instance),
     /// An instance is considered dead.
     Down(Instance),
-    /// This instance was declared dead while alive, and continues under this identity.
+    /// This instance continues under this identity, as it was declared dead while alive or has raised its incarnation.
     Renewed(Instance),
 }
 
@@ -168,7 +168,7 @@
         self.timers.peek().map(|Reverse(timer)| timer.at)
     }
 
-    /// Announces this instance to one that was unknown or considered dead and has sent a datagram.
+    /// Announces this instance to another one that has sent a datagram but was unknown or considered dead.
     pub fn announce(&mut self, now: Millis, to: &Instance) {
         // An error means that this instance is not active; the next datagram from such an instance triggers a retry.
         let _ = self.foca.announce(to.clone(), &mut self.runtime);
@@ -191,7 +191,8 @@
         }
     }
 
-    /// Raises the own incarnation above `known`, another incarnation under the same name, where it is not higher already.
+    /// Raises this instance's incarnation above `known`, that of another process under the same name, unless it is already
+    /// higher.
     pub fn raise_incarnation(&mut self, now: Millis, known: u64) {
         let own = self.own().clone();
         if known >= own.incarnation {
@@ -225,12 +226,12 @@
 
     fn handle_notification(&mut self, notification: OwnedNotification<Instance>) {
         match notification {
-            OwnedNotification::MemberUp(instance) => self.member_up(instance),
+            OwnedNotification::MemberUp(instance) => self.instance_up(instance),
             // A new incarnation of a dead instance is reported by `MemberUp` instead.
             OwnedNotification::Rename(_, instance) if self.alive.contains_key(&instance.name) => {
-                self.member_up(instance);
+                self.instance_up(instance);
             }
-            OwnedNotification::MemberDown(instance) => self.member_down(instance),
+            OwnedNotification::MemberDown(instance) => self.instance_down(instance),
             OwnedNotification::Rejoin(own) => self.changes.push_back(MembershipChange::Renewed(own)),
             OwnedNotification::Rename(..)
             | OwnedNotification::Active
@@ -239,12 +240,12 @@
         }
     }
 
-    fn member_up(&mut self, instance: Instance) {
+    fn instance_up(&mut self, instance: Instance) {
         self.alive.insert(instance.name.clone(), instance.clone());
         self.changes.push_back(MembershipChange::Up(instance));
     }
 
-    fn member_down(&mut self, instance: Instance) {
+    fn instance_down(&mut self, instance: Instance) {
         let known = self.alive.get(&instance.name);
         if known.is_some_and(|known| known.precedence() <= instance.precedence()) {
             self.alive.remove(&instance.name);
--- a/crates/deckproxy-fleet/src/view.rs
+++ b/crates/deckproxy-fleet/src/view.rs
@@ -2,7 +2,7 @@
 
 use crate::Millis;
 
-/// Maximum rate of an instance whose partition has just become the majority.
+/// Maximum rate of an instance that has just joined the majority, or whose partition has just become the majority.
 const UNSETTLED_RATE: f64 = 0.5;
 
 /// An instance's view of the fleet.
@@ -35,8 +35,8 @@
 
     /// The share of the full rate at which this partition of the fleet checks members. The majority partition checks at the
     /// full rate, as it takes over from the others; any other partition checks in proportion to its share of the fleet. All
-    /// partitions together thus check at most at one and a half times the rate of the undivided fleet, and at most at its
-    /// rate where no partition is the majority.
+    /// partitions together thus check at no more than one and a half times the rate of the undivided fleet, and at no more
+    /// than its rate if none of them is the majority. While the view is stale, the rate is 0.
     ///
     /// A partition that has just become the majority, or an instance that has just joined it, checks at half the rate or
     /// less at first: the instances that acted before stop only when they learn of the change, or detect that they are cut
--- a/crates/deckproxy-fleet/src/wire.rs
+++ b/crates/deckproxy-fleet/src/wire.rs
@@ -12,7 +12,7 @@
 
 /// Maximum size of a datagram, in bytes; small enough not to be fragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
-/// Maximum size of a body, in bytes; it fits with the longest names of the sender.
+/// Maximum size of a body, in bytes: what remains of a datagram if the sender's names have the maximum length.
 pub const MAX_BODY_BYTES: usize = MAX_DATAGRAM_BYTES - FRAME_BYTES - 2 * MAX_NAME_BYTES - MAX_SENDER_BYTES;
 /// Version of the encoding; datagrams of another version are dropped.
 const VERSION: u8 = 1;
@@ -34,7 +34,7 @@
     },
     /// A SWIM message.
     Swim(Vec<u8>),
-    /// The sender's versions of the gossip store's entries.
+    /// The versions up to which the sender has the entries of each author in the gossip store.
     Digest(Digest),
     /// Entries of the gossip store.
     Delta(Delta),
