--- a/crates/deckproxy-fleet/src/fleet/admission.rs
+++ b/crates/deckproxy-fleet/src/fleet/admission.rs
@@ -20,8 +20,8 @@
         self.overload.as_mut().map(|overload| overload.request(now, request))
     }
 
-    /// Records the end of an admitted request. `retry_after` is the time in milliseconds with which the decision module
-    /// rejected it, if it did. Returns the retry-after time to send.
+    /// Records the end of an admitted request. `retry_after` is the decision module's retry-after time in milliseconds, if
+    /// it rejected the request. Returns the retry-after time to send.
     pub fn request_ended(
         &mut self,
         now: Millis,
--- a/crates/deckproxy-fleet/src/fleet/datagrams.rs
+++ b/crates/deckproxy-fleet/src/fleet/datagrams.rs
@@ -124,9 +124,9 @@
     fn handle_digest(&mut self, now: Millis, from: &Instance, digest: &Digest) {
         let timeouts = self.timeouts();
         let incarnation = self.own().incarnation;
-        let present = digest.receiver.filter(|position| position.incarnation == incarnation);
         if !digest.is_request {
-            let acknowledged = present.map(|position| position.version);
+            let position = digest.receiver.filter(|position| position.incarnation == incarnation);
+            let acknowledged = position.map(|position| position.version);
             self.acknowledgements.digest_received(now, &from.name, acknowledged, &timeouts);
         }
         let comparison = self.store.compare(now, &from.name, digest, MAX_BODY_BYTES);
--- a/crates/deckproxy-fleet/src/fleet/ejection.rs
+++ b/crates/deckproxy-fleet/src/fleet/ejection.rs
@@ -31,6 +31,7 @@
         &self.ejected
     }
 
+    /// Recomputes the set of ejected members, and reports it if it has changed.
     pub(super) fn update_ejections(&mut self, now: Millis) {
         if self.view.is_stale {
             return;
@@ -44,6 +45,7 @@
         }
     }
 
+    /// The observers' reports, by the member's name.
     fn reports(&self, now: Millis) -> BTreeMap<&Name, Vec<Report>> {
         let mut reports: BTreeMap<&Name, Vec<Report>> = BTreeMap::new();
         for entry in self.store.entries_of_kind(now, kinds::HEALTH) {
@@ -69,6 +71,7 @@
         candidates
     }
 
+    /// Whether this instance should eject a member according to the reports on it.
     fn should_eject(&self, member: u32, reports: &[Report]) -> bool {
         // The last report of a lost observer neither ejects a member nor reinstates one: its successors have to check the
         // member first.
--- a/crates/deckproxy-fleet/src/fleet/gossip.rs
+++ b/crates/deckproxy-fleet/src/fleet/gossip.rs
@@ -21,6 +21,7 @@
 const HEARTBEAT_TTL_FACTOR: f64 = 3.0;
 
 impl Fleet {
+    /// Writes a heartbeat to the gossip store.
     pub(super) fn write_heartbeat(&mut self, now: Millis) {
         let heartbeat = Heartbeat {
             open_requests: self.open_requests,
@@ -61,10 +62,11 @@
         let alive = self.swim.alive();
         let reached: BTreeSet<SocketAddr> = alive.values().map(|peer| self.address_of(peer)).collect();
         let seeds = self.settings.seeds.iter().copied();
-        let lost = self.peers.values().filter(|peer| !peer.left && !alive.contains_key(&peer.instance.name));
-        let lost = lost.map(|peer| self.address_of(&peer.instance));
+        let not_alive =
+            self.peers.values().filter(|peer| !peer.left && !alive.contains_key(&peer.instance.name));
+        let not_alive = not_alive.map(|peer| self.address_of(&peer.instance));
         let own = self.settings.own.address;
-        let unreached = seeds.chain(lost).filter(|to| !reached.contains(to) && *to != own);
+        let unreached = seeds.chain(not_alive).filter(|to| !reached.contains(to) && *to != own);
         let unreached: BTreeSet<SocketAddr> = unreached.collect();
         for to in unreached.into_iter().sample(&mut self.rng, HELLO_FANOUT) {
             self.send_to(to, Body::Hello { is_reply: false, known_incarnation: None });
--- a/crates/deckproxy-fleet/src/fleet/mod.rs
+++ b/crates/deckproxy-fleet/src/fleet/mod.rs
@@ -40,8 +40,8 @@
 
 /// Maximum time between two ticks, in milliseconds.
 pub const MAX_TICK_INTERVAL: Millis = 100.0;
-/// Interval between greetings to instances that are not alive, in milliseconds; expired entries are removed at the
-/// same interval.
+/// Interval between rounds of greetings to instances that SWIM does not consider alive, in milliseconds; expired entries
+/// are removed at the same interval.
 const HELLO_INTERVAL: Millis = 1000.0;
 /// Jitter factors of periodic intervals; they keep instances from synchronizing.
 const JITTER: std::ops::Range<f64> = 0.9..1.1;
@@ -82,6 +82,7 @@
     next_hello: Millis,
     budget: ByteBudget,
     open_requests: u32,
+    /// The last reported status.
     status: FleetStatus,
     effects: VecDeque<Effect>,
     /// Counters since the start.
@@ -242,7 +243,7 @@
         }
     }
 
-    /// Checks the clock for a pause of the process, which makes the view stale.
+    /// Reads the clock to detect a pause of the process, which makes the view stale.
     fn check_clock(&mut self, now: Millis) {
         let Some(pause) = self.clock.read(now).pause else { return };
         self.counters.pauses += 1;
--- a/crates/deckproxy-fleet/src/fleet/peers.rs
+++ b/crates/deckproxy-fleet/src/fleet/peers.rs
@@ -99,6 +99,7 @@
         self.update_view(now);
     }
 
+    /// Updates the status of all peers, and removes those that have been absent for longer than `forget_after`.
     fn update_peers(&mut self, now: Millis) {
         let timeouts = self.timeouts();
         let mut expired = Vec::new();
--- a/crates/deckproxy-fleet/src/fleet/types.rs
+++ b/crates/deckproxy-fleet/src/fleet/types.rs
@@ -73,7 +73,7 @@
     pub name: Name,
     /// Its zone's name.
     pub zone: Name,
-    /// Its kind.
+    /// Its kind; the share of ejected members is limited for each kind.
     pub kind: u32,
     /// Whether the list marks it as ready for requests.
     pub ready: bool,
@@ -127,11 +127,12 @@
     pub dropped: [u64; 7],
     /// Datagrams that were not sent because the byte budget was exhausted.
     pub over_budget: u64,
-    /// Entries dropped at a limit of the gossip store.
+    /// Entries and authors dropped at a limit of the gossip store.
     pub over_limit: u64,
     /// Health checks requested.
     pub health_checks: u64,
-    /// Number of times that this instance was declared dead while alive.
+    /// Number of times that this instance continued under a new identity, as it was declared dead while alive or raised its
+    /// incarnation.
     pub renewals: u64,
     /// Pauses of the process.
     pub pauses: u64,
--- a/crates/deckproxy-fleet/src/fleet/view_update.rs
+++ b/crates/deckproxy-fleet/src/fleet/view_update.rs
@@ -24,6 +24,7 @@
         let expected = self.expected_instances(now, known);
         let alive = self.instances_with(PeerStatus::Alive).count() + 1;
         let digests = self.count_digests(now, timeouts);
+        // Extrapolates the share of current digests to all instances that are alive; this instance is included in both counts.
         let confirmed = (alive * (digests.current + 1) / (digests.received + 1)).max(1);
         let has_first = self.is_first_instance_alive() && known >= expected;
         let is_majority = is_majority(confirmed, expected, has_first);
@@ -52,7 +53,8 @@
         known.max(known_to_peers).max(self.settings.expected_instances).max(min_expected)
     }
 
-    /// Counts recent digests from instances that are alive; acknowledgements from others do not confirm the live ones.
+    /// Counts recent digests from instances that are alive. Digests from others do not show whether the live ones receive our
+    /// heartbeats.
     fn count_digests(&self, now: Millis, timeouts: &Timeouts) -> DigestCount {
         let since = self.stale_since.unwrap_or(f64::MIN);
         self.acknowledgements.count(now, timeouts, since, |name| self.is_alive(name))
@@ -62,7 +64,7 @@
         self.peers.get(name).is_some_and(|peer| peer.status == PeerStatus::Alive)
     }
 
-    /// Whether the instance whose name sorts first is alive or is this one.
+    /// Whether, of the instances that have not left, the one whose name sorts first is alive or is this one.
     fn is_first_instance_alive(&self) -> bool {
         let mut present = self.peers.iter().filter(|(_, peer)| peer.status != PeerStatus::Left);
         // Peers are sorted by name.
@@ -70,8 +72,9 @@
         self.swim.own().name < *name || first.status == PeerStatus::Alive
     }
 
-    /// Marks the view as up to date again. That is soon the case if `all_reachable`: all known instances are alive, recent
-    /// digests have arrived, and this partition is the majority. Otherwise it takes until a silent instance counts as lost.
+    /// Marks the view as up to date again. If `all_reachable` (all known instances are alive, recent digests have arrived,
+    /// and this partition is the majority), [`MIN_STALE_INTERVALS`] suffice; otherwise the view remains stale for a
+    /// heartbeat interval longer than `lost_after`, so that instances that SWIM considers dead count as lost by then.
     fn check_freshness(&mut self, now: Millis, timeouts: &Timeouts, all_reachable: bool) {
         let Some(since) = self.stale_since else { return };
         let waited = now - since;
