--- a/crates/deckproxy-fleet/src/overload/coordination.rs
+++ b/crates/deckproxy-fleet/src/overload/coordination.rs
@@ -3,11 +3,11 @@
 use super::admission::LATE_TOLERANCE;
 use super::rejection_batch::RejectionBatch;
 use super::retry_share::RetryShare;
-use super::shed_controller::LOOK_INTERVAL;
+use super::shed_controller::EVALUATION_INTERVAL;
 use super::shed_level::{DatedShedLevel, ShedLevel};
 use super::summary::{RESOURCES, Rates, Summary};
 use super::types::Presence;
-use super::{Look, Overload};
+use super::{FleetLoad, Overload};
 use crate::Millis;
 use crate::gossip_store::{EntryView, GossipStore, Key, kinds};
 use crate::instance::Name;
@@ -62,8 +62,8 @@
             let subject = (batch.number % BATCH_SLOTS).to_string().into();
             writes.push(StoreWrite::new(Key { kind: kinds::REJECTIONS, subject }, ttl, &batch));
         }
-        if now >= self.next_look && !presence.is_stale {
-            self.next_look = now + LOOK_INTERVAL;
+        if now >= self.next_evaluation && !presence.is_stale {
+            self.next_evaluation = now + EVALUATION_INTERVAL;
             writes.extend(self.lead(now, presence, store));
         }
         writes
@@ -98,13 +98,14 @@
         if !was_leader {
             self.take_over(now, &rates);
         }
-        let look = Look { instances: presence.count(), offered: rates.map(|rates| rates.offered()) };
-        let last = std::mem::replace(&mut self.last_look, look);
-        if was_leader && look.instances != last.instances {
-            self.controller.resize(growth(&last, &look));
+        let fleet_load =
+            FleetLoad { instances: presence.count(), offered: rates.map(|rates| rates.offered()) };
+        let last = std::mem::replace(&mut self.last_fleet_load, fleet_load);
+        if was_leader && fleet_load.instances != last.instances {
+            self.controller.resize(growth(&last, &fleet_load));
         }
         self.counters.decisions += 1;
-        self.controller.look(now, &rates)
+        self.controller.evaluate(now, &rates)
     }
 
     /// The rates of all instances that are present, by resource.
@@ -222,10 +223,10 @@
 
 /// The factors by which the offered requests have changed with the number of instances. A part of a split never admits more
 /// than its share of instances would, nor the reunited fleet less than its parts.
-fn growth(last: &Look, look: &Look) -> [f64; RESOURCES] {
-    let instances = look.instances as f64 / last.instances.max(1) as f64;
+fn growth(last: &FleetLoad, fleet_load: &FleetLoad) -> [f64; RESOURCES] {
+    let instances = fleet_load.instances as f64 / last.instances.max(1) as f64;
     let mut factors = [1.0; RESOURCES];
-    for (factor, (now, before)) in factors.iter_mut().zip(look.offered.into_iter().zip(last.offered)) {
+    for (factor, (now, before)) in factors.iter_mut().zip(fleet_load.offered.into_iter().zip(last.offered)) {
         let offered = now / before.max(1.0);
         *factor = if instances > 1.0 {
             offered.clamp(1.0, GROWTH_SLACK * instances)
--- a/crates/deckproxy-fleet/src/overload/mod.rs
+++ b/crates/deckproxy-fleet/src/overload/mod.rs
@@ -61,7 +61,7 @@
     controller: ShedController,
     /// This instance was the leader at the last look.
     is_leader: bool,
-    next_look: Millis,
+    next_evaluation: Millis,
     /// The shed level in force.
     level: ShedLevel,
     /// When its epoch began.
@@ -77,14 +77,14 @@
     rejected: RejectedRequests,
     recently_cached: RecentlyCached,
     incarnations: BTreeMap<Name, u64>,
-    last_look: Look,
+    last_fleet_load: FleetLoad,
     /// Decisions since the start.
     pub counters: Counters,
 }
 
 /// What the leader saw at a look.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Look {
+struct FleetLoad {
     instances: usize,
     /// Requests offered a second, by resource.
     offered: [f64; RESOURCES],
@@ -109,7 +109,7 @@
             counter: RequestCounter::new(now, settings.window),
             controller: ShedController::new(settings.limits),
             is_leader: false,
-            next_look: now,
+            next_evaluation: now,
             level: ShedLevel::default(),
             epoch_began: now,
             level_expires_at: now,
@@ -119,7 +119,7 @@
             rejected: RejectedRequests::new(settings.remembered, remembered_for),
             recently_cached: RecentlyCached::new(settings.remembered, CACHED_FOR),
             incarnations: BTreeMap::new(),
-            last_look: Look { instances: 1, offered: [0.0; RESOURCES] },
+            last_fleet_load: FleetLoad { instances: 1, offered: [0.0; RESOURCES] },
             counters: Counters::default(),
             settings,
         }
--- a/crates/deckproxy-fleet/src/overload/resource_controller.rs
+++ b/crates/deckproxy-fleet/src/overload/resource_controller.rs
@@ -6,11 +6,11 @@
 use super::summary::Rates;
 
 /// Bad looks in a row until load is shed.
-const BAD_LOOKS: u32 = 2;
+const BAD_EVALUATIONS: u32 = 2;
 /// Looks in a row at which the admitted rate was not the bottleneck, until no load is shed any more.
-const CALM_LOOKS: u32 = 8;
+const CALM_EVALUATIONS: u32 = 8;
 /// Looks from one change to the next at least: the effect of a change must have been counted, or it is made twice.
-const SETTLING_LOOKS: u32 = 3;
+const SETTLING_EVALUATIONS: u32 = 3;
 
 /// Factor of the first increase: near the rate that was too much, the rate is probed.
 const FIRST_STEP: f64 = 1.05;
@@ -50,11 +50,11 @@
 
 /// Looks at which all is served and most of it slowly whatever is admitted, after which that is taken for the normal
 /// latency and not for a queue.
-const SLOW_LOOKS: u32 = 24;
+const SLOW_EVALUATIONS: u32 = 24;
 /// Looks for which slowness is ignored then.
-const IGNORED_LOOKS: u32 = 120;
+const IGNORED_EVALUATIONS: u32 = 120;
 /// Most looks for which slowness is ignored; the number doubles each time.
-const MOST_IGNORED_LOOKS: u32 = 4800;
+const MOST_IGNORED_EVALUATIONS: u32 = 4800;
 
 /// Part of the peak served rate that is admitted when shedding begins.
 const PEAK_AT_START: f64 = 0.9;
@@ -75,8 +75,8 @@
 pub(super) struct ResourceController {
     /// The admitted rate; `None`: no load is shed.
     admitted_rate: Option<f64>,
-    bad_looks: u32,
-    calm_looks: u32,
+    bad_evaluations: u32,
+    calm_evaluations: u32,
     /// Factor of the next increase.
     step: f64,
     /// The highest rate that was served lately.
@@ -92,11 +92,11 @@
     /// First attempts a second at the last decrease.
     demand: f64,
     /// Looks in a row at which all was served, and most of it slowly.
-    slow_looks: u32,
+    slow_evaluations: u32,
     /// Looks for which slowness is still ignored.
-    ignored_looks: u32,
-    /// For how many looks slowness is ignored the next time; 0: [`IGNORED_LOOKS`].
-    next_ignored_looks: u32,
+    ignored_evaluations: u32,
+    /// For how many looks slowness is ignored the next time; 0: [`IGNORED_EVALUATIONS`].
+    next_ignored_evaluations: u32,
 }
 
 /// What a look finds.
@@ -177,32 +177,32 @@
     }
 
     /// Takes up the rates of all instances.
-    pub(super) fn look(&mut self, limits: &Limits, rates: &Rates) {
-        self.ignored_looks = self.ignored_looks.saturating_sub(1);
+    pub(super) fn evaluate(&mut self, limits: &Limits, rates: &Rates) {
+        self.ignored_evaluations = self.ignored_evaluations.saturating_sub(1);
         let served_share = rates.served_share();
         let assessment = Assessment {
             served_share,
-            prompt_share: if self.ignored_looks > 0 { served_share } else { rates.prompt_share() },
+            prompt_share: if self.ignored_evaluations > 0 { served_share } else { rates.prompt_share() },
             is_significant: rates.completed() >= limits.min_rate,
         };
         self.peak = (self.peak * PEAK_DECAY).max(rates.served);
         self.best = (self.best * BEST_DECAY).max(rates.served);
         match self.admitted_rate {
-            None => self.look_inactive(limits, rates, &assessment),
-            Some(admitted_rate) => self.look_active(limits, rates, &assessment, admitted_rate),
+            None => self.evaluate_inactive(limits, rates, &assessment),
+            Some(admitted_rate) => self.evaluate_active(limits, rates, &assessment, admitted_rate),
         }
     }
 
     /// Begins to shed load after bad looks in a row.
-    fn look_inactive(&mut self, limits: &Limits, rates: &Rates, assessment: &Assessment) {
+    fn evaluate_inactive(&mut self, limits: &Limits, rates: &Rates, assessment: &Assessment) {
         let Assessment { served_share, prompt_share, is_significant } = *assessment;
         let in_vain = rates.wasted >= limits.wasted_share * rates.completed()
             || rates.retries + rates.admitted_retries >= limits.retry_ratio * rates.first_attempts();
         let is_failing = served_share < limits.bad_share && in_vain;
         let is_slow = served_share >= limits.bad_share && prompt_share < limits.bad_share;
         let is_bad = is_significant && (is_failing || is_slow);
-        self.bad_looks = if is_bad { self.bad_looks + 1 } else { 0 };
-        if self.bad_looks < BAD_LOOKS {
+        self.bad_evaluations = if is_bad { self.bad_evaluations + 1 } else { 0 };
+        if self.bad_evaluations < BAD_EVALUATIONS {
             return;
         }
         // In a collapse what was served before says nothing.
@@ -213,16 +213,22 @@
             step: FIRST_STEP,
             overshoot: 1.0,
             in_slow_start: served_share < limits.bad_share,
-            bad_looks: 0,
-            calm_looks: 0,
+            bad_evaluations: 0,
+            calm_evaluations: 0,
             since_change: 0,
-            slow_looks: 0,
+            slow_evaluations: 0,
             ..*self
         };
     }
 
     /// Adjusts the admitted rate, or ends the shedding.
-    fn look_active(&mut self, limits: &Limits, rates: &Rates, assessment: &Assessment, admitted_rate: f64) {
+    fn evaluate_active(
+        &mut self,
+        limits: &Limits,
+        rates: &Rates,
+        assessment: &Assessment,
+        admitted_rate: f64,
+    ) {
         let Assessment { served_share, prompt_share, is_significant } = *assessment;
         self.since_change += 1;
         let offered = rates.offered();
@@ -233,8 +239,8 @@
             self.overshoot = average.clamp(*OVERSHOOT.start(), *OVERSHOOT.end());
         }
         let is_slow = is_significant && served_share >= limits.good_share && prompt_share < limits.bad_share;
-        self.slow_looks = if is_slow { self.slow_looks + 1 } else { 0 };
-        if self.slow_looks >= SLOW_LOOKS {
+        self.slow_evaluations = if is_slow { self.slow_evaluations + 1 } else { 0 };
+        if self.slow_evaluations >= SLOW_EVALUATIONS {
             return self.accept_latency();
         }
         let is_queueing =
@@ -243,15 +249,15 @@
         // A short queue keeps the sources busy.
         let is_mediocre =
             is_significant && (served_share < limits.good_share || prompt_share < limits.bad_share);
-        let is_settled = self.since_change >= SETTLING_LOOKS;
+        let is_settled = self.since_change >= SETTLING_EVALUATIONS;
         if is_settled && (is_bad || is_mediocre) {
             self.decrease(limits, rates, assessment, admitted_rate, is_bad);
         } else if is_bottleneck && is_settled && !is_mediocre {
             self.increase(rates, admitted_rate);
         }
         let is_calm = !is_bottleneck && served_share >= limits.bad_share;
-        self.calm_looks = if is_calm { self.calm_looks + 1 } else { 0 };
-        if self.calm_looks >= CALM_LOOKS {
+        self.calm_evaluations = if is_calm { self.calm_evaluations + 1 } else { 0 };
+        if self.calm_evaluations >= CALM_EVALUATIONS {
             self.deactivate();
         }
     }
@@ -294,10 +300,10 @@
 
     /// The resource is slow whatever is admitted: ends the shedding, and ignores slowness for a while.
     fn accept_latency(&mut self) {
-        let ignored_looks = self.next_ignored_looks.max(IGNORED_LOOKS);
+        let ignored_evaluations = self.next_ignored_evaluations.max(IGNORED_EVALUATIONS);
         *self = ResourceController {
-            ignored_looks,
-            next_ignored_looks: (ignored_looks * 2).min(MOST_IGNORED_LOOKS),
+            ignored_evaluations,
+            next_ignored_evaluations: (ignored_evaluations * 2).min(MOST_IGNORED_EVALUATIONS),
             best: self.best,
             ..ResourceController::default()
         };
@@ -306,8 +312,8 @@
     /// Ends the shedding; what was served stays known.
     fn deactivate(&mut self) {
         *self = ResourceController {
-            ignored_looks: self.ignored_looks,
-            next_ignored_looks: self.next_ignored_looks,
+            ignored_evaluations: self.ignored_evaluations,
+            next_ignored_evaluations: self.next_ignored_evaluations,
             peak: self.peak,
             best: self.best,
             ..ResourceController::default()
--- a/crates/deckproxy-fleet/src/overload/shed_controller.rs
+++ b/crates/deckproxy-fleet/src/overload/shed_controller.rs
@@ -40,7 +40,7 @@
 }
 
 /// From one look at the counts to the next, in milliseconds.
-pub const LOOK_INTERVAL: Millis = 250.0;
+pub const EVALUATION_INTERVAL: Millis = 250.0;
 /// Length of an epoch, in milliseconds.
 const EPOCH: Millis = 2000.0;
 
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Decides from the rates of all instances, once every [`LOOK_INTERVAL`].
-    pub fn look(&mut self, now: Millis, rates: &[Rates; RESOURCES]) -> ShedLevel {
+    /// Decides from the rates of all instances, once every [`EVALUATION_INTERVAL`].
+    pub fn evaluate(&mut self, now: Millis, rates: &[Rates; RESOURCES]) -> ShedLevel {
         if self.epoch == 0 || now - self.epoch_began >= EPOCH {
             (self.epoch, self.epoch_began) = (self.epoch + 1, now);
         }
@@ -91,7 +91,7 @@
         let mut level = ShedLevel { epoch: self.epoch, epoch_age, lines: [None; RESOURCES] };
         for ((resource, rates), line) in self.resources.iter_mut().zip(rates).zip(&mut level.lines) {
             let was_active = resource.is_active();
-            resource.look(&self.limits, rates);
+            resource.evaluate(&self.limits, rates);
             self.activations += u64::from(!was_active && resource.is_active());
             *line = resource.line(&self.limits, rates);
         }
--- a/crates/deckproxy-fleet/src/overload/shed_controller/tests.rs
+++ b/crates/deckproxy-fleet/src/overload/shed_controller/tests.rs
@@ -25,20 +25,20 @@
     let mut controller = ShedController::new(Limits::default());
     let mut level = ShedLevel::default();
     let mut now = 0.0;
-    let mut play = |looks: usize, arriving: f64, capacity: f64| {
-        for _ in 0..looks {
-            now += LOOK_INTERVAL;
+    let mut run_evaluations = |count: usize, arriving: f64, capacity: f64| {
+        for _ in 0..count {
+            now += EVALUATION_INTERVAL;
             let rates = rates(arriving, capacity, admitted_rate(&level), 0.5 * arriving);
-            level = controller.look(now, &[Rates::default(), rates]);
+            level = controller.evaluate(now, &[Rates::default(), rates]);
         }
         level
     };
-    assert_eq!(admitted_rate(&play(20, 300.0, 400.0)), None);
-    let tight = admitted_rate(&play(60, 900.0, 300.0)).expect("load is shed");
+    assert_eq!(admitted_rate(&run_evaluations(20, 300.0, 400.0)), None);
+    let tight = admitted_rate(&run_evaluations(60, 900.0, 300.0)).expect("load is shed");
     assert!((250.0..370.0).contains(&tight), "{tight}");
-    assert_eq!(play(1, 900.0, 300.0).lines[0], None, "the caches are not overloaded");
+    assert_eq!(run_evaluations(1, 900.0, 300.0).lines[0], None, "the caches are not overloaded");
     // The capacity comes back: all are admitted within some seconds.
-    assert_eq!(admitted_rate(&play(80, 900.0, 1200.0)), None);
+    assert_eq!(admitted_rate(&run_evaluations(80, 900.0, 1200.0)), None);
     assert_eq!(controller.activations, 1);
 }
 
@@ -50,10 +50,10 @@
     for i in 0..100 {
         let mut rates = rates(300.0, 1e9, admitted_rate(&level), 0.0);
         rates.slow = rates.served;
-        level = controller.look(f64::from(i) * LOOK_INTERVAL, &[Rates::default(), rates]);
+        level = controller.evaluate(f64::from(i) * EVALUATION_INTERVAL, &[Rates::default(), rates]);
         shedding += u32::from(level.lines[1].is_some());
     }
-    assert!((1..30).contains(&shedding), "{shedding} of 100 looks");
+    assert!((1..30).contains(&shedding), "{shedding} of 100 evaluations");
 }
 
 #[test]
@@ -61,7 +61,7 @@
     let mut controller = ShedController::new(Limits::default());
     for i in 0..20 {
         let rates = [Rates::default(), rates(900.0, 300.0, None, 0.0)];
-        let level = controller.look(f64::from(i) * LOOK_INTERVAL, &rates);
+        let level = controller.evaluate(f64::from(i) * EVALUATION_INTERVAL, &rates);
         assert_eq!(level.lines, [None; RESOURCES]);
     }
 }
@@ -81,7 +81,7 @@
         let mut controller = ShedController::new(Limits::default());
         controller.take_over(1000.0, &undivided, 50.0, [1.0, part]);
         let rates = rates(900.0 * part, 300.0 * part, Some(300.0 * part), 0.0);
-        let level = controller.look(1001.0, &[Rates::default(), rates]);
+        let level = controller.evaluate(1001.0, &[Rates::default(), rates]);
         assert_eq!(level.epoch, 9);
         sum += admitted_rate(&level).unwrap();
     }
@@ -92,16 +92,19 @@
 fn reservations_fit_the_retry_budget() {
     let mut controller = ShedController::new(Limits::default());
     let mut level = ShedLevel::default();
-    let mut looks_with_reservations = 0;
+    let mut evaluations_with_reservations = 0;
     for i in 0..40 {
         let rates = rates(900.0, 300.0, admitted_rate(&level), 400.0);
-        level = controller.look(f64::from(i) * LOOK_INTERVAL, &[Rates::default(), rates]);
+        level = controller.evaluate(f64::from(i) * EVALUATION_INTERVAL, &[Rates::default(), rates]);
         let Some(line) = level.lines[1].filter(|line| line.reserved_share > 0) else { continue };
         let admitted = f64::from(line.admitted_rate);
         let reserved = (900.0 - admitted) * f64::from(line.reserved_share) / 65_535.0;
         assert!(reserved <= f64::from(line.retry_rate) * 1.3 + 1.0, "{reserved} {line:?}");
         assert!(f64::from(line.retry_rate) <= 0.25 * admitted, "{line:?}");
-        looks_with_reservations += 1;
+        evaluations_with_reservations += 1;
     }
-    assert!(looks_with_reservations > 5, "{looks_with_reservations} looks reserved something");
+    assert!(
+        evaluations_with_reservations > 5,
+        "{evaluations_with_reservations} evaluations reserved capacity"
+    );
 }
--- a/crates/deckproxy-fleet/src/overload/tests.rs
+++ b/crates/deckproxy-fleet/src/overload/tests.rs
@@ -50,7 +50,7 @@
 fn follower(level: &ShedLevel) -> Overload {
     let mut overload = Overload::new(0.0, settings());
     // Whichever of the two is the leader: it looks later than this.
-    overload.next_look = f64::MAX;
+    overload.next_evaluation = f64::MAX;
     overload.tick(10.0, &presence("a", &["b"]), &store_with(level));
     assert_eq!(overload.level().lines, level.lines);
     overload
@@ -151,7 +151,7 @@
     let empty = GossipStore::new("b".into(), 1, gossip_store::Limits::default());
     overload.tick(9000.0, &Presence { is_stale: true, ..presence("a", &["b"]) }, &empty);
     assert_eq!(overload.level().lines, level.lines, "it decides nothing");
-    overload.next_look = f64::MAX;
+    overload.next_evaluation = f64::MAX;
     overload.tick(9100.0, &presence("a", &["b"]), &empty);
     assert_eq!(overload.level().lines, [None; RESOURCES], "no instance sheds load any more");
 }
