--- a/crates/deckproxy-fleet/src/overload/admission.rs
+++ b/crates/deckproxy-fleet/src/overload/admission.rs
@@ -36,7 +36,7 @@
         }
         let early_by = rejection.map_or(0.0, |rejection| rejection.retry_at - now);
         let is_early = (EARLY_TOLERANCE..=self.settings.max_retry_after).contains(&early_by);
-        if self.settings.gives_retry_after && is_early {
+        if self.settings.sends_retry_after && is_early {
             // Retrying early neither gains nor loses anything: the time stays as it was.
             self.counters.too_early += 1;
             return Verdict::Reject { retry_after: early_by };
@@ -168,6 +168,6 @@
         let is_reserved = reserved.is_some();
         let rejection = Rejection { retry_at: now + retry_after, is_reserved, may_have_run: false };
         self.rejected.record(now, id, rejection);
-        if self.settings.gives_retry_after { retry_after } else { 0.0 }
+        if self.settings.sends_retry_after { retry_after } else { 0.0 }
     }
 }
--- a/crates/deckproxy-fleet/src/overload/tests.rs
+++ b/crates/deckproxy-fleet/src/overload/tests.rs
@@ -15,7 +15,7 @@
         classes: vec![Class { band: 0, has_effect: false }, Class { band: 1, has_effect: true }],
         limits: Limits::default(),
         retry_budget: budget::Limits { share: 0.2, max_saved: 2.0 },
-        gives_retry_after: true,
+        sends_retry_after: true,
         min_retry_after: 50.0,
         max_retry_after: 2000.0,
         remembered: 1024,
--- a/crates/deckproxy-fleet/src/overload/types.rs
+++ b/crates/deckproxy-fleet/src/overload/types.rs
@@ -27,7 +27,7 @@
     /// The budget of an instance's own retries while no load is shed.
     pub retry_budget: budget::Limits,
     /// Rejections carry a retry-after time, and clients are held to it.
-    pub gives_retry_after: bool,
+    pub sends_retry_after: bool,
     /// Shortest retry-after, in milliseconds.
     pub min_retry_after: Millis,
     /// Longest retry-after, in milliseconds.
--- a/crates/deckproxy-operator/src/fleet.rs
+++ b/crates/deckproxy-operator/src/fleet.rs
@@ -119,7 +119,7 @@
                 retry_share,
             },
             retry_budget: budget::Limits { share: retry_share, max_saved: MAX_SAVED_RETRIES },
-            gives_retry_after: platform.sends_retry_after,
+            sends_retry_after: platform.sends_retry_after,
             min_retry_after: min_retry_after.min(max_retry_after),
             max_retry_after,
             remembered: self.remembered.unwrap_or(defaults::overload::REMEMBERED_REQUESTS) as usize / 2,
--- a/crates/deckproxy-rig/src/simulated_load/settings.rs
+++ b/crates/deckproxy-rig/src/simulated_load/settings.rs
@@ -68,7 +68,7 @@
         classes: vec![class(0, false), class(1, true)],
         limits: shed_controller::Limits::default(),
         retry_budget: budget::Limits::default(),
-        gives_retry_after: true,
+        sends_retry_after: true,
         min_retry_after: 50.0,
         max_retry_after: 2000.0,
         remembered: 32_768,
