--- a/crates/deckproxy-fleet/src/fleet/admission.rs
+++ b/crates/deckproxy-fleet/src/fleet/admission.rs
@@ -2,7 +2,7 @@
 
 use super::Fleet;
 use crate::Millis;
-use crate::overload::shed_level::{ShedLevel, ShedLine};
+use crate::overload::shed_level::{ResourceShedLevel, ShedLevel};
 use crate::overload::summary::RESOURCES;
 use crate::overload::{Overload, Presence, PresentInstance, RequestInfo, RequestOutcome, Ticket, Verdict};
 
@@ -69,7 +69,7 @@
 
 /// A line for the operators where the shedding of a resource begins or ends.
 fn log_line(before: &ShedLevel, now: &ShedLevel) -> Option<String> {
-    let lines = before.lines.iter().zip(&now.lines);
+    let lines = before.resources.iter().zip(&now.resources);
     let changes = RESOURCE_NAMES.into_iter().zip(lines).filter_map(|((name, verb), change)| match change {
         (None, Some(line)) => Some(shedding_began(name, verb, line)),
         (Some(_), None) => Some(format!("{name}: all requests are admitted again")),
@@ -79,8 +79,8 @@
     (!changes.is_empty()).then(|| changes.join("; "))
 }
 
-fn shedding_began(name: &str, verb: &str, line: &ShedLine) -> String {
-    let ShedLine { admitted_rate, offered_rate, .. } = line;
+fn shedding_began(name: &str, verb: &str, line: &ResourceShedLevel) -> String {
+    let ResourceShedLevel { admitted_rate, offered_rate, .. } = line;
     format!(
         "{name} {verb} overloaded: the fleet admits {admitted_rate:.0} of {offered_rate:.0} requests a second"
     )
--- a/crates/deckproxy-fleet/src/overload/admission.rs
+++ b/crates/deckproxy-fleet/src/overload/admission.rs
@@ -3,7 +3,7 @@
 use super::Overload;
 use super::priority::{Draw, priority};
 use super::rejected_requests::Rejection;
-use super::shed_level::ShedLine;
+use super::shed_level::ResourceShedLevel;
 use super::summary::{Resource, increment};
 use super::types::{RequestInfo, Ticket, Verdict};
 use crate::Millis;
@@ -96,8 +96,8 @@
     }
 
     /// The load shedding in force at a resource.
-    pub(super) fn line(&self, resource: Resource) -> Option<ShedLine> {
-        self.level.lines[resource as usize]
+    pub(super) fn line(&self, resource: Resource) -> Option<ResourceShedLevel> {
+        self.level.resources[resource as usize]
     }
 
     fn priority_of(&self, request: &RequestInfo, band: usize) -> u32 {
@@ -137,7 +137,12 @@
     }
 
     /// Rejects a request; by a line, the draw decides whether it gets a reserved time.
-    pub(super) fn reject(&mut self, now: Millis, request: &RequestInfo, line: Option<ShedLine>) -> Verdict {
+    pub(super) fn reject(
+        &mut self,
+        now: Millis,
+        request: &RequestInfo,
+        line: Option<ResourceShedLevel>,
+    ) -> Verdict {
         Verdict::Reject { retry_after: self.retry_after(now, request, line) }
     }
 
@@ -146,7 +151,7 @@
         &mut self,
         now: Millis,
         request: &RequestInfo,
-        line: Option<ShedLine>,
+        line: Option<ResourceShedLevel>,
     ) -> Millis {
         let epoch = self.level.epoch;
         let draw = self.draw_key.draw(Draw::Reservation, request.client, request.object, epoch);
--- a/crates/deckproxy-fleet/src/overload/coordination.rs
+++ b/crates/deckproxy-fleet/src/overload/coordination.rs
@@ -134,7 +134,7 @@
     fn take_over(&mut self, now: Millis, rates: &[Rates; RESOURCES]) {
         let level = self.level;
         let mut shares = [1.0; RESOURCES];
-        for ((share, line), rates) in shares.iter_mut().zip(level.lines).zip(rates) {
+        for ((share, line), rates) in shares.iter_mut().zip(level.resources).zip(rates) {
             if let Some(line) = line {
                 *share = rates.offered() / f64::from(line.offered_rate).max(1.0);
             }
@@ -208,7 +208,7 @@
         self.level_expires_at = expires_at;
         let own = self.counter.summary();
         for (resource, retry_share) in self.retry_shares.iter_mut().enumerate() {
-            let Some(line) = level.lines[resource] else {
+            let Some(line) = level.resources[resource] else {
                 *retry_share = RetryShare::none(now);
                 continue;
             };
--- a/crates/deckproxy-fleet/src/overload/resource_controller.rs
+++ b/crates/deckproxy-fleet/src/overload/resource_controller.rs
@@ -2,7 +2,7 @@
 
 use super::priority::{PRIORITIES, threshold};
 use super::shed_controller::Limits;
-use super::shed_level::ShedLine;
+use super::shed_level::ResourceShedLevel;
 use super::summary::Rates;
 
 /// Bad looks in a row until load is shed.
@@ -135,7 +135,7 @@
     }
 
     /// The line to announce.
-    pub(super) fn line(&self, limits: &Limits, rates: &Rates) -> Option<ShedLine> {
+    pub(super) fn line(&self, limits: &Limits, rates: &Rates) -> Option<ResourceShedLevel> {
         let admitted_rate = self.admitted_rate?;
         // Retries are admitted beside the threshold.
         let for_firsts = (admitted_rate / self.overshoot - rates.admitted_retries).max(0.0);
@@ -144,7 +144,7 @@
         let retry_rate = retries.min(admitted_rate * RETRY_PART);
         let rejected_firsts = (rates.first_attempts() - for_firsts).max(0.0);
         let reserved_share = self.reserved_share(limits, rates, admitted_rate, retry_rate, rejected_firsts);
-        Some(ShedLine {
+        Some(ResourceShedLevel {
             min_priority,
             admitted_rate: admitted_rate as f32,
             offered_rate: rates.offered() as f32,
--- a/crates/deckproxy-fleet/src/overload/shed_controller.rs
+++ b/crates/deckproxy-fleet/src/overload/shed_controller.rs
@@ -66,7 +66,7 @@
     /// the requests offered then that is offered to the instances that follow this one; a part of a split continues with its
     /// own part of the admitted rate.
     pub fn take_over(&mut self, now: Millis, level: &ShedLevel, age: Millis, shares: [f64; RESOURCES]) {
-        for ((resource, line), share) in self.resources.iter_mut().zip(level.lines).zip(shares) {
+        for ((resource, line), share) in self.resources.iter_mut().zip(level.resources).zip(shares) {
             let admitted_rate = line.map(|line| f64::from(line.admitted_rate) * share.clamp(0.0, 1.0));
             *resource = ResourceController::resume(&self.limits, admitted_rate);
         }
@@ -88,8 +88,8 @@
             (self.epoch, self.epoch_began) = (self.epoch + 1, now);
         }
         let epoch_age = (now - self.epoch_began) as u16;
-        let mut level = ShedLevel { epoch: self.epoch, epoch_age, lines: [None; RESOURCES] };
-        for ((resource, rates), line) in self.resources.iter_mut().zip(rates).zip(&mut level.lines) {
+        let mut level = ShedLevel { epoch: self.epoch, epoch_age, resources: [None; RESOURCES] };
+        for ((resource, rates), line) in self.resources.iter_mut().zip(rates).zip(&mut level.resources) {
             let was_active = resource.is_active();
             resource.evaluate(&self.limits, rates);
             self.activations += u64::from(!was_active && resource.is_active());
--- a/crates/deckproxy-fleet/src/overload/shed_controller/tests.rs
+++ b/crates/deckproxy-fleet/src/overload/shed_controller/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::overload::priority::BUCKETS;
-use crate::overload::shed_level::ShedLine;
+use crate::overload::shed_level::ResourceShedLevel;
 
 /// The rates where so many first attempts arrive and so many can be served, with retries beside them.
 fn rates(arriving: f64, capacity: f64, admitted_rate: Option<f64>, retries: f64) -> Rates {
@@ -17,7 +17,7 @@
 }
 
 fn admitted_rate(level: &ShedLevel) -> Option<f64> {
-    level.lines[1].map(|line| f64::from(line.admitted_rate))
+    level.resources[1].map(|line| f64::from(line.admitted_rate))
 }
 
 #[test]
@@ -36,7 +36,7 @@
     assert_eq!(admitted_rate(&run_evaluations(20, 300.0, 400.0)), None);
     let tight = admitted_rate(&run_evaluations(60, 900.0, 300.0)).expect("load is shed");
     assert!((250.0..370.0).contains(&tight), "{tight}");
-    assert_eq!(run_evaluations(1, 900.0, 300.0).lines[0], None, "the caches are not overloaded");
+    assert_eq!(run_evaluations(1, 900.0, 300.0).resources[0], None, "the caches are not overloaded");
     // The capacity comes back: all are admitted within some seconds.
     assert_eq!(admitted_rate(&run_evaluations(80, 900.0, 1200.0)), None);
     assert_eq!(controller.activations, 1);
@@ -51,7 +51,7 @@
         let mut rates = rates(300.0, 1e9, admitted_rate(&level), 0.0);
         rates.slow = rates.served;
         level = controller.evaluate(f64::from(i) * EVALUATION_INTERVAL, &[Rates::default(), rates]);
-        shedding += u32::from(level.lines[1].is_some());
+        shedding += u32::from(level.resources[1].is_some());
     }
     assert!((1..30).contains(&shedding), "{shedding} of 100 evaluations");
 }
@@ -62,20 +62,20 @@
     for i in 0..20 {
         let rates = [Rates::default(), rates(900.0, 300.0, None, 0.0)];
         let level = controller.evaluate(f64::from(i) * EVALUATION_INTERVAL, &rates);
-        assert_eq!(level.lines, [None; RESOURCES]);
+        assert_eq!(level.resources, [None; RESOURCES]);
     }
 }
 
 #[test]
 fn parts_of_a_split_admit_together_what_the_undivided_fleet_did() {
-    let line = ShedLine {
+    let line = ResourceShedLevel {
         min_priority: 9,
         admitted_rate: 300.0,
         offered_rate: 900.0,
         reserved_share: 0,
         retry_rate: 0.0,
     };
-    let undivided = ShedLevel { epoch: 9, epoch_age: 100, lines: [None, Some(line)] };
+    let undivided = ShedLevel { epoch: 9, epoch_age: 100, resources: [None, Some(line)] };
     let mut sum = 0.0;
     for part in [0.3, 0.7] {
         let mut controller = ShedController::new(Limits::default());
@@ -96,7 +96,7 @@
     for i in 0..40 {
         let rates = rates(900.0, 300.0, admitted_rate(&level), 400.0);
         level = controller.evaluate(f64::from(i) * EVALUATION_INTERVAL, &[Rates::default(), rates]);
-        let Some(line) = level.lines[1].filter(|line| line.reserved_share > 0) else { continue };
+        let Some(line) = level.resources[1].filter(|line| line.reserved_share > 0) else { continue };
         let admitted = f64::from(line.admitted_rate);
         let reserved = (900.0 - admitted) * f64::from(line.reserved_share) / 65_535.0;
         assert!(reserved <= f64::from(line.retry_rate) * 1.3 + 1.0, "{reserved} {line:?}");
--- a/crates/deckproxy-fleet/src/overload/shed_level.rs
+++ b/crates/deckproxy-fleet/src/overload/shed_level.rs
@@ -6,7 +6,7 @@
 
 /// Load shedding at one resource. The order of the fields is the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ShedLine {
+pub struct ResourceShedLevel {
     /// First attempts of a lower priority are rejected.
     pub min_priority: u32,
     /// Requests a second that the fleet admits.
@@ -27,19 +27,19 @@
     /// Age of the epoch when this was decided, in milliseconds.
     pub epoch_age: u16,
     /// By resource; `None` where no load is shed.
-    pub lines: [Option<ShedLine>; RESOURCES],
+    pub resources: [Option<ResourceShedLevel>; RESOURCES],
 }
 
 impl ShedLevel {
     /// Whether load is shed at any resource.
     pub fn sheds(&self) -> bool {
-        self.lines.iter().any(Option::is_some)
+        self.resources.iter().any(Option::is_some)
     }
 
     /// This level, with the line of `other` at each resource where that has the higher minimal priority.
     #[must_use]
     pub fn stricter(mut self, other: &ShedLevel) -> ShedLevel {
-        for (line, other) in self.lines.iter_mut().zip(other.lines) {
+        for (line, other) in self.resources.iter_mut().zip(other.resources) {
             let Some(other) = other else { continue };
             if line.is_none_or(|line| line.min_priority < other.min_priority) {
                 *line = Some(other);
--- a/crates/deckproxy-fleet/src/overload/tests.rs
+++ b/crates/deckproxy-fleet/src/overload/tests.rs
@@ -1,6 +1,6 @@
 use super::coordination::SHED_LEVEL_TTL;
 use super::shed_controller::Limits;
-use super::shed_level::ShedLine;
+use super::shed_level::ResourceShedLevel;
 use super::summary::Resource;
 use super::*;
 use crate::gossip_store::{self, AuthorUpdate, Delta, EntryUpdate, GossipStore, Key, kinds};
@@ -29,8 +29,8 @@
 
 fn level(min_priority: u32, reserved_share: u16, retry_rate: f32) -> ShedLevel {
     let (admitted_rate, offered_rate) = (100.0, 300.0);
-    let line = ShedLine { min_priority, admitted_rate, offered_rate, reserved_share, retry_rate };
-    ShedLevel { epoch: 1, epoch_age: 0, lines: [None, Some(line)] }
+    let line = ResourceShedLevel { min_priority, admitted_rate, offered_rate, reserved_share, retry_rate };
+    ShedLevel { epoch: 1, epoch_age: 0, resources: [None, Some(line)] }
 }
 
 fn presence(own: &str, others: &[&str]) -> Presence {
@@ -52,7 +52,7 @@
     // Whichever of the two is the leader: it looks later than this.
     overload.next_evaluation = f64::MAX;
     overload.tick(10.0, &presence("a", &["b"]), &store_with(level));
-    assert_eq!(overload.level().lines, level.lines);
+    assert_eq!(overload.level().resources, level.resources);
     overload
 }
 
@@ -150,10 +150,10 @@
     let mut overload = follower(&level);
     let empty = GossipStore::new("b".into(), 1, gossip_store::Limits::default());
     overload.tick(9000.0, &Presence { is_stale: true, ..presence("a", &["b"]) }, &empty);
-    assert_eq!(overload.level().lines, level.lines, "it decides nothing");
+    assert_eq!(overload.level().resources, level.resources, "it decides nothing");
     overload.next_evaluation = f64::MAX;
     overload.tick(9100.0, &presence("a", &["b"]), &empty);
-    assert_eq!(overload.level().lines, [None; RESOURCES], "no instance sheds load any more");
+    assert_eq!(overload.level().resources, [None; RESOURCES], "no instance sheds load any more");
 }
 
 /// A restarted author has forgotten its entries, and the stores of all others with it.
@@ -163,14 +163,14 @@
     let mut overload = follower(&level);
     let empty = GossipStore::new("a".into(), 1, gossip_store::Limits::default());
     let writes = overload.tick(100.0, &presence("a", &["b"]), &empty);
-    assert_eq!(overload.level().lines, level.lines);
+    assert_eq!(overload.level().resources, level.resources);
     let write = writes.iter().find(|write| write.key.kind == kinds::SHED_LEVEL).expect("it is announced");
     assert_eq!(write.ttl, SHED_LEVEL_TTL - 100, "not for longer than the restarted author did");
     let announced: ShedLevel = postcard::from_bytes(write.value.as_ref().unwrap()).unwrap();
     assert_eq!(announced, ShedLevel { epoch_age: 100, ..level });
 
     let writes = overload.tick(f64::from(SHED_LEVEL_TTL), &presence("a", &["b"]), &empty);
-    assert_eq!(overload.level().lines, [None; RESOURCES], "it has expired");
+    assert_eq!(overload.level().resources, [None; RESOURCES], "it has expired");
     assert!(writes.iter().all(|write| write.key.kind != kinds::SHED_LEVEL));
 }
 
@@ -180,9 +180,9 @@
     let mut overload = Overload::new(0.0, settings());
     let stale = Presence { is_stale: true, ..presence("a", &["b"]) };
     overload.tick(10.0, &stale, &store_with(&first));
-    assert_eq!(overload.level().lines, first.lines);
+    assert_eq!(overload.level().resources, first.resources);
     overload.tick(20.0, &stale, &store_with(&next));
-    assert_eq!(overload.level().lines, next.lines);
+    assert_eq!(overload.level().resources, next.resources);
 }
 
 #[test]
@@ -216,7 +216,7 @@
 fn the_stricter_of_two_levels_counts() {
     let (loose, strict) = (level(10_000, 0, 0.0), ShedLevel { epoch: 7, ..level(50_000, 0, 0.0) });
     for (one, other) in [(loose, strict), (strict, loose)] {
-        assert_eq!(one.stricter(&other).lines, strict.lines);
+        assert_eq!(one.stricter(&other).resources, strict.resources);
     }
-    assert_eq!(ShedLevel::default().stricter(&loose).lines, loose.lines);
+    assert_eq!(ShedLevel::default().stricter(&loose).resources, loose.resources);
 }
--- a/crates/deckproxy-fleet/tests/overload.rs
+++ b/crates/deckproxy-fleet/tests/overload.rs
@@ -24,7 +24,11 @@
 }
 
 fn admitted_rate(all: &SimulatedLoad, i: usize) -> Option<f64> {
-    all.fleet.fleet(i).overload().and_then(|o| o.level().lines[1]).map(|line| f64::from(line.admitted_rate))
+    all.fleet
+        .fleet(i)
+        .overload()
+        .and_then(|o| o.level().resources[1])
+        .map(|line| f64::from(line.admitted_rate))
 }
 
 /// Requests that can be served a second at that load.
@@ -76,7 +80,7 @@
     all.settings.rate = 900.0;
     all.run(12_000.0);
     let priorities: Vec<u32> = (0..6)
-        .map(|i| all.fleet.fleet(i).overload().unwrap().level().lines[1].unwrap().min_priority)
+        .map(|i| all.fleet.fleet(i).overload().unwrap().level().resources[1].unwrap().min_priority)
         .collect();
     // The level of one look may be on its way.
     let (low, high) = (priorities.iter().min().unwrap(), priorities.iter().max().unwrap());
@@ -108,7 +112,7 @@
     assert!(share(1, false) > 0.99, "the higher class is admitted: {}", share(1, false));
     assert!(share(0, true) > 0.93, "hits are admitted: {}", share(0, true));
     assert!((0.1..0.5).contains(&share(0, false)), "the others share the rest: {}", share(0, false));
-    assert!(all.fleet.fleet(0).overload().unwrap().level().lines[0].is_none());
+    assert!(all.fleet.fleet(0).overload().unwrap().level().resources[0].is_none());
 }
 
 #[test]
--- a/crates/deckproxy-fleet/tests/retry_after.rs
+++ b/crates/deckproxy-fleet/tests/retry_after.rs
@@ -21,7 +21,7 @@
     }
 }
 
-/// The admitted rate exceeds_served by growing steps, past the capacity: such a step reserved times that were then broken.
+/// The admitted rate climbs by growing steps, past the capacity: such a step reserved times that were then broken.
 #[test]
 fn no_time_is_reserved_while_more_is_admitted_than_was_ever_served() {
     let mut controller = ShedController::new(Limits::default());
@@ -30,13 +30,13 @@
     // The highest rate that was ever served, counted here.
     let mut served: f64 = 0.0;
     for evaluation in 0..200 {
-        // Little capacity, then at once four times as much: the rate exceeds_served there.
+        // Little capacity, then at once four times as much: the rate climbs there.
         let capacity = if evaluation < 100 { 100.0 } else { 400.0 };
-        let admitted_rate = level.lines[1].map(|line| f64::from(line.admitted_rate));
+        let admitted_rate = level.resources[1].map(|line| f64::from(line.admitted_rate));
         let rates = rates(900.0, admitted_rate, capacity);
         served = served.max(rates.served);
         level = controller.evaluate(f64::from(evaluation) * EVALUATION_INTERVAL, &[Rates::default(), rates]);
-        let Some(line) = level.lines[1] else { continue };
+        let Some(line) = level.resources[1] else { continue };
         let exceeds_served = f64::from(line.admitted_rate) > 1.06 * served;
         climbing_evaluations += u32::from(exceeds_served);
         evaluations_with_reservations += u32::from(line.reserved_share > 0);
--- a/crates/deckproxy-fleet/tests/wire_format.rs
+++ b/crates/deckproxy-fleet/tests/wire_format.rs
@@ -6,7 +6,7 @@
 use deckproxy_fleet::health::Health;
 use deckproxy_fleet::instance::Instance;
 use deckproxy_fleet::overload::rejection_batch::RejectionBatch;
-use deckproxy_fleet::overload::shed_level::{ShedLevel, ShedLine};
+use deckproxy_fleet::overload::shed_level::{ResourceShedLevel, ShedLevel};
 use deckproxy_fleet::overload::summary::{Summary, Tally};
 use deckproxy_fleet::wire::{Body, Packet};
 use serde::Serialize;
@@ -55,14 +55,14 @@
     assert_eq!(bytes(&heartbeat), bytes(&(1000u32, true, 300u16)));
     let health = [Health::Healthy, Health::Failing, Health::HalfOpen];
     assert_eq!(health.map(|health| bytes(&health)), [[0], [1], [2]]);
-    let line = ShedLine {
+    let line = ResourceShedLevel {
         min_priority: 40_000,
         admitted_rate: 1.5,
         offered_rate: 2.5,
         reserved_share: 600,
         retry_rate: 3.5,
     };
-    let level = ShedLevel { epoch: 9, epoch_age: 400, lines: [None, Some(line)] };
+    let level = ShedLevel { epoch: 9, epoch_age: 400, resources: [None, Some(line)] };
     let line_fields = (40_000u32, 1.5f32, 2.5f32, 600u16, 3.5f32);
     let lines = (None::<()>, Some(line_fields));
     assert_eq!(bytes(&level), bytes(&(9u64, 400u16, lines)));
--- a/crates/deckproxy/src/program/fleet/report.rs
+++ b/crates/deckproxy/src/program/fleet/report.rs
@@ -7,7 +7,7 @@
 use deckproxy_fleet::liveness::PeerStatus;
 use deckproxy_fleet::overload::Overload;
 use deckproxy_fleet::overload::priority::PRIORITIES;
-use deckproxy_fleet::overload::shed_level::ShedLine;
+use deckproxy_fleet::overload::shed_level::ResourceShedLevel;
 use deckproxy_fleet::wire::DROP_REASONS;
 use slog::info;
 
@@ -68,7 +68,7 @@
 fn overload_field(overload: &Overload) -> Field {
     let counters = overload.counters;
     let counts = overload.rejection_counts();
-    let [caches, sources] = &overload.level().lines;
+    let [caches, sources] = &overload.level().resources;
     let rejected = [
         Field::value("too_early", counters.too_early),
         Field::value("below_level", counters.below_level),
@@ -91,7 +91,7 @@
 }
 
 /// Admitted and offered rate, and the lowest priority that is admitted; `none` where no load is shed.
-fn shed_line(line: Option<&ShedLine>) -> String {
+fn shed_line(line: Option<&ResourceShedLevel>) -> String {
     let Some(line) = line else { return "none".to_string() };
     let lowest = f64::from(line.min_priority) / f64::from(PRIORITIES);
     format!("{:.0}/{:.0}@{lowest:.3}", line.admitted_rate, line.offered_rate)
--- a/crates/deckproxy/tests/overload.rs
+++ b/crates/deckproxy/tests/overload.rs
@@ -4,7 +4,7 @@
 use deckproxy_fleet::fleet::kinds;
 use deckproxy_fleet::gossip_store::{AuthorUpdate, Delta, EntryUpdate, Key};
 use deckproxy_fleet::instance::Instance;
-use deckproxy_fleet::overload::shed_level::{ShedLevel, ShedLine};
+use deckproxy_fleet::overload::shed_level::{ResourceShedLevel, ShedLevel};
 use deckproxy_fleet::wire::{Body, Packet, Wire};
 use deckproxy_rig::load_generator::AttemptAnswer;
 use deckproxy_rig::overload_judge::{OverloadCriteria, OverloadFigures, judge};
@@ -224,14 +224,14 @@
     rig.until("each serves", |rig| (0..4).all(|i| rig.log(i).contains("fleet view")));
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     // A shed level that admits nobody, from an unknown instance, claimed to be new each time.
-    let line = ShedLine {
+    let line = ResourceShedLevel {
         min_priority: 65_535,
         admitted_rate: 1.0,
         offered_rate: 1000.0,
         reserved_share: 0,
         retry_rate: 0.0,
     };
-    let level = ShedLevel { epoch: 9, epoch_age: 0, lines: [Some(line); 2] };
+    let level = ShedLevel { epoch: 9, epoch_age: 0, resources: [Some(line); 2] };
     let entry = EntryUpdate {
         key: Key::of_kind(kinds::SHED_LEVEL),
         version: 1,
