--- a/crates/deckproxy-fleet/src/overload/admission.rs
+++ b/crates/deckproxy-fleet/src/overload/admission.rs
@@ -55,7 +55,7 @@
     fn request_with_reservation(&mut self, now: Millis, request: RequestInfo, resource: Resource) -> Verdict {
         // Where no load is shed, the retry budget was charged when the time was reserved.
         let is_shedding = self.line(resource).is_some();
-        if !is_shedding || self.retry_shares[resource as usize].take(now, true) {
+        if !is_shedding || self.retry_tokens[resource as usize].try_take(now, true) {
             self.counters.reservations_kept += 1;
             return self.admit_retry(now, request, resource);
         }
@@ -109,7 +109,7 @@
     /// Takes a retry from the fleet's budget while load is shed, and else from the own one.
     fn take_retry(&mut self, now: Millis, resource: Resource) -> bool {
         match self.line(resource) {
-            Some(_) => self.retry_shares[resource as usize].take(now, false),
+            Some(_) => self.retry_tokens[resource as usize].try_take(now, false),
             None => self.retry_budget.spend(),
         }
     }
--- a/crates/deckproxy-fleet/src/overload/coordination.rs
+++ b/crates/deckproxy-fleet/src/overload/coordination.rs
@@ -2,7 +2,7 @@
 
 use super::admission::LATE_TOLERANCE;
 use super::rejection_batch::RejectionBatch;
-use super::retry_share::RetryShare;
+use super::retry_token_bucket::RetryTokenBucket;
 use super::shed_controller::EVALUATION_INTERVAL;
 use super::shed_level::{DatedShedLevel, ShedLevel};
 use super::summary::{RESOURCES, Rates, Summary};
@@ -207,15 +207,15 @@
         }
         self.level_expires_at = expires_at;
         let own = self.counter.summary();
-        for (resource, retry_share) in self.retry_shares.iter_mut().enumerate() {
+        for (resource, retry_tokens) in self.retry_tokens.iter_mut().enumerate() {
             let Some(line) = level.resources[resource] else {
-                *retry_share = RetryShare::none(now);
+                *retry_tokens = RetryTokenBucket::empty(now);
                 continue;
             };
             // This instance's part, by what is offered here and to all.
             let offered = Rates::of(&own, resource).offered();
             let part = (offered / f64::from(line.offered_rate).max(1.0)).min(1.0);
-            retry_share.set_rate(now, f64::from(line.retry_rate) * part * RETRY_SLACK);
+            retry_tokens.set_rate(now, f64::from(line.retry_rate) * part * RETRY_SLACK);
         }
         self.level = level;
     }
--- a/crates/deckproxy-fleet/src/overload/mod.rs
+++ b/crates/deckproxy-fleet/src/overload/mod.rs
@@ -21,7 +21,7 @@
 pub mod rejected_requests;
 pub mod rejection_batch;
 mod resource_controller;
-pub mod retry_share;
+pub mod retry_token_bucket;
 pub mod shed_controller;
 pub mod shed_level;
 pub mod summary;
@@ -37,7 +37,7 @@
 use priority::DrawKey;
 use recently_cached::RecentlyCached;
 use rejected_requests::RejectedRequests;
-use retry_share::RetryShare;
+use retry_token_bucket::RetryTokenBucket;
 use shed_controller::ShedController;
 use shed_level::ShedLevel;
 use std::collections::BTreeMap;
@@ -71,7 +71,7 @@
     /// The view has been fresh since the start of the process.
     has_been_fresh: bool,
     /// Retries that are admitted while load is shed, by resource.
-    retry_shares: [RetryShare; RESOURCES],
+    retry_tokens: [RetryTokenBucket; RESOURCES],
     /// Retries that are admitted while no load is shed.
     retry_budget: Budget,
     rejected: RejectedRequests,
@@ -114,7 +114,7 @@
             epoch_began: now,
             level_expires_at: now,
             has_been_fresh: false,
-            retry_shares: [RetryShare::none(now); RESOURCES],
+            retry_tokens: [RetryTokenBucket::empty(now); RESOURCES],
             retry_budget: Budget::new(settings.retry_budget),
             rejected: RejectedRequests::new(settings.remembered, remembered_for),
             recently_cached: RecentlyCached::new(settings.remembered, CACHED_FOR),
