--- a/crates/deckproxy-fleet/src/overload/coordination.rs
+++ b/crates/deckproxy-fleet/src/overload/coordination.rs
@@ -4,7 +4,7 @@
 use super::rejection_batch::RejectionBatch;
 use super::retry_token_bucket::RetryTokenBucket;
 use super::shed_controller::EVALUATION_INTERVAL;
-use super::shed_level::{DatedShedLevel, ShedLevel};
+use super::shed_level::{ShedLevel, TimestampedShedLevel};
 use super::summary::{RESOURCES, Rates, Summary};
 use super::types::Presence;
 use super::{FleetLoad, Overload};
@@ -188,7 +188,7 @@
             return Some(self.announce_again(now));
         }
         let level = ShedLevel { epoch: self.level.epoch, ..ShedLevel::default() };
-        let none = DatedShedLevel { level, epoch_began: self.epoch_began, expires_at: now };
+        let none = TimestampedShedLevel { level, epoch_began: self.epoch_began, expires_at: now };
         self.enforce(now, shared.unwrap_or(none));
         None
     }
@@ -200,8 +200,8 @@
         StoreWrite::new(Key::of_kind(kinds::SHED_LEVEL), ttl, &level)
     }
 
-    fn enforce(&mut self, now: Millis, shared: DatedShedLevel) {
-        let DatedShedLevel { level, epoch_began, expires_at } = shared;
+    fn enforce(&mut self, now: Millis, shared: TimestampedShedLevel) {
+        let TimestampedShedLevel { level, epoch_began, expires_at } = shared;
         if level.epoch != self.level.epoch {
             self.epoch_began = epoch_began;
         }
@@ -248,12 +248,16 @@
 }
 
 /// The strictest of the levels that some authors have decided.
-fn strictest(now: Millis, store: &GossipStore, counts: impl Fn(&Name) -> bool) -> Option<DatedShedLevel> {
+fn strictest(
+    now: Millis,
+    store: &GossipStore,
+    counts: impl Fn(&Name) -> bool,
+) -> Option<TimestampedShedLevel> {
     let entries = store.entries_of_kind(now, kinds::SHED_LEVEL);
     let levels = entries.filter(|entry| counts(entry.author)).filter_map(|entry| {
         let level: ShedLevel = postcard::from_bytes(entry.value).ok()?;
         let epoch_began = now - entry.age - f64::from(level.epoch_age);
-        Some(DatedShedLevel { level, epoch_began, expires_at: now + entry.expires_in })
+        Some(TimestampedShedLevel { level, epoch_began, expires_at: now + entry.expires_in })
     });
-    levels.reduce(DatedShedLevel::combine)
+    levels.reduce(TimestampedShedLevel::combine)
 }
--- a/crates/deckproxy-fleet/src/overload/shed_level.rs
+++ b/crates/deckproxy-fleet/src/overload/shed_level.rs
@@ -51,7 +51,7 @@
 
 /// A shed level with its times on the clock of this instance.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct DatedShedLevel {
+pub struct TimestampedShedLevel {
     /// The level.
     pub level: ShedLevel,
     /// When its epoch began.
@@ -60,14 +60,14 @@
     pub expires_at: Millis,
 }
 
-impl DatedShedLevel {
+impl TimestampedShedLevel {
     /// Combines two decisions: the epoch of the later one, and the stricter line at each resource. Both are in force until
     /// the last of them expires.
     #[must_use]
-    pub fn combine(self, other: DatedShedLevel) -> DatedShedLevel {
+    pub fn combine(self, other: TimestampedShedLevel) -> TimestampedShedLevel {
         let (later, earlier) =
             if self.level.epoch < other.level.epoch { (other, self) } else { (self, other) };
-        DatedShedLevel {
+        TimestampedShedLevel {
             level: later.level.stricter(&earlier.level),
             epoch_began: later.epoch_began,
             expires_at: later.expires_at.max(earlier.expires_at),
