--- a/crates/deckproxy-fleet/src/overload/summary.rs
+++ b/crates/deckproxy-fleet/src/overload/summary.rs
@@ -19,7 +19,7 @@
 
 /// Numbers of requests at one resource. The order of the fields is the wire format of [`Tally`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RequestNumbers<T> {
+pub struct RequestStats<T> {
     /// First attempts that arrived, by bucket of their priorities.
     pub arrivals: [T; BUCKETS],
     /// Retries that arrived without a reserved time, as far as they were known for retries.
@@ -41,11 +41,11 @@
 }
 
 /// Counts of requests.
-pub type Tally = RequestNumbers<u16>;
+pub type Tally = RequestStats<u16>;
 /// Requests a second, of one instance or the sum of several.
-pub type Rates = RequestNumbers<f64>;
+pub type Rates = RequestStats<f64>;
 
-impl<T> RequestNumbers<T> {
+impl<T> RequestStats<T> {
     /// All numbers.
     fn iter_mut(&mut self) -> impl Iterator<Item = &mut T> {
         let others = [
