--- a/crates/deckproxy-fleet/src/fleet/admission.rs
+++ b/crates/deckproxy-fleet/src/fleet/admission.rs
@@ -52,7 +52,7 @@
         let before = *overload.level();
         let writes = overload.tick(now, &self.presence(), &self.store);
         // While load is shed, entries do not wait for the next round of digests.
-        let is_urgent = !writes.is_empty() && overload.level().sheds();
+        let is_urgent = !writes.is_empty() && overload.level().is_shedding();
         for write in writes {
             let written = self.store.write(now, write.key, write.ttl, write.value);
             self.counters.over_limit += u64::from(!written);
--- a/crates/deckproxy-fleet/src/overload/coordination.rs
+++ b/crates/deckproxy-fleet/src/overload/coordination.rs
@@ -184,7 +184,7 @@
         // The level of a leader that is lost stays in force until another one has decided. The own level is in the store,
         // too, and has no precedence.
         let shared = strictest(now, store, is_present).or_else(|| strictest(now, store, |_| true));
-        if shared.is_none() && self.level.sheds() && now < self.level_expires_at {
+        if shared.is_none() && self.level.is_shedding() && now < self.level_expires_at {
             return Some(self.announce_again(now));
         }
         let level = ShedLevel { epoch: self.level.epoch, ..ShedLevel::default() };
--- a/crates/deckproxy-fleet/src/overload/shed_level.rs
+++ b/crates/deckproxy-fleet/src/overload/shed_level.rs
@@ -32,7 +32,7 @@
 
 impl ShedLevel {
     /// Whether load is shed at any resource.
-    pub fn sheds(&self) -> bool {
+    pub fn is_shedding(&self) -> bool {
         self.resources.iter().any(Option::is_some)
     }
 
