--- a/crates/deckproxy-fleet/src/overload/coordination.rs
+++ b/crates/deckproxy-fleet/src/overload/coordination.rs
@@ -54,7 +54,7 @@
             let summary = self.counter.summary();
             writes.push(StoreWrite::new(Key::of_kind(kinds::SUMMARY), SUMMARY_TTL, &summary));
         }
-        self.restore_restarted(now, presence);
+        self.reshare_rejections_of_restarted(now, presence);
         self.merge_rejections(now, presence, store);
         writes.extend(self.enforce_shared_level(now, presence, store));
         if let Some(batch) = self.rejected.next_batch(now) {
@@ -144,11 +144,11 @@
     }
 
     /// Shares the rejections of instances that were restarted, as they have forgotten them.
-    fn restore_restarted(&mut self, now: Millis, presence: &Presence) {
+    fn reshare_rejections_of_restarted(&mut self, now: Millis, presence: &Presence) {
         for other in &presence.others {
             let known = self.incarnations.insert(other.name.clone(), other.incarnation);
             if known.is_some_and(|known| known < other.incarnation) {
-                self.rejected.restore(now, &other.name);
+                self.rejected.reshare(now, &other.name);
             }
         }
     }
--- a/crates/deckproxy-fleet/src/overload/rejected_requests.rs
+++ b/crates/deckproxy-fleet/src/overload/rejected_requests.rs
@@ -146,7 +146,7 @@
     }
 
     /// An author was restarted and has forgotten its rejections: shares them again as ours.
-    pub fn restore(&mut self, now: Millis, author: &Name) {
+    pub fn reshare(&mut self, now: Millis, author: &Name) {
         for ReceivedBatch { made_at, batch } in self.received.remove(author).unwrap_or_default() {
             for rejected in batch.decode(made_at) {
                 if rejected.rejection.retry_at > now && self.pending.len() < PENDING_WITH_RESTORED {
--- a/crates/deckproxy-fleet/src/overload/rejected_requests/tests.rs
+++ b/crates/deckproxy-fleet/src/overload/rejected_requests/tests.rs
@@ -33,10 +33,10 @@
     );
     killed.record(0.0, 7, rejection(900.0, true));
     peer.merge(100.0, &"a".into(), 1, 100.0, &killed.next_batch(0.0).unwrap());
-    peer.restore(300.0, &"a".into());
+    peer.reshare(300.0, &"a".into());
     successor.merge(400.0, &"b".into(), 1, 100.0, &peer.next_batch(300.0).unwrap());
     assert_eq!(successor.get(7), Some(rejection(900.0, true)));
-    peer.restore(500.0, &"a".into());
+    peer.reshare(500.0, &"a".into());
     assert_eq!(peer.next_batch(500.0), None, "once");
 }
 
