--- a/crates/deckproxy-fleet/src/overload/priority.rs
+++ b/crates/deckproxy-fleet/src/overload/priority.rs
@@ -1,28 +1,29 @@
 //! The priority of a request among all others, the same on every instance.
 //!
-//! Classes form bands by priority weight. Within a band a draw decides, keyed by client and epoch: a client that is below
-//! the shed level on one instance is below it on every other until the epoch ends, so that retrying elsewhere is no new
-//! draw; over epochs every client has its turn. Cheaper requests have a higher priority more often.
+//! Classes form bands by priority weight. Within a band, the priority is a hash of the client and the epoch: a client that is
+//! below the shed level on one instance is below it on all instances until the epoch ends, so that retrying on another
+//! instance does not change its priority. In later epochs the client gets other priorities, so that no client is always
+//! shed. Cheaper requests tend to have a higher priority.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Buckets in which priorities are counted; part of the wire format.
+/// Number of buckets by which arrivals are counted per priority; part of the wire format.
 pub const BUCKETS: usize = 24;
 /// Number of priorities, which range from 0 to one less than this.
 pub const PRIORITIES: u32 = 1 << 16;
-/// Bounds on the cost of a request relative to the usual one.
-const COSTS: std::ops::RangeInclusive<f64> = 0.25..=4.0;
-/// Sets the keys of draws apart from other hashes of the fleet's name.
+/// Bounds on the cost of a request relative to the usual cost.
+const COST_RANGE: std::ops::RangeInclusive<f64> = 0.25..=4.0;
+/// Seed that keeps the keys of draws distinct from other hashes of the fleet's name.
 const KEY_SEED: u64 = 0x6f76_6572;
 
-/// Keyed draws, the same on all instances of a fleet.
+/// Key of pseudorandom draws, which are the same on all instances of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DrawKey(u64);
 
-/// What is drawn.
+/// The quantity that is drawn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Draw {
-    /// The place within a band: one for a client, whatever it requests.
+    /// The priority within a band: the same for all requests of a client.
     Priority = 1,
     /// Whether a rejected request gets a reserved retry-after time.
     Reservation = 2,
@@ -31,7 +32,7 @@
 }
 
 impl DrawKey {
-    /// The key of a fleet's name.
+    /// Derives the key from the fleet's name.
     pub fn of_fleet(fleet: &str) -> Self {
         DrawKey(xxh3_64_with_seed(fleet.as_bytes(), KEY_SEED))
     }
@@ -44,26 +45,26 @@
         xxh3_64_with_seed(&bytes, self.0 ^ what)
     }
 
-    /// A number strictly between 0 and 1 for a client's request in an epoch.
+    /// A uniform number strictly between 0 and 1 for a client's request in an epoch.
     pub fn draw(self, what: Draw, client: u64, object: u64, epoch: u64) -> f64 {
         let hash = self.hash(what as u64, [client, object, epoch]);
         ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64
     }
 
-    /// The number by which instances identify a client's request for an object among each other.
+    /// The identifier of a client's request for an object that instances use when they share rejections.
     pub fn request_id(self, client: u64, object: u64) -> u32 {
         (self.hash(u64::MAX, [client, object, 0]) >> 32) as u32
     }
 }
 
-/// The priority of a request in one of several bands, of which 0 is the lowest. `cost`: relative to the usual request;
-/// `draw`: 0 to 1.
+/// The priority of a request in one of several bands, of which 0 is the lowest. `cost` is relative to the usual request;
+/// `draw` is between 0 and 1.
 pub fn priority(band: usize, bands: usize, cost: f64, draw: f64) -> u32 {
-    let cost = if cost.is_finite() { cost.clamp(*COSTS.start(), *COSTS.end()) } else { 1.0 };
-    let within = draw.clamp(0.0, 1.0).powf(cost);
-    let bands_total = bands.max(1) as f64;
-    let place = (band.min(bands.saturating_sub(1)) as f64 + within) / bands_total;
-    ((place * f64::from(PRIORITIES)) as u32).min(PRIORITIES - 1)
+    let cost = if cost.is_finite() { cost.clamp(*COST_RANGE.start(), *COST_RANGE.end()) } else { 1.0 };
+    let position_in_band = draw.clamp(0.0, 1.0).powf(cost);
+    let band_count = bands.max(1) as f64;
+    let position = (band.min(bands.saturating_sub(1)) as f64 + position_in_band) / band_count;
+    ((position * f64::from(PRIORITIES)) as u32).min(PRIORITIES - 1)
 }
 
 /// The bucket of a priority.
@@ -71,17 +72,17 @@
     (priority.min(PRIORITIES - 1) as usize * BUCKETS) / PRIORITIES as usize
 }
 
-/// The lowest priority to admit so that at most `capacity` of the arrivals are, which are assumed to be spread evenly within
-/// each bucket. 0: all are admitted.
+/// The lowest priority to admit so that at most `capacity` of the arrivals are admitted, assuming that arrivals are spread
+/// evenly within each bucket. 0 admits all arrivals.
 pub fn threshold(arrivals: &[f64; BUCKETS], capacity: f64) -> u32 {
-    let mut left = capacity.max(0.0);
+    let mut remaining = capacity.max(0.0);
     for (bucket, arriving) in arrivals.iter().enumerate().rev() {
-        if *arriving > left {
-            let top = (bucket + 1) as f64;
-            let share = left / arriving;
-            return (((top - share) / BUCKETS as f64) * f64::from(PRIORITIES)).ceil() as u32;
+        if *arriving > remaining {
+            let upper_edge = (bucket + 1) as f64;
+            let share = remaining / arriving;
+            return (((upper_edge - share) / BUCKETS as f64) * f64::from(PRIORITIES)).ceil() as u32;
         }
-        left -= arriving;
+        remaining -= arriving;
     }
     0
 }
--- a/crates/deckproxy-fleet/src/overload/recently_cached.rs
+++ b/crates/deckproxy-fleet/src/overload/recently_cached.rs
@@ -1,32 +1,33 @@
-//! Objects that the caches were seen to hold lately, in bounded memory.
+//! Objects that were recently served and are therefore assumed to be cached, in bounded memory.
 
 use crate::Millis;
 use deckproxy_recovery::aging_map::AgingMap;
 
-/// Objects that were served.
+/// The set of recently served objects.
 #[derive(Debug)]
 pub struct RecentlyCached {
     objects: AgingMap<u64, ()>,
 }
 
 impl RecentlyCached {
-    /// Remembers `capacity` objects at least, and twice as many at most, for `span` milliseconds at least.
+    /// Creates a set that remembers between `capacity` and twice as many objects, for `span` milliseconds at least unless
+    /// more are inserted.
     pub fn new(capacity: usize, span: Millis) -> Self {
         RecentlyCached { objects: AgingMap::new(capacity, span) }
     }
 
-    /// The object was served.
+    /// Records that the object was served.
     pub fn insert(&mut self, now: Millis, object: u64) {
         self.objects.rotate(now);
         self.objects.insert(object, ());
     }
 
-    /// A request for the object was rejected or failed: it is not cached any more.
+    /// Removes an object, when a request for it was rejected or failed: it may not be cached any more.
     pub fn remove(&mut self, object: u64) {
         self.objects.remove(&object);
     }
 
-    /// Whether the object was served lately.
+    /// Whether the object was served recently.
     pub fn contains(&self, object: u64) -> bool {
         self.objects.contains(&object)
     }
--- a/crates/deckproxy-fleet/src/overload/rejected_requests.rs
+++ b/crates/deckproxy-fleet/src/overload/rejected_requests.rs
@@ -1,8 +1,8 @@
-//! Requests that were rejected here or by another instance, and when each may be retried.
+//! Requests that were rejected by this or another instance, and when each may be retried.
 //!
-//! A request is identified by 32 bits of client and object; with a hundred thousand remembered, a first attempt is taken for
-//! one of them with a chance of one in 43,000, which costs that client a wait. Rejections of this instance are shared in
-//! batches of bounded size; those that do not fit are counted and not shared.
+//! A request is identified by a 32-bit hash of client and object. With a hundred thousand requests remembered, a first
+//! attempt is mistaken for one of them with a probability of one in 43,000; its client may have to wait without need.
+//! Rejections by this instance are shared in batches of bounded size; those that do not fit are counted and not shared.
 
 use super::rejection_batch::{BATCH_SIZE, RejectedRequest, RejectionBatch};
 use crate::Millis;
@@ -10,65 +10,66 @@
 use deckproxy_recovery::aging_map::AgingMap;
 use std::collections::BTreeMap;
 
-/// Least time between two batches, in milliseconds.
+/// Minimum time between two batches, in milliseconds.
 const BATCH_INTERVAL: Millis = 125.0;
-/// Most rejections that wait to be shared.
-const PENDING: usize = 2 * BATCH_SIZE;
-/// The same, with those of another instance that was restarted.
-const PENDING_WITH_RESTORED: usize = 4 * BATCH_SIZE;
+/// Maximum number of rejections that are queued to be shared.
+const MAX_PENDING: usize = 2 * BATCH_SIZE;
+/// The same limit while rejections of a restarted instance are queued again.
+const MAX_PENDING_WITH_RESHARED: usize = 4 * BATCH_SIZE;
 
-/// What is known of a rejected request.
+/// The state of a rejected request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rejection {
-    /// When it may be retried.
+    /// Time from which the request may be retried.
     pub retry_at: Millis,
-    /// Capacity is reserved for it then.
+    /// Capacity is reserved for the retry at that time.
     pub is_reserved: bool,
-    /// It failed and may have run: its retry is not shed.
+    /// The request failed after it may have run: its retry is not shed if the class has side effects.
     pub may_have_run: bool,
 }
 
 impl Rejection {
-    /// Whether this replaces one that is known: a reserved time counts before others, the earlier one of two, and any where
-    /// the known time has passed.
+    /// Whether this rejection replaces the known one. A reserved time takes precedence over others, then the earlier time;
+    /// a known time that has passed is always replaced.
     fn replaces(&self, known: &Rejection, now: Millis) -> bool {
         (self.is_reserved, -self.retry_at) > (known.is_reserved, -known.retry_at) || now > known.retry_at
     }
 }
 
-/// The last batch that was received of an author.
+/// Identifies the last batch that was received from an author.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct LastBatch {
     incarnation: u64,
     number: u64,
 }
 
-/// A batch of another instance.
+/// A batch received from another instance.
 #[derive(Clone, Debug)]
 struct ReceivedBatch {
-    made_at: Millis,
+    created_at: Millis,
     batch: RejectionBatch,
 }
 
-/// All rejected requests that are known, in bounded memory.
+/// All known rejected requests, in bounded memory.
 #[derive(Debug)]
 pub struct RejectedRequests {
     rejections: AgingMap<u32, Rejection>,
-    /// Time for which batches of others are kept, in milliseconds.
+    /// Time for which batches of other instances are retained, in milliseconds.
     span: Millis,
-    /// To be shared.
+    /// Rejections queued to be shared.
     pending: Vec<RejectedRequest>,
     last_batch_at: Millis,
     batch_number: u64,
     last_batches: BTreeMap<Name, LastBatch>,
-    /// Batches by author: an instance that was restarted has forgotten them.
+    /// Received batches by author, to be shared again when the author is restarted and has lost them.
     received: BTreeMap<Name, Vec<ReceivedBatch>>,
-    /// Rejections of this instance that were not shared, as there was no capacity for them.
+    /// Rejections by this instance that were not shared because the queue was full.
     pub not_shared: u64,
 }
 
 impl RejectedRequests {
-    /// Remembers `capacity` requests at least, and twice as many at most, for `span` milliseconds at least.
+    /// Creates a map that remembers between `capacity` and twice as many requests, for `span` milliseconds at least unless
+    /// more are inserted.
     pub fn new(capacity: usize, span: Millis) -> Self {
         RejectedRequests {
             rejections: AgingMap::new(capacity, span),
@@ -82,10 +83,10 @@
         }
     }
 
-    /// Remembers a rejection of this instance, and shares it.
+    /// Records a rejection by this instance, and queues it to be shared.
     pub fn record(&mut self, now: Millis, request: u32, rejection: Rejection) {
         self.insert(now, request, rejection);
-        if self.pending.len() < PENDING {
+        if self.pending.len() < MAX_PENDING {
             self.pending.push(RejectedRequest { request, rejection });
         } else {
             self.not_shared += 1;
@@ -100,17 +101,17 @@
         self.rejections.insert(request, Rejection { may_have_run, ..kept });
     }
 
-    /// What is known of a request.
+    /// The known rejection of a request.
     pub fn get(&self, request: u32) -> Option<Rejection> {
         self.rejections.get(&request).copied()
     }
 
-    /// The request was served: the next one is a first attempt.
+    /// Removes a request when it was served: the next request of this identifier is a first attempt.
     pub fn remove(&mut self, request: u32) {
         self.rejections.remove(&request);
     }
 
-    /// The next batch to share, where one is due.
+    /// Returns the next batch to share, if one is due.
     pub fn next_batch(&mut self, now: Millis) -> Option<RejectionBatch> {
         if self.pending.is_empty() || now - self.last_batch_at < BATCH_INTERVAL {
             return None;
@@ -121,8 +122,8 @@
         Some(RejectionBatch::encode(now, self.batch_number, self.pending.drain(..count)))
     }
 
-    /// Takes up a batch of another instance's incarnation, made `age` milliseconds ago. One that is known, or older than
-    /// the last, changes nothing.
+    /// Merges a batch that an incarnation of another instance made `age` milliseconds ago. A batch that is not newer than
+    /// the last one of its author is ignored.
     pub fn merge(
         &mut self,
         now: Millis,
@@ -131,37 +132,37 @@
         age: Millis,
         batch: &RejectionBatch,
     ) {
-        let this = LastBatch { incarnation, number: batch.number };
+        let received_batch = LastBatch { incarnation, number: batch.number };
         let last = self.last_batches.get(author).copied().unwrap_or_default();
-        if this <= last {
+        if received_batch <= last {
             return;
         }
-        self.last_batches.insert(author.clone(), this);
+        self.last_batches.insert(author.clone(), received_batch);
         for RejectedRequest { request, rejection } in batch.decode(now - age) {
             self.insert(now, request, rejection);
         }
         let received = self.received.entry(author.clone()).or_default();
-        received.retain(|earlier| now - earlier.made_at < self.span);
-        received.push(ReceivedBatch { made_at: now - age, batch: batch.clone() });
+        received.retain(|earlier| now - earlier.created_at < self.span);
+        received.push(ReceivedBatch { created_at: now - age, batch: batch.clone() });
     }
 
-    /// An author was restarted and has forgotten its rejections: shares them again as ours.
+    /// Queues the rejections of a restarted author to be shared again by this instance, as the author has lost them.
     pub fn reshare(&mut self, now: Millis, author: &Name) {
-        for ReceivedBatch { made_at, batch } in self.received.remove(author).unwrap_or_default() {
-            for rejected in batch.decode(made_at) {
-                if rejected.rejection.retry_at > now && self.pending.len() < PENDING_WITH_RESTORED {
+        for ReceivedBatch { created_at, batch } in self.received.remove(author).unwrap_or_default() {
+            for rejected in batch.decode(created_at) {
+                if rejected.rejection.retry_at > now && self.pending.len() < MAX_PENDING_WITH_RESHARED {
                     self.pending.push(rejected);
                 }
             }
         }
     }
 
-    /// Number of requests that are remembered.
+    /// Number of remembered requests.
     pub fn len(&self) -> usize {
         self.rejections.len()
     }
 
-    /// Whether none is remembered.
+    /// Whether no request is remembered.
     pub fn is_empty(&self) -> bool {
         self.rejections.is_empty()
     }
