--- a/crates/deckproxy-fleet/src/overload/admission.rs
+++ b/crates/deckproxy-fleet/src/overload/admission.rs
@@ -1,4 +1,4 @@
-//! The decision on a request.
+//! The admission decision for a request.
 
 use super::Overload;
 use super::priority::{Draw, priority};
@@ -8,22 +8,22 @@
 use super::types::{RequestInfo, Ticket, Verdict};
 use crate::Millis;
 
-/// A reserved time is at least this far off, in milliseconds, so that all instances know it by then.
-const SHARED_AFTER: Millis = 400.0;
-/// Times are reserved over this span, in milliseconds: the capacity later on is unknown.
-const RESERVED_AHEAD: Millis = 800.0;
-/// Time that a client must have left when it retries, in milliseconds, or it cannot be served any more.
-const SERVING_TIME: Millis = 200.0;
-/// A client that comes this little too early is in time, in milliseconds: the age of a batch does not include the time that
-/// it was on its way.
+/// Shortest reserved retry-after time, in milliseconds, so that the reservation reaches all instances before the retry.
+const MIN_RESERVED_RETRY_AFTER: Millis = 400.0;
+/// Span over which reserved times are spread, in milliseconds; the capacity after it cannot be predicted.
+const RESERVATION_SPAN: Millis = 800.0;
+/// Time that a client must have left when it retries, in milliseconds; with less it could not be served in time.
+const MIN_SERVICE_TIME: Millis = 200.0;
+/// A retry that arrives early by less than this, in milliseconds, is accepted: the age of a batch does not include its
+/// transmission time.
 const EARLY_TOLERANCE: Millis = 100.0;
-/// A client that comes this much after its reserved time has lost it, in milliseconds.
-pub(super) const LATE_TOLERANCE: Millis = 1000.0;
-/// Size in KB of an answer of the usual cost; the same on all instances, so that priorities are.
-const USUAL_SIZE: f64 = 16.0;
+/// A reservation expires this long after the reserved time, in milliseconds.
+pub(super) const RESERVATION_GRACE: Millis = 1000.0;
+/// Size in KB of a response of the usual cost. It is the same on all instances, so that priorities are the same too.
+const USUAL_SIZE_KB: f64 = 16.0;
 
 impl Overload {
-    /// Decides on a request. Classes that are not known are admitted.
+    /// Decides whether to admit a request. Requests of an unknown class are admitted.
     pub fn request(&mut self, now: Millis, request: RequestInfo) -> Verdict {
         let Some(class) = self.settings.classes.get(request.class).copied() else {
             return self.admit(now, request, Resource::Caches, request.is_retry);
@@ -37,24 +37,24 @@
         let early_by = rejection.map_or(0.0, |rejection| rejection.retry_at - now);
         let is_early = (EARLY_TOLERANCE..=self.settings.max_retry_after).contains(&early_by);
         if self.settings.sends_retry_after && is_early {
-            // Retrying early neither gains nor loses anything: the time stays as it was.
+            // Retrying early neither helps nor harms the client: its retry-after time is unchanged.
             self.counters.too_early += 1;
             return Verdict::Reject { retry_after: early_by };
         }
         let has_reservation =
-            |rejection: Rejection| rejection.is_reserved && now - rejection.retry_at <= LATE_TOLERANCE;
+            |rejection: Rejection| rejection.is_reserved && now - rejection.retry_at <= RESERVATION_GRACE;
         if rejection.is_some_and(has_reservation) {
             return self.request_with_reservation(now, request, resource);
         }
-        // A client that moves to another instance at once is there before the batch with its rejection is; its own mark is
-        // believed, as it gains nothing by it.
+        // A client that moves to another instance at once arrives there before the batch with its rejection. Its own retry
+        // mark is trusted, as a client gains nothing by setting it.
         let is_retry = rejection.is_some() || request.is_retry;
         self.request_by_priority(now, request, resource, class.band, is_retry)
     }
 
     fn request_with_reservation(&mut self, now: Millis, request: RequestInfo, resource: Resource) -> Verdict {
-        // Where no load is shed, the retry budget was charged when the time was reserved.
-        let is_shedding = self.line(resource).is_some();
+        // A reservation made while no load was shed was charged to the retry budget at that time.
+        let is_shedding = self.resource_level(resource).is_some();
         if !is_shedding || self.retry_tokens[resource as usize].try_take(now, true) {
             self.counters.reservations_kept += 1;
             return self.admit_retry(now, request, resource);
@@ -71,96 +71,102 @@
         band: usize,
         is_retry: bool,
     ) -> Verdict {
-        let line = self.line(resource);
+        let resource_level = self.resource_level(resource);
         let priority = self.priority_of(&request, band);
-        let tally = self.counter.tally(resource);
+        let tally = self.request_counter.tally(resource);
         if is_retry {
-            // It was counted as an arrival when it was a first attempt.
+            // Its first attempt was counted as an arrival already.
             increment(&mut tally.retries);
         } else {
             tally.count_arrival(priority);
         }
-        if line.is_some_and(|line| priority < line.min_priority) {
+        if resource_level.is_some_and(|level| priority < level.min_priority) {
             self.counters.below_level += 1;
-            return self.reject(now, &request, line);
+            return self.reject(now, &request, resource_level);
         }
-        if is_retry && !self.take_retry(now, resource) {
+        if is_retry && !self.charge_retry(now, resource) {
             self.counters.no_budget += 1;
             return self.reject(now, &request, None);
         }
         if is_retry {
             return self.admit_retry(now, request, resource);
         }
-        increment(&mut self.counter.tally(resource).admitted_firsts);
+        increment(&mut self.request_counter.tally(resource).admitted_firsts);
         self.admit(now, request, resource, false)
     }
 
-    /// The load shedding in force at a resource.
-    pub(super) fn line(&self, resource: Resource) -> Option<ResourceShedLevel> {
+    /// The shed level in force at a resource; `None` if no load is shed there.
+    pub(super) fn resource_level(&self, resource: Resource) -> Option<ResourceShedLevel> {
         self.level.resources[resource as usize]
     }
 
     fn priority_of(&self, request: &RequestInfo, band: usize) -> u32 {
         let draw = self.draw_key.draw(Draw::Priority, request.client, 0, self.level.epoch);
-        let cost = request.size_kb.map_or(1.0, |kb| (kb / USUAL_SIZE).max(0.0).sqrt().sqrt());
+        let cost = request.size_kb.map_or(1.0, |kb| (kb / USUAL_SIZE_KB).max(0.0).sqrt().sqrt());
         priority(band, self.bands, cost, draw)
     }
 
-    /// Takes a retry from the fleet's budget while load is shed, and else from the own one.
-    fn take_retry(&mut self, now: Millis, resource: Resource) -> bool {
-        match self.line(resource) {
+    /// Charges a retry to this instance's share of the fleet's retries while load is shed, and otherwise to its own retry
+    /// budget. Returns whether the retry may be admitted.
+    fn charge_retry(&mut self, now: Millis, resource: Resource) -> bool {
+        match self.resource_level(resource) {
             Some(_) => self.retry_tokens[resource as usize].try_take(now, false),
             None => self.retry_budget.spend(),
         }
     }
 
     fn admit_retry(&mut self, now: Millis, request: RequestInfo, resource: Resource) -> Verdict {
-        increment(&mut self.counter.tally(resource).admitted_retries);
+        increment(&mut self.request_counter.tally(resource).admitted_retries);
         self.admit(now, request, resource, true)
     }
 
     fn admit(&mut self, now: Millis, request: RequestInfo, resource: Resource, is_retry: bool) -> Verdict {
-        increment(&mut self.counter.tally(resource).admitted);
+        increment(&mut self.request_counter.tally(resource).admitted);
         self.counters.admitted += 1;
         Verdict::Admit(Ticket { request, resource, admitted_at: now, is_retry })
     }
 
-    /// The time at which the fleet would have a client retry, on whichever instance, in milliseconds from now; `None` where
-    /// that is too late for the client.
+    /// The retry-after time that can be reserved for a client, in milliseconds from now. All instances compute the same
+    /// time. `None` if that is too late for the client.
     pub(super) fn reservable_time(&self, now: Millis, request: &RequestInfo) -> Option<Millis> {
-        let longest = self.settings.max_retry_after;
-        let shortest = SHARED_AFTER.min(longest / 2.0).max(self.settings.min_retry_after.min(longest));
-        let span = (longest - shortest).clamp(1.0, RESERVED_AHEAD);
+        let max_retry_after = self.settings.max_retry_after;
+        let min_retry_after = MIN_RESERVED_RETRY_AFTER
+            .min(max_retry_after / 2.0)
+            .max(self.settings.min_retry_after.min(max_retry_after));
+        let span = (max_retry_after - min_retry_after).clamp(1.0, RESERVATION_SPAN);
         let draw = self.draw_key.draw(Draw::RetryAfter, request.client, request.object, self.level.epoch);
-        let after = shortest + (self.epoch_began + draw * span - now - shortest).rem_euclid(span);
-        (after + SERVING_TIME <= request.time_left).then_some(after)
+        let after =
+            min_retry_after + (self.epoch_started_at + draw * span - now - min_retry_after).rem_euclid(span);
+        (after + MIN_SERVICE_TIME <= request.time_left).then_some(after)
     }
 
-    /// Rejects a request; by a line, the draw decides whether it gets a reserved time.
+    /// Rejects a request. With a shed level, a draw decides whether the client gets a reserved retry-after time.
     pub(super) fn reject(
         &mut self,
         now: Millis,
         request: &RequestInfo,
-        line: Option<ResourceShedLevel>,
+        resource_level: Option<ResourceShedLevel>,
     ) -> Verdict {
-        Verdict::Reject { retry_after: self.retry_after(now, request, line) }
+        Verdict::Reject { retry_after: self.retry_after(now, request, resource_level) }
     }
 
-    /// The retry-after time of a rejected request, in milliseconds; 0: none is given.
+    /// Records the rejection of a request and returns its retry-after time in milliseconds; 0 if none is sent.
     pub(super) fn retry_after(
         &mut self,
         now: Millis,
         request: &RequestInfo,
-        line: Option<ResourceShedLevel>,
+        resource_level: Option<ResourceShedLevel>,
     ) -> Millis {
         let epoch = self.level.epoch;
         let draw = self.draw_key.draw(Draw::Reservation, request.client, request.object, epoch);
-        let is_drawn = line.is_some_and(|line| draw * f64::from(u16::MAX) < f64::from(line.reserved_share));
+        let is_drawn =
+            resource_level.is_some_and(|level| draw * f64::from(u16::MAX) < f64::from(level.reserved_share));
         let reserved = if is_drawn { self.reservable_time(now, request) } else { None };
         self.record_rejection(now, request, reserved)
     }
 
-    /// Remembers a rejection with a reserved time, or the longest time without a reservation.
+    /// Records a rejection with the reserved time, or with the longest retry-after time if none is reserved. Returns the
+    /// retry-after time to send in milliseconds; 0 if none is sent.
     pub(super) fn record_rejection(
         &mut self,
         now: Millis,
--- a/crates/deckproxy-fleet/src/overload/completion.rs
+++ b/crates/deckproxy-fleet/src/overload/completion.rs
@@ -1,4 +1,4 @@
-//! What follows from the end of an admitted request.
+//! Accounting at the end of an admitted request.
 
 use super::Overload;
 use super::rejected_requests::Rejection;
@@ -7,13 +7,13 @@
 use crate::Millis;
 use deckproxy_recovery::admission::RequestOutcome;
 
-/// A served request that took more than this part of its client's time stood in a queue: seen so early, load is shed before
-/// the queue is as long as clients wait.
-const PROMPT_PART: f64 = 0.25;
+/// A served request that took more than this fraction of its client's remaining time counts as slow: it was queued.
+/// Detecting queues this early lets load be shed before the queueing delay reaches the clients' timeouts.
+const PROMPT_TIME_FRACTION: f64 = 0.25;
 
 impl Overload {
-    /// An admitted request ended. `retry_after`: the decision module's time in milliseconds, where it rejected the request.
-    /// Returns the retry-after time to give.
+    /// Handles the end of an admitted request. `retry_after`: the time set by the decision module, in milliseconds, if it
+    /// rejected the request. Returns the retry-after time to send.
     pub fn request_ended(
         &mut self,
         now: Millis,
@@ -31,13 +31,13 @@
     }
 
     fn count_outcome(&mut self, now: Millis, ticket: &Ticket, outcome: RequestOutcome) {
-        let tally = self.counter.tally(ticket.resource);
+        let tally = self.request_counter.tally(ticket.resource);
         increment(match outcome {
             RequestOutcome::Served => &mut tally.served,
             RequestOutcome::Rejected => &mut tally.rejected,
             RequestOutcome::Failed | RequestOutcome::ClientGone => &mut tally.wasted,
         });
-        let is_slow = now - ticket.admitted_at > ticket.request.time_left * PROMPT_PART;
+        let is_slow = now - ticket.admitted_at > ticket.request.time_left * PROMPT_TIME_FRACTION;
         if outcome == RequestOutcome::Served && is_slow {
             increment(&mut tally.slow);
         }
@@ -54,8 +54,8 @@
     fn served(&mut self, now: Millis, ticket: &Ticket) {
         let request = &ticket.request;
         self.rejected.remove(self.request_id(request));
-        // A request in vain earns no retries; while load is shed, the line provides them.
-        if !ticket.is_retry && self.line(ticket.resource).is_none() {
+        // Only served requests earn retries. While load is shed, the shed level sets the rate of retries instead.
+        if !ticket.is_retry && self.resource_level(ticket.resource).is_none() {
             self.retry_budget.earn();
         }
         if !self.has_effect(request) {
@@ -63,24 +63,24 @@
         }
     }
 
-    /// The decision module rejected it.
+    /// Handles a request that the decision module rejected; returns the retry-after time to send.
     fn rejected_downstream(&mut self, now: Millis, ticket: &Ticket, retry_after: Millis) -> Millis {
         self.recently_cached.remove(ticket.request.object);
         let time_left = ticket.request.time_left - (now - ticket.admitted_at);
         let request = RequestInfo { time_left, ..ticket.request };
-        let line = self.line(ticket.resource);
-        if line.is_some() {
-            return self.retry_after(now, &request, line);
+        let resource_level = self.resource_level(ticket.resource);
+        if resource_level.is_some() {
+            return self.retry_after(now, &request, resource_level);
         }
-        // While no load is shed, as many get a reserved time as the own retry budget allows.
-        let own = Rates::of(&self.counter.summary(), ticket.resource as usize);
+        // While no load is shed, reserved times are limited by this instance's own retry budget.
+        let own = Rates::of(&self.request_counter.summary(), ticket.resource as usize);
         let is_good = own.served_share() >= self.settings.limits.good_share;
         let time = self.reservable_time(now, &request).map(|time| time.max(retry_after));
         let reserved = time.filter(|_| is_good && self.retry_budget.spend());
         self.record_rejection(now, &request, reserved)
     }
 
-    /// It failed, or its client left: the next one is a retry, and not too early.
+    /// Handles a request that failed or whose client disconnected: the next attempt is a retry, which may arrive at once.
     fn wasted(&mut self, now: Millis, ticket: &Ticket) {
         let request = &ticket.request;
         self.recently_cached.remove(request.object);
--- a/crates/deckproxy-fleet/src/overload/coordination.rs
+++ b/crates/deckproxy-fleet/src/overload/coordination.rs
@@ -1,6 +1,6 @@
-//! Sharing of counts and rejections, the leader's decision on the shed level, and its enforcement.
+//! Sharing of counts and rejections, the leader's decision on the shed level, and enforcement of the shed level.
 
-use super::admission::LATE_TOLERANCE;
+use super::admission::RESERVATION_GRACE;
 use super::rejection_batch::RejectionBatch;
 use super::retry_token_bucket::RetryTokenBucket;
 use super::shed_controller::EVALUATION_INTERVAL;
@@ -14,29 +14,31 @@
 use crate::rendezvous::{Candidate, observers};
 use serde::Serialize;
 
-/// Time to live of a summary, in milliseconds: where datagrams are lost, a summary that is a little old says more than none.
+/// Time to live of a summary, in milliseconds; when datagrams are lost, a slightly old summary is better than none.
 const SUMMARY_TTL: u32 = 2500;
-/// Time to live of a shed level, in milliseconds: it stays in force until another leader decides.
+/// Time to live of a shed level, in milliseconds; when the leader is lost, its level stays in force until the next leader
+/// decides.
 pub(super) const SHED_LEVEL_TTL: u32 = 6000;
 /// Longest time to live of a batch of rejections, in milliseconds.
-const LONGEST_BATCH_TTL: Millis = 10_000.0;
-/// Number of subjects under which batches of rejections are written in turn; so many are in the store at a time.
+const MAX_BATCH_TTL: Millis = 10_000.0;
+/// Number of subjects to which batches of rejections are written in rotation, and so the most that an instance has in the
+/// store at a time.
 const BATCH_SLOTS: u64 = 24;
-/// Factor by which an instance may exceed its part of the retries that the fleet admits: they do not come evenly.
+/// Factor by which an instance may exceed its share of the retries that the fleet admits, as retries arrive unevenly.
 const RETRY_SLACK: f64 = 1.05;
-/// Largest factor by which the rates are raised for instances whose summaries are not there yet.
-const MISSING_SUMMARIES: f64 = 1.5;
-/// By so much the offered requests may grow beyond the number of instances when that grows.
+/// Largest factor by which rates are scaled up to account for instances whose summaries have not arrived yet.
+const MAX_MISSING_SUMMARIES_SCALE: f64 = 1.5;
+/// Largest growth of the offered rate that is followed when instances join, relative to the growth of their number.
 const GROWTH_SLACK: f64 = 1.5;
 
 /// An entry to write to the gossip store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoreWrite {
-    /// Its key.
+    /// Key of the entry.
     pub key: Key,
-    /// Its time to live, in milliseconds.
+    /// Time to live of the entry, in milliseconds.
     pub ttl: u32,
-    /// Its value; `None`: the entry is withdrawn.
+    /// Value of the entry; `None` withdraws it.
     pub value: Option<Vec<u8>>,
 }
 
@@ -47,18 +49,18 @@
 }
 
 impl Overload {
-    /// Does what is due; returns the entries to write to the store.
+    /// Performs the periodic work that is due; returns the entries to write to the store.
     pub fn tick(&mut self, now: Millis, presence: &Presence, store: &GossipStore) -> Vec<StoreWrite> {
         let mut writes = Vec::new();
-        if self.counter.tick(now) {
-            let summary = self.counter.summary();
+        if self.request_counter.tick(now) {
+            let summary = self.request_counter.summary();
             writes.push(StoreWrite::new(Key::of_kind(kinds::SUMMARY), SUMMARY_TTL, &summary));
         }
         self.reshare_rejections_of_restarted(now, presence);
         self.merge_rejections(now, presence, store);
         writes.extend(self.enforce_shared_level(now, presence, store));
         if let Some(batch) = self.rejected.next_batch(now) {
-            let ttl = (self.settings.max_retry_after + LATE_TOLERANCE).min(LONGEST_BATCH_TTL) as u32;
+            let ttl = (self.settings.max_retry_after + RESERVATION_GRACE).min(MAX_BATCH_TTL) as u32;
             let subject = (batch.number % BATCH_SLOTS).to_string().into();
             writes.push(StoreWrite::new(Key { kind: kinds::REJECTIONS, subject }, ttl, &batch));
         }
@@ -69,8 +71,8 @@
         writes
     }
 
-    /// The level to announce where this instance is the leader. Where another one is, a level that this instance has
-    /// announced is withdrawn, but not before the leader has decided: it may have just started.
+    /// Returns the shed level to announce if this instance is the leader. Otherwise withdraws a level that this instance
+    /// announced earlier, but only once the leader has announced its own: it may have just started.
     fn lead(&mut self, now: Millis, presence: &Presence, store: &GossipStore) -> Option<StoreWrite> {
         let key = Key::of_kind(kinds::SHED_LEVEL);
         let Some(leader) = leader(presence) else {
@@ -108,10 +110,10 @@
         self.controller.evaluate(now, &rates)
     }
 
-    /// The rates of all instances that are present, by resource.
+    /// The summed rates of all present instances, by resource.
     fn fleet_rates(&self, now: Millis, presence: &Presence, store: &GossipStore) -> [Rates; RESOURCES] {
         let mut rates = [Rates::default(); RESOURCES];
-        let own = self.counter.summary();
+        let own = self.request_counter.summary();
         let entries = store.entries_of_kind(now, kinds::SUMMARY);
         let present = entries.filter(|entry| presence.has_other(entry.author));
         let others = present.filter_map(|entry| postcard::from_bytes::<Summary>(entry.value).ok());
@@ -122,28 +124,28 @@
                 rates.add(&summary, resource);
             }
         }
-        // Instances whose summaries are not there yet count like the others.
-        let missing = presence.count() as f64 / f64::from(summaries);
+        // Instances whose summaries have not arrived yet are assumed to have the average rates.
+        let scale = presence.count() as f64 / f64::from(summaries);
         for rates in &mut rates {
-            rates.scale(missing.min(MISSING_SUMMARIES));
+            rates.scale(scale.min(MAX_MISSING_SUMMARIES_SCALE));
         }
         rates
     }
 
-    /// Continues with the level in force.
+    /// Initializes the controller of a new leader from the shed level in force.
     fn take_over(&mut self, now: Millis, rates: &[Rates; RESOURCES]) {
         let level = self.level;
         let mut shares = [1.0; RESOURCES];
-        for ((share, line), rates) in shares.iter_mut().zip(level.resources).zip(rates) {
-            if let Some(line) = line {
-                *share = rates.offered() / f64::from(line.offered_rate).max(1.0);
+        for ((share, resource_level), rates) in shares.iter_mut().zip(level.resources).zip(rates) {
+            if let Some(resource_level) = resource_level {
+                *share = rates.offered() / f64::from(resource_level.offered_rate).max(1.0);
             }
         }
-        let age = now - self.epoch_began - f64::from(level.epoch_age);
+        let age = now - self.epoch_started_at - f64::from(level.epoch_age);
         self.controller.take_over(now, &level, age, shares);
     }
 
-    /// Shares the rejections of instances that were restarted, as they have forgotten them.
+    /// Shares the rejections of restarted instances again, as a restart loses them.
     fn reshare_rejections_of_restarted(&mut self, now: Millis, presence: &Presence) {
         for other in &presence.others {
             let known = self.incarnations.insert(other.name.clone(), other.incarnation);
@@ -165,69 +167,72 @@
         }
     }
 
-    /// Enforces the strictest of the levels in the store. After a pause the level in force stays while the view is stale; a
-    /// process that has just started has none to keep.
+    /// Enforces the strictest shed level in the store. While the view is stale after a pause, the level in force is kept; a
+    /// process that has just started has no level to keep, and enforces the one in the store.
     ///
-    /// Where the store has none any more before the level in force has expired, its author was restarted and has forgotten
-    /// it: it stays in force, and is announced in the author's place.
+    /// If the level in force disappears from the store before it expires, its author was restarted and lost it: this
+    /// instance keeps enforcing the level, and announces it in place of the author.
     fn enforce_shared_level(
         &mut self,
         now: Millis,
         presence: &Presence,
         store: &GossipStore,
     ) -> Option<StoreWrite> {
-        if presence.is_stale && self.has_been_fresh {
+        if presence.is_stale && self.had_fresh_view {
             return None;
         }
-        self.has_been_fresh = !presence.is_stale;
+        self.had_fresh_view = !presence.is_stale;
         let is_present = |author: &Name| presence.is_own(author) || presence.has_other(author);
-        // The level of a leader that is lost stays in force until another one has decided. The own level is in the store,
-        // too, and has no precedence.
+        // The level of a lost leader stays in force until another leader has decided. The store also has the levels that
+        // this instance announced; they take no precedence.
         let shared = strictest(now, store, is_present).or_else(|| strictest(now, store, |_| true));
         if shared.is_none() && self.level.is_shedding() && now < self.level_expires_at {
             return Some(self.announce_again(now));
         }
         let level = ShedLevel { epoch: self.level.epoch, ..ShedLevel::default() };
-        let none = TimestampedShedLevel { level, epoch_began: self.epoch_began, expires_at: now };
+        let none = TimestampedShedLevel { level, epoch_started_at: self.epoch_started_at, expires_at: now };
         self.enforce(now, shared.unwrap_or(none));
         None
     }
 
-    /// Announces the level in force, with the epoch's present age and the time that the level has left.
+    /// Announces the level in force again, with the current age of the epoch and the remaining time of the level.
     fn announce_again(&self, now: Millis) -> StoreWrite {
-        let level = ShedLevel { epoch_age: (now - self.epoch_began) as u16, ..self.level };
+        let level = ShedLevel { epoch_age: (now - self.epoch_started_at) as u16, ..self.level };
         let ttl = (self.level_expires_at - now).ceil() as u32;
         StoreWrite::new(Key::of_kind(kinds::SHED_LEVEL), ttl, &level)
     }
 
     fn enforce(&mut self, now: Millis, shared: TimestampedShedLevel) {
-        let TimestampedShedLevel { level, epoch_began, expires_at } = shared;
+        let TimestampedShedLevel { level, epoch_started_at, expires_at } = shared;
         if level.epoch != self.level.epoch {
-            self.epoch_began = epoch_began;
+            self.epoch_started_at = epoch_started_at;
         }
         self.level_expires_at = expires_at;
-        let own = self.counter.summary();
+        let own = self.request_counter.summary();
         for (resource, retry_tokens) in self.retry_tokens.iter_mut().enumerate() {
-            let Some(line) = level.resources[resource] else {
+            let Some(resource_level) = level.resources[resource] else {
                 *retry_tokens = RetryTokenBucket::empty(now);
                 continue;
             };
-            // This instance's part, by what is offered here and to all.
+            // This instance's share of the retries is its share of the offered rate.
             let offered = Rates::of(&own, resource).offered();
-            let part = (offered / f64::from(line.offered_rate).max(1.0)).min(1.0);
-            retry_tokens.set_rate(now, f64::from(line.retry_rate) * part * RETRY_SLACK);
+            let share = (offered / f64::from(resource_level.offered_rate).max(1.0)).min(1.0);
+            retry_tokens.set_refill_rate(now, f64::from(resource_level.retry_rate) * share * RETRY_SLACK);
         }
         self.level = level;
     }
 }
 
-/// The factors by which the offered requests have changed with the number of instances. A part of a split never admits more
-/// than its share of instances would, nor the reunited fleet less than its parts.
+/// The factors by which the offered rates changed along with the number of instances. When that number falls, a factor is
+/// between the ratio of the numbers and 1. When it grows, a factor is between 1 and [`GROWTH_SLACK`] times the ratio, so
+/// that a reunited fleet admits no less than the leader's part of the split did.
 fn growth(last: &FleetLoad, fleet_load: &FleetLoad) -> [f64; RESOURCES] {
     let instances = fleet_load.instances as f64 / last.instances.max(1) as f64;
     let mut factors = [1.0; RESOURCES];
-    for (factor, (now, before)) in factors.iter_mut().zip(fleet_load.offered.into_iter().zip(last.offered)) {
-        let offered = now / before.max(1.0);
+    for (factor, (current, previous)) in
+        factors.iter_mut().zip(fleet_load.offered.into_iter().zip(last.offered))
+    {
+        let offered = current / previous.max(1.0);
         *factor = if instances > 1.0 {
             offered.clamp(1.0, GROWTH_SLACK * instances)
         } else {
@@ -237,8 +242,8 @@
     factors
 }
 
-/// The instance that decides for those that hear each other: by rendezvous, without an exchange. `None` where no own name
-/// is known.
+/// The leader of the instances that can reach each other, chosen by rendezvous hashing without an exchange of messages.
+/// `None` if the name of this instance is not known.
 fn leader(presence: &Presence) -> Option<&Name> {
     let others = presence.others.iter().map(|other| &other.name);
     let names: Vec<&Name> = std::iter::once(presence.own.as_ref()?).chain(others).collect();
@@ -247,17 +252,17 @@
     observers("overload", "", &candidates, 1).first().map(|index| names[*index])
 }
 
-/// The strictest of the levels that some authors have decided.
+/// The strictest of the shed levels in the store whose authors satisfy `is_eligible`.
 fn strictest(
     now: Millis,
     store: &GossipStore,
-    counts: impl Fn(&Name) -> bool,
+    is_eligible: impl Fn(&Name) -> bool,
 ) -> Option<TimestampedShedLevel> {
     let entries = store.entries_of_kind(now, kinds::SHED_LEVEL);
-    let levels = entries.filter(|entry| counts(entry.author)).filter_map(|entry| {
+    let levels = entries.filter(|entry| is_eligible(entry.author)).filter_map(|entry| {
         let level: ShedLevel = postcard::from_bytes(entry.value).ok()?;
-        let epoch_began = now - entry.age - f64::from(level.epoch_age);
-        Some(TimestampedShedLevel { level, epoch_began, expires_at: now + entry.expires_in })
+        let epoch_started_at = now - entry.age - f64::from(level.epoch_age);
+        Some(TimestampedShedLevel { level, epoch_started_at, expires_at: now + entry.expires_in })
     });
     levels.reduce(TimestampedShedLevel::combine)
 }
--- a/crates/deckproxy-fleet/src/overload/mod.rs
+++ b/crates/deckproxy-fleet/src/overload/mod.rs
@@ -1,16 +1,16 @@
-//! Overload, handled by the fleet together: which requests are shed, and when their clients may retry.
+//! Fleet-wide load shedding: which requests are shed, and when their clients may retry.
 //!
-//! Each instance counts its requests and what becomes of them ([`summary`]), and shares the counts in the gossip store. The
-//! leader among the instances that hear each other looks at the sum and decides one shed level for all
-//! ([`shed_controller`], [`shed_level`]): requests of a lower [`priority`] are rejected on every instance. Of those rejected,
-//! as many get a reserved retry-after time as the fleet's retry budget allows; all instances know who was rejected
-//! ([`rejected_requests`]), so that retrying elsewhere or too early gains nothing. Objects that the caches hold are admitted
-//! where only the way to the sources is overloaded ([`recently_cached`]).
+//! Each instance counts its requests and their outcomes ([`summary`]) and publishes the counts in the gossip store. The
+//! instances that can reach each other have one leader, which decides a common shed level from the summed counts
+//! ([`shed_controller`], [`shed_level`]): every instance rejects requests of a lower [`priority`]. As many of the rejected
+//! requests as the fleet's retry budget allows get a reserved retry-after time. Instances share their rejections
+//! ([`rejected_requests`]), so that a client gains nothing by retrying too early or on another instance. Requests for
+//! objects in the caches are still admitted while only the path to the sources is overloaded ([`recently_cached`]).
 //!
-//! An instance that hears no other decides alone, from its own counts.
+//! An instance that can reach no other decides alone, from its own counts.
 //!
-//! - `admission`: the decision on a request.
-//! - `completion`: what follows from the end of an admitted request.
+//! - `admission`: the admission decision for a request.
+//! - `completion`: accounting at the end of an admitted request.
 //! - `coordination`: sharing of counts, the leader's decision and its enforcement.
 
 mod admission;
@@ -43,12 +43,12 @@
 use std::collections::BTreeMap;
 use summary::{RESOURCES, RequestCounter};
 
-/// Time for which a served object is taken for cached, in milliseconds.
-const CACHED_FOR: Millis = 60_000.0;
-/// Rejected requests are remembered for so many times the longest retry-after time.
-const REMEMBERED_TIMES: f64 = 4.0;
-/// Least retry-after time by which that is computed, in milliseconds.
-const REMEMBERED_LEAST: Millis = 1000.0;
+/// Time for which an object is assumed to be cached after it was served, in milliseconds.
+const ASSUMED_CACHED_DURATION: Millis = 60_000.0;
+/// Time for which rejected requests are remembered, as a multiple of the longest retry-after time.
+const RETENTION_FACTOR: f64 = 4.0;
+/// Lower bound on the retry-after time that this multiple is applied to, in milliseconds.
+const MIN_RETENTION_BASE: Millis = 1000.0;
 
 /// Load shedding of one instance.
 #[derive(Debug)]
@@ -57,67 +57,67 @@
     draw_key: DrawKey,
     /// Number of priority bands.
     bands: usize,
-    counter: RequestCounter,
+    request_counter: RequestCounter,
     controller: ShedController,
-    /// This instance was the leader at the last look.
+    /// This instance was the leader at the last evaluation.
     is_leader: bool,
     next_evaluation: Millis,
     /// The shed level in force.
     level: ShedLevel,
-    /// When its epoch began.
-    epoch_began: Millis,
-    /// Until when it stays in force where the store has no level.
+    /// When the epoch of the shed level began.
+    epoch_started_at: Millis,
+    /// Until when the shed level stays in force while the store has none.
     level_expires_at: Millis,
-    /// The view has been fresh since the start of the process.
-    has_been_fresh: bool,
-    /// Retries that are admitted while load is shed, by resource.
+    /// The view was fresh at least once since the process started.
+    had_fresh_view: bool,
+    /// Retries to admit while load is shed, by resource.
     retry_tokens: [RetryTokenBucket; RESOURCES],
-    /// Retries that are admitted while no load is shed.
+    /// Retries to admit while no load is shed.
     retry_budget: Budget,
     rejected: RejectedRequests,
     recently_cached: RecentlyCached,
     incarnations: BTreeMap<Name, u64>,
     last_fleet_load: FleetLoad,
-    /// Decisions since the start.
+    /// Decisions since the process started.
     pub counters: Counters,
 }
 
-/// What the leader saw at a look.
+/// Size and load of the fleet at an evaluation by the leader.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct FleetLoad {
     instances: usize,
-    /// Requests offered a second, by resource.
+    /// Requests offered per second, by resource.
     offered: [f64; RESOURCES],
 }
 
-/// How much is remembered.
+/// Numbers of rejections remembered and not shared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RejectionCounts {
-    /// Rejected requests that are remembered.
+    /// Rejected requests that are currently remembered.
     pub remembered: u64,
-    /// Rejections of this instance that were not shared with the others.
+    /// Rejections by this instance that were not shared with the other instances.
     pub not_shared: u64,
 }
 
 impl Overload {
-    /// Load shedding of an instance that has received nothing yet.
+    /// Creates the state of an instance that has not received any request or gossip yet.
     pub fn new(now: Millis, settings: Settings) -> Self {
-        let remembered_for = settings.max_retry_after.max(REMEMBERED_LEAST) * REMEMBERED_TIMES;
+        let remembered_for = settings.max_retry_after.max(MIN_RETENTION_BASE) * RETENTION_FACTOR;
         Overload {
             draw_key: DrawKey::of_fleet(&settings.fleet),
             bands: settings.classes.iter().map(|class| class.band + 1).max().unwrap_or(1),
-            counter: RequestCounter::new(now, settings.window),
+            request_counter: RequestCounter::new(now, settings.window),
             controller: ShedController::new(settings.limits),
             is_leader: false,
             next_evaluation: now,
             level: ShedLevel::default(),
-            epoch_began: now,
+            epoch_started_at: now,
             level_expires_at: now,
-            has_been_fresh: false,
+            had_fresh_view: false,
             retry_tokens: [RetryTokenBucket::empty(now); RESOURCES],
             retry_budget: Budget::new(settings.retry_budget),
             rejected: RejectedRequests::new(settings.remembered, remembered_for),
-            recently_cached: RecentlyCached::new(settings.remembered, CACHED_FOR),
+            recently_cached: RecentlyCached::new(settings.remembered, ASSUMED_CACHED_DURATION),
             incarnations: BTreeMap::new(),
             last_fleet_load: FleetLoad { instances: 1, offered: [0.0; RESOURCES] },
             counters: Counters::default(),
@@ -130,12 +130,12 @@
         &self.level
     }
 
-    /// Whether this instance decides for those that hear it.
+    /// Whether this instance is the leader, which decides the shed level.
     pub fn is_leader(&self) -> bool {
         self.is_leader
     }
 
-    /// How many rejections are remembered, and were not shared.
+    /// Numbers of rejections that are remembered and that were not shared.
     pub fn rejection_counts(&self) -> RejectionCounts {
         let remembered = self.rejected.len() as u64;
         RejectionCounts { remembered, not_shared: self.rejected.not_shared }
--- a/crates/deckproxy-fleet/src/overload/retry_token_bucket.rs
+++ b/crates/deckproxy-fleet/src/overload/retry_token_bucket.rs
@@ -1,27 +1,27 @@
-//! An instance's share of the retries that the fleet admits.
+//! An instance's share of the retries that the fleet admits while load is shed.
 
 use crate::Millis;
 
-/// Time for which unused retries are saved up, in milliseconds.
+/// Largest burst, as the time in milliseconds in which the refill rate yields it.
 const BURST_DURATION: Millis = 500.0;
 
-/// A token bucket of retries: filled at a rate that the shed level sets, and gone with it.
+/// A token bucket of retries. The shed level sets the refill rate; the bucket is emptied when shedding ends.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RetryTokenBucket {
     tokens: f64,
-    /// Retries a second.
+    /// Retries per second.
     refill_rate: f64,
     refilled_at: Millis,
 }
 
 impl RetryTokenBucket {
-    /// No retries.
+    /// A bucket without tokens and with a refill rate of 0.
     pub fn empty(now: Millis) -> Self {
         RetryTokenBucket { refilled_at: now, ..RetryTokenBucket::default() }
     }
 
-    /// Sets the retries a second from now on.
-    pub fn set_rate(&mut self, now: Millis, rate: f64) {
+    /// Sets the refill rate, in retries per second, from now on.
+    pub fn set_refill_rate(&mut self, now: Millis, rate: f64) {
         self.refill(now);
         self.refill_rate = rate;
     }
@@ -32,7 +32,8 @@
         self.refilled_at = now;
     }
 
-    /// Takes one retry where there is one; returns whether it did. One with a reserved time may be taken in advance.
+    /// Takes a token if there is one; returns whether it did. A retry at its reserved time may overdraw the bucket by one
+    /// burst and one token.
     pub fn try_take(&mut self, now: Millis, is_reserved: bool) -> bool {
         self.refill(now);
         let overdraft = if is_reserved { self.refill_rate * BURST_DURATION / 1000.0 + 1.0 } else { 0.0 };
--- a/crates/deckproxy-fleet/src/overload/shed_level.rs
+++ b/crates/deckproxy-fleet/src/overload/shed_level.rs
@@ -55,7 +55,7 @@
     /// The level.
     pub level: ShedLevel,
     /// When its epoch began.
-    pub epoch_began: Millis,
+    pub epoch_started_at: Millis,
     /// Until when it is in force, unless another one is decided.
     pub expires_at: Millis,
 }
@@ -69,7 +69,7 @@
             if self.level.epoch < other.level.epoch { (other, self) } else { (self, other) };
         TimestampedShedLevel {
             level: later.level.stricter(&earlier.level),
-            epoch_began: later.epoch_began,
+            epoch_started_at: later.epoch_started_at,
             expires_at: later.expires_at.max(earlier.expires_at),
         }
     }
--- a/crates/deckproxy-fleet/src/overload/tests.rs
+++ b/crates/deckproxy-fleet/src/overload/tests.rs
@@ -92,7 +92,7 @@
     assert_eq!(retry_after(overload.request(200.0, retry)), Some(time - 100.0));
     assert_eq!(overload.counters.too_early, 1);
     // Its share of the retries is filled by then.
-    overload.retry_tokens[1].set_rate(100.0, 10.0);
+    overload.retry_tokens[1].set_refill_rate(100.0, 10.0);
     assert_eq!(retry_after(overload.request(100.0 + time, retry)), None);
     assert_eq!((overload.counters.reservations_kept, overload.counters.reservations), (1, 1));
 }
--- a/crates/deckproxy-fleet/src/overload/types.rs
+++ b/crates/deckproxy-fleet/src/overload/types.rs
@@ -6,39 +6,39 @@
 use crate::instance::Name;
 use deckproxy_recovery::budget;
 
-/// What matters of a class of requests.
+/// Properties of a class of requests that load shedding depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Class {
-    /// Its band by priority weight; 0 is the lowest.
+    /// Priority band, by the priority weight of the class; 0 is the lowest.
     pub band: usize,
-    /// Its requests have an effect: no cached copy serves them, and one that may have run is not shed any more.
+    /// Its requests have side effects: they are not served from a cache, and a retry of one that may have run is not shed.
     pub has_effect: bool,
 }
 
-/// How overload is handled.
+/// Settings of the fleet's load shedding.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The fleet's name, which keys all draws.
+    /// The fleet's name, from which the key of all draws is derived.
     pub fleet: String,
     /// The classes, by index.
     pub classes: Vec<Class>,
-    /// When load is shed, and when no longer.
+    /// Thresholds of the shed controller.
     pub limits: Limits,
-    /// The budget of an instance's own retries while no load is shed.
+    /// Retry budget of an instance while no load is shed.
     pub retry_budget: budget::Limits,
-    /// Rejections carry a retry-after time, and clients are held to it.
+    /// Rejections carry a retry-after time, and retries before that time are rejected.
     pub sends_retry_after: bool,
     /// Shortest retry-after, in milliseconds.
     pub min_retry_after: Millis,
     /// Longest retry-after, in milliseconds.
     pub max_retry_after: Millis,
-    /// Number of rejected requests, and of served objects, that are remembered at least.
+    /// Minimum number of rejected requests, and of served objects, that are remembered.
     pub remembered: usize,
-    /// Length of the window that requests are counted in, in milliseconds.
+    /// Length of a counting window, in milliseconds.
     pub window: Millis,
 }
 
-/// Another instance that is present.
+/// Another instance that is present in the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PresentInstance {
     /// Its name.
@@ -47,19 +47,19 @@
     pub incarnation: u64,
 }
 
-/// Which instances are present, according to the fleet's view.
+/// The instances that are present, according to this instance's view of the fleet.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Presence {
-    /// Ourselves; `None` where no name is known.
+    /// The name of this instance; `None` if it is not known.
     pub own: Option<Name>,
-    /// The others that are present.
+    /// The other instances that are present.
     pub others: Vec<PresentInstance>,
-    /// The view is stale: nothing is decided.
+    /// The view is stale: this instance decides no shed level.
     pub is_stale: bool,
 }
 
 impl Presence {
-    /// Number of instances, ourselves included.
+    /// Number of instances, including this one.
     pub fn count(&self) -> usize {
         self.others.len() + 1
     }
@@ -69,68 +69,68 @@
         self.others.iter().any(|other| other.name == *name)
     }
 
-    /// Whether a name is our own.
+    /// Whether a name is the name of this instance.
     pub fn is_own(&self, name: &Name) -> bool {
         self.own.as_ref() == Some(name)
     }
 }
 
-/// What matters of a request.
+/// Properties of a request that the admission decision depends on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestInfo {
-    /// The client's number.
+    /// Identifier of the client.
     pub client: u64,
-    /// The class, by index.
+    /// Index of the class in [`Settings::classes`].
     pub class: usize,
-    /// The object's number.
+    /// Identifier of the object.
     pub object: u64,
-    /// How long the client still waits, in milliseconds.
+    /// Time until the client gives up, in milliseconds.
     pub time_left: Millis,
-    /// Size of the answer in KB, where it is known.
+    /// Size of the response in KB, if known.
     pub size_kb: Option<f64>,
     /// The client marked it as a retry.
     pub is_retry: bool,
 }
 
-/// The decision on a request.
+/// The admission decision for a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
-    /// It is admitted; its end has to be reported with the ticket.
+    /// The request is admitted; its end has to be reported with the ticket.
     Admit(Ticket),
-    /// It is rejected.
+    /// The request is rejected.
     Reject {
-        /// Time after which the client may retry, in milliseconds; 0: none is given.
+        /// Time after which the client may retry, in milliseconds; 0 if none is sent.
         retry_after: Millis,
     },
 }
 
-/// An admitted request.
+/// Identifies an admitted request until its end is reported.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Ticket {
     pub(super) request: RequestInfo,
     pub(super) resource: Resource,
     pub(super) admitted_at: Millis,
-    /// It was known or marked as a retry.
+    /// The request was known to be a retry, or marked as one.
     pub(super) is_retry: bool,
 }
 
-/// Decisions since the start, by reason.
+/// Counts of decisions since the process started, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Requests admitted.
     pub admitted: u64,
-    /// Requests admitted that came at a reserved time.
+    /// Requests admitted because they arrived at a reserved time.
     pub reservations_kept: u64,
-    /// Requests rejected since they came before their retry-after time.
+    /// Requests rejected because they arrived before their retry-after time.
     pub too_early: u64,
-    /// Requests rejected since their priority was below the shed level.
+    /// Requests rejected because their priority was below the shed level.
     pub below_level: u64,
-    /// Retries rejected since no retry budget was left.
+    /// Retries rejected because no retry budget was left.
     pub no_budget: u64,
-    /// Requests rejected although they came at a reserved time.
+    /// Requests rejected although they arrived at a reserved time.
     pub reservations_broken: u64,
-    /// Retry-after times given that reserve capacity.
+    /// Reserved retry-after times assigned to rejected requests.
     pub reservations: u64,
-    /// Shed levels that this instance decided for the fleet.
+    /// Shed levels that this instance decided as leader.
     pub decisions: u64,
 }
