--- a/crates/deckproxy-fleet/src/overload/priority.rs
+++ b/crates/deckproxy-fleet/src/overload/priority.rs
@@ -1,9 +1,9 @@
 //! The priority of a request among all others, the same on every instance.
 //!
-//! Classes form bands by priority weight. Within a band, the priority is a hash of the client and the epoch: a client that is
-//! below the shed level on one instance is below it on all instances until the epoch ends, so that retrying on another
-//! instance does not change its priority. In later epochs the client gets other priorities, so that no client is always
-//! shed. Cheaper requests tend to have a higher priority.
+//! Classes form bands by priority weight. Within a band, the priority is drawn by a hash of the client and the epoch: a
+//! client that is below the shed level on one instance is below it on all instances until the epoch ends, so that retrying
+//! on another instance does not change its priority. Each epoch draws again, so that no client is always shed. Cheaper
+//! requests have a higher priority more often.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
--- a/crates/deckproxy-fleet/src/overload/shed_level.rs
+++ b/crates/deckproxy-fleet/src/overload/shed_level.rs
@@ -1,4 +1,4 @@
-//! The shed level: which priorities are rejected at each resource, as the leader decided for the fleet.
+//! The shed level: which priorities are rejected at each resource, as decided by the leader of the fleet.
 
 use super::summary::RESOURCES;
 use crate::Millis;
@@ -7,26 +7,26 @@
 /// Load shedding at one resource. The order of the fields is the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ResourceShedLevel {
-    /// First attempts of a lower priority are rejected.
+    /// Requests of a lower priority are rejected, except retries at a reserved time.
     pub min_priority: u32,
-    /// Requests a second that the fleet admits.
+    /// Requests per second that the fleet admits.
     pub admitted_rate: f32,
-    /// Requests a second that arrived when this was decided.
+    /// Requests per second that were offered when this level was decided.
     pub offered_rate: f32,
-    /// Share of the rejected first attempts that get a reserved retry-after time, in 65,535ths.
+    /// Share of the rejected first attempts that get a reserved retry-after time, in units of 1/65,535.
     pub reserved_share: u16,
-    /// Retries a second that the fleet admits.
+    /// Retries per second that the fleet admits.
     pub retry_rate: f32,
 }
 
 /// The shed level of all resources. The order of the fields is the wire format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ShedLevel {
-    /// The epoch, which keys the draws.
+    /// Number of the epoch, an input of the draws.
     pub epoch: u64,
-    /// Age of the epoch when this was decided, in milliseconds.
+    /// Age of the epoch when this level was decided, in milliseconds.
     pub epoch_age: u16,
-    /// By resource; `None` where no load is shed.
+    /// The level of each resource; `None` if no load is shed there.
     pub resources: [Option<ResourceShedLevel>; RESOURCES],
 }
 
@@ -36,33 +36,33 @@
         self.resources.iter().any(Option::is_some)
     }
 
-    /// This level, with the line of `other` at each resource where that has the higher minimal priority.
+    /// This level, replaced at each resource by the level of `other` where that has the higher minimum priority.
     #[must_use]
     pub fn stricter(mut self, other: &ShedLevel) -> ShedLevel {
-        for (line, other) in self.resources.iter_mut().zip(other.resources) {
+        for (level, other) in self.resources.iter_mut().zip(other.resources) {
             let Some(other) = other else { continue };
-            if line.is_none_or(|line| line.min_priority < other.min_priority) {
-                *line = Some(other);
+            if level.is_none_or(|level| level.min_priority < other.min_priority) {
+                *level = Some(other);
             }
         }
         self
     }
 }
 
-/// A shed level with its times on the clock of this instance.
+/// A shed level with its times by the clock of this instance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TimestampedShedLevel {
-    /// The level.
+    /// The shed level.
     pub level: ShedLevel,
-    /// When its epoch began.
+    /// When the epoch of the level began.
     pub epoch_started_at: Millis,
-    /// Until when it is in force, unless another one is decided.
+    /// Until when the level is in force unless another one is decided.
     pub expires_at: Millis,
 }
 
 impl TimestampedShedLevel {
-    /// Combines two decisions: the epoch of the later one, and the stricter line at each resource. Both are in force until
-    /// the last of them expires.
+    /// Combines two levels: the epoch of the later one, and the stricter level at each resource. The result is in force
+    /// until the last of the two expires.
     #[must_use]
     pub fn combine(self, other: TimestampedShedLevel) -> TimestampedShedLevel {
         let (later, earlier) =
--- a/crates/deckproxy-fleet/src/overload/summary.rs
+++ b/crates/deckproxy-fleet/src/overload/summary.rs
@@ -1,52 +1,52 @@
-//! An instance's request counts, in a form that adds up over instances.
+//! Request counts of an instance, in a form that can be summed over instances.
 
 use super::priority::{BUCKETS, bucket};
 use crate::Millis;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// What can be overloaded; each has a shed level of its own.
+/// A resource that can be overloaded; each has its own shed level.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Resource {
-    /// The caches, for objects that they were seen to hold.
+    /// The caches, for objects that are assumed to be cached.
     Caches = 0,
-    /// The way to the sources, for objects that the caches have to be filled with first.
+    /// The path to the sources, for requests that a cached copy cannot serve.
     Sources = 1,
 }
 
 /// Number of [`Resource`]s.
 pub const RESOURCES: usize = 2;
 
-/// Numbers of requests at one resource. The order of the fields is the wire format of [`Tally`].
+/// Counts or rates of requests at one resource. The order of the fields is the wire format of [`Tally`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestStats<T> {
-    /// First attempts that arrived, by bucket of their priorities.
+    /// First attempts that arrived, by priority bucket.
     pub arrivals: [T; BUCKETS],
-    /// Retries that arrived without a reserved time, as far as they were known for retries.
+    /// Retries that arrived without a reserved time, as far as they could be recognized.
     pub retries: T,
-    /// Retries admitted.
+    /// Admitted retries.
     pub admitted_retries: T,
-    /// First attempts admitted.
+    /// Admitted first attempts.
     pub admitted_firsts: T,
-    /// All requests admitted.
+    /// All admitted requests.
     pub admitted: T,
     /// Admitted requests that were served.
     pub served: T,
     /// Admitted requests that the decision module rejected.
     pub rejected: T,
-    /// Admitted requests that failed, or whose clients left.
+    /// Admitted requests that failed or whose clients disconnected.
     pub wasted: T,
-    /// Served requests that took a large part of their clients' time.
+    /// Served requests that took a large fraction of their clients' remaining time.
     pub slow: T,
 }
 
-/// Counts of requests.
+/// Counts of requests at one resource.
 pub type Tally = RequestStats<u16>;
-/// Requests a second, of one instance or the sum of several.
+/// Requests per second, of one instance or the sum of several instances.
 pub type Rates = RequestStats<f64>;
 
 impl<T> RequestStats<T> {
-    /// All numbers.
+    /// All values, in the order of the fields.
     fn iter_mut(&mut self) -> impl Iterator<Item = &mut T> {
         let others = [
             &mut self.retries,
@@ -69,23 +69,23 @@
         }
     }
 
-    /// Counts a first attempt that arrived.
+    /// Counts the arrival of a first attempt.
     pub fn count_arrival(&mut self, priority: u32) {
         increment(&mut self.arrivals[bucket(priority)]);
     }
 }
 
-/// Counts one more, without overflow.
+/// Increments a count, saturating at its maximum.
 pub(super) fn increment(count: &mut u16) {
     *count = count.saturating_add(1);
 }
 
-/// Request counts of an instance over a span. The order of the fields is the wire format.
+/// Request counts of an instance over a time span. The order of the fields is the wire format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
-    /// The span, in milliseconds.
+    /// Length of the time span, in milliseconds.
     pub span: u16,
-    /// By resource, in the order of [`Resource`].
+    /// Counts by resource, in the order of [`Resource`].
     pub resources: [Tally; RESOURCES],
 }
 
@@ -107,55 +107,60 @@
         }
     }
 
-    /// Multiplies all rates, to estimate those of all instances from those that have reported.
+    /// Multiplies all rates by a factor, to estimate the rates of all instances from those that have reported.
     pub fn scale(&mut self, factor: f64) {
         self.iter_mut().for_each(|rate| *rate *= factor);
     }
 
-    /// First attempts that arrive, a second.
+    /// First attempts that arrive per second.
     pub fn first_attempts(&self) -> f64 {
         self.arrivals.iter().sum()
     }
 
-    /// First attempts that arrive and retries admitted, a second.
+    /// First attempts that arrive and admitted retries, per second.
     pub fn offered(&self) -> f64 {
         self.first_attempts() + self.admitted_retries
     }
 
-    /// Admitted requests that end, a second.
+    /// Admitted requests that end per second.
     pub fn completed(&self) -> f64 {
         self.served + self.rejected + self.wasted
     }
 
-    /// The share of the completed requests that was served; 1 where none was completed.
+    /// The share of completed requests that were served; 1 if none was completed.
     pub fn served_share(&self) -> f64 {
         if self.completed() > 0.0 { self.served / self.completed() } else { 1.0 }
     }
 
-    /// The share of the completed requests that was served promptly; 1 where none was completed.
+    /// The share of completed requests that were served and not slow; 1 if none was completed.
     pub fn prompt_share(&self) -> f64 {
         if self.completed() > 0.0 { (self.served - self.slow) / self.completed() } else { 1.0 }
     }
 }
 
-/// Windows that a summary covers.
-const WINDOWS: usize = 2;
-/// A window that lasted this many times its length was interrupted by a pause of the process.
-const PAUSED_WINDOWS: f64 = 8.0;
+/// Number of windows that a summary covers.
+const SUMMARY_WINDOWS: usize = 2;
+/// A window that lasted longer than this multiple of its length was interrupted by a pause of the process.
+const PAUSE_THRESHOLD_WINDOWS: f64 = 8.0;
 
-/// Counts requests in windows.
+/// Counts requests in consecutive time windows.
 #[derive(Clone, Debug)]
 pub struct RequestCounter {
     window: Millis,
-    began: Millis,
+    window_started_at: Millis,
     current: [Tally; RESOURCES],
-    past: VecDeque<[Tally; RESOURCES]>,
+    closed_windows: VecDeque<[Tally; RESOURCES]>,
 }
 
 impl RequestCounter {
-    /// Counts in windows of that length, in milliseconds, from now on.
+    /// Creates a counter with windows of the given length, in milliseconds, that start now.
     pub fn new(now: Millis, window: Millis) -> Self {
-        RequestCounter { window, began: now, current: Default::default(), past: VecDeque::new() }
+        RequestCounter {
+            window,
+            window_started_at: now,
+            current: Default::default(),
+            closed_windows: VecDeque::new(),
+        }
     }
 
     /// The counts of the current window.
@@ -163,30 +168,31 @@
         &mut self.current[resource as usize]
     }
 
-    /// Closes the window once it is over; returns whether it did. Counts from before a pause of the process are dropped.
+    /// Closes the current window if it is over; returns whether it did. Counts from before a pause of the process are
+    /// dropped.
     pub fn tick(&mut self, now: Millis) -> bool {
-        let age = now - self.began;
+        let age = now - self.window_started_at;
         if age < self.window {
             return false;
         }
-        if age > self.window * PAUSED_WINDOWS {
-            self.past.clear();
+        if age > self.window * PAUSE_THRESHOLD_WINDOWS {
+            self.closed_windows.clear();
             self.current = Default::default();
         } else {
-            self.past.push_back(std::mem::take(&mut self.current));
-            if self.past.len() > WINDOWS {
-                self.past.pop_front();
+            self.closed_windows.push_back(std::mem::take(&mut self.current));
+            if self.closed_windows.len() > SUMMARY_WINDOWS {
+                self.closed_windows.pop_front();
             }
         }
-        self.began = now;
+        self.window_started_at = now;
         true
     }
 
-    /// The counts of the last windows.
+    /// The sum of the last closed windows.
     pub fn summary(&self) -> Summary {
-        let span = (self.window * self.past.len() as f64) as u16;
+        let span = (self.window * self.closed_windows.len() as f64) as u16;
         let mut summary = Summary { span, ..Summary::default() };
-        for window in &self.past {
+        for window in &self.closed_windows {
             for (sum, tally) in summary.resources.iter_mut().zip(window) {
                 sum.add(*tally);
             }
