--- a/crates/deckproxy-fleet/src/overload/priority/tests.rs
+++ b/crates/deckproxy-fleet/src/overload/priority/tests.rs
@@ -8,15 +8,15 @@
     assert_eq!(draw(7, 3), DrawKey::of_fleet("edge").draw(Draw::Priority, 7, 0, 3));
     assert_ne!(draw(7, 3), draw(7, 4));
     assert_ne!(draw(7, 3), draw(8, 3));
-    // Over epochs each client is in the upper half about as often.
+    // Over many epochs, each client is in the upper_half_count half about half of the time.
     for client in 0..20 {
-        let upper = (0..400).filter(|epoch| draw(client, *epoch) > 0.5).count();
-        assert!((140..260).contains(&upper), "client {client}: {upper}");
+        let upper_half_count = (0..400).filter(|epoch| draw(client, *epoch) > 0.5).count();
+        assert!((140..260).contains(&upper_half_count), "client {client}: {upper_half_count}");
     }
 }
 
 #[test]
-fn cheaper_requests_are_admitted_more_often_and_none_never() {
+fn cheaper_requests_are_admitted_more_often_and_expensive_ones_sometimes() {
     let admitted = |cost: f64| {
         let draws = (1..1000).map(|i| f64::from(i) / 1000.0);
         draws.filter(|draw| priority(0, 1, cost, *draw) >= PRIORITIES / 2).count()
@@ -28,7 +28,7 @@
 
 proptest! {
     #[test]
-    fn bands_never_mix(bands in 1usize..9, cost in 0.0f64..100.0, draw in 0.0f64..1.0, other in 0.0f64..1.0) {
+    fn bands_do_not_overlap(bands in 1usize..9, cost in 0.0f64..100.0, draw in 0.0f64..1.0, other in 0.0f64..1.0) {
         for band in 1..bands {
             prop_assert!(priority(band, bands, cost, draw) >= priority(band - 1, bands, 1.0, other));
         }
@@ -46,7 +46,7 @@
             arriving * ((to - f64::from(threshold)) / (to - from)).clamp(0.0, 1.0)
         }).sum();
         prop_assert!(admitted <= capacity + 1e-6, "{admitted} of {capacity}");
-        // And no less than one priority's arrivals under it, unless all are admitted.
+        // The admitted rate is at most one priority's arrivals below the capacity, unless all arrivals are admitted.
         prop_assert!(threshold == 0 || admitted >= capacity - 0.2, "{admitted} of {capacity}");
     }
 }
--- a/crates/deckproxy-fleet/src/overload/rejected_requests/tests.rs
+++ b/crates/deckproxy-fleet/src/overload/rejected_requests/tests.rs
@@ -6,42 +6,42 @@
 }
 
 #[test]
-fn a_rejection_here_is_known_on_other_instances() {
-    let (mut here, mut there) = (RejectedRequests::new(100, 5000.0), RejectedRequests::new(100, 5000.0));
-    here.record(1000.0, 7, rejection(1400.0, true));
-    here.record(1000.0, 8, rejection(3000.0, false));
-    let batch = here.next_batch(1000.0).unwrap();
+fn rejection_is_shared_with_other_instances() {
+    let (mut sender, mut receiver) = (RejectedRequests::new(100, 5000.0), RejectedRequests::new(100, 5000.0));
+    sender.record(1000.0, 7, rejection(1400.0, true));
+    sender.record(1000.0, 8, rejection(3000.0, false));
+    let batch = sender.next_batch(1000.0).unwrap();
     assert!(postcard::to_stdvec(&batch).unwrap().len() <= crate::gossip_store::LARGEST_VALUE);
-    there.merge(91_200.0, &"a".into(), 5, 200.0, &batch);
-    // The clocks differ: the batch's age relates them.
-    assert_eq!(there.get(7), Some(rejection(91_400.0, true)));
-    assert_eq!(there.get(8).map(|known| known.is_reserved), Some(false));
-    there.remove(7);
-    assert_eq!(there.get(7), None);
-    // The same batch again, or one of an earlier incarnation, changes nothing.
-    there.merge(91_300.0, &"a".into(), 5, 300.0, &batch);
-    there.merge(91_300.0, &"a".into(), 4, 300.0, &RejectionBatch { number: 99, ..batch });
-    assert_eq!(there.get(7), None);
+    receiver.merge(91_200.0, &"a".into(), 5, 200.0, &batch);
+    // The clocks differ; the age of the batch converts times between them.
+    assert_eq!(receiver.get(7), Some(rejection(91_400.0, true)));
+    assert_eq!(receiver.get(8).map(|known| known.is_reserved), Some(false));
+    receiver.remove(7);
+    assert_eq!(receiver.get(7), None);
+    // A duplicate batch, or a batch of an earlier incarnation, is ignored.
+    receiver.merge(91_300.0, &"a".into(), 5, 300.0, &batch);
+    receiver.merge(91_300.0, &"a".into(), 4, 300.0, &RejectionBatch { number: 99, ..batch });
+    assert_eq!(receiver.get(7), None);
 }
 
 #[test]
-fn a_restarted_instance_is_sent_the_rejections_of_its_predecessor_once() {
-    let (mut killed, mut peer, mut successor) = (
+fn rejections_of_the_previous_incarnation_are_reshared_once() {
+    let (mut previous, mut peer, mut successor) = (
         RejectedRequests::new(100, 5000.0),
         RejectedRequests::new(100, 5000.0),
         RejectedRequests::new(100, 5000.0),
     );
-    killed.record(0.0, 7, rejection(900.0, true));
-    peer.merge(100.0, &"a".into(), 1, 100.0, &killed.next_batch(0.0).unwrap());
+    previous.record(0.0, 7, rejection(900.0, true));
+    peer.merge(100.0, &"a".into(), 1, 100.0, &previous.next_batch(0.0).unwrap());
     peer.reshare(300.0, &"a".into());
     successor.merge(400.0, &"b".into(), 1, 100.0, &peer.next_batch(300.0).unwrap());
     assert_eq!(successor.get(7), Some(rejection(900.0, true)));
     peer.reshare(500.0, &"a".into());
-    assert_eq!(peer.next_batch(500.0), None, "once");
+    assert_eq!(peer.next_batch(500.0), None, "the rejections were shared twice");
 }
 
 #[test]
-fn batches_are_bounded_and_rejections_that_are_not_shared_are_counted() {
+fn batches_are_bounded_and_unshared_rejections_are_counted() {
     let mut requests = RejectedRequests::new(1000, 5000.0);
     (0..1000).for_each(|i| requests.record(0.0, i, rejection(500.0, false)));
     assert_eq!(requests.not_shared, 1000 - 2 * BATCH_SIZE as u64);
@@ -51,9 +51,9 @@
 }
 
 proptest! {
-    /// Whatever the order and number of rejections, memory stays bounded and no reservation is lost to a later rejection.
+    /// For any sequence of rejections, memory stays bounded and a later rejection does not cancel a reservation.
     #[test]
-    fn memory_is_bounded(ops in proptest::collection::vec((0u32..400, 0.0f64..2000.0, any::<bool>()), 1..600)) {
+    fn memory_is_bounded_and_reservations_are_kept(ops in proptest::collection::vec((0u32..400, 0.0f64..2000.0, any::<bool>()), 1..600)) {
         let mut requests = RejectedRequests::new(50, 1000.0);
         let mut now = 0.0;
         for (request, after, is_reserved) in ops {
--- a/crates/deckproxy-fleet/src/overload/resource_controller.rs
+++ b/crates/deckproxy-fleet/src/overload/resource_controller.rs
@@ -155,8 +155,8 @@
     }
 
     /// The share of rejected first attempts that get a reserved time. It is 0 while too few requests are served or prompt,
-    /// as the capacity is unknown then. It is also 0 while the admitted rate is well above the peak served rate: if it turned
-    /// out to exceed the capacity, reservations would be broken.
+    /// as the capacity is unknown then. It is also 0 while the admitted rate is well above the peak served rate: if it
+    /// turned out to exceed the capacity, reservations would be broken.
     fn reserved_share(
         &self,
         limits: &Limits,
--- a/crates/deckproxy-fleet/src/overload/shed_controller/tests.rs
+++ b/crates/deckproxy-fleet/src/overload/shed_controller/tests.rs
@@ -2,7 +2,7 @@
 use crate::overload::priority::BUCKETS;
 use crate::overload::shed_level::ResourceShedLevel;
 
-/// The rates where so many first attempts arrive and so many can be served, with retries beside them.
+/// The rates at a given arrival rate of first attempts, capacity, admitted rate and arrival rate of retries.
 fn rates(arriving: f64, capacity: f64, admitted_rate: Option<f64>, retries: f64) -> Rates {
     let admitted = admitted_rate.unwrap_or(arriving).min(arriving);
     Rates {
@@ -17,11 +17,11 @@
 }
 
 fn admitted_rate(level: &ShedLevel) -> Option<f64> {
-    level.resources[1].map(|line| f64::from(line.admitted_rate))
+    level.resources[1].map(|resource_level| f64::from(resource_level.admitted_rate))
 }
 
 #[test]
-fn three_times_the_capacity_is_shed_to_what_is_served_and_admitted_again_when_it_can_be() {
+fn overload_is_shed_to_the_capacity_and_shedding_ends_when_capacity_returns() {
     let mut controller = ShedController::new(Limits::default());
     let mut level = ShedLevel::default();
     let mut now = 0.0;
@@ -34,30 +34,30 @@
         level
     };
     assert_eq!(admitted_rate(&run_evaluations(20, 300.0, 400.0)), None);
-    let tight = admitted_rate(&run_evaluations(60, 900.0, 300.0)).expect("load is shed");
-    assert!((250.0..370.0).contains(&tight), "{tight}");
+    let admitted = admitted_rate(&run_evaluations(60, 900.0, 300.0)).expect("load is shed");
+    assert!((250.0..370.0).contains(&admitted), "{admitted}");
     assert_eq!(run_evaluations(1, 900.0, 300.0).resources[0], None, "the caches are not overloaded");
-    // The capacity comes back: all are admitted within some seconds.
+    // The capacity returns: all requests are admitted again within some seconds.
     assert_eq!(admitted_rate(&run_evaluations(80, 900.0, 1200.0)), None);
     assert_eq!(controller.activations, 1);
 }
 
 #[test]
-fn a_resource_that_is_always_slow_is_not_shed_for_long() {
+fn shedding_ends_at_a_resource_that_is_always_slow() {
     let mut controller = ShedController::new(Limits::default());
     let mut level = ShedLevel::default();
-    let mut shedding = 0;
+    let mut shedding_evaluations = 0;
     for i in 0..100 {
         let mut rates = rates(300.0, 1e9, admitted_rate(&level), 0.0);
         rates.slow = rates.served;
         level = controller.evaluate(f64::from(i) * EVALUATION_INTERVAL, &[Rates::default(), rates]);
-        shedding += u32::from(level.resources[1].is_some());
+        shedding_evaluations += u32::from(level.resources[1].is_some());
     }
-    assert!((1..30).contains(&shedding), "{shedding} of 100 evaluations");
+    assert!((1..30).contains(&shedding_evaluations), "{shedding_evaluations} of 100 evaluations");
 }
 
 #[test]
-fn rejections_of_the_decision_module_alone_shed_nothing() {
+fn rejections_by_the_decision_module_alone_do_not_start_shedding() {
     let mut controller = ShedController::new(Limits::default());
     for i in 0..20 {
         let rates = [Rates::default(), rates(900.0, 300.0, None, 0.0)];
@@ -67,15 +67,15 @@
 }
 
 #[test]
-fn parts_of_a_split_admit_together_what_the_undivided_fleet_did() {
-    let line = ResourceShedLevel {
+fn parts_of_a_split_together_admit_what_the_undivided_fleet_did() {
+    let resource_level = ResourceShedLevel {
         min_priority: 9,
         admitted_rate: 300.0,
         offered_rate: 900.0,
         reserved_share: 0,
         retry_rate: 0.0,
     };
-    let undivided = ShedLevel { epoch: 9, epoch_age: 100, resources: [None, Some(line)] };
+    let undivided = ShedLevel { epoch: 9, epoch_age: 100, resources: [None, Some(resource_level)] };
     let mut sum = 0.0;
     for part in [0.3, 0.7] {
         let mut controller = ShedController::new(Limits::default());
@@ -96,11 +96,18 @@
     for i in 0..40 {
         let rates = rates(900.0, 300.0, admitted_rate(&level), 400.0);
         level = controller.evaluate(f64::from(i) * EVALUATION_INTERVAL, &[Rates::default(), rates]);
-        let Some(line) = level.resources[1].filter(|line| line.reserved_share > 0) else { continue };
-        let admitted = f64::from(line.admitted_rate);
-        let reserved = (900.0 - admitted) * f64::from(line.reserved_share) / 65_535.0;
-        assert!(reserved <= f64::from(line.retry_rate) * 1.3 + 1.0, "{reserved} {line:?}");
-        assert!(f64::from(line.retry_rate) <= 0.25 * admitted, "{line:?}");
+        let Some(resource_level) =
+            level.resources[1].filter(|resource_level| resource_level.reserved_share > 0)
+        else {
+            continue;
+        };
+        let admitted = f64::from(resource_level.admitted_rate);
+        let reserved = (900.0 - admitted) * f64::from(resource_level.reserved_share) / 65_535.0;
+        assert!(
+            reserved <= f64::from(resource_level.retry_rate) * 1.3 + 1.0,
+            "{reserved} {resource_level:?}"
+        );
+        assert!(f64::from(resource_level.retry_rate) <= 0.25 * admitted, "{resource_level:?}");
         evaluations_with_reservations += 1;
     }
     assert!(
--- a/crates/deckproxy-fleet/src/overload/summary/tests.rs
+++ b/crates/deckproxy-fleet/src/overload/summary/tests.rs
@@ -17,10 +17,10 @@
 }
 
 #[test]
-fn a_summary_fits_into_an_entry() {
+fn summary_fits_into_a_gossip_store_entry() {
     let mut full = Summary { span: u16::MAX, ..Summary::default() };
     for tally in &mut full.resources {
-        // More in a second than an instance on one core is built for.
+        // More requests per second than an instance on one core is designed for.
         tally.arrivals = [2000; BUCKETS];
         (tally.admitted, tally.served, tally.rejected) = (u16::MAX, u16::MAX, u16::MAX);
     }
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_pause_of_the_process_drops_the_counts() {
+fn pause_of_the_process_drops_the_counts() {
     let mut counter = RequestCounter::new(0.0, 250.0);
     counter.tally(Resource::Caches).served = 9;
     assert!(!counter.tick(200.0) && counter.tick(250.0));
--- a/crates/deckproxy-fleet/tests/retry_after.rs
+++ b/crates/deckproxy-fleet/tests/retry_after.rs
@@ -1,13 +1,13 @@
-//! Retry-after times are reserved only where the admitted rate has been served before: the shed controller alone, in
-//! simulated time.
+//! Tests the shed controller alone, in simulated time: retry-after times are reserved only while the admitted rate does not
+//! exceed the rate served so far.
 
 use deckproxy_fleet::overload::priority::BUCKETS;
 use deckproxy_fleet::overload::shed_controller::{EVALUATION_INTERVAL, Limits, ShedController};
 use deckproxy_fleet::overload::shed_level::ShedLevel;
 use deckproxy_fleet::overload::summary::Rates;
 
-/// The rates where so many first attempts arrive, so many are admitted and so many can be served, with half as many retries
-/// as arrivals.
+/// The rates at a given arrival rate of first attempts, admitted rate and capacity, with half as many retries as first
+/// attempts.
 fn rates(arriving: f64, admitted_rate: Option<f64>, capacity: f64) -> Rates {
     let admitted = admitted_rate.unwrap_or(arriving).min(arriving);
     Rates {
@@ -21,32 +21,31 @@
     }
 }
 
-/// The admitted rate climbs by growing steps, past the capacity: such a step reserved times that were then broken.
+/// The admitted rate rises in growing steps, which can exceed the capacity. Times reserved after such a step are not kept.
 #[test]
-fn no_time_is_reserved_while_more_is_admitted_than_was_ever_served() {
+fn no_time_is_reserved_while_the_admitted_rate_exceeds_any_served_rate() {
     let mut controller = ShedController::new(Limits::default());
     let mut level = ShedLevel::default();
-    let (mut evaluations_with_reservations, mut climbing_evaluations) = (0, 0);
-    // The highest rate that was ever served, counted here.
-    let mut served: f64 = 0.0;
+    let (mut evaluations_with_reservations, mut evaluations_above_served) = (0, 0);
+    let mut max_served: f64 = 0.0;
     for evaluation in 0..200 {
-        // Little capacity, then at once four times as much: the rate climbs there.
+        // The capacity suddenly increases fourfold, and the admitted rate rises.
         let capacity = if evaluation < 100 { 100.0 } else { 400.0 };
-        let admitted_rate = level.resources[1].map(|line| f64::from(line.admitted_rate));
+        let admitted_rate = level.resources[1].map(|resource_level| f64::from(resource_level.admitted_rate));
         let rates = rates(900.0, admitted_rate, capacity);
-        served = served.max(rates.served);
+        max_served = max_served.max(rates.served);
         level = controller.evaluate(f64::from(evaluation) * EVALUATION_INTERVAL, &[Rates::default(), rates]);
-        let Some(line) = level.resources[1] else { continue };
-        let exceeds_served = f64::from(line.admitted_rate) > 1.06 * served;
-        climbing_evaluations += u32::from(exceeds_served);
-        evaluations_with_reservations += u32::from(line.reserved_share > 0);
+        let Some(resource_level) = level.resources[1] else { continue };
+        let exceeds_served = f64::from(resource_level.admitted_rate) > 1.06 * max_served;
+        evaluations_above_served += u32::from(exceeds_served);
+        evaluations_with_reservations += u32::from(resource_level.reserved_share > 0);
         assert!(
-            !exceeds_served || line.reserved_share == 0,
-            "evaluation {evaluation}: {line:?}, where {served} were served at most"
+            !exceeds_served || resource_level.reserved_share == 0,
+            "evaluation {evaluation}: {resource_level:?}, while at most {max_served} were served"
         );
     }
     assert!(
-        climbing_evaluations > 4 && evaluations_with_reservations > 20,
-        "{climbing_evaluations} evaluations exceeded the served rate and {evaluations_with_reservations} reserved times"
+        evaluations_above_served > 4 && evaluations_with_reservations > 20,
+        "{evaluations_above_served} evaluations exceeded the served rate and {evaluations_with_reservations} reserved times"
     );
 }
