--- a/crates/deckproxy-fleet/src/overload/completion.rs
+++ b/crates/deckproxy-fleet/src/overload/completion.rs
@@ -7,7 +7,7 @@
 use crate::Millis;
 use deckproxy_recovery::admission::RequestOutcome;
 
-/// A served request that took more than this fraction of its client's remaining time counts as slow: it was queued.
+/// A served request that took more than this fraction of its client's remaining time counts as slow: it was probably queued.
 /// Detecting queues this early lets load be shed before the queueing delay reaches the clients' timeouts.
 const PROMPT_TIME_FRACTION: f64 = 0.25;
 
--- a/crates/deckproxy-fleet/src/overload/coordination.rs
+++ b/crates/deckproxy-fleet/src/overload/coordination.rs
@@ -21,8 +21,8 @@
 pub(super) const SHED_LEVEL_TTL: u32 = 6000;
 /// Longest time to live of a batch of rejections, in milliseconds.
 const MAX_BATCH_TTL: Millis = 10_000.0;
-/// Number of subjects to which batches of rejections are written in rotation, and so the most that an instance has in the
-/// store at a time.
+/// Number of keys to which batches of rejections are written in rotation, and so the maximum number of batches of an instance
+/// in the store.
 const BATCH_SLOTS: u64 = 24;
 /// Factor by which an instance may exceed its share of the retries that the fleet admits, as retries arrive unevenly.
 const RETRY_SLACK: f64 = 1.05;
@@ -72,7 +72,7 @@
     }
 
     /// Returns the shed level to announce if this instance is the leader. Otherwise withdraws a level that this instance
-    /// announced earlier, but only once the leader has announced its own: it may have just started.
+    /// announced earlier, but only once the leader has announced its own, as the leader may have just started.
     fn lead(&mut self, now: Millis, presence: &Presence, store: &GossipStore) -> Option<StoreWrite> {
         let key = Key::of_kind(kinds::SHED_LEVEL);
         let Some(leader) = leader(presence) else {
--- a/crates/deckproxy-fleet/src/overload/mod.rs
+++ b/crates/deckproxy-fleet/src/overload/mod.rs
@@ -47,7 +47,7 @@
 const ASSUMED_CACHED_DURATION: Millis = 60_000.0;
 /// Time for which rejected requests are remembered, as a multiple of the longest retry-after time.
 const RETENTION_FACTOR: f64 = 4.0;
-/// Lower bound on the retry-after time that this multiple is applied to, in milliseconds.
+/// Lower bound on the retry-after time that [`RETENTION_FACTOR`] is applied to, in milliseconds.
 const MIN_RETENTION_BASE: Millis = 1000.0;
 
 /// Load shedding of one instance.
--- a/crates/deckproxy-fleet/src/overload/priority.rs
+++ b/crates/deckproxy-fleet/src/overload/priority.rs
@@ -7,7 +7,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Number of buckets by which arrivals are counted per priority; part of the wire format.
+/// Number of priority ranges by which arrivals are counted; part of the wire format.
 pub const BUCKETS: usize = 24;
 /// Number of priorities, which range from 0 to one less than this.
 pub const PRIORITIES: u32 = 1 << 16;
@@ -23,7 +23,7 @@
 /// The quantity that is drawn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Draw {
-    /// The priority within a band: the same for all requests of a client.
+    /// The position in a band, before the cost of the request is applied: the same for all requests of a client.
     Priority = 1,
     /// Whether a rejected request gets a reserved retry-after time.
     Reservation = 2,
--- a/crates/deckproxy-fleet/src/overload/recently_cached.rs
+++ b/crates/deckproxy-fleet/src/overload/recently_cached.rs
@@ -10,8 +10,8 @@
 }
 
 impl RecentlyCached {
-    /// Creates a set that remembers between `capacity` and twice as many objects, for `span` milliseconds at least unless
-    /// more are inserted.
+    /// Creates a set of at most twice `capacity` objects. An object is remembered for at least `span` milliseconds, unless
+    /// `capacity` other objects are inserted in that time.
     pub fn new(capacity: usize, span: Millis) -> Self {
         RecentlyCached { objects: AgingMap::new(capacity, span) }
     }
--- a/crates/deckproxy-fleet/src/overload/rejected_requests.rs
+++ b/crates/deckproxy-fleet/src/overload/rejected_requests.rs
@@ -24,7 +24,7 @@
     pub retry_at: Millis,
     /// Capacity is reserved for the retry at that time.
     pub is_reserved: bool,
-    /// The request failed after it may have run: its retry is not shed if the class has side effects.
+    /// The request failed or its client disconnected, and it may have run. Its retry is not shed.
     pub may_have_run: bool,
 }
 
@@ -68,8 +68,8 @@
 }
 
 impl RejectedRequests {
-    /// Creates a map that remembers between `capacity` and twice as many requests, for `span` milliseconds at least unless
-    /// more are inserted.
+    /// Creates a map of at most twice `capacity` requests. A request is remembered for at least `span` milliseconds, unless
+    /// `capacity` other requests are inserted in that time.
     pub fn new(capacity: usize, span: Millis) -> Self {
         RejectedRequests {
             rejections: AgingMap::new(capacity, span),
@@ -106,7 +106,7 @@
         self.rejections.get(&request).copied()
     }
 
-    /// Removes a request when it was served: the next request of this identifier is a first attempt.
+    /// Removes a request that was served: the next request with this identifier is a first attempt.
     pub fn remove(&mut self, request: u32) {
         self.rejections.remove(&request);
     }
--- a/crates/deckproxy-fleet/src/overload/resource_controller.rs
+++ b/crates/deckproxy-fleet/src/overload/resource_controller.rs
@@ -9,12 +9,14 @@
 const BAD_EVALUATIONS: u32 = 2;
 /// Consecutive evaluations at which the admitted rate was not the bottleneck, until shedding ends.
 const UNCONSTRAINED_EVALUATIONS: u32 = 8;
-/// Minimum number of evaluations between two changes: before the effect of a change is counted, it would be made twice.
+/// Minimum number of evaluations between two changes. Until the effect of a change shows in the counts, an evaluation would
+/// repeat the change.
 const MIN_EVALUATIONS_BETWEEN_CHANGES: u32 = 3;
 
 /// Factor of the first increase: close to the rate that overloaded the resource, the rate is probed in small steps.
 const FIRST_STEP: f64 = 1.05;
-/// Growth of each further step beyond 1, so that the rate rises faster once it has passed that rate.
+/// Growth per increase of the excess of a step over 1, so that the rate rises faster once it has passed the rate that
+/// overloaded the resource.
 const STEP_GROWTH: f64 = 1.6;
 /// Factor of the largest increase.
 const MAX_STEP: f64 = 1.3;
@@ -46,7 +48,7 @@
 const DRAIN_FACTOR_LITTLE_SLOW: f64 = 0.95;
 /// Fraction of the served rate that is admitted while all of it is slow.
 const DRAIN_FACTOR_ALL_SLOW: f64 = 0.8;
-/// Lower bound on a decrease outside a collapse, as a fraction of the admitted rate.
+/// Lower bound on the factor by which the admitted rate decreases outside a collapse.
 const MIN_DECREASE_FACTOR: f64 = 0.5;
 
 /// Consecutive slow evaluations, at any admitted rate, after which the latency is considered normal for the resource rather
@@ -57,7 +59,8 @@
 /// Maximum number of evaluations for which slow requests are ignored; the number doubles each time.
 const MAX_IGNORED_EVALUATIONS: u32 = 4800;
 
-/// Minimum fraction of the peak served rate that is admitted when shedding begins, before the drain factor is applied.
+/// Minimum fraction of the peak served rate that is admitted when shedding begins outside a collapse, before the drain factor
+/// is applied.
 const START_PEAK_FRACTION: f64 = 0.9;
 /// Fraction of the peak served rate that an increase admits at least.
 const INCREASE_PEAK_FRACTION: f64 = 0.7;
--- a/crates/deckproxy-fleet/src/overload/retry_token_bucket.rs
+++ b/crates/deckproxy-fleet/src/overload/retry_token_bucket.rs
@@ -2,7 +2,7 @@
 
 use crate::Millis;
 
-/// Largest burst, as the time in milliseconds in which the refill rate yields it.
+/// Time in milliseconds in which the refill rate fills an empty bucket. The bucket can always contain one token.
 const BURST_DURATION: Millis = 500.0;
 
 /// A token bucket of retries. The shed level sets the refill rate; the bucket is emptied when shedding ends.
@@ -32,8 +32,8 @@
         self.refilled_at = now;
     }
 
-    /// Takes a token if there is one; returns whether it did. A retry at its reserved time may overdraw the bucket by one
-    /// burst and one token.
+    /// Takes a token if one is available; returns whether a token was taken. A retry at its reserved time may overdraw the bucket,
+    /// by at most one burst and one token.
     pub fn try_take(&mut self, now: Millis, is_reserved: bool) -> bool {
         self.refill(now);
         let overdraft = if is_reserved { self.refill_rate * BURST_DURATION / 1000.0 + 1.0 } else { 0.0 };
--- a/crates/deckproxy-fleet/src/overload/shed_level.rs
+++ b/crates/deckproxy-fleet/src/overload/shed_level.rs
@@ -7,7 +7,8 @@
 /// Load shedding at one resource. The order of the fields is the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ResourceShedLevel {
-    /// Requests of a lower priority are rejected, except retries at a reserved time.
+    /// Requests of a lower priority are rejected, except retries at a reserved time and retries of requests with side effects
+    /// that may have run.
     pub min_priority: u32,
     /// Requests per second that the fleet admits.
     pub admitted_rate: f32,
--- a/crates/deckproxy-fleet/src/overload/summary.rs
+++ b/crates/deckproxy-fleet/src/overload/summary.rs
@@ -10,7 +10,7 @@
 pub enum Resource {
     /// The caches, for objects that are assumed to be cached.
     Caches = 0,
-    /// The path to the sources, for requests that a cached copy cannot serve.
+    /// The path to the sources, for requests that are not expected to be served from a cache.
     Sources = 1,
 }
 
@@ -168,7 +168,7 @@
         &mut self.current[resource as usize]
     }
 
-    /// Closes the current window if it is over; returns whether it did. Counts from before a pause of the process are
+    /// Closes the current window if it is over, and returns whether it was. Counts from before a pause of the process are
     /// dropped.
     pub fn tick(&mut self, now: Millis) -> bool {
         let age = now - self.window_started_at;
--- a/crates/deckproxy-fleet/src/overload/types.rs
+++ b/crates/deckproxy-fleet/src/overload/types.rs
@@ -11,7 +11,8 @@
 pub struct Class {
     /// Priority band, by the priority weight of the class; 0 is the lowest.
     pub band: usize,
-    /// Its requests have side effects: they are not served from a cache, and a retry of one that may have run is not shed.
+    /// Requests of the class have side effects: they are not served from a cache, and a retry of one that may have run is
+    /// not shed.
     pub has_effect: bool,
 }
 
@@ -41,9 +42,9 @@
 /// Another instance that is present in the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PresentInstance {
-    /// Its name.
+    /// Name of the instance.
     pub name: Name,
-    /// Its incarnation.
+    /// Incarnation of the instance.
     pub incarnation: u64,
 }
 
