--- a/crates/deckproxy-fleet/src/overload/priority/tests.rs
+++ b/crates/deckproxy-fleet/src/overload/priority/tests.rs
@@ -8,7 +8,7 @@
     assert_eq!(draw(7, 3), DrawKey::of_fleet("edge").draw(Draw::Priority, 7, 0, 3));
     assert_ne!(draw(7, 3), draw(7, 4));
     assert_ne!(draw(7, 3), draw(8, 3));
-    // Over many epochs, each client is in the upper_half_count half about half of the time.
+    // Over many epochs, each client is in the upper half about half of the time.
     for client in 0..20 {
         let upper_half_count = (0..400).filter(|epoch| draw(client, *epoch) > 0.5).count();
         assert!((140..260).contains(&upper_half_count), "client {client}: {upper_half_count}");
--- a/crates/deckproxy-fleet/tests/overload.rs
+++ b/crates/deckproxy-fleet/tests/overload.rs
@@ -31,7 +31,7 @@
     load.fleet
         .fleet(i)
         .overload()
-        .and_then(|o| o.level().resources[1])
+        .and_then(|overload| overload.level().resources[1])
         .map(|resource_level| f64::from(resource_level.admitted_rate))
 }
 
@@ -42,16 +42,16 @@
 
 /// The highest ratio of admitted to allowed retries over any two seconds since a time.
 fn max_budget_use(load: &SimulatedLoad, from: f64) -> f64 {
-    let mut worst: f64 = 0.0;
+    let mut max_use: f64 = 0.0;
     let mut at = from;
     while at + 2000.0 <= load.fleet.now {
         let rates = load.count(at, at + 2000.0);
         let saved = overload_settings().retry_budget.max_saved * load.fleet.count() as f64 / 2.0;
-        worst = worst
+        max_use = max_use
             .max(rates.admitted_retries / (RETRY_SHARE * (rates.admitted - rates.admitted_retries) + saved));
         at += 250.0;
     }
-    worst
+    max_use
 }
 
 #[test]
@@ -60,8 +60,11 @@
         [(1, RetryPolicy::NextInstanceFirst), (2, RetryPolicy::Immediate), (3, RetryPolicy::RetryAfter)]
     {
         let mut load = converged(6, LoadSettings { retry_policy, ..LoadSettings::default() }, seed);
-        let calm = recent_rates(&load, 3000.0);
-        assert!(calm.served > 0.97 * calm.requests, "{retry_policy:?}: {calm:?}");
+        let before_overload = recent_rates(&load, 3000.0);
+        assert!(
+            before_overload.served > 0.97 * before_overload.requests,
+            "{retry_policy:?}: {before_overload:?}"
+        );
         let from = load.fleet.now;
         load.settings.rate = 900.0;
         load.run(16_000.0);
@@ -129,7 +132,7 @@
     let mut load = converged(4, LoadSettings { clients: 60, ..LoadSettings::default() }, 6);
     load.settings.rate = 900.0;
     load.run(100_000.0);
-    // Each of the 60 clients is served regularly.
+    // Each epoch draws priorities again, so each of the 60 clients is served in some epochs.
     let from = load.fleet.now - 90_000.0;
     let mut counts_by_client = std::collections::BTreeMap::<u64, (f64, f64)>::new();
     for t in
--- a/crates/deckproxy-fleet/tests/retry_after.rs
+++ b/crates/deckproxy-fleet/tests/retry_after.rs
@@ -21,7 +21,8 @@
     }
 }
 
-/// The admitted rate rises in growing steps, which can exceed the capacity. Times reserved after such a step are not kept.
+/// The admitted rate rises in growing steps, which can exceed the capacity. Times reserved after such a step were broken, as
+/// the capacity did not suffice for the retries.
 #[test]
 fn no_time_is_reserved_while_the_admitted_rate_exceeds_any_served_rate() {
     let mut controller = ShedController::new(Limits::default());
