--- a/crates/deckproxy-fleet/src/overload/resource_controller.rs
+++ b/crates/deckproxy-fleet/src/overload/resource_controller.rs
@@ -33,7 +33,8 @@
 /// Fraction of the admitted rate that must be offered for the admitted rate to be the bottleneck. It is below 1 because the
 /// offered rate varies: an admitted rate equal to the average offered rate is the bottleneck half of the time.
 const BOTTLENECK_FRACTION: f64 = 0.75;
-/// Fraction of the first attempts at the last decrease below which demand has fallen, so that larger steps are used.
+/// Fraction of the first attempts at the last decrease below which demand counts as reduced: the rate then
+/// rises in larger steps.
 const REDUCED_DEMAND_FRACTION: f64 = 0.6;
 /// Bounds on the ratio of the measured to the intended admitted rate.
 const OVERSHOOT_RANGE: std::ops::RangeInclusive<f64> = 0.8..=1.5;
@@ -62,7 +63,7 @@
 /// Minimum fraction of the peak served rate that is admitted when shedding begins outside a collapse, before the drain factor
 /// is applied.
 const START_PEAK_FRACTION: f64 = 0.9;
-/// Fraction of the peak served rate that an increase admits at least.
+/// Minimum fraction of the peak served rate that is admitted after an increase.
 const INCREASE_PEAK_FRACTION: f64 = 0.7;
 /// Factor by which the peak served rate decays at each evaluation.
 const PEAK_DECAY: f64 = 0.99;
--- a/crates/deckproxy-fleet/src/overload/shed_controller.rs
+++ b/crates/deckproxy-fleet/src/overload/shed_controller.rs
@@ -63,9 +63,9 @@
         ShedController { limits, resources, epoch: 0, epoch_started_at: 0.0, activations: 0 }
     }
 
-    /// Takes over from the previous leader, whose level has the given age in milliseconds. `shares`: by resource, the share
-    /// of the rate offered then that is offered to the instances that follow this leader. After a network split, each part
-    /// continues with its share of the admitted rate.
+    /// Takes over from the previous leader, whose level has the given age in milliseconds. `shares`: for each resource, the
+    /// rate that is offered to the instances of this leader, relative to the rate that was offered when the level was
+    /// decided. After a network split, each part continues with its share of the admitted rate.
     pub fn take_over(&mut self, now: Millis, level: &ShedLevel, age: Millis, shares: [f64; RESOURCES]) {
         for ((resource, resource_level), share) in self.resources.iter_mut().zip(level.resources).zip(shares)
         {
--- a/crates/deckproxy-fleet/tests/overload.rs
+++ b/crates/deckproxy-fleet/tests/overload.rs
@@ -40,7 +40,7 @@
     settings.origin_rate + settings.rate * settings.popular_share * (1.0 - settings.priority_share)
 }
 
-/// The highest ratio of admitted to allowed retries over any two seconds since a time.
+/// The highest ratio of admitted to allowed retries over any two seconds since the time `from`.
 fn max_budget_use(load: &SimulatedLoad, from: f64) -> f64 {
     let mut max_use: f64 = 0.0;
     let mut at = from;
