--- a/crates/deckproxy-fleet/src/gossip_store/entry.rs
+++ b/crates/deckproxy-fleet/src/gossip_store/entry.rs
@@ -19,7 +19,7 @@
     pub const SUMMARY: u8 = 2;
     /// The load shedding that the leader decided ([`crate::overload::shed_level::ShedLevel`]).
     pub const SHED_LEVEL: u8 = 3;
-    /// Requests that an instance rejected ([`crate::overload::rejected::RejectionBatch`]); the subject is a slot number.
+    /// Requests that an instance rejected ([`crate::overload::rejection_batch::RejectionBatch`]); the subject is a slot number.
     pub const REJECTIONS: u8 = 4;
 
     /// Kinds that change so often that stores are not compared by them.
