--- a/crates/deckproxy-settings/src/classes.rs
+++ b/crates/deckproxy-settings/src/classes.rs
@@ -10,7 +10,7 @@
     pub(crate) class: Class,
 }
 
-/// Settings that hold one value for each class, by position.
+/// Settings that are lists of one value for each class, by position.
 struct ClassLists {
     freshness_lifetimes: Vec<f64>,
     stale_lifetimes: Vec<f64>,
@@ -54,7 +54,8 @@
     Ok(NamedClass { name, class })
 }
 
-/// Reads how repeating a request of the class acts; absent, it counts as not idempotent, which is safe.
+/// Reads whether requests of the class are idempotent. The default is not idempotent, so that they are not retried
+/// unless the settings allow it.
 fn read_idempotency(values: &Values, key: &str) -> Result<Idempotency, SettingsError> {
     values.word(
         key,
@@ -68,7 +69,7 @@
     )
 }
 
-/// Reads which members may serve the class; absent, all may.
+/// Reads which members may serve the class; all by default.
 fn read_group(values: &Values, key: &str) -> Result<Group, SettingsError> {
     let groups = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
     values.word(key, "group", Group::All, &groups)
--- a/crates/deckproxy-settings/src/error.rs
+++ b/crates/deckproxy-settings/src/error.rs
@@ -1,12 +1,12 @@
-//! What is wrong with settings.
+//! Errors in settings.
 
 use crate::keys::InvalidValue;
 use std::fmt;
 
-/// What is wrong with settings; its text names each setting that is wrong.
+/// An error in the settings; its message names each invalid setting.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SettingsError {
-    /// Values that their keys do not allow; there is at least one.
+    /// Values that their keys do not allow, at least one.
     Invalid(Vec<InvalidSetting>),
     /// A value that cannot be read as its type.
     Unreadable {
@@ -24,16 +24,16 @@
         /// The whole list.
         list: String,
     },
-    /// A number that is infinite or no number.
+    /// A number that is infinite or NaN.
     NotFinite {
         /// The key.
         key: String,
     },
-    /// A word that has no meaning.
+    /// A word that is not one of those defined for the key.
     UnknownWord {
         /// The key.
         key: String,
-        /// What the word stands for.
+        /// What the word specifies, for the message.
         meaning: &'static str,
         /// The word.
         word: String,
--- a/crates/deckproxy-settings/src/keys.rs
+++ b/crates/deckproxy-settings/src/keys.rs
@@ -1,8 +1,8 @@
-//! The keys that are read, and the values that each may have.
+//! The keys that are read, and the values that each allows.
 
 use std::fmt;
 
-/// The values that a key may have.
+/// The values that a key allows.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ValueFormat {
     /// A finite number within inclusive bounds.
@@ -15,13 +15,13 @@
     Text,
     /// One of these words.
     Word(&'static [&'static str]),
-    /// A comma-separated list of another format's values.
+    /// A comma-separated list of values of one format.
     List(&'static ValueFormat),
 }
 
-/// Longest duration in ms and largest plain number that is accepted: anything above is a mistake.
+/// Longest duration in ms and largest plain number that is accepted; anything above is treated as a mistake.
 const NUMBER_MAX: f64 = 1e9;
-/// Largest number of classes: a request names its class by one byte.
+/// Largest number of classes: a request identifies its class by one byte.
 const CLASSES_MAX: i64 = 256;
 
 /// A duration in ms, a rate or a weight: not negative.
@@ -89,7 +89,7 @@
     ("zones", ValueFormat::List(&ValueFormat::Text)),
 ];
 
-/// A value that its key does not allow; its text names the value and what is allowed.
+/// A value that its key does not allow; the message names the value and what is allowed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InvalidValue {
     value: String,
@@ -120,7 +120,7 @@
     }
 }
 
-/// Whether a key is this one, or has the position of a class in place of the `*`.
+/// Whether a key equals the pattern, with the position of a class in place of `*`.
 fn matches_pattern(key: &str, pattern: &str) -> bool {
     let Some((before, after)) = pattern.split_once('*') else { return key == pattern };
     let position = key.strip_prefix(before).and_then(|rest| rest.strip_suffix(after));
--- a/crates/deckproxy-settings/src/lib.rs
+++ b/crates/deckproxy-settings/src/lib.rs
@@ -1,9 +1,9 @@
-//! Reads the settings of an instance from pairs of key and value: the decision module's settings, and what a gateway
-//! needs beside them.
+//! Reads the settings of an instance from pairs of key and value: the decision module's settings, and those that only
+//! a gateway uses.
 //!
 //! The simulator sends the pairs as text; a gateway's configuration holds the same keys as JSON, which its
-//! decoder flattens to the same pairs. Unknown keys are ignored, and a neutral value stands in for an absent
-//! one. A value that [`keys`] does not allow is an error, and one error names all of them.
+//! decoder flattens to the same pairs. Unknown keys are ignored, and an absent key has a neutral default. Values that
+//! [`keys`] does not allow are errors; all of them are reported in one [`SettingsError`].
 #![forbid(unsafe_code)]
 
 mod classes;
@@ -20,9 +20,9 @@
 use values::Values;
 
 /// Time in ms within which a connection must be established, where the settings omit it.
-const CONNECT_TIMEOUT: f64 = 1000.0;
-/// Window in ms over which the overload of a member that warms up is counted, where the settings omit it.
-const OVERLOAD_WINDOW: f64 = 1000.0;
+const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 1000.0;
+/// Window in ms in which overload of a member that is warming up is counted, where the settings omit it.
+const DEFAULT_OVERLOAD_WINDOW_MS: f64 = 1000.0;
 /// Most attempts of one request. Their numbers, from 0, are one byte on the simulator's wire and in a gateway's keys.
 const MAX_ATTEMPTS: u32 = 1 << u8::BITS;
 
@@ -50,8 +50,8 @@
     pub idle_timeout: f64,
     /// Time in ms after which a connection that is not established has failed.
     pub connect_timeout: f64,
-    /// Time in ms for which a decision holds: an attempt whose sending has not begun by then is not sent. It
-    /// is the shortest of the connect timeout and of the grace periods of drains and purges.
+    /// Time in ms for which a decision is valid: an attempt that has not begun to be sent by then is not sent. It
+    /// is the shortest of the connect timeout and the grace periods of drains and purges.
     pub unsent_timeout: f64,
     /// Most attempts in flight on one connection, at least 1.
     pub max_streams: usize,
@@ -59,7 +59,7 @@
     pub max_requests: usize,
     /// Time in ms after a deadline within which a final answer still counts.
     pub answer_slack: f64,
-    /// Members' health may be checked.
+    /// Whether health checks of members are allowed.
     pub health_checks: bool,
 }
 
@@ -97,7 +97,7 @@
 
 fn read_control_settings(values: &Values, classes: Vec<Class>) -> Result<Settings, SettingsError> {
     let siblings = [("none", Siblings::None), ("location", Siblings::Location), ("any", Siblings::Any)];
-    // A live weight changes with the load all the time: neither hashing nor budgets can take it for a size.
+    // A live weight changes with the load, so hashing and retry budgets can't use it as a capacity.
     let weights = [("nominal", true), ("rough", true), ("none", false), ("live", false)];
     let cache_slow_start = read_cache_slow_start(values)?;
     Ok(Settings {
@@ -132,11 +132,11 @@
         initial_share: values.number("rules.coldFrom", 0.0)?,
         duration: values.number("rules.rampTimeMs", 0.0)?,
         overload_multiple: values.number("rules.fallMultiple", 1.0)?,
-        overload_window: values.number("rules.fallMs", OVERLOAD_WINDOW)?,
+        overload_window: values.number("rules.fallMs", DEFAULT_OVERLOAD_WINDOW_MS)?,
     })
 }
 
-/// Where the settings omit the parents' slow start, it is that of the caches.
+/// Values that the settings omit default to those of the caches.
 fn read_parent_slow_start(values: &Values, cache: SlowStart) -> Result<SlowStart, SettingsError> {
     Ok(SlowStart {
         initial_share: values.number("familyInfo.upperColdFrom", cache.initial_share)?,
@@ -147,7 +147,7 @@
 }
 
 fn read_limits(values: &Values) -> Result<Limits, SettingsError> {
-    let connect_timeout = values.number("limits.connectTimeoutMs", CONNECT_TIMEOUT)?;
+    let connect_timeout = values.number("limits.connectTimeoutMs", DEFAULT_CONNECT_TIMEOUT_MS)?;
     let drain_grace = values.number("rules.drainGraceMs", 0.0)?;
     let purge_grace = values.number("familyInfo.obeyAfterMs", 0.0)?;
     let graces = [drain_grace, purge_grace].into_iter().filter(|grace| *grace > 0.0);
--- a/crates/deckproxy-settings/src/load_report.rs
+++ b/crates/deckproxy-settings/src/load_report.rs
@@ -2,10 +2,10 @@
 
 use deckproxy_control::interface::LoadReport;
 
-/// Reads a load report from its named values; `None` without any value.
+/// Reads a load report from its named values; `None` if there are none.
 ///
-/// The settings' `report.fields` and the members' protocol have different names for the same values, and both are read;
-/// unknown names are ignored.
+/// The settings' `report.fields` and the members' protocol use different names for the same values; both are accepted,
+/// and unknown names are ignored.
 pub fn read_load_report<'a>(values: impl IntoIterator<Item = (&'a str, f64)>) -> Option<LoadReport> {
     let mut report = None::<LoadReport>;
     for (name, value) in values {
--- a/crates/deckproxy-settings/src/values.rs
+++ b/crates/deckproxy-settings/src/values.rs
@@ -1,4 +1,4 @@
-//! The values of settings, by key and as typed values.
+//! Access to the values of settings by key, as typed values.
 
 use crate::error::{InvalidSetting, SettingsError};
 use crate::keys;
@@ -9,7 +9,7 @@
 pub(crate) struct Values<'a>(BTreeMap<&'a str, &'a str>);
 
 impl<'a> Values<'a> {
-    /// Takes pairs of key and value, and checks every value against what its key allows.
+    /// Checks every value against the format of its key.
     pub(crate) fn checked(
         pairs: impl IntoIterator<Item = (&'a str, &'a str)>,
     ) -> Result<Self, SettingsError> {
@@ -23,7 +23,7 @@
         if invalid.is_empty() { Ok(Values(values)) } else { Err(SettingsError::Invalid(invalid)) }
     }
 
-    /// The text of a value.
+    /// A value as text.
     pub(crate) fn text(&self, key: &str) -> Option<&'a str> {
         self.0.get(key).copied().filter(|value| !value.is_empty())
     }
@@ -67,7 +67,8 @@
         Ok(self.parsed::<i64>(key)?.and_then(|position| u32::try_from(position).ok()))
     }
 
-    /// The meaning of a word, or the default if it is absent; `meaning` is what the error calls the word, `meanings` what each word stands for.
+    /// The value that a word stands for according to `meanings`, or the default if it is absent. The error message
+    /// calls the word `meaning`.
     pub(crate) fn word<T: Copy>(
         &self,
         key: &str,
--- a/crates/deckproxy-settings/tests/settings.rs
+++ b/crates/deckproxy-settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings read from text: values, defaults and errors.
+//! Reading settings from text: values, defaults and errors.
 
 use deckproxy_control::interface::{Group, Idempotency, Siblings};
 use deckproxy_settings as settings;
@@ -27,11 +27,7 @@
         (conf.settings.classes[0].idempotency, conf.settings.classes[0].group),
         (Idempotency::Keyed, Group::Cell)
     );
-    assert_eq!(
-        conf.settings.classes[1].idempotency,
-        Idempotency::NotIdempotent,
-        "the careful reading of what is not told"
-    );
+    assert_eq!(conf.settings.classes[1].idempotency, Idempotency::NotIdempotent, "not idempotent by default");
     assert_eq!(
         (conf.settings.cache_slow_start.initial_share, conf.settings.parent_slow_start.initial_share),
         (0.2, 0.1)
@@ -78,14 +74,14 @@
     let unsent = |text: &str| settings::read(text).unwrap().limits.unsent_timeout;
     assert_eq!(unsent("limits.connectTimeoutMs=400.0\nrules.drainGraceMs=500.0"), 400.0);
     assert_eq!(unsent("limits.connectTimeoutMs=400.0\nrules.drainGraceMs=300.0"), 300.0);
-    assert!(settings::read("limits.maxStreams=0").is_err(), "a connection that carries nothing");
+    assert!(settings::read("limits.maxStreams=0").is_err(), "a connection must allow one stream");
 }
 
 #[test]
-fn weights_are_sizes_unless_the_weight_kind_denies_it() {
-    let sized = |text: &str| settings::read(text).unwrap().settings.weights_are_capacities;
-    assert!(sized("") && sized("weightKind=nominal") && sized("weightKind=rough"));
-    assert!(!sized("weightKind=none") && !sized("weightKind=live"));
+fn weights_are_capacities_unless_they_are_live_or_absent() {
+    let are_capacities = |text: &str| settings::read(text).unwrap().settings.weights_are_capacities;
+    assert!(are_capacities("") && are_capacities("weightKind=nominal") && are_capacities("weightKind=rough"));
+    assert!(!are_capacities("weightKind=none") && !are_capacities("weightKind=live"));
 }
 
 #[test]
@@ -104,7 +100,7 @@
 }
 
 #[test]
-fn attempts_are_limited_to_what_their_numbers_can_tell_apart() {
+fn max_attempts_is_limited_to_what_one_byte_can_number() {
     let max_attempts =
         |cap: u32| settings::read(&format!("limits.sendCap={cap}")).unwrap().settings.max_attempts;
     assert_eq!([0, 1, 255, 256].map(max_attempts), [0, 1, 255, 256]);
