--- a/crates/deckproxy-adapter/src/host.rs
+++ b/crates/deckproxy-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! Hosts the instances of the decision module, separate from each other.
+//! Runs independent instances of the decision module.
 
 use crate::wire::{Batch, RecordError, Reply, WireError, WireEvent};
 use deckproxy_control::Control;
@@ -29,11 +29,11 @@
 }
 
 impl Host {
-    /// Hands a batch to its instances and returns the frame that answers it. An error ends the batch; a panic
-    /// of the decision module is reported in the frame.
+    /// Passes the events of a batch to their instances and returns the reply frame. An error aborts the batch; a panic
+    /// of the decision module is reported in the reply.
     ///
     /// # Errors
-    /// [`WireError`] if a record of the batch cannot be decoded or names an event that does not apply.
+    /// [`WireError`] if a record of the batch cannot be decoded or its settings are invalid.
     pub fn answer(&mut self, batch: &Batch) -> Result<Vec<u8>, WireError> {
         let mut reply = Reply::default();
         let mut actions = Vec::new();
@@ -54,7 +54,7 @@
         Ok(reply.frame(batch.number))
     }
 
-    /// Carries out one event. One for an instance that was never started, or has ended, has no effect.
+    /// Processes one event. An event for an instance that was never started, or was destroyed, has no effect.
     fn step(
         &mut self,
         now: f64,
@@ -102,7 +102,7 @@
     }
 }
 
-/// The message of a panic, where it has one.
+/// The message of a panic, or a fixed text if its payload is not a string.
 fn panic_message(payload: &(dyn Any + Send)) -> String {
     if let Some(message) = payload.downcast_ref::<String>() {
         return message.clone();
--- a/crates/deckproxy-adapter/src/lib.rs
+++ b/crates/deckproxy-adapter/src/lib.rs
@@ -1,5 +1,4 @@
-//! The adapter: carries the decision module's events and actions over the simulator's wire. It only
-//! translates.
+//! Translates between the simulator's wire protocol and the decision module's events and actions.
 #![forbid(unsafe_code)]
 
 pub mod host;
--- a/crates/deckproxy-adapter/src/wire.rs
+++ b/crates/deckproxy-adapter/src/wire.rs
@@ -1,8 +1,7 @@
-//! The frames of the simulator's wire: batches of events in, replies of actions out.
+//! The frames of the simulator's wire protocol: batches of events are received, replies of actions are sent.
 //!
 //! Fields are little-endian and unpadded. Event records have [`EVENT_BYTES`], action records
-//! [`ACTION_BYTES`], and data without a fixed size lies in the frame's tail. Times are milliseconds on both
-//! sides.
+//! [`ACTION_BYTES`], and data of variable size is in the frame's tail. Times are in milliseconds.
 
 mod batch;
 mod error;
@@ -19,5 +18,5 @@
 pub const EVENT_BYTES: usize = 56;
 /// Bytes of an action record.
 pub const ACTION_BYTES: usize = 40;
-/// Bytes of a line in a member list.
+/// Bytes of an entry in a member list.
 pub const MEMBER_BYTES: usize = 22;
--- a/crates/deckproxy-adapter/src/wire/batch.rs
+++ b/crates/deckproxy-adapter/src/wire/batch.rs
@@ -11,10 +11,10 @@
 /// Most bytes accepted for one batch, its header included.
 const BATCH_BYTES_MAX: usize = 1 << 30;
 
-/// One batch, its records not yet decoded.
+/// One batch; its records are decoded on access.
 #[derive(Debug)]
 pub struct Batch {
-    /// The clock, in ms.
+    /// The current time, in ms.
     pub now: f64,
     /// The batch's number.
     pub number: u32,
@@ -44,7 +44,7 @@
     Ok(Some(Batch { now, number, count, body }))
 }
 
-/// Reads the length of a batch without its header; `None` at the end of the input.
+/// Reads the length of a batch, which excludes its header; `None` at the end of the input.
 fn read_length(input: &mut impl Read) -> Result<Option<usize>, WireError> {
     let mut length = [0u8; 4];
     let mut filled = 0;
@@ -60,7 +60,7 @@
     Ok(Some(u32::from_le_bytes(length) as usize))
 }
 
-/// Reads a batch's header, which its length does not count, and the rest.
+/// Reads the header of a batch and the `length` bytes after it.
 fn read_body(input: &mut impl Read, length: usize) -> Result<Vec<u8>, WireError> {
     let total = HEADER_BYTES + length;
     if total > BATCH_BYTES_MAX {
@@ -73,17 +73,17 @@
 }
 
 impl Batch {
-    /// The number of its records.
+    /// The number of records.
     pub fn len(&self) -> usize {
         self.count
     }
 
-    /// Whether it has no record.
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// Decodes the record at a position: its instance and event.
+    /// Decodes the record at a position into its instance and event.
     ///
     /// # Errors
     /// [`WireError`] if there is no record at this position or it cannot be decoded.
--- a/crates/deckproxy-adapter/src/wire/error.rs
+++ b/crates/deckproxy-adapter/src/wire/error.rs
@@ -1,22 +1,22 @@
-//! What is wrong with a frame, and where.
+//! Errors in frames, with their position.
 
 use deckproxy_settings::SettingsError;
 use std::fmt;
 use std::io;
 use std::string::FromUtf8Error;
 
-/// An error in the input.
+/// An error in a frame, or of the input or output.
 #[derive(Debug)]
 pub enum WireError {
     /// Reading or writing failed.
     Io(io::Error),
     /// The input ends inside a frame; the text names the part.
     Truncated(&'static str),
-    /// A batch says that it is longer than is accepted.
+    /// The length of a batch is over the limit.
     BatchTooLong {
         /// Its length in bytes.
         length: usize,
-        /// Most bytes accepted.
+        /// The limit in bytes, the header included.
         limit: usize,
     },
     /// The header of a batch cannot be read.
@@ -26,7 +26,7 @@
         /// Number of the batch.
         batch: u32,
     },
-    /// A batch says that it has more records than fit into it.
+    /// The number of records of a batch does not fit into its length.
     TooManyRecords {
         /// Number of the batch.
         batch: u32,
@@ -35,18 +35,18 @@
         /// Its length in bytes.
         length: usize,
     },
-    /// A record cannot be read or carried out.
+    /// A record cannot be decoded or processed.
     Record {
         /// Number of the batch.
         batch: u32,
         /// Position of the record in it, from 0.
         record: usize,
-        /// What is wrong with it.
+        /// The error.
         error: RecordError,
     },
 }
 
-/// What is wrong with a record.
+/// An error in a record.
 #[derive(Debug)]
 pub enum RecordError {
     /// The input ends inside it; the text names the part.
@@ -88,13 +88,13 @@
 impl fmt::Display for WireError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            WireError::Io(error) => write!(f, "reading failed: {error}"),
+            WireError::Io(error) => write!(f, "input or output failed: {error}"),
             WireError::Truncated(part) => write!(f, "the input ends inside {part}"),
             WireError::BatchTooLong { length, limit } => {
                 write!(f, "a batch of {length} bytes is over the limit of {limit}")
             }
             WireError::Header(error) => write!(f, "{error}"),
-            WireError::ClockNotFinite { batch } => write!(f, "batch {batch}: the clock is no number"),
+            WireError::ClockNotFinite { batch } => write!(f, "batch {batch}: the clock is not finite"),
             WireError::TooManyRecords { batch, count, length } => {
                 write!(f, "batch {batch}: {count} records do not fit into {length} bytes")
             }
--- a/crates/deckproxy-adapter/src/wire/event.rs
+++ b/crates/deckproxy-adapter/src/wire/event.rs
@@ -5,20 +5,21 @@
 use super::fields::Fields;
 use deckproxy_control::interface::{AttemptEnding, FillNote, Lifecycle, ListKind, Member, Request};
 
-/// Code by which a health check tells that the member answered well.
+/// Code of a successful health check.
 const HEALTHY: u16 = 200;
 
-/// An event as the wire carries it: with raw load reports, and with the start and the end of an instance.
+/// An event as encoded on the wire: load reports are not yet decoded, and instances are started and destroyed by
+/// events.
 #[derive(Debug, PartialEq)]
 pub enum WireEvent {
-    /// The instance has started.
+    /// Starts the instance.
     Start {
         /// Seed of its random numbers.
         seed: u64,
         /// Its settings, as text.
         settings: String,
     },
-    /// The instance has ended.
+    /// Removes the instance.
     Destroy,
     /// A member list, or a part of one.
     MemberList(ListKind, Vec<Member>),
@@ -45,12 +46,12 @@
         elapsed: f64,
         /// The request has its final answer.
         finished: bool,
-        /// What the answer tells of its copy or fill.
+        /// What the answer reports about its copy or fill.
         note: FillNote,
         /// Values of the load report, in the order that the settings name.
         load: Vec<f32>,
     },
-    /// The client has left.
+    /// The client has disconnected.
     ClientGone(u32),
     /// A timer is due.
     Timer(u64),
@@ -58,14 +59,14 @@
     HealthChecked {
         /// The member.
         member: u32,
-        /// Whether it answered well.
+        /// Whether the check succeeded.
         ok: bool,
         /// Values of the load report, in the order that the settings name.
         load: Vec<f32>,
     },
     /// A message from another router.
     PeerMessage(u32, Vec<u8>),
-    /// Copies were purged.
+    /// An object, or all objects of a group, were purged.
     Purged {
         /// The object; `None`: the whole group.
         object: Option<u64>,
@@ -76,7 +77,7 @@
     },
 }
 
-/// Decodes an event record: its instance and event.
+/// Decodes an event record into its instance and event.
 pub(super) fn decode_event(record: &[u8], tail: &[u8]) -> Result<(u16, WireEvent), RecordError> {
     let fields = Fields::new(record, "an event");
     let instance = fields.u16(1)?;
@@ -153,7 +154,7 @@
     Ok(WireEvent::Purged { object: (object != 0).then_some(object), group, age })
 }
 
-/// Decodes a line of a member list.
+/// Decodes an entry of a member list.
 fn member(line: &[u8]) -> Result<Member, RecordError> {
     let fields = Fields::new(line, "a list entry");
     let started = fields.f64(1)?;
@@ -193,7 +194,7 @@
     }
 }
 
-/// Unknown codes tell nothing.
+/// Decodes a fill note; unknown codes count as none.
 fn note(code: u32) -> FillNote {
     match code {
         1 => FillNote::Hit,
--- a/crates/deckproxy-adapter/src/wire/fields.rs
+++ b/crates/deckproxy-adapter/src/wire/fields.rs
@@ -1,4 +1,4 @@
-//! Reading the fields of a record.
+//! Decoding the fields of a record.
 
 use super::error::RecordError;
 
@@ -47,12 +47,13 @@
         if number.is_nan() { Err(RecordError::NotANumber { part: self.part, offset }) } else { Ok(number) }
     }
 
-    /// A whole number that travels as a float; what is no whole number is cut to one.
+    /// A whole number that is encoded as a float; fractions are truncated, and values out of range saturate.
     pub(super) fn whole_f32(&self, offset: usize) -> Result<u32, RecordError> {
         Ok(self.f32(offset)? as u32)
     }
 
-    /// Bytes of the tail, to which a field points with an offset and a number of units of so many bytes.
+    /// The bytes of the tail that a field refers to by an offset and a number of units; `unit` is the size of one in
+    /// bytes.
     pub(super) fn tail(&self, offset: usize, tail: &'a [u8], unit: usize) -> Result<&'a [u8], RecordError> {
         let (start, count) = (self.u32(offset)? as usize, self.u32(offset + 4)? as usize);
         let end = count.checked_mul(unit).and_then(|length| length.checked_add(start));
@@ -61,7 +62,7 @@
         bytes.ok_or(RecordError::OutsideTail { part, offset: start, count, unit, tail: tail.len() })
     }
 
-    /// The values of a load report: their number, then the values.
+    /// The values of a load report, which are preceded by their number. Values past the maximum are ignored.
     pub(super) fn load_values(&self, offset: usize) -> Result<Vec<f32>, RecordError> {
         let count = usize::from(self.u8(offset)?).min(LOAD_VALUES_MAX);
         (0..count).map(|i| self.f32(offset + 1 + 4 * i)).collect()
--- a/crates/deckproxy-adapter/src/wire/reply.rs
+++ b/crates/deckproxy-adapter/src/wire/reply.rs
@@ -1,11 +1,11 @@
-//! Encoding actions into a reply.
+//! Encodes actions into a reply.
 
 use super::ACTION_BYTES;
 use deckproxy_control::interface::{Action, GetOptions};
 
-/// Longest message to another router, in bytes; longer ones are cut.
+/// Longest message to another router, in bytes; longer ones are truncated.
 const PEER_MESSAGE_MAX: usize = 256;
-/// Stands for all routers in place of one's position.
+/// The position that addresses all routers.
 const ALL_PEERS: u16 = u16::MAX;
 /// Bytes of a reply's header: length, number of records, number of the batch.
 const HEADER_BYTES: usize = 12;
@@ -18,15 +18,14 @@
     count: u32,
 }
 
-/// A place in the tail.
+/// A range of bytes in the tail.
 struct TailRange {
     offset: u32,
     length: u32,
 }
 
 impl Reply {
-    /// Appends one action of an instance. One that names an attempt or a router that the wire has no number for is left
-    /// out.
+    /// Appends one action of an instance. An action whose attempt or router can't be encoded in its field is omitted.
     pub fn push(&mut self, instance: u16, action: &Action) {
         let mut record = Record::new(instance);
         match action {
@@ -40,7 +39,7 @@
                 record.code(2).u32(3, *request);
             }
             Action::Cancel { request, attempt } => {
-                // The settings allow no attempt whose number does not fit; another one must not be cancelled for it.
+                // The settings allow no attempt whose number does not fit. Truncating it would cancel another attempt.
                 let Ok(attempt) = u8::try_from(*attempt) else { return };
                 record.code(3).u32(3, *request).u8(7, attempt);
             }
@@ -76,7 +75,7 @@
         self.append(&record);
     }
 
-    /// Appends the report that the decision module panicked.
+    /// Appends a report of a panic in the decision module.
     pub fn push_panic(&mut self, instance: u16, message: &str) {
         let range = self.append_to_tail(message.as_bytes());
         let mut record = Record::new(instance);
@@ -95,7 +94,7 @@
         TailRange { offset, length: saturating_u32(bytes.len()) }
     }
 
-    /// The complete frame, in answer to the batch of that number.
+    /// The complete frame in reply to the batch of that number.
     pub fn frame(&self, number: u32) -> Vec<u8> {
         let length = self.records.len() + self.tail.len();
         let mut frame = Vec::with_capacity(HEADER_BYTES + length);
@@ -108,13 +107,13 @@
     }
 }
 
-/// A router's position on the wire; none for a position that it has no number for.
+/// A router's position as encoded on the wire; `None` if it does not fit.
 fn encode_peer(position: Option<u32>) -> Option<u16> {
     let Some(position) = position else { return Some(ALL_PEERS) };
     u16::try_from(position).ok().filter(|position| *position != ALL_PEERS)
 }
 
-/// A length as a field of 32 bits. The lengths in a reply are below the limit: it answers one batch, which is bounded.
+/// A length as a field of 32 bits. A reply does not reach the limit, as it belongs to one batch, whose size is bounded.
 fn saturating_u32(length: usize) -> u32 {
     u32::try_from(length).unwrap_or(u32::MAX)
 }
--- a/crates/deckproxy-adapter/tests/process.rs
+++ b/crates/deckproxy-adapter/tests/process.rs
@@ -1,4 +1,4 @@
-//! The adapter as a process: exit codes and error messages.
+//! Runs the adapter as a process and checks its exit codes and error messages.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
--- a/crates/deckproxy-adapter/tests/wire.rs
+++ b/crates/deckproxy-adapter/tests/wire.rs
@@ -1,10 +1,10 @@
-//! The wire, on frames encoded by hand.
+//! The wire protocol, with frames encoded by hand.
 
 use deckproxy_adapter::host::Host;
 use deckproxy_adapter::wire::{self, Reply, WireError, WireEvent};
 use deckproxy_control::interface::*;
 
-/// Bytes from hex text; spaces and new lines mean nothing, `+N` stands for N zero bytes.
+/// Decodes hex text; white space is ignored, and `+N` stands for N zero bytes.
 fn hex(text: &str) -> Vec<u8> {
     let mut bytes = Vec::new();
     for word in text.split_whitespace() {
@@ -19,7 +19,7 @@
     bytes
 }
 
-/// One frame around records and a tail.
+/// Encodes a frame of the records and the tail.
 fn frame(records: &[&str], tail: &[u8]) -> Vec<u8> {
     let mut body = Vec::new();
     for record in records {
@@ -37,13 +37,13 @@
     frame
 }
 
-fn one(record: &str, tail: &[u8]) -> Result<WireEvent, WireError> {
+fn decode_one(record: &str, tail: &[u8]) -> Result<WireEvent, WireError> {
     let bytes = frame(&[record], tail);
     let batch = wire::read_batch(&mut bytes.as_slice())?.expect("a batch");
     batch.event(0).map(|(_, event)| event)
 }
 
-fn action(action: &Action) -> (Vec<u8>, Vec<u8>) {
+fn encode_action(action: &Action) -> (Vec<u8>, Vec<u8>) {
     let mut reply = Reply::default();
     reply.push(3, action);
     let frame = reply.frame(12);
@@ -55,7 +55,7 @@
     familyInfo.bypassAllowed=true\nfamilyInfo.canJoin=true\nfamilyInfo.flowKbPerS=1000.0\n\
     familyInfo.zoneBalancers=0,1\ngroupSize=1\nlocality=1\nlimits.sendCap=4\nnot.known=a,b\n";
 
-/// An instance's start, its list of one cache and one request.
+/// A batch that starts an instance, sends it a member list of one cache, and sends it one request.
 fn start(instance: &str) -> Vec<u8> {
     let mut tail = CONF.as_bytes().to_vec();
     let at = tail.len() as u32;
@@ -107,7 +107,8 @@
     let list = hex("01 0000000000000000 0000803f 0000 00 0000 074a1203
         02 0000000000d4b740 0000c03f 0200 01 0500 f211902c
         00 0000000000000000 00000000 0000 00 0000 01000000");
-    let WireEvent::MemberList(kind, members) = one("01 0300 03 29000000 00000000 03000000", &list).unwrap()
+    let WireEvent::MemberList(kind, members) =
+        decode_one("01 0300 03 29000000 00000000 03000000", &list).unwrap()
     else {
         panic!("no list")
     };
@@ -124,7 +125,7 @@
     let outcome = "04 0300 c4913a5d 02 074a1203 cc00 0000000000803240 01 04000000 cdcccccccccc2240 \
         02 0000803f 00000040 00000000 00000000";
     assert_eq!(
-        one(outcome, &[]).unwrap(),
+        decode_one(outcome, &[]).unwrap(),
         WireEvent::AttemptEnded {
             request: 0x5d3a_91c4,
             attempt: 2,
@@ -137,24 +138,24 @@
         }
     );
     assert_eq!(
-        one("03 0300 c4913a5d 01 074a1203 0000000000803240", &[]).unwrap(),
+        decode_one("03 0300 c4913a5d 01 074a1203 0000000000803240", &[]).unwrap(),
         WireEvent::StreamStarted { request: 0x5d3a_91c4, attempt: 1 }
     );
     assert_eq!(
-        one("07 0300 074a1203 c800 0000000000803240 01 0000803f", &[]).unwrap(),
+        decode_one("07 0300 074a1203 c800 0000000000803240 01 0000803f", &[]).unwrap(),
         WireEvent::HealthChecked { member: 0x0312_4a07, ok: true, load: vec![1.0] }
     );
     assert_eq!(
-        one("08 0300 0200 00000000 02000000", b"hi").unwrap(),
+        decode_one("08 0300 0200 00000000 02000000", b"hi").unwrap(),
         WireEvent::PeerMessage(2, b"hi".to_vec())
     );
-    assert_eq!(one("09 0300", &[]).unwrap(), WireEvent::Destroy);
+    assert_eq!(decode_one("09 0300", &[]).unwrap(), WireEvent::Destroy);
     assert_eq!(
-        one("0a 0300 010ad2557c000000 0b00 0000000000405540", &[]).unwrap(),
+        decode_one("0a 0300 010ad2557c000000 0b00 0000000000405540", &[]).unwrap(),
         WireEvent::Purged { object: Some(0x7c_55d2_0a01), group: 11, age: 85.0 }
     );
     assert_eq!(
-        one("0a 0300 0000000000000000 0b00 0000000000000000", &[]).unwrap(),
+        decode_one("0a 0300 0000000000000000 0b00 0000000000000000", &[]).unwrap(),
         WireEvent::Purged { object: None, group: 11, age: 0.0 }
     );
 }
@@ -175,7 +176,9 @@
     for (code, want) in codes {
         let code = format!("{:02x}{:02x}", code & 255, code >> 8);
         let record = format!("04 0300 01000000 00 02000000 {code} 0000000000000000");
-        let WireEvent::AttemptEnded { ending, .. } = one(&record, &[]).unwrap() else { panic!("no outcome") };
+        let WireEvent::AttemptEnded { ending, .. } = decode_one(&record, &[]).unwrap() else {
+            panic!("no outcome")
+        };
         assert_eq!(ending, want);
     }
 }
@@ -212,10 +215,10 @@
         ),
     ];
     for (act, want) in cases {
-        assert_eq!(action(&act).0, hex(want), "{act:?}");
+        assert_eq!(encode_action(&act).0, hex(want), "{act:?}");
     }
-    assert_eq!(action(&Action::SendToPeer(None, b"h7 h".to_vec())).1, b"h7 h");
-    assert_eq!(action(&Action::SendToPeer(None, vec![7; 400])).1.len(), 256);
+    assert_eq!(encode_action(&Action::SendToPeer(None, b"h7 h".to_vec())).1, b"h7 h");
+    assert_eq!(encode_action(&Action::SendToPeer(None, vec![7; 400])).1.len(), 256);
     let mut reply = Reply::default();
     reply.push(3, &Action::Log("one".into()));
     reply.push_panic(5, "broken");
@@ -226,20 +229,20 @@
 
 #[test]
 fn malformed_frames_are_errors_and_never_panic() {
-    let says = |e: WireError| e.to_string();
+    let message = |e: WireError| e.to_string();
     for cut in [1, 3, 4, 19, 40] {
         let bytes = &frame(&["06 0300"], &[])[..cut];
-        assert!(says(wire::read_batch(&mut &bytes[..]).unwrap_err()).contains("ends inside"), "{cut}");
+        assert!(message(wire::read_batch(&mut &bytes[..]).unwrap_err()).contains("ends inside"), "{cut}");
     }
     let huge = hex("f0ffffff 00000000206ec040 00000000 01000000");
-    assert!(says(wire::read_batch(&mut huge.as_slice()).unwrap_err()).contains("over the limit"));
+    assert!(message(wire::read_batch(&mut huge.as_slice()).unwrap_err()).contains("over the limit"));
     let promised = hex("00000030 00000000206ec040 00000000 01000000");
-    assert!(says(wire::read_batch(&mut promised.as_slice()).unwrap_err()).contains("ends inside"));
+    assert!(message(wire::read_batch(&mut promised.as_slice()).unwrap_err()).contains("ends inside"));
     let count = hex("00000000 00000000206ec040 02000000 01000000");
-    assert!(says(wire::read_batch(&mut count.as_slice()).unwrap_err()).contains("2 records do not fit"));
+    assert!(message(wire::read_batch(&mut count.as_slice()).unwrap_err()).contains("2 records do not fit"));
     let clock = hex("00000000 000000000000f07f 00000000 01000000");
-    assert!(says(wire::read_batch(&mut clock.as_slice()).unwrap_err()).contains("clock"));
-    let error = |record: &str, tail: &[u8]| says(one(record, tail).unwrap_err());
+    assert!(message(wire::read_batch(&mut clock.as_slice()).unwrap_err()).contains("clock"));
+    let error = |record: &str, tail: &[u8]| message(decode_one(record, tail).unwrap_err());
     assert!(error("63 0300", &[]).contains("unknown event code 99"));
     assert!(error("63 0300", &[]).contains("batch 12, record 0"));
     assert!(error("04 0300 01000000 00 02000000 0900", &[]).contains("unknown outcome 9"));
@@ -265,10 +268,10 @@
     assert_eq!(answer(&mut Host::default(), &both), reply, "the same events, the same actions");
     both = start("0400");
     let other = answer(&mut host, &both);
-    assert_eq!(other[15..52], reply[15..52], "another instance starts from nothing");
-    // Its request means nothing to another instance.
+    assert_eq!(other[15..52], reply[15..52], "another instance has its own state");
+    // The request does not exist at another instance.
     assert_eq!(answer(&mut host, &frame(&["05 0500 37000000"], &[])).len(), 12);
-    // Destroyed and started again in one batch, it knows nothing of before.
+    // After its destruction the instance ignores events; when started again, it has no earlier state.
     assert_eq!(answer(&mut host, &frame(&["09 0300", "06 0300 0000000000000000"], &[])).len(), 12);
     let again = answer(&mut host, &start("0300"));
     assert_eq!(again, reply);
@@ -291,16 +294,16 @@
 }
 
 #[test]
-fn an_action_on_what_the_wire_has_no_number_for_is_left_out() {
+fn an_action_that_cannot_be_encoded_is_omitted() {
     let cancel = |attempt| Action::Cancel { request: 1, attempt };
-    assert_eq!(action(&cancel(255)).0, hex("03 0300 01000000 ff +32"));
+    assert_eq!(encode_action(&cancel(255)).0, hex("03 0300 01000000 ff +32"));
     let last_peer = Action::SendToPeer(Some(65_534), b"x".to_vec());
-    assert_eq!(action(&last_peer).0, hex("07 0300 feff 00000000 01000000 +27"));
+    assert_eq!(encode_action(&last_peer).0, hex("07 0300 feff 00000000 01000000 +27"));
     let to_peer = |position| Action::SendToPeer(Some(position), b"x".to_vec());
-    // 65,535 stands for all routers on the wire.
-    for left_out in [cancel(256), cancel(258), to_peer(65_535), to_peer(65_536), to_peer(65_538)] {
+    // Position 65,535 addresses all routers.
+    for unencodable in [cancel(256), cancel(258), to_peer(65_535), to_peer(65_536), to_peer(65_538)] {
         let mut reply = Reply::default();
-        reply.push(3, &left_out);
-        assert_eq!(reply.frame(9), hex("00000000 00000000 09000000"), "{left_out:?}");
+        reply.push(3, &unencodable);
+        assert_eq!(reply.frame(9), hex("00000000 00000000 09000000"), "{unencodable:?}");
     }
 }
