--- a/crates/deckproxy-operator/build.rs
+++ b/crates/deckproxy-operator/build.rs
@@ -1,8 +1,8 @@
-//! Compiles the schema without `protoc`; the rules on single fields are attached here, beside their names.
+//! Compiles the schema without `protoc`, and attaches the validation rules of single fields.
 
 use std::path::PathBuf;
 
-#[allow(clippy::too_many_lines, reason = "most of it is the table of rules")]
+#[allow(clippy::too_many_lines, reason = "most lines are the table of rules")]
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo:rerun-if-changed=proto/operator.proto");
     let files = protox::compile(["proto/operator.proto"], ["proto"])?;
--- a/crates/deckproxy-operator/src/defaults.rs
+++ b/crates/deckproxy-operator/src/defaults.rs
@@ -1,15 +1,17 @@
-//! The values of fields that are left out, by message. The schema's comments name the same values, which a test compares.
+//! Default values of omitted fields, by message. The comments of the schema state the same values, which a test
+//! compares.
 //!
-//! Each constant's comment names the field of the operator file first; the constant has the field's usual term.
+//! Each constant's comment begins with the field of the operator file; the constant is named by the standard term.
+
 /// This gateway's site.
 pub mod sites {
-    /// `Sites.most_hops`: sites that a request may pass.
+    /// `Sites.most_hops`: most sites that a request may pass through.
     pub const MAX_HOPS: u32 = 2;
-    /// `Sites.cooldown_ms`: Retry-After where the gateway knows no better, ms.
+    /// `Sites.cooldown_ms`: Retry-After where the gateway has no better estimate, ms.
     pub const RETRY_AFTER_MS: u32 = 200;
 }
 
-/// A site that links are opened to.
+/// A site to which links are opened.
 pub mod peer {
     /// `Peer.connections`: connections to each of its addresses.
     pub const CONNECTIONS: u32 = 2;
@@ -19,21 +21,21 @@
 pub mod link {
     /// `Link.heartbeat_ms`: time between heartbeats, ms.
     pub const HEARTBEAT_INTERVAL_MS: u32 = 150;
-    /// `Link.silence_ms`: silence after which a connection counts as cut, ms.
+    /// `Link.silence_ms`: time without received data after which a connection counts as lost, ms.
     pub const SILENCE_TIMEOUT_MS: u32 = 600;
-    /// `Link.reattach_ms`: time for which a cut session can be resumed, ms.
+    /// `Link.reattach_ms`: time after a disconnect for which a session can be resumed, ms.
     pub const RESUME_TIMEOUT_MS: u32 = 5000;
-    /// `Link.chunk_kb`: size of a piece of a body, KB.
+    /// `Link.chunk_kb`: size of a chunk of a body, KB.
     pub const CHUNK_SIZE_KB: u32 = 16;
-    /// `Link.credit_kb`: part of one body that may be in flight, KB.
+    /// `Link.credit_kb`: data of one body that may be in flight, KB.
     pub const CREDIT_WINDOW_KB: u32 = 64;
-    /// `Link.most_crossings`: open requests to other sites.
+    /// `Link.most_crossings`: most open requests to other sites.
     pub const MAX_CROSSINGS: u32 = 10_000;
-    /// `Link.waiters`: requests that wait for another one's crossing.
+    /// `Link.waiters`: most requests that wait for the answer to another one to the same site.
     pub const MAX_WAITERS: u32 = 512;
-    /// `Link.retain_kb`: answers retained for a peer whose link was cut, KB.
+    /// `Link.retain_kb`: answers retained for a peer whose link was lost, KB.
     pub const MAX_RETAINED_KB: u32 = 8192;
-    /// `Link.ramp_ms`: recovery ramp of a link that came back, ms.
+    /// `Link.ramp_ms`: recovery ramp of a restored link, ms.
     pub const RECOVERY_RAMP_MS: u32 = 2000;
     /// `Link.hold_ms`: time for which a request waits for a link that is down, ms.
     pub const QUEUE_TIMEOUT_MS: u32 = 300;
@@ -43,15 +45,15 @@
 
 /// Trust in copies of another site's objects.
 pub mod trust {
-    /// `Trust.grace_ms`: time from a purge's arrival in which older copies may answer, ms.
+    /// `Trust.grace_ms`: time after a purge's arrival in which older copies may be served, ms.
     pub const PURGE_GRACE_MS: u32 = 1000;
-    /// `Trust.lease_ms`: validity of the home's word that no purge is missing, ms.
+    /// `Trust.lease_ms`: validity of the home site's confirmation that no purge is missing, ms.
     pub const LEASE_MS: u32 = 700;
-    /// `Trust.skew_ms`: difference of clocks up to which copies are trusted, ms.
+    /// `Trust.skew_ms`: largest difference between clocks at which copies are trusted, ms.
     pub const MAX_CLOCK_SKEW_MS: u32 = 250;
     /// `Trust.copy_life_ms`: time after which a purged copy has expired everywhere, ms.
     pub const COPY_LIFETIME_MS: u32 = 60_000;
-    /// `Trust.known_ms`: time before its start whose purges the configuration holds, ms.
+    /// `Trust.known_ms`: time before the start for which the configuration lists all purges, ms.
     pub const KNOWN_PURGE_HISTORY_MS: u32 = 0;
 }
 
@@ -59,7 +61,7 @@
 pub mod flows {
     /// `Flows.domain`: observation domain or source id.
     pub const OBSERVATION_DOMAIN: u32 = 1;
-    /// `Flows.enterprise`: private enterprise number, here the one for documentation (RFC 5612).
+    /// `Flows.enterprise`: private enterprise number; the default is the one reserved for documentation (RFC 5612).
     pub const ENTERPRISE_NUMBER: u32 = 32_473;
     /// `Flows.message_bytes`: largest message, bytes.
     pub const MAX_MESSAGE_BYTES: u32 = 1400;
@@ -69,7 +71,7 @@
     pub const TEMPLATE_INTERVAL_MS: u32 = 60_000;
     /// `Flows.spool_kb`: flows that wait for a collector, KB.
     pub const SPOOL_SIZE_KB: u32 = 4096;
-    /// `Flows.stall_ms`: time after which a collector that takes nothing has failed, ms.
+    /// `Flows.stall_ms`: time after which a collector that accepts no data counts as failed, ms.
     pub const STALL_TIMEOUT_MS: u32 = 5000;
     /// `Flows.flush_ms`: time that a graceful shutdown waits for the export, ms.
     pub const FLUSH_TIMEOUT_MS: u32 = 1000;
@@ -77,17 +79,17 @@
 
 /// Metering of flows.
 pub mod meter {
-    /// `Meter.entries`: flows in memory.
+    /// `Meter.entries`: most flows in memory.
     pub const MAX_ENTRIES: u32 = 16_384;
     /// `Meter.v4_bits`: leading bits of an IPv4 address that identify a client.
     pub const IPV4_BITS: u32 = 32;
     /// `Meter.v6_bits`: leading bits of an IPv6 address that identify a client.
     pub const IPV6_BITS: u32 = 64;
-    /// `Meter.folded_v4_bits`: the same of IPv4 in a folded flow.
+    /// `Meter.folded_v4_bits`: leading bits of an IPv4 address in a folded flow.
     pub const FOLDED_IPV4_BITS: u32 = 16;
-    /// `Meter.folded_v6_bits`: the same of IPv6 in a folded flow.
+    /// `Meter.folded_v6_bits`: leading bits of an IPv6 address in a folded flow.
     pub const FOLDED_IPV6_BITS: u32 = 40;
-    /// `Meter.active_ms`: time after which a flow that goes on is exported, ms.
+    /// `Meter.active_ms`: time after which a flow that continues is exported, ms.
     pub const ACTIVE_TIMEOUT_MS: u32 = 60_000;
     /// `Meter.idle_ms`: time without traffic after which a flow has ended, ms.
     pub const IDLE_TIMEOUT_MS: u32 = 15_000;
@@ -97,7 +99,7 @@
 pub mod recovery {
     /// `Recovery.share_of_repeats`: retries admitted for each first attempt.
     pub const RETRY_SHARE: f64 = 0.2;
-    /// `Recovery.repeats_saved`: retries saved up for a class.
+    /// `Recovery.repeats_saved`: most unused retries saved up for a class.
     pub const MAX_SAVED_RETRIES: u32 = 20;
     /// `Recovery.remembered`: rejected requests remembered.
     pub const REMEMBERED_REQUESTS: u32 = 65_536;
@@ -109,7 +111,7 @@
     pub const BAD_SHARE: f64 = 0.6;
     /// `Recovery.good_share`: served share from which a window is good.
     pub const GOOD_SHARE: f64 = 0.9;
-    /// `Recovery.storm_repeats`: retries for each first attempt from which a bad window is a storm.
+    /// `Recovery.storm_repeats`: retries for each first attempt from which bad windows count as a retry storm.
     pub const STORM_RETRY_RATIO: f64 = 0.3;
 }
 
@@ -121,9 +123,9 @@
     pub const REMEMBERED_REQUESTS: u32 = 65_536;
     /// `Overload.least_back_ms`: shortest Retry-After, ms.
     pub const MIN_RETRY_AFTER_MS: u32 = 50;
-    /// `Overload.bad_share`: served share below which load is shed.
+    /// `Overload.bad_share`: served share below which the fleet is overloaded.
     pub const BAD_SHARE: f64 = 0.85;
-    /// `Overload.good_share`: served share from which all is well.
+    /// `Overload.good_share`: served share from which the fleet has recovered.
     pub const GOOD_SHARE: f64 = 0.95;
     /// `Overload.vain_share`: wasted share from which load is shed.
     pub const WASTED_SHARE: f64 = 0.05;
@@ -135,15 +137,15 @@
 
 /// The fleet.
 pub mod fleet {
-    /// `Fleet.instances`: instances when all is well; 0: as many as are known.
+    /// `Fleet.instances`: expected number of instances; 0: as many as are known.
     pub const EXPECTED_INSTANCES: u32 = 0;
     /// `Fleet.kb_per_s`: send rate limit, KB a second.
     pub const SEND_RATE_KB: u32 = 16;
     /// `Fleet.beat_ms`: time between heartbeats, ms.
     pub const HEARTBEAT_INTERVAL_MS: u32 = 500;
-    /// `Fleet.pause_ms`: pause of the process from which its view is stale, ms.
+    /// `Fleet.pause_ms`: pause of the process after which its view of the fleet is stale, ms.
     pub const PAUSE_THRESHOLD_MS: u32 = 1000;
-    /// `Fleet.forget_ms`: time after which a lost instance is forgotten, ms.
+    /// `Fleet.forget_ms`: time after which a lost instance is no longer expected to return, ms.
     pub const FORGET_AFTER_MS: u32 = 600_000;
     /// `Fleet.weight`: this instance's weight in shared tasks.
     pub const WEIGHT: u32 = 1;
@@ -155,9 +157,9 @@
     pub const OBSERVERS: u32 = 2;
     /// `Probes.interval_ms`: time between checks, ms.
     pub const INTERVAL_MS: u32 = 1000;
-    /// `Probes.fails`: failed checks in a row from which a member has failed.
+    /// `Probes.fails`: consecutive failed checks from which a member is reported as failed.
     pub const FAILURES: u32 = 3;
-    /// `Probes.most_held`: share of a kind's members that is ejected at most.
+    /// `Probes.most_held`: largest share of a kind's members that is ejected at the same time.
     pub const MAX_EJECTED_SHARE: f64 = 0.34;
     /// `Probes.spread_ms`: time over which instances reinstate a member, ms.
     pub const REINSTATEMENT_SPREAD_MS: u32 = 2000;
--- a/crates/deckproxy-operator/src/field_positions.rs
+++ b/crates/deckproxy-operator/src/field_positions.rs
@@ -1,5 +1,5 @@
-//! The position of each field in a text. The library that reads the text format stops at its first fault and keeps no
-//! positions; this parser keeps them, so that all faults can be reported at once, each with its line and column.
+//! The position of each field in a text. The library that parses the text format stops at the first error and records
+//! no positions; this parser records them, so that all errors can be reported at once, each with its line and column.
 
 use std::ops::Range;
 use winnow::combinator::{alt, cut_err, delimited, opt, preceded, repeat, separated};
@@ -10,29 +10,29 @@
 
 type Input<'a> = LocatingSlice<&'a str>;
 
-/// A field as it stands in the text.
+/// A field of the text.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Field {
     /// Its name.
     pub name: String,
-    /// Bytes from its name's first to its value's last.
+    /// Byte range from the start of its name to the end of its value.
     pub span: Range<usize>,
-    /// What it holds.
+    /// Its value.
     pub value: Value,
 }
 
 /// A field's value.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
-    /// A number, text or word.
+    /// A number, string or identifier.
     Scalar,
-    /// A list of them, with their number.
+    /// A list of scalars, with their number.
     List(usize),
     /// A message.
     Message(Vec<Field>),
 }
 
-fn blank(input: &mut Input<'_>) -> ModalResult<()> {
+fn whitespace(input: &mut Input<'_>) -> ModalResult<()> {
     let comment = ('#', take_till(0.., '\n')).void();
     repeat(0.., alt((one_of([' ', '\t', '\r', '\n']).void(), comment))).parse_next(input)
 }
@@ -40,7 +40,7 @@
 fn lexeme<'a, O>(
     inner: impl Parser<Input<'a>, O, ErrMode<ContextError>>,
 ) -> impl Parser<Input<'a>, O, ErrMode<ContextError>> {
-    delimited(blank, inner, blank)
+    delimited(whitespace, inner, whitespace)
 }
 
 fn quoted(input: &mut Input<'_>) -> ModalResult<()> {
@@ -51,7 +51,7 @@
 }
 
 fn scalar(input: &mut Input<'_>) -> ModalResult<()> {
-    let texts = (quoted, repeat::<_, _, (), _, _>(0.., preceded(blank, quoted))).void();
+    let texts = (quoted, repeat::<_, _, (), _, _>(0.., preceded(whitespace, quoted))).void();
     let word = take_while(1.., |c: char| c.is_ascii_alphanumeric() || "_.+-".contains(c)).void();
     alt((texts, word)).parse_next(input)
 }
@@ -64,42 +64,42 @@
 
 fn value(input: &mut Input<'_>) -> ModalResult<Value> {
     let items = separated::<_, _, Vec<()>, _, _, _, _>(0.., lexeme(scalar), ',');
-    let list = delimited('[', items, cut_err((blank, ']'))).map(|all| Value::List(all.len()));
+    let list = delimited('[', items, cut_err((whitespace, ']'))).map(|all| Value::List(all.len()));
     alt((message, list, scalar.value(Value::Scalar))).parse_next(input)
 }
 
 fn field(input: &mut Input<'_>) -> ModalResult<Field> {
     let name = take_while(1.., |c: char| c.is_ascii_alphanumeric() || c == '_');
-    let after = alt((preceded((blank, ':', blank), cut_err(value)), preceded(blank, message)));
+    let after = alt((preceded((whitespace, ':', whitespace), cut_err(value)), preceded(whitespace, message)));
     let mut with_span = (name, cut_err(after)).with_span();
     let ((name, value), span) = with_span.parse_next(input)?;
     Ok(Field { name: name.to_string(), span, value })
 }
 
 fn fields(input: &mut Input<'_>) -> ModalResult<Vec<Field>> {
-    let one = delimited(blank, field, (blank, opt(one_of([',', ';']))));
+    let one = delimited(whitespace, field, (whitespace, opt(one_of([',', ';']))));
     let all = repeat(0.., one).parse_next(input)?;
-    blank(input)?;
+    whitespace(input)?;
     Ok(all)
 }
 
-/// The fields of a whole text; the error is the place at which it is no text format.
+/// Parses a whole text into its fields.
 ///
 /// # Errors
-/// The byte offset of the first place that is not valid text format or is nested too deeply.
+/// The byte offset at which the text is not valid text format or is nested too deeply.
 pub fn parse(text: &str) -> Result<Vec<Field>, usize> {
-    if let Some(at) = too_deep(text) {
+    if let Some(at) = first_excessive_nesting(text) {
         return Err(at);
     }
     fields.parse(LocatingSlice::new(text)).map_err(|e: ParseError<_, ContextError>| e.offset())
 }
 
-/// The most messages within messages that are read; the schemas have fewer.
+/// Maximum nesting depth of messages; that of the schemas is lower.
 const MAX_DEPTH: usize = 16;
 
-/// Where a message stands that is too deep inside others to be read.
+/// The byte offset of the first message that exceeds the maximum nesting depth.
 #[allow(clippy::match_same_arms, reason = "the arms are in order of precedence")]
-fn too_deep(text: &str) -> Option<usize> {
+fn first_excessive_nesting(text: &str) -> Option<usize> {
     let (mut depth, mut quote, mut comment, mut escaped) = (0usize, None, false, false);
     for (at, c) in text.char_indices() {
         match (comment, quote, c) {
@@ -121,7 +121,7 @@
     None
 }
 
-/// The field that a path like `sites.peers[1].site` names, or the innermost one round it that is there.
+/// The field at a path like `sites.peers[1].site`, or its innermost enclosing field that is present.
 pub fn find<'a>(fields: &'a [Field], path: &str) -> Option<&'a Field> {
     let mut found = None;
     let mut fields = fields;
@@ -129,7 +129,7 @@
         let (name, at) = step.split_once('[').unwrap_or((step, "0]"));
         let at: usize = at.trim_end_matches(']').parse().unwrap_or(0);
         let mut same = fields.iter().filter(|f| f.name == name);
-        // A list holds several values in one place.
+        // A list has several values in one field.
         let next = match same.clone().next() {
             Some(first) if matches!(first.value, Value::List(_)) => Some(first),
             _ => same.nth(at),
@@ -144,7 +144,7 @@
     found
 }
 
-/// Line and column, from 1, of a place in the text.
+/// Line and column, from 1, of a byte offset in the text.
 pub fn position(text: &str, at: usize) -> (usize, usize) {
     let before = &text[..at.min(text.len())];
     let line = before.bytes().filter(|b| *b == b'\n').count() + 1;
--- a/crates/deckproxy-operator/src/fleet.rs
+++ b/crates/deckproxy-operator/src/fleet.rs
@@ -1,4 +1,5 @@
-//! The fleet's part of the file: relations between its entries, and the settings of `deckproxy-fleet` made from it.
+//! The `fleet` section of the file: checks of the relations between its fields, and its conversion to the settings of
+//! `deckproxy-fleet`.
 
 use crate::finding::Finding;
 use crate::fleet_settings_error::FleetSettingsError;
@@ -15,7 +16,7 @@
 
 /// Time in which a SWIM probe must be answered, as a share of the heartbeat interval.
 const PROBE_TIMEOUT_SHARE: f64 = 0.3;
-/// Time for which an instance is suspected before it counts as lost, in heartbeat intervals.
+/// Time for which an instance is suspected before it is declared lost, in heartbeat intervals.
 const SUSPICION_MULTIPLE: f64 = 2.0;
 
 impl Fleet {
@@ -24,11 +25,11 @@
         self.listen.parse().ok()
     }
 
-    /// The settings of one instance in its fleet, defaults filled in. `instance` and `zone`: the platform's names for it
-    /// and its locality; `incarnation`: a number that is higher at each start.
+    /// The settings of one instance in its fleet, including defaults. `instance` and `zone` are the platform's names of
+    /// the instance and its locality; `incarnation` is a number that increases with each start.
     ///
     /// # Errors
-    /// The instance's name or zone is missing or invalid, or its address is not a socket address.
+    /// The name of the instance or its zone is invalid, or its address is not a socket address.
     pub fn settings(
         &self,
         instance: &str,
@@ -102,7 +103,7 @@
 const MAX_SAVED_RETRIES: f64 = 5.0;
 
 impl Overload {
-    /// The settings of overload handling in a fleet of that name, defaults filled in.
+    /// The settings of overload handling in the fleet of that name, including defaults.
     pub fn settings(&self, fleet: &str, platform: &PlatformSettings) -> overload::Settings {
         let retry_share = self.share_of_repeats.unwrap_or(defaults::overload::RETRY_SHARE);
         let max_retry_after = platform.retry_after_bound();
@@ -133,7 +134,7 @@
     }
 }
 
-/// The classes with their bands: those of the lowest priority weight are in band 0, those of the next in band 1.
+/// Assigns the classes to priority bands: those of the lowest priority weight to band 0, those of the next to band 1.
 fn priority_bands(classes: &[PlatformClass]) -> Vec<Class> {
     let mut weights: Vec<f64> = classes.iter().map(|class| class.priority_weight).collect();
     weights.sort_by(f64::total_cmp);
@@ -144,7 +145,7 @@
     classes.iter().map(class).collect()
 }
 
-/// Faults of entries beside each other.
+/// Checks the relations between fields.
 pub(crate) fn check(operator: &Operator) -> Vec<Finding> {
     let Some(fleet) = &operator.fleet else { return Vec::new() };
     let mut findings = check_address(fleet);
@@ -156,18 +157,19 @@
     findings
 }
 
-/// The address at which others reach the instance is one that they can send to.
+/// Checks that others can send to the advertised address.
 fn check_address(fleet: &Fleet) -> Vec<Finding> {
     let address = fleet.advertised_address();
     if !address.parse::<SocketAddr>().is_ok_and(|address| address.ip().is_unspecified()) {
         return Vec::new();
     }
     let field = if fleet.address.is_some() { "address" } else { "listen" };
-    let message = format!("{address} is no address at which others reach it: set fleet.address");
+    let message =
+        format!("{address} is not an address at which others reach this instance: set fleet.address");
     vec![Finding::new(format!("fleet.{field}"), message)]
 }
 
-/// Datagrams from the seeds are accepted.
+/// Checks that datagrams from the seeds are accepted.
 fn check_seeds(fleet: &Fleet) -> Vec<Finding> {
     let networks = fleet.networks();
     if networks.len() != fleet.prefixes.len() {
@@ -180,13 +182,13 @@
     };
     let mut findings = Vec::new();
     for (index, seed) in fleet.seeds.iter().enumerate().filter(|(_, seed)| is_outside(seed)) {
-        let message = format!("{seed} is in none of fleet.prefixes: what it says would not be believed");
+        let message = format!("{seed} is in none of fleet.prefixes: its datagrams would be rejected");
         findings.push(Finding::new(format!("fleet.seeds[{index}]"), message));
     }
     findings
 }
 
-/// The shares are in order, and no instance handles overload by itself too.
+/// Checks that the shares are ordered, and that admission control of the single instance is not enabled as well.
 fn check_overload(overload: &Overload, has_recovery: bool) -> Vec<Finding> {
     let mut findings = Vec::new();
     let bad_share = overload.bad_share.unwrap_or(defaults::overload::BAD_SHARE);
@@ -198,19 +200,19 @@
     }
     if has_recovery {
         let message =
-            "recovery does for an instance alone what this does for the fleet: leave one of them out";
+            "recovery is for a single instance, fleet.overload for the fleet: leave one of them out";
         findings.push(Finding::new("fleet.overload", message));
     }
     findings
 }
 
-/// No instance has two addresses.
+/// Checks that no instance has two addresses.
 fn check_ways(fleet: &Fleet) -> Vec<Finding> {
     let mut seen = BTreeSet::new();
     let mut findings = Vec::new();
     for (index, way) in fleet.ways.iter().enumerate() {
         if !seen.insert(&way.instance) {
-            let message = format!("{:?} has a way already", way.instance);
+            let message = format!("{:?} already has a way", way.instance);
             findings.push(Finding::new(format!("fleet.ways[{index}].instance"), message));
         }
     }
--- a/crates/deckproxy-operator/src/flows.rs
+++ b/crates/deckproxy-operator/src/flows.rs
@@ -1,4 +1,5 @@
-//! The flows' part of the file: relations between its entries, and the settings of `deckproxy-flow` made from it.
+//! The `flows` section of the file: checks of the relations between its fields, and its conversion to the settings of
+//! `deckproxy-flow`.
 
 use crate::finding::Finding;
 use crate::{Collector, Delivery, Flows, Operator, Protocol, Transport, defaults};
@@ -7,16 +8,16 @@
 use deckproxy_flow::meter::Limits;
 use std::net::SocketAddr;
 
-/// Bytes that one connection to a collector holds before no further message is put there.
-const MAX_IN_FLIGHT: usize = 64 * 1024;
+/// Bytes in flight on one connection to a collector above which no further message is queued there.
+const MAX_IN_FLIGHT_BYTES: usize = 64 * 1024;
 
-/// Leading bits of IPv4 and IPv6 addresses, within the length of an address.
+/// Prefix lengths of IPv4 and IPv6 addresses, limited to the length of an address.
 fn prefix_bits(v4: u32, v6: u32) -> (u8, u8) {
     (v4.min(32) as u8, v6.min(128) as u8)
 }
 
 impl Flows {
-    /// The settings of the export, defaults filled in.
+    /// The settings of the export, including defaults.
     pub fn settings(&self) -> Settings {
         Settings {
             version: match self.protocol() {
@@ -29,13 +30,13 @@
             message_rate: self.rate.unwrap_or(defaults::flows::MESSAGE_RATE),
             template_interval: u64::from(self.refresh_ms.unwrap_or(defaults::flows::TEMPLATE_INTERVAL_MS)),
             spool_size: self.spool_kb.unwrap_or(defaults::flows::SPOOL_SIZE_KB) as usize * 1024,
-            max_in_flight: MAX_IN_FLIGHT,
+            max_in_flight: MAX_IN_FLIGHT_BYTES,
             stall_timeout: u64::from(self.stall_ms.unwrap_or(defaults::flows::STALL_TIMEOUT_MS)),
             replicate: self.delivery() == Delivery::ToEach,
         }
     }
 
-    /// The limits of the meter, defaults filled in.
+    /// The limits of the meter, including defaults.
     pub fn meter_limits(&self) -> Limits {
         let meter = self.meter.unwrap_or_default();
         let v4 = meter.v4_bits.unwrap_or(defaults::meter::IPV4_BITS);
@@ -43,7 +44,7 @@
         Limits {
             entries: meter.entries.unwrap_or(defaults::meter::MAX_ENTRIES) as usize,
             prefix_bits: prefix_bits(v4, v6),
-            // Where fewer bits are kept from the start, folding does not ask for more.
+            // A folded flow never has a longer prefix than an unfolded one.
             folded_prefix_bits: prefix_bits(
                 meter.folded_v4_bits.unwrap_or(defaults::meter::FOLDED_IPV4_BITS).min(v4),
                 meter.folded_v6_bits.unwrap_or(defaults::meter::FOLDED_IPV6_BITS).min(v6),
@@ -71,7 +72,7 @@
     }
 }
 
-/// Faults of entries beside each other.
+/// Checks the relations between fields.
 pub(crate) fn check(operator: &Operator) -> Vec<Finding> {
     let Some(flows) = &operator.flows else { return Vec::new() };
     let mut findings = Vec::new();
@@ -79,16 +80,16 @@
         if flows.collectors[..index].iter().any(|other| other.address == collector.address) {
             findings.push(Finding::new(
                 format!("flows.collectors[{index}].address"),
-                format!("{:?} is named already", collector.address),
+                format!("{:?} is already listed", collector.address),
             ));
         }
         if flows.protocol() == Protocol::NetflowV9 && collector.transport() == Transport::Tcp {
-            let message = "NetFlow v9 goes over UDP alone (RFC 3954, 3); IPFIX goes over TCP too";
+            let message = "NetFlow v9 is exported over UDP only (RFC 3954, 3); IPFIX also supports TCP";
             findings.push(Finding::new(format!("flows.collectors[{index}].transport"), message));
         }
     }
     let meter = flows.meter.unwrap_or_default();
-    // Fields that are given are held against each other by their own rules; here, one against another's default.
+    // The field's own rule compares `idle_ms` with `active_ms` or its default; this compares the default of `idle_ms`.
     if meter.idle_ms.is_none()
         && meter.active_ms.is_some_and(|active| active < defaults::meter::IDLE_TIMEOUT_MS)
     {
--- a/crates/deckproxy-operator/src/lib.rs
+++ b/crates/deckproxy-operator/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operator file: protobuf text format of `proto/operator.proto`, read and checked as a whole.
+//! Reads and validates the operator file, which is in the protobuf text format of `proto/operator.proto`.
 //!
-//! All faults are reported at once, each with line, column and the field's path. The text is parsed by
-//! `prost-reflect`, single fields are checked by `garde`, routes by `deckproxy-sites`.
+//! All errors are reported at once, each with its line, its column and the field's path. The text is parsed by
+//! `prost-reflect`, single fields are validated by `garde`, and routes by `deckproxy-sites`.
 #![forbid(unsafe_code)]
 
 pub mod defaults;
@@ -31,11 +31,12 @@
 use prost::Message as _;
 use prost_reflect::{DescriptorPool, MessageDescriptor};
 
-/// Reads a file's bytes.
+/// Parses and validates the bytes of a file.
 ///
 /// # Errors
 ///
-/// Every fault of the file, in the order of the text.
+/// Every error of the first step that fails, in the order of the text: of syntax, of fields and their types, and then
+/// of values and their relations.
 pub fn read(bytes: &[u8]) -> Result<Operator, Vec<FileError>> {
     let file = text_format::read(&descriptor(), bytes)?;
     let operator = Operator::decode(&*file.encoded).map_err(|e| vec![file.error("", &e.to_string())])?;
@@ -50,7 +51,7 @@
     Err(errors)
 }
 
-/// All faults of a decoded file: of single fields, and of entries beside each other.
+/// Validates a decoded file: single fields, and relations between fields.
 fn check(operator: &Operator) -> Vec<Finding> {
     let mut findings = Vec::new();
     if let Err(report) = operator.validate() {
@@ -63,10 +64,10 @@
     findings
 }
 
-/// The outermost message of the schema that this build has compiled in.
+/// The root message of the schema that was compiled in.
 fn descriptor() -> MessageDescriptor {
     let bytes: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/operator.bin"));
-    // The bytes are this build's own; a test reads the example with them.
+    // The bytes were written by the build script, so they are valid; a test parses the example with them.
     let pool = DescriptorPool::decode(bytes).expect("the schema that was compiled in");
     pool.get_message_by_name("deckproxy.operator.Operator").expect("the schema's outermost message")
 }
--- a/crates/deckproxy-operator/src/recovery.rs
+++ b/crates/deckproxy-operator/src/recovery.rs
@@ -1,17 +1,18 @@
-//! The recovery's part of the file: relations between its entries, and the settings of `deckproxy-recovery` made from it.
+//! The `recovery` section of the file: checks of the relations between its fields, and its conversion to the settings
+//! of `deckproxy-recovery`.
 
 use crate::finding::Finding;
 use crate::{Operator, PlatformClass, PlatformSettings, Recovery, Step, defaults};
 use deckproxy_recovery::admission::{Class, Settings};
 use deckproxy_recovery::{budget, class_shedding, retry_storm};
 
-/// Time that a request must have left to be admitted, ms.
-const MIN_TIME_LEFT: f64 = 100.0;
-/// Rank of a class where all have the same priority weight.
+/// Time left until its deadline that a request needs to be admitted, ms.
+const MIN_TIME_LEFT_MS: f64 = 100.0;
+/// Rank of the classes if all have the same priority weight.
 const MIDDLE_RANK: f64 = 0.5;
 
 impl Recovery {
-    /// The settings of admission control, defaults filled in.
+    /// The settings of admission control, including defaults.
     pub fn settings(&self, platform: &PlatformSettings) -> Settings {
         let max_retry_after = platform.retry_after_bound();
         let min_retry_after = f64::from(self.least_back_ms.unwrap_or(defaults::recovery::MIN_RETRY_AFTER_MS));
@@ -31,14 +32,14 @@
             shedding_steps: self.shedding_steps(platform),
             min_retry_after: min_retry_after.min(max_retry_after),
             max_retry_after,
-            // Clients that get no Retry-After can't be held to one.
+            // A Retry-After can't be enforced on clients that are sent none.
             enforces_retry_after: platform.sends_retry_after,
             remembered: self.remembered.unwrap_or(defaults::recovery::REMEMBERED_REQUESTS) as usize / 2,
             ..Settings::default()
         }
     }
 
-    /// The steps at which classes are shed; those of unknown classes are left out.
+    /// The steps at which classes are shed, without those of unknown classes.
     fn shedding_steps(&self, platform: &PlatformSettings) -> Vec<class_shedding::Step> {
         let step = |step: &Step| {
             Some(class_shedding::Step {
@@ -57,7 +58,8 @@
     }
 }
 
-/// The classes, each with its rank by priority weight: the share of the others that weigh less, 0 to 1.
+/// The classes, each with its rank by priority weight: of the classes with another weight, the share whose weight is
+/// lower, 0 to 1.
 fn ranked_classes(classes: &[PlatformClass]) -> Vec<Class> {
     let rank = |weight: f64| {
         let below = classes.iter().filter(|other| other.priority_weight < weight).count();
@@ -66,14 +68,14 @@
     };
     let class = |class: &PlatformClass| Class {
         priority_weight: rank(class.priority_weight),
-        // A request that is rejected here was forwarded nowhere: a retry does no harm, whatever the class.
+        // A request that is rejected here was not forwarded, so a retry is harmless for every class.
         can_be_rejected: true,
-        min_time_left: MIN_TIME_LEFT,
+        min_time_left: MIN_TIME_LEFT_MS,
     };
     classes.iter().map(class).collect()
 }
 
-/// Faults of entries beside each other.
+/// Checks the relations between fields.
 pub(crate) fn check(operator: &Operator) -> Vec<Finding> {
     let Some(recovery) = &operator.recovery else { return Vec::new() };
     let mut findings = check_shares(recovery);
@@ -81,7 +83,7 @@
     findings
 }
 
-/// The shares are in order.
+/// Checks that the shares are ordered.
 fn check_shares(recovery: &Recovery) -> Vec<Finding> {
     let bad_share = recovery.bad_share.unwrap_or(defaults::recovery::BAD_SHARE);
     let good_share = recovery.good_share.unwrap_or(defaults::recovery::GOOD_SHARE);
@@ -93,7 +95,7 @@
     vec![Finding::new(format!("recovery.{field}"), message)]
 }
 
-/// The steps are in order, and each names another class.
+/// Checks that the steps are ordered and name different classes.
 fn check_steps(steps: &[Step]) -> Vec<Finding> {
     let mut findings = Vec::new();
     for (index, step) in steps.iter().enumerate() {
@@ -102,15 +104,17 @@
         };
         let earlier = &steps[..index];
         if step.leave >= step.enter {
-            let message =
-                format!("leave ({}) must be under enter ({}), or it would flap", step.leave, step.enter);
+            let message = format!(
+                "leave ({}) must be under enter ({}), or the class would flap",
+                step.leave, step.enter
+            );
             report("leave", message);
         }
         if earlier.iter().any(|other| other.class == step.class) {
-            report("class", format!("{:?} is given up already", step.class));
+            report("class", format!("{:?} is already listed", step.class));
         }
         if earlier.last().is_some_and(|previous| previous.enter > step.enter) {
-            report("enter", "below the step before it, which comes first".to_string());
+            report("enter", "below enter of the previous step, which is shed first".to_string());
         }
     }
     findings
--- a/crates/deckproxy-operator/src/rules.rs
+++ b/crates/deckproxy-operator/src/rules.rs
@@ -1,4 +1,4 @@
-//! Rules on fields, and between a field and its neighbours, in the form that the validation library calls.
+//! Validation rules of fields, and of a field relative to others of its message, as functions for `garde`.
 
 use crate::{Link, Trust, defaults};
 use deckproxy_fleet::instance;
@@ -6,31 +6,31 @@
 use ipnet::IpNet;
 use std::net::SocketAddr;
 
-/// How a value breaks a rule. The texts give the field's own names, which are those of the operator file.
+/// How a value violates a rule. The messages use the field names of the operator file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RuleViolation {
     /// A text is not the name of a site.
-    #[error("{0:?} is no name: 1 to 63 of a-z, 0-9 and \"-\" are wanted")]
+    #[error("{0:?} is not a name: expected 1 to 63 of a-z, 0-9 and \"-\"")]
     SiteName(String),
-    /// A text is not an address with its port.
-    #[error("{0:?} is no ADDRESS:PORT")]
+    /// A text is not an address with a port.
+    #[error("{0:?} is not ADDRESS:PORT")]
     SocketAddress(String),
     /// A text is not a network.
-    #[error("{0:?} is no ADDRESS/BITS")]
+    #[error("{0:?} is not ADDRESS/BITS")]
     Network(String),
-    /// A network's address has bits set past its length.
-    #[error("{text:?} has bits past its length; {network} is meant?")]
+    /// A network's address has bits set past its prefix length.
+    #[error("{text:?} has bits set past its prefix length; did you mean {network}?")]
     HostBits {
         /// The text.
         text: String,
-        /// The network without these bits.
+        /// The network with these bits cleared.
         network: IpNet,
     },
     /// A text is not the name of an instance.
     #[error(transparent)]
     InstanceName(#[from] InvalidInstanceName),
-    /// A text is not the beginning of an object's number.
-    #[error("{0:?} is no prefix: 0 to 16 digits of 0-9 and a-f are wanted")]
+    /// A text is not a prefix of an object's number.
+    #[error("{0:?} is not a prefix: expected 0 to 16 digits of 0-9 and a-f")]
     HexPrefix(String),
     /// A number is below that of another field.
     #[error("below {field}, which is {min}")]
@@ -60,16 +60,16 @@
         /// Its number.
         max: u32,
     },
-    /// The lease does not end before the grace does.
+    /// The lease is not shorter than the grace period.
     #[error("lease_ms ({lease}) must be below grace_ms ({grace})")]
     LeaseNotBelowGrace {
         /// The lease, ms.
         lease: u32,
-        /// The grace, ms.
+        /// The grace period, ms.
         grace: u32,
     },
     /// The lease is too short for the heartbeats that renew it.
-    #[error("lease_ms ({lease}) must be twice link.heartbeat_ms ({heartbeat}) at least")]
+    #[error("lease_ms ({lease}) must be at least twice link.heartbeat_ms ({heartbeat})")]
     LeaseBelowHeartbeats {
         /// The lease, ms.
         lease: u32,
@@ -84,15 +84,15 @@
     }
 }
 
-/// A name that no instance of a fleet may have.
+/// A text is not a valid name of an instance.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{name:?} is no name: 1 to 63 of a-z, 0-9, \"-\", \".\" and \"_\" are wanted")]
+#[error("{name:?} is not a name: expected 1 to 63 of a-z, 0-9, \"-\", \".\" and \"_\"")]
 pub struct InvalidInstanceName {
     /// The name.
     pub name: String,
 }
 
-/// A site's name.
+/// Checks the name of a site.
 ///
 /// # Errors
 /// The name is not 1 to 63 characters of `a-z`, `0-9` and `-`.
@@ -104,7 +104,7 @@
     }
 }
 
-/// An address with its port.
+/// Checks an address with its port.
 ///
 /// # Errors
 /// The text is not a socket address, or its port is 0.
@@ -115,7 +115,7 @@
     }
 }
 
-/// An address with its port, or none.
+/// Checks an address with its port, if there is one.
 ///
 /// # Errors
 /// See [`socket_address`].
@@ -123,10 +123,10 @@
     text.as_ref().map_or(Ok(()), |text| socket_address(text, context))
 }
 
-/// A network, as an address and its number of leading bits.
+/// Checks a network in the form of an address and a prefix length.
 ///
 /// # Errors
-/// The text is not a network, or its address has bits set past its length.
+/// The text is not a network, or its address has bits set past its prefix length.
 pub fn network(text: &str, _: &()) -> Result {
     match text.parse::<IpNet>() {
         Ok(network) if network.trunc() == network => Ok(()),
@@ -140,12 +140,12 @@
 /// Checks the name of an instance of a fleet, or of its zone.
 ///
 /// # Errors
-/// The name is empty, too long or has other characters than an instance name may have.
+/// The name is empty, too long or contains a character that instance names don't allow.
 pub fn check_instance_name(name: &str) -> std::result::Result<(), InvalidInstanceName> {
     if instance::is_valid_name(name) { Ok(()) } else { Err(InvalidInstanceName { name: name.to_string() }) }
 }
 
-/// The name of an instance of a fleet.
+/// Checks the name of an instance, as a rule of a field.
 ///
 /// # Errors
 /// See [`check_instance_name`].
@@ -153,7 +153,7 @@
     check_instance_name(name).map_err(|error| RuleViolation::from(error).into())
 }
 
-/// The name of an instance of a fleet, or none.
+/// Checks the name of an instance, if there is one.
 ///
 /// # Errors
 /// See [`check_instance_name`].
@@ -161,7 +161,7 @@
     name.as_ref().map_or(Ok(()), |name| instance_name(name, context))
 }
 
-/// The first digits of an object's number.
+/// Checks a prefix of an object's number.
 ///
 /// # Errors
 /// The text is not 0 to 16 digits of `0-9` and `a-f`.
@@ -170,9 +170,9 @@
     if is_hex && text.len() <= 16 { Ok(()) } else { Err(RuleViolation::HexPrefix(text.to_string()).into()) }
 }
 
-/// A number that a file may leave out.
+/// A field with a number that may be optional.
 pub trait OptionalNumber {
-    /// The number, if the file has it.
+    /// The number, if the field is set.
     fn number(&self) -> Option<u32>;
 }
 
@@ -188,7 +188,7 @@
     }
 }
 
-/// At least the number of another field.
+/// Requires at least the number of another field.
 pub fn at_least<T: OptionalNumber>(field: &'static str, min: Option<u32>) -> impl FnOnce(&T, &()) -> Result {
     move |value, ()| match (value.number(), min) {
         (Some(value), Some(min)) if value < min => Err(RuleViolation::BelowField { field, min }.into()),
@@ -196,7 +196,7 @@
     }
 }
 
-/// At least twice the number of another field.
+/// Requires at least twice the number of another field.
 pub fn at_least_twice(field: &'static str, other: Option<u32>) -> impl FnOnce(&Option<u32>, &()) -> Result {
     move |value, ()| match (*value, other) {
         (Some(value), Some(other)) if value < other * 2 => {
@@ -206,7 +206,7 @@
     }
 }
 
-/// At most the number of another field, or that field's default.
+/// Requires at most the number of another field, or that field's default.
 pub fn at_most(
     field: &'static str,
     other: Option<u32>,
@@ -219,7 +219,7 @@
     }
 }
 
-/// The lease ends before the grace does, and is long enough for two heartbeats of the link.
+/// Requires a lease that is shorter than the purge grace period and at least two heartbeat intervals of the link.
 pub fn lease_below_grace(link: &Option<Link>) -> impl FnOnce(&Option<Trust>, &()) -> Result {
     let heartbeat = link.and_then(|link| link.heartbeat_ms).unwrap_or(defaults::link::HEARTBEAT_INTERVAL_MS);
     move |trust, ()| {
--- a/crates/deckproxy-operator/src/sites.rs
+++ b/crates/deckproxy-operator/src/sites.rs
@@ -1,11 +1,13 @@
-//! The sites' part of the file: relations between its entries, and the settings of `deckproxy-sites` made from it.
+//! The `sites` section of the file: checks of the relations between its fields, and its conversion to the settings of
+//! `deckproxy-sites`.
 
 use crate::finding::Finding;
 use crate::{Mode, Operator, Route, Sites, WhenCut, defaults};
 use deckproxy_sites::routes::{self, ForwardingError, RouteError, RouteRule, SiteRoutes};
 use deckproxy_sites::{LinkLimits, TrustLimits};
 
-/// A route in the form that requests are looked up in. A prefix that is no number counts as empty; its own rule reports it.
+/// Converts a route to a rule of `deckproxy-sites`. An invalid prefix is treated as the number 0; the field's own rule
+/// reports it.
 fn route_rule(route: &Route) -> RouteRule {
     let digits = u32::try_from(route.prefix.len().min(16)).unwrap_or(16);
     let number = u64::from_str_radix(&route.prefix, 16).unwrap_or(0);
@@ -21,17 +23,17 @@
 }
 
 impl Sites {
-    /// The routes in the form that requests are looked up in.
+    /// The routes as rules of `deckproxy-sites`.
     pub fn route_rules(&self) -> Vec<RouteRule> {
         self.routes.iter().map(route_rule).collect()
     }
 
-    /// Sites that a request may pass.
+    /// Most sites that a request may pass through.
     pub fn max_hops(&self) -> u32 {
         self.most_hops.unwrap_or(defaults::sites::MAX_HOPS)
     }
 
-    /// The limits of links, defaults filled in.
+    /// The limits of links, including defaults.
     pub fn link_limits(&self) -> LinkLimits {
         let link = self.link.unwrap_or_default();
         LinkLimits {
@@ -50,7 +52,7 @@
         }
     }
 
-    /// The limits of trust in copies, defaults filled in.
+    /// The limits of trust in copies, including defaults.
     pub fn trust_limits(&self) -> TrustLimits {
         let trust = self.trust.unwrap_or_default();
         TrustLimits {
@@ -64,7 +66,7 @@
     }
 }
 
-/// Faults of entries beside each other.
+/// Checks the relations between fields.
 pub(crate) fn check(operator: &Operator) -> Vec<Finding> {
     let Some(sites) = &operator.sites else { return Vec::new() };
     let mut findings = Vec::new();
@@ -79,7 +81,7 @@
     findings
 }
 
-/// A peer is another site, and no earlier peer is the same one.
+/// Checks that a peer is another site and has not been listed before.
 fn check_peer_name(sites: &Sites, index: usize) -> Vec<Finding> {
     let peer = &sites.peers[index];
     let path = format!("sites.peers[{index}].site");
@@ -88,12 +90,12 @@
         findings.push(Finding::new(&path, "this site itself"));
     }
     if sites.peers[..index].iter().any(|earlier| earlier.site == peer.site) {
-        findings.push(Finding::new(&path, format!("{:?} is a peer already", peer.site)));
+        findings.push(Finding::new(&path, format!("{:?} is already a peer", peer.site)));
     }
     findings
 }
 
-/// A peer's addresses are neither this gateway's own nor named before.
+/// Checks that a peer's addresses are not this gateway's own and have not been listed before.
 fn check_peer_addresses(sites: &Sites, index: usize) -> Vec<Finding> {
     let addresses = &sites.peers[index].addresses;
     let mut findings = Vec::new();
@@ -101,9 +103,9 @@
         let earlier_peers = sites.peers[..index].iter().flat_map(|peer| &peer.addresses);
         let mut earlier = earlier_peers.chain(&addresses[..position]);
         let problem = if sites.listen.as_ref() == Some(address) {
-            "this gateway's own listen"
+            "this gateway's own listen address"
         } else if earlier.any(|other| other == address) {
-            "named already"
+            "already listed"
         } else {
             continue;
         };
@@ -113,7 +115,7 @@
     findings
 }
 
-/// The routes lead to sites that are linked, and no two match the same requests.
+/// Checks that the routes lead to linked sites, and that no two match the same requests.
 fn check_routes(sites: &Sites) -> Vec<Finding> {
     let peers: Vec<&str> = sites.peers.iter().map(|peer| &*peer.site).collect();
     let errors = routes::validate(&sites.name, &peers, &sites.route_rules());
@@ -123,8 +125,8 @@
     errors.iter().map(finding).collect()
 }
 
-/// Checks that the routes of several sites' files lead each request home without passing a site twice. An error's
-/// `site` is the index of the file.
+/// Checks that the routes of several sites' files forward each request to its home site without passing a site twice.
+/// An error's `site` is the index of the file.
 pub fn check_together(files: &[Operator]) -> Vec<ForwardingError> {
     let site_routes = |sites: &Sites| SiteRoutes {
         site: sites.name.clone(),
--- a/crates/deckproxy-operator/src/text_format.rs
+++ b/crates/deckproxy-operator/src/text_format.rs
@@ -1,4 +1,4 @@
-//! Files in protobuf text format, of any schema: every fault is reported with its place.
+//! Parses files in protobuf text format of any schema, and reports every error with its position.
 
 use crate::field_positions::{self, Field, Value};
 use prost::Message as _;
@@ -8,16 +8,16 @@
 /// Largest file that is read, bytes.
 pub const MAX_FILE_SIZE: usize = 1_000_000;
 
-/// What is wrong in one place of a file; shown as `LINE:COLUMN: FIELD: MESSAGE`.
+/// An error at one position of a file; displayed as `LINE:COLUMN: FIELD: MESSAGE`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FileError {
     /// Its line, from 1.
     pub line: usize,
     /// Its column, from 1.
     pub column: usize,
-    /// The field's path, as `sites.routes[2].prefix`; empty where it is no field's.
+    /// The field's path, as `sites.routes[2].prefix`; empty if the error belongs to no field.
     pub field: String,
-    /// What is wrong.
+    /// The error message.
     pub message: String,
 }
 
@@ -34,7 +34,7 @@
 
 impl std::error::Error for FileError {}
 
-/// A file that was read.
+/// A parsed file.
 #[derive(Debug)]
 pub struct File<'a> {
     /// The message in protobuf's binary form.
@@ -44,7 +44,8 @@
 }
 
 impl File<'_> {
-    /// An error of a field, by its path: at the field, or where it is left out at the innermost message around it.
+    /// An error of the field at a path. Its position is that of the field or, if the field is omitted, of the innermost
+    /// enclosing message.
     pub fn error(&self, path: &str, message: &str) -> FileError {
         let at = field_positions::find(&self.fields, path).map_or(0, |f| f.span.start);
         let (line, column) = field_positions::position(self.text, at);
@@ -52,15 +53,15 @@
     }
 }
 
-/// Reads a file's bytes as a message.
+/// Parses the bytes of a file as a message.
 ///
 /// # Errors
 ///
-/// Every fault of form, in the order of the text: too large, not UTF-8, not the text format, unknown and doubled fields,
-/// values of the wrong form.
+/// The file is too large, is not UTF-8 or has a syntax error; or else every unknown field, repeated field and value of
+/// the wrong type, in the order of the text.
 pub fn read<'a>(descriptor: &MessageDescriptor, bytes: &'a [u8]) -> Result<File<'a>, Vec<FileError>> {
     if bytes.len() > MAX_FILE_SIZE {
-        let message = format!("{} bytes; {MAX_FILE_SIZE} are the most", bytes.len());
+        let message = format!("{} bytes; the maximum is {MAX_FILE_SIZE}", bytes.len());
         return Err(vec![error_at("", 0, message)]);
     }
     let text = decode(bytes).map_err(|error| vec![error])?;
@@ -90,7 +91,7 @@
     })
 }
 
-/// The error of a text that is no text format from a byte on.
+/// The error of a text whose first invalid byte is at an offset.
 fn syntax_error(text: &str, at: usize) -> FileError {
     let rest: String = text[at..].chars().take_while(|c| *c != '\n').take(20).collect();
     let message = if rest.is_empty() {
@@ -101,7 +102,7 @@
     error_at(text, at, message)
 }
 
-/// Finds unknown fields, doubled ones and values of the wrong form.
+/// Reports unknown fields, repeated fields and values of the wrong type.
 fn check_fields(
     text: &str,
     descriptor: &MessageDescriptor,
@@ -113,30 +114,31 @@
     for field in fields {
         let count = seen.entry(&field.name).or_default();
         *count += 1;
-        let mut report = |field_path: String, message: String| {
+        let mut report = |error_path: String, message: String| {
             let (line, column) = field_positions::position(text, field.span.start);
-            errors.push(FileError { line, column, field: field_path, message });
+            errors.push(FileError { line, column, field: error_path, message });
         };
-        let dotted = if path.is_empty() { field.name.clone() } else { format!("{path}.{}", field.name) };
-        let Some(known) = descriptor.get_field_by_name(&field.name) else {
+        let field_path = if path.is_empty() { field.name.clone() } else { format!("{path}.{}", field.name) };
+        let Some(field_descriptor) = descriptor.get_field_by_name(&field.name) else {
             let names: Vec<_> = descriptor.fields().map(|f| f.name().to_string()).collect();
-            report(dotted, format!("no such field; there are {}", names.join(", ")));
+            report(field_path, format!("no such field; the fields are {}", names.join(", ")));
             continue;
         };
-        if *count > 1 && !known.is_list() {
-            report(dotted, "given twice".to_string());
+        if *count > 1 && !field_descriptor.is_list() {
+            report(field_path, "given twice".to_string());
             continue;
         }
-        let dotted = if known.is_list() { format!("{dotted}[{}]", *count - 1) } else { dotted };
-        match (&field.value, known.kind()) {
-            (Value::Message(inner), Kind::Message(below)) => {
-                check_fields(text, &below, inner, &dotted, errors);
+        let field_path =
+            if field_descriptor.is_list() { format!("{field_path}[{}]", *count - 1) } else { field_path };
+        match (&field.value, field_descriptor.kind()) {
+            (Value::Message(inner), Kind::Message(inner_descriptor)) => {
+                check_fields(text, &inner_descriptor, inner, &field_path, errors);
             }
-            (Value::Message(_), _) => report(dotted, "no message is wanted here".to_string()),
+            (Value::Message(_), _) => report(field_path, "a message is not allowed here".to_string()),
             _ => {
-                let alone = &text[field.span.clone()];
-                if let Err(e) = DynamicMessage::parse_text_format(descriptor.clone(), alone) {
-                    report(dotted, e.to_string());
+                let field_text = &text[field.span.clone()];
+                if let Err(e) = DynamicMessage::parse_text_format(descriptor.clone(), field_text) {
+                    report(field_path, e.to_string());
                 }
             }
         }
--- a/crates/deckproxy-operator/tests/files.rs
+++ b/crates/deckproxy-operator/tests/files.rs
@@ -1,4 +1,4 @@
-//! Operator files: all faults in one go, each in its place; the defaults; the example.
+//! Operator files: reporting of all errors with their positions, the defaults and the examples.
 
 use deckproxy_operator::{FileError, MAX_FILE_SIZE, PlatformClass, PlatformSettings, defaults, read};
 
@@ -10,11 +10,11 @@
     PlatformSettings { classes, sends_retry_after: true, max_retry_after: 500.0 }
 }
 
-fn faults(text: &str) -> Vec<String> {
+fn errors_of(text: &str) -> Vec<String> {
     read(text.as_bytes()).unwrap_err().iter().map(FileError::to_string).collect()
 }
 
-const GOOD: &str = r#"sites {
+const VALID: &str = r#"sites {
   name: "north" # this one
   peers { site: "south" addresses: ["127.0.0.1:7302", "127.0.0.1:7303"] }
   routes { class: 'page' prefix: "7f" groups { first: 3 last: 9 } home: "south" mode: COPIES }
@@ -23,8 +23,8 @@
 "#;
 
 #[test]
-fn a_good_file_is_read_with_its_defaults() {
-    let sites = read(GOOD.as_bytes()).unwrap().sites.unwrap();
+fn a_valid_file_is_read_with_its_defaults() {
+    let sites = read(VALID.as_bytes()).unwrap().sites.unwrap();
     let rules = sites.route_rules();
     assert_eq!((rules[0].prefix, rules[0].prefix_digits, rules[0].groups), (0x7f << 56, 2, (3, 9)));
     assert!(rules[0].copies_allowed);
@@ -34,23 +34,23 @@
         (100.0, 200.0, f64::from(defaults::link::RESUME_TIMEOUT_MS))
     );
     assert_eq!(sites.trust_limits().purge_grace, f64::from(defaults::trust::PURGE_GRACE_MS));
-    assert_eq!(read(b"").unwrap().sites, None, "nothing is on");
+    assert_eq!(read(b"").unwrap().sites, None, "no subsystem is enabled");
 }
 
 #[test]
-fn the_example_is_good() {
+fn the_example_is_valid() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/sites.example.textproto");
     read(&std::fs::read(path).unwrap()).unwrap();
 }
 
 #[test]
-fn the_schemas_comments_name_the_defaults() {
+fn comments_of_the_schema_state_the_defaults() {
     let schema = include_str!("../proto/operator.proto");
     let source = include_str!("../src/defaults.rs");
     let mut seen = 0;
     let mut place = None;
     for line in source.lines().map(str::trim_start) {
-        // Above each stands whose it is: the message and the field.
+        // The doc comment of each constant begins with the message and the field.
         if let Some((message, field)) =
             line.strip_prefix("/// `").and_then(|l| l.split('`').next()?.split_once('.'))
         {
@@ -58,7 +58,7 @@
         }
         let Some(line) = line.strip_prefix("pub const ") else { continue };
         let value = line.split_once("= ").unwrap().1.trim_end_matches(';').replace('_', "");
-        let (message, field) = place.take().unwrap_or_else(|| panic!("whose is {line}"));
+        let (message, field) = place.take().unwrap_or_else(|| panic!("no field is named for {line}"));
         let from =
             schema.find(&format!("\nmessage {message} {{")).unwrap_or_else(|| panic!("no message {message}"));
         let within = &schema[from..];
@@ -71,9 +71,9 @@
 }
 
 #[test]
-fn unknown_doubled_and_wrong_fields_are_all_told_at_once() {
+fn unknown_repeated_and_mistyped_fields_are_all_reported_at_once() {
     let text = "sites {\n  nmae: \"x\"\n  name: 5\n  listen: \"a\" listen: \"b\"\n  routes { mode: SOMETIMES }\n}\nlink {}\n";
-    let errors = faults(text);
+    let errors = errors_of(text);
     assert_eq!(errors.len(), 5, "{errors:#?}");
     assert!(errors[0].starts_with("2:3: sites.nmae: no such field"));
     assert!(errors[1].starts_with("3:3: sites.name: "));
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn values_and_relations_are_all_told_at_once() {
+fn invalid_values_and_relations_are_all_reported_at_once() {
     let text = r#"sites {
   name: "North"
   listen: "127.0.0.1:1"
@@ -98,13 +98,13 @@
   link { heartbeat_ms: 100 silence_ms: 150 chunk_kb: 64 credit_kb: 32 repeats_share: 1.5 }
   trust { grace_ms: 500 lease_ms: 500 }
 }"#;
-    let errors = faults(text);
+    let errors = errors_of(text);
     for want in [
         "2:3: sites.name: ",
-        "4:25: sites.peers[0].addresses[0]: \"127.0.0.1:1\" is this gateway's own listen",
+        "4:25: sites.peers[0].addresses[0]: \"127.0.0.1:1\" is this gateway's own listen address",
         "4:50: sites.peers[0].connections: ",
         "5:3: sites.peers[1].addresses: ",
-        "6:11: sites.peers[2].site: \"south\" is a peer already",
+        "6:11: sites.peers[2].site: \"south\" is already a peer",
         "6:25: sites.peers[2].addresses[0]: ",
         "7:12: sites.routes[0].prefix: ",
         "8:12: sites.routes[1].home: no peer is named \"west\"",
@@ -121,16 +121,16 @@
 }
 
 #[test]
-fn text_that_is_none_is_told_with_its_place() {
-    assert!(faults("sites {\n  name: \"north\n}")[0].starts_with("2:"));
-    assert!(faults("sites {\n  name: \"a\"\n")[0].contains("the text ends"));
-    assert!(faults("sites { name: \"a\" }")[0].contains("nothing would be linked"));
-    assert!(faults("sites }")[0].starts_with("1:"));
+fn syntax_errors_are_reported_with_their_position() {
+    assert!(errors_of("sites {\n  name: \"north\n}")[0].starts_with("2:"));
+    assert!(errors_of("sites {\n  name: \"a\"\n")[0].contains("the text ends"));
+    assert!(errors_of("sites { name: \"a\" }")[0].contains("nothing would be linked"));
+    assert!(errors_of("sites }")[0].starts_with("1:"));
     let bytes = read(b"# caf\xe9\n").unwrap_err();
     assert_eq!((bytes[0].line, bytes[0].column, &*bytes[0].message), (1, 6, "not UTF-8"));
     let large = vec![b'#'; MAX_FILE_SIZE + 1];
-    assert!(read(&large).unwrap_err()[0].message.contains("1000000 are the most"));
-    // However deep it goes, it is an error and no overflow.
+    assert!(read(&large).unwrap_err()[0].message.contains("the maximum is 1000000"));
+    // Nesting of any depth is an error and does not overflow the stack.
     let deep = "sites {".repeat(100_000);
     assert!(read(deep.as_bytes()).is_err());
 }
@@ -139,7 +139,7 @@
     "flows { collectors { address: \"127.0.0.1:4739\" transport: TCP } meter { active_ms: 20000 } }";
 
 #[test]
-fn flows_have_their_defaults_and_their_example() {
+fn flows_are_read_with_defaults_and_the_example_is_valid() {
     let flows = read(FLOWS.as_bytes()).unwrap().flows.unwrap();
     let (settings, limits) = (flows.settings(), flows.meter_limits());
     assert_eq!((settings.max_message, settings.message_rate, settings.replicate), (1400, 0, false));
@@ -150,16 +150,16 @@
 }
 
 #[test]
-fn faults_of_flows_are_told_at_their_places() {
+fn errors_of_flows_are_reported_at_their_positions() {
     let text = "flows {\n  protocol: NETFLOW_V9\n  collectors { address: \"127.0.0.1:1\" transport: TCP }\n  \
                 collectors { address: \"127.0.0.1:1\" }\n  meter { active_ms: 5000 }\n}\n";
-    let errors = faults(text);
+    let errors = errors_of(text);
     assert_eq!(errors.len(), 3, "{errors:#?}");
     assert!(errors[0].starts_with("3:39: flows.collectors[0].transport: NetFlow v9"), "{errors:#?}");
     assert!(errors[1].starts_with("4:16: flows.collectors[1].address: "), "{errors:#?}");
     assert!(errors[2].starts_with("5:11: flows.meter.active_ms: below idle_ms"), "{errors:#?}");
     let text = "flows { meter { v4_bits: 8 folded_v4_bits: 9 idle_ms: 70000 } message_bytes: 100 }";
-    let errors = faults(text);
+    let errors = errors_of(text);
     assert_eq!(errors.len(), 4, "{errors:#?}");
     assert!(
         errors.iter().any(|t| t.contains("folded_v4_bits: 9 is over v4_bits, which is 8")),
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn recovery_has_its_defaults_its_example_and_its_faults() {
+fn recovery_has_defaults_a_valid_example_and_checks() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/recovery.example.textproto");
     let recovery = read(&std::fs::read(path).unwrap()).unwrap().recovery.unwrap();
     let without_page = platform(vec![class("post", 3.0, false)]);
@@ -184,10 +184,13 @@
         (0.2, 500.0, 1)
     );
     assert_eq!(recovery.unknown_classes(&without_page), ["page"]);
-    assert!(set.enforces_retry_after, "clients get a Retry-After");
-    let silent = PlatformSettings { sends_retry_after: false, ..without_page };
-    assert!(!recovery.settings(&silent).enforces_retry_after, "clients that get none are held to none");
-    let errors = faults(
+    assert!(set.enforces_retry_after, "clients are sent a Retry-After");
+    let without_retry_after = PlatformSettings { sends_retry_after: false, ..without_page };
+    assert!(
+        !recovery.settings(&without_retry_after).enforces_retry_after,
+        "none is enforced on clients that are sent none"
+    );
+    let errors = errors_of(
         "recovery {\n  bad_share: 0.95\n  give_up { class: \"a\" enter: 0.5 leave: 0.5 }\n  \
          give_up { class: \"a\" enter: 0.4 leave: 0.1 }\n}\n",
     );
@@ -197,7 +200,7 @@
 }
 
 #[test]
-fn the_fleet_has_its_defaults_its_example_and_its_faults() {
+fn the_fleet_has_defaults_a_valid_example_and_checks() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/fleet.example.textproto");
     let fleet = read(&std::fs::read(path).unwrap()).unwrap().fleet.unwrap();
     let set = fleet.settings("n1", "edge-1", 7).unwrap();
@@ -209,20 +212,20 @@
     let error = fleet.settings("Northern Gateway", "edge-1", 7).unwrap_err();
     let text = error.to_string();
     assert!(text.starts_with("fleet.instance must be set: the platform's \"Northern Gateway\""), "{text}");
-    let errors = faults(
+    let errors = errors_of(
         "fleet {\n  name: \"Edge\"\n  listen: \"0.0.0.0:7400\"\n  seeds: [\"10.0.0.1:7400\", \"192.0.2.1:7400\"]\n  \
          prefixes: \"10.0.0.1/8\"\n  instance: \"a b\"\n  probes { observers: 9 interval_ms: 50 }\n  \
          ways { instance: \"x\" address: \"10.0.0.2:1\" }\n  ways { instance: \"x\" address: \"10.0.0.3:1\" }\n}\n",
     );
     for want in [
         "2:3: fleet.name: ",
-        "3:3: fleet.listen: 0.0.0.0:7400 is no address at which others reach it: set fleet.address",
+        "3:3: fleet.listen: 0.0.0.0:7400 is not an address at which others reach this instance: set fleet.address",
         "4:3: fleet.seeds[1]: 192.0.2.1:7400 is in none of fleet.prefixes",
-        "5:3: fleet.prefixes[0]: \"10.0.0.1/8\" has bits past its length; 10.0.0.0/8 is meant?",
-        "6:3: fleet.instance: \"a b\" is no name",
+        "5:3: fleet.prefixes[0]: \"10.0.0.1/8\" has bits set past its prefix length; did you mean 10.0.0.0/8?",
+        "6:3: fleet.instance: \"a b\" is not a name",
         "7:12: fleet.probes.observers: ",
         "7:25: fleet.probes.interval_ms: ",
-        "9:10: fleet.ways[1].instance: \"x\" has a way already",
+        "9:10: fleet.ways[1].instance: \"x\" already has a way",
     ] {
         assert!(errors.iter().any(|line| line.contains(want)), "{want} is not in {errors:#?}");
     }
@@ -230,7 +233,7 @@
 }
 
 #[test]
-fn overload_has_its_defaults_its_example_and_its_faults() {
+fn overload_has_defaults_a_valid_example_and_checks() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/overload.example.textproto");
     let fleet = read(&std::fs::read(path).unwrap()).unwrap().fleet.unwrap();
     let overload = fleet.overload.unwrap();
@@ -252,7 +255,7 @@
         (set.fleet.as_str(), set.limits.retry_share, set.max_retry_after, set.min_retry_after),
         ("edge", 0.2, 500.0, 50.0)
     );
-    let errors = faults(
+    let errors = errors_of(
         "fleet {\n  name: \"e\" listen: \"127.0.0.1:1\" prefixes: \"127.0.0.0/8\"\n  overload { good_share: 0.5 share_of_repeats: 2 least_per_s: 0 }\n}\nrecovery { }\n",
     );
     assert_eq!(errors.len(), 4, "{errors:#?}");
