--- a/crates/deckproxy-operator/src/lib.rs
+++ b/crates/deckproxy-operator/src/lib.rs
@@ -16,7 +16,7 @@
 mod sites;
 pub use fleet_settings_error::FleetSettingsError;
 pub use platform::{PlatformClass, PlatformSettings};
-pub use sites::check_together;
+pub use sites::check_routes_between_sites;
 pub mod text_format;
 pub use text_format::{FileError, MAX_FILE_SIZE};
 
--- a/crates/deckproxy-operator/src/sites.rs
+++ b/crates/deckproxy-operator/src/sites.rs
@@ -127,7 +127,7 @@
 
 /// Checks that the routes of several sites' files forward each request to its home site without passing a site twice.
 /// An error's `site` is the index of the file.
-pub fn check_together(files: &[Operator]) -> Vec<ForwardingError> {
+pub fn check_routes_between_sites(files: &[Operator]) -> Vec<ForwardingError> {
     let site_routes = |sites: &Sites| SiteRoutes {
         site: sites.name.clone(),
         rules: sites.route_rules(),
--- a/crates/deckproxy/src/program/check.rs
+++ b/crates/deckproxy/src/program/check.rs
@@ -43,7 +43,7 @@
 /// Faults between the files of several sites, such as routes that form a loop.
 fn check_together(operators: &[(&PathBuf, Operator)]) -> Vec<FileFault> {
     let files: Vec<Operator> = operators.iter().map(|(_, operator)| operator.clone()).collect();
-    let errors = deckproxy_operator::check_together(&files);
+    let errors = deckproxy_operator::check_routes_between_sites(&files);
     let fault =
         |error: ForwardingError| FileFault::Forwarding { path: operators[error.site].0.clone(), error };
     errors.into_iter().map(fault).collect()
