--- a/crates/deckproxy-operator/src/defaults.rs
+++ b/crates/deckproxy-operator/src/defaults.rs
@@ -30,7 +30,7 @@
     /// `Link.credit_kb`: data of one body that may be in flight, KB.
     pub const CREDIT_WINDOW_KB: u32 = 64;
     /// `Link.most_crossings`: most open requests to other sites.
-    pub const MAX_CROSSINGS: u32 = 10_000;
+    pub const MAX_EXCHANGES: u32 = 10_000;
     /// `Link.waiters`: most requests that wait for the answer to another one to the same site.
     pub const MAX_WAITERS: u32 = 512;
     /// `Link.retain_kb`: answers retained for a peer whose link was lost, KB.
--- a/crates/deckproxy-operator/src/sites.rs
+++ b/crates/deckproxy-operator/src/sites.rs
@@ -42,7 +42,7 @@
             resume_timeout: f64::from(link.reattach_ms.unwrap_or(defaults::link::RESUME_TIMEOUT_MS)),
             chunk_size: link.chunk_kb.unwrap_or(defaults::link::CHUNK_SIZE_KB) as usize * 1024,
             credit_window: link.credit_kb.unwrap_or(defaults::link::CREDIT_WINDOW_KB) as usize * 1024,
-            max_exchanges: link.most_crossings.unwrap_or(defaults::link::MAX_CROSSINGS) as usize,
+            max_exchanges: link.most_crossings.unwrap_or(defaults::link::MAX_EXCHANGES) as usize,
             max_waiters: link.waiters.unwrap_or(defaults::link::MAX_WAITERS) as usize,
             max_retained_bytes: link.retain_kb.unwrap_or(defaults::link::MAX_RETAINED_KB) as usize * 1024,
             recovery_ramp: f64::from(link.ramp_ms.unwrap_or(defaults::link::RECOVERY_RAMP_MS)),
