--- a/crates/deckproxy-operator/src/defaults.rs
+++ b/crates/deckproxy-operator/src/defaults.rs
@@ -31,9 +31,9 @@
     pub const CREDIT_WINDOW_KB: u32 = 64;
     /// `Link.most_crossings`: most open requests to other sites.
     pub const MAX_EXCHANGES: u32 = 10_000;
-    /// `Link.waiters`: most requests that wait for the answer to another one to the same site.
+    /// `Link.waiters`: most requests that wait for one open request to another site.
     pub const MAX_WAITERS: u32 = 512;
-    /// `Link.retain_kb`: answers retained for a peer whose link was lost, KB.
+    /// `Link.retain_kb`: size of all retained answers above which some are evicted, KB.
     pub const MAX_RETAINED_KB: u32 = 8192;
     /// `Link.ramp_ms`: recovery ramp of a restored link, ms.
     pub const RECOVERY_RAMP_MS: u32 = 2000;
