--- a/crates/deckproxy/src/routing/actions.rs
+++ b/crates/deckproxy/src/routing/actions.rs
@@ -1,4 +1,4 @@
-//! The decision module: handing it events, and carrying out the actions that it decides on.
+//! Passes events to the decision module and applies its actions.
 
 use crate::protocol::downstream::Answer;
 use crate::protocol::limits;
@@ -10,8 +10,8 @@
 use deckproxy_control::interface::{Action, AttemptEnding, Event};
 
 impl Router {
-    /// Hands an event to the decision module and carries out its actions. Events that arise meanwhile wait until the
-    /// actions before them are carried out.
+    /// Passes an event to the decision module and applies its actions. Events that these actions cause are queued until
+    /// all earlier actions are applied.
     pub(super) fn notify_control(&mut self, now: f64, event: Event) {
         self.events.push_back(event);
         if std::mem::replace(&mut self.notifying, true) {
@@ -21,13 +21,13 @@
         while let Some(event) = self.events.pop_front() {
             self.control.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(now, action);
+                self.apply_action(now, action);
             }
         }
         self.notifying = false;
     }
 
-    fn carry_out(&mut self, now: f64, action: Action) {
+    fn apply_action(&mut self, now: f64, action: Action) {
         match action {
             Action::Lookup { request, member, deadline } => {
                 self.send_attempt(now, request, member, deadline, AttemptOptions::default());
@@ -53,14 +53,14 @@
             Action::Cancel { request, attempt } => {
                 self.cancel_attempt(attempt_key(request, attempt), AttemptEnding::Cancelled);
             }
-            // Never at once: a timer that is always due would block the event loop.
+            // A minimum delay: a timer that is always due would block the event loop.
             Action::Timer { token, at } => {
                 self.timers.schedule(at.max(now + limits::MIN_TIMER_DELAY), Deadline::Control(token));
             }
             Action::HealthCheck(member) => self.health_check(now, member),
             Action::CloseIdle(member) => self.effects.push_back(Effect::CloseIdle(member)),
             Action::Log(text) => self.effects.push_back(Effect::Log(text)),
-            // The feed pushes every change, and the protocol has no messages between gateways.
+            // Not needed: the feed pushes every change, and the protocol has no messages between gateways.
             Action::SendToPeer(..) | Action::WatchMembers(_) | Action::FetchMembers => {}
         }
     }
--- a/crates/deckproxy/src/routing/attempts.rs
+++ b/crates/deckproxy/src/routing/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: sending them, and how they end.
+//! Sending attempts and handling their endings.
 
 use crate::protocol::downstream::Answer;
 use crate::protocol::upstream::{AttemptOptions, Reply, Status};
@@ -14,13 +14,13 @@
 };
 use std::rc::Rc;
 
-/// How an attempt ended, and what came with it.
+/// How an attempt ended, with the answer and load report received.
 pub(super) struct AttemptResult {
     /// The ending.
     pub(super) ending: AttemptEnding,
-    /// The answer for the client, if it brought one.
+    /// The answer for the client, if the attempt yielded one.
     pub(super) answer: Option<FinalAnswer>,
-    /// The member's report of its load, if it sent one.
+    /// The member's load report, if it sent one.
     pub(super) load: Option<LoadReport>,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Whether an attempt with that ending certainly did not run.
+/// Whether an attempt with this ending is certain not to have run.
 fn never_ran(ending: AttemptEnding) -> bool {
     matches!(
         ending,
@@ -39,7 +39,8 @@
 }
 
 impl Router {
-    /// Sends an attempt of a request to a member, to end by `until` at the latest; 0: at the request's own deadline.
+    /// Sends an attempt of a request to a member, with the deadline `until`; 0 stands for the request's own deadline,
+    /// which also limits any other.
     pub(super) fn send_attempt(
         &mut self,
         now: f64,
@@ -74,8 +75,9 @@
         self.effects.push_back(effect);
     }
 
-    /// Time left in which members still drop a duplicate of a keyed request that may have run, ms: an attempt that waits
-    /// longer to be written must not go out. Unbounded where nothing may have run or the class has no such window.
+    /// Time left of the deduplication window of a keyed request that may have run, ms. Once it has passed, members no
+    /// longer drop a duplicate, so an attempt still unwritten must not be sent. `f64::MAX` if no attempt may have run
+    /// or the class is not keyed.
     fn retry_window(&self, now: f64, open: &OpenRequest) -> f64 {
         let class =
             self.classes.get(&open.call.class).map(|class| &self.instance_settings.settings.classes[*class]);
@@ -84,7 +86,7 @@
         open.may_have_run_since.zip(window).map_or(f64::MAX, |(first, window)| first + window - now)
     }
 
-    /// An attempt or a health check was answered.
+    /// Handles a member's reply to an attempt or a health check.
     pub fn reply(&mut self, now: f64, key: AttemptKey, reply: Reply) {
         let values = reply.load_report.iter().map(|(name, value)| (&**name, *value));
         let load = deckproxy_settings::read_load_report(values);
@@ -92,23 +94,24 @@
             return self.health_checked(now, member, reply.status == Status::Health(true), load);
         }
         let copy = reply.copy;
-        // That a copy is still current is believed only of the one that the client named.
+        // "Not modified" is valid only for the copy that the client named.
         let client_copy = self.requests.of_attempt(key).and_then(|open| open.call.cached_tag.as_ref());
-        let named = client_copy.is_some() && client_copy == copy.as_ref().map(|copy| &copy.tag);
+        let is_client_copy = client_copy.is_some() && client_copy == copy.as_ref().map(|copy| &copy.tag);
         let (ending, answer) = match reply.status {
             Status::Ok => (AttemptEnding::Served, Some(Answer::Served(reply.body))),
-            Status::NotModified if named => (AttemptEnding::Served, Some(Answer::NotModified)),
+            Status::NotModified if is_client_copy => (AttemptEnding::Served, Some(Answer::NotModified)),
             Status::Miss => (AttemptEnding::Miss, None),
             Status::Rejected => (AttemptEnding::Rejected, None),
             Status::Expired => (AttemptEnding::NotSent, None),
-            // A health check's status under an attempt's id, or a copy other than the client's, prove nothing.
+            // Invalid replies: a health check's status for an attempt, or "not modified" for another copy than the
+            // client's.
             Status::Error | Status::Health(_) | Status::NotModified => (AttemptEnding::Error, None),
         };
         let answer = answer.map(|answer| FinalAnswer { answer, copy });
         self.end_attempt(now, key, AttemptResult { ending, answer, load });
     }
 
-    /// The connection of an attempt or a health check failed.
+    /// Handles a failure of the connection that carried an attempt or a health check.
     pub fn connection_failed(&mut self, now: f64, key: AttemptKey, failure: ConnectionFailure) {
         if let Some(member) = self.health_checks.remove(&key) {
             return self.health_checked(now, member, false, None);
@@ -120,11 +123,11 @@
         self.end_attempt(now, key, ending.into());
     }
 
-    /// An attempt has ended: its answer goes to the client, and the decision module is notified.
+    /// Handles the end of an attempt: answers the client if there is an answer, and notifies the decision module.
     pub(super) fn end_attempt(&mut self, now: f64, key: AttemptKey, result: AttemptResult) {
         let AttemptResult { ending, answer, load } = result;
         let Some(request) = request_of(key) else { return };
-        let Some(attempt) = self.requests.take_attempt(key) else { return };
+        let Some(attempt) = self.requests.remove_attempt(key) else { return };
         let Some(open) = self.requests.get_mut(request) else { return };
         if !never_ran(ending) {
             open.may_have_run_since.get_or_insert(attempt.sent_at);
@@ -154,7 +157,7 @@
         self.requests.attempt(key).is_some_and(|attempt| attempt.cancelled_as.is_none())
     }
 
-    /// The client whose request an attempt belongs to, if that is open.
+    /// The client whose request an attempt belongs to, if the request is open.
     pub fn client_of(&self, key: AttemptKey) -> Option<ClientId> {
         self.requests.of_attempt(key).map(|open| open.client)
     }
--- a/crates/deckproxy/src/routing/cancellation.rs
+++ b/crates/deckproxy/src/routing/cancellation.rs
@@ -1,4 +1,4 @@
-//! Cancellation: of requests by their clients, and of attempts.
+//! Cancellation of requests and attempts.
 
 use crate::routing::attempt_key::{AttemptKey, attempt_key};
 use crate::routing::effect::{ClientId, Effect};
@@ -6,7 +6,7 @@
 use deckproxy_control::interface::{AttemptEnding, Event, RequestId};
 
 impl Router {
-    /// A client cancelled a request.
+    /// Handles a client's cancellation of a request.
     pub fn cancel(&mut self, now: f64, client: ClientId, id: u32) {
         if let Some(request) = self.requests.of_client(client, id) {
             self.counters.cancelled += 1;
@@ -14,7 +14,7 @@
         }
     }
 
-    /// A client's connection has ended: its open requests are cancelled.
+    /// Cancels all open requests of a client whose connection has ended.
     pub fn client_gone(&mut self, now: f64, client: ClientId) {
         let open: Vec<u32> = self.requests.ids_of_client(client).collect();
         for id in open {
@@ -22,7 +22,7 @@
         }
     }
 
-    /// No answer is owed to a request any more: its attempts are cancelled, and the decision module is notified.
+    /// Ends a request that needs no answer any more: cancels its attempts and notifies the decision module.
     pub(super) fn abandon(&mut self, now: f64, request: RequestId) {
         let Some(open) = self.requests.get_mut(request) else { return };
         open.finished = true;
@@ -32,12 +32,12 @@
             self.effects.push_back(Effect::CancelAttempt { key, member: attempt.member });
         }
         let (client, id) = (open.client, open.client_id);
-        self.requests.settle(client, id);
+        self.requests.remove_unanswered(client, id);
         self.notify_control(now, Event::ClientGone(request));
         self.requests.remove_if_done(request);
     }
 
-    /// Cancels an attempt, if it is in flight and not being cancelled already.
+    /// Cancels an attempt that is in flight and not being cancelled already; `ending` is reported if it was sent.
     pub(super) fn cancel_attempt(&mut self, key: AttemptKey, ending: AttemptEnding) {
         let attempt = self.requests.attempt_mut(key);
         if let Some(attempt) = attempt.filter(|attempt| attempt.cancelled_as.is_none()) {
@@ -46,7 +46,8 @@
         }
     }
 
-    /// A cancelled attempt is off its connection; `sent`: some of it had been written.
+    /// Handles the end of a cancelled attempt, which its connection no longer carries. `sent` says whether it may have
+    /// run; otherwise it counts as not sent.
     pub fn attempt_cancelled(&mut self, now: f64, key: AttemptKey, sent: bool) {
         let cancelled_as = self.requests.attempt(key).and_then(|attempt| attempt.cancelled_as);
         if let Some(ending) = cancelled_as {
--- a/crates/deckproxy/src/routing/counters.rs
+++ b/crates/deckproxy/src/routing/counters.rs
@@ -1,14 +1,14 @@
-//! Counts for the summary lines in the log.
+//! Counters for the summary lines in the log.
 
 use crate::protocol::downstream::Answer;
 use deckproxy_control::interface::AttemptEnding;
 
-/// Counts since the start.
+/// Counters since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counters {
     /// Requests accepted.
     pub accepted: u64,
-    /// Requests served, those included whose client has a current copy.
+    /// Requests served, including those answered "not modified".
     pub served: u64,
     /// Requests rejected.
     pub rejected: u64,
@@ -16,17 +16,17 @@
     pub failed: u64,
     /// Requests cancelled by the client, or by the end of its connection.
     pub cancelled: u64,
-    /// Requests that were invalid.
+    /// Invalid requests, and client connections drained for breaking a limit or the protocol.
     pub invalid: u64,
     /// Attempts by ending, in the order of [`ENDINGS`].
     pub endings: [u64; ENDINGS.len()],
     /// Health checks sent.
     pub health_checks: u64,
-    /// Invariants that did not hold.
+    /// Invariant violations.
     pub broken_invariants: u64,
-    /// Final answers that the router had to give at a deadline in place of the decision module.
+    /// Requests that the router failed because the decision module had not answered them in time.
     pub overdue: u64,
-    /// The largest lateness of a timer, ms.
+    /// Largest delay with which a timer fired, ms.
     pub late: f64,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// Names of the endings, as the summary lines have them.
+/// Names of the attempt endings in the summary lines.
 pub const ENDINGS: [&str; 9] =
     ["ok", "error", "rejected", "timeout", "connect_failed", "reset", "cancelled", "not_sent", "miss"];
 
--- a/crates/deckproxy/src/routing/deadline.rs
+++ b/crates/deckproxy/src/routing/deadline.rs
@@ -1,17 +1,17 @@
-//! The timers of a router.
+//! The kinds of timers of a router.
 
 use crate::routing::attempt_key::AttemptKey;
 use deckproxy_control::interface::RequestId;
 
-/// What is to happen when a timer fires.
+/// What happens when a timer fires.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Deadline {
     /// An attempt times out.
     Attempt(AttemptKey),
-    /// A request's last moment for an answer has come.
+    /// A request is failed if it is still unanswered.
     Request(RequestId),
     /// A health check times out.
     HealthCheck(AttemptKey),
-    /// The decision module's own timer, with its token.
+    /// A timer of the decision module, with its token.
     Control(u64),
 }
--- a/crates/deckproxy/src/routing/effect.rs
+++ b/crates/deckproxy/src/routing/effect.rs
@@ -1,4 +1,4 @@
-//! What the router asks its owner to do.
+//! Effects that the router's owner applies.
 
 use crate::protocol::downstream::{Answer, Call};
 use crate::protocol::upstream::{AttemptOptions, CopyInfo};
@@ -7,19 +7,19 @@
 use deckproxy_control::interface::MemberId;
 use std::rc::Rc;
 
-/// A client's connection.
+/// Identifies a client's connection.
 pub type ClientId = u64;
 
 /// How an attempt or a health check ended without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionFailure {
-    /// No connection came up, or it broke before all was written: the attempt never ran.
+    /// No connection was established, or it failed before the message was written completely: the attempt did not run.
     NotSent,
-    /// The connection broke after all was written: the attempt may have run.
+    /// The connection failed after the message was written: the attempt may have run.
     Reset,
 }
 
-/// What is to be done outside the router. Effects are to be carried out in the order in which they are given out.
+/// An operation to perform outside the router. Effects must be applied in the order in which they are returned.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
     /// Send an attempt.
@@ -28,18 +28,18 @@
         key: AttemptKey,
         /// The member.
         member: MemberId,
-        /// Where the member is reached.
+        /// The member's endpoint.
         endpoint: Endpoint,
-        /// The client whose request it is.
+        /// The client that sent the request.
         client: ClientId,
         /// The request.
         call: Rc<Call>,
         /// Options of this attempt.
         options: AttemptOptions,
-        /// Time after which it is cancelled if none of it is written, ms.
+        /// Time after which the attempt is cancelled if none of it has been written, ms.
         unsent_timeout: f64,
     },
-    /// Cancel an attempt; to be answered with [`Router::attempt_cancelled`](crate::routing::Router::attempt_cancelled).
+    /// Cancel an attempt, then call [`Router::attempt_cancelled`](crate::routing::Router::attempt_cancelled).
     CancelAttempt {
         /// Its key.
         key: AttemptKey,
@@ -52,10 +52,10 @@
         key: AttemptKey,
         /// The member.
         member: MemberId,
-        /// Where the member is reached.
+        /// The member's endpoint.
         endpoint: Endpoint,
     },
-    /// The final answer to a client.
+    /// Send a final answer to a client.
     Answer {
         /// Its connection.
         client: ClientId,
@@ -63,10 +63,10 @@
         id: u32,
         /// The answer.
         answer: Answer,
-        /// The copy that it was served from, where the member named one.
+        /// The copy that it was served from, if the member named one.
         copy: Option<CopyInfo>,
     },
-    /// The feed announced a purge, to be forwarded to other sites: of an object or, where there is none, of a group.
+    /// The feed announced a purge of an object or, if `object` is `None`, of a group; to be forwarded to other sites.
     Purged {
         /// The object.
         object: Option<u64>,
@@ -79,13 +79,13 @@
     HealthChecked {
         /// The member.
         member: MemberId,
-        /// Whether it answered that it is well.
+        /// Whether it reported that it is healthy.
         healthy: bool,
     },
     /// The list of members has changed.
     MembersChanged,
-    /// Close idle connections to a member.
+    /// Close a member's idle connections and retire the others.
     CloseIdle(MemberId),
-    /// A line for the operators' log.
+    /// Write a line to the log.
     Log(String),
 }
--- a/crates/deckproxy/src/routing/feed_events.rs
+++ b/crates/deckproxy/src/routing/feed_events.rs
@@ -1,4 +1,4 @@
-//! Events of the control feed: changes of the list of members, and purges.
+//! Events of the control feed: changes of the member list, and purges.
 
 use crate::protocol::feed::{FeedEvent, MemberEntry, NumberedEvent};
 use crate::routing::effect::Effect;
@@ -6,40 +6,40 @@
 use deckproxy_control::interface::{Event, Lifecycle, ListKind, Member, MemberId};
 
 impl Router {
-    /// The feed sent an event. One that came before is passed over. Returns whether it followed the last one; if some
-    /// are missing it is not taken, unless `gaps` says that they can't be had.
-    pub fn feed_event(&mut self, now: f64, numbered: NumberedEvent, gaps: bool) -> bool {
+    /// Handles an event of the feed; one that was received before is ignored. Returns false, and does not apply the
+    /// event, if events before it are missing and `accept_gap` is false.
+    pub fn feed_event(&mut self, now: f64, numbered: NumberedEvent, accept_gap: bool) -> bool {
         let NumberedEvent { number, event } = numbered;
         if number <= self.last_event {
             return true;
         }
-        if number != self.last_event + 1 && !gaps {
+        if number != self.last_event + 1 && !accept_gap {
             return false;
         }
         self.last_event = number;
-        self.take_feed_event(now, event, ListKind::Full);
+        self.apply_feed_event(now, event, ListKind::Full);
         true
     }
 
-    /// Carries out an event; `complete_list` is how a complete list in it is to be read.
-    pub(super) fn take_feed_event(&mut self, now: f64, event: FeedEvent, complete_list: ListKind) {
+    /// Applies an event; `complete_list` is the kind that the decision module gets for a complete member list.
+    pub(super) fn apply_feed_event(&mut self, now: f64, event: FeedEvent, complete_list: ListKind) {
         match event {
             FeedEvent::Members { complete: true, entries, unreadable } => {
-                self.take_members(now, complete_list, &entries, unreadable);
+                self.apply_member_list(now, complete_list, &entries, unreadable);
             }
             FeedEvent::Members { complete: false, entries, unreadable } => {
-                self.take_members(now, ListKind::Delta, &entries, unreadable);
+                self.apply_member_list(now, ListKind::Delta, &entries, unreadable);
             }
-            FeedEvent::PurgeObject { object, at } => self.take_purge(now, Some(object), 0, at),
-            FeedEvent::PurgeGroup { group, at } => self.take_purge(now, None, group, at),
+            FeedEvent::PurgeObject { object, at } => self.apply_purge(now, Some(object), 0, at),
+            FeedEvent::PurgeGroup { group, at } => self.apply_purge(now, None, group, at),
             FeedEvent::Unknown => {}
-            FeedEvent::Unreadable(why) => {
-                self.effects.push_back(Effect::Log(format!("an event of the feed can't be read: {why}")));
+            FeedEvent::Unreadable(error) => {
+                self.effects.push_back(Effect::Log(format!("an event of the feed can't be read: {error}")));
             }
         }
     }
 
-    fn take_members(&mut self, now: f64, kind: ListKind, entries: &[MemberEntry], unreadable: usize) {
+    fn apply_member_list(&mut self, now: f64, kind: ListKind, entries: &[MemberEntry], unreadable: usize) {
         let (zones, kinds) = (&self.instance_settings.zones, &self.instance_settings.member_kinds);
         let members: Vec<Member> =
             entries.iter().filter_map(|entry| self.members.take(entry, zones, kinds)).collect();
@@ -48,18 +48,18 @@
             let text = format!("{dropped} entries of the member list could not be read");
             self.effects.push_back(Effect::Log(text));
         }
-        // Idle connections to one that has left are closed at once; the address may get a new member.
+        // Close idle connections to members that are gone at once: a new member may be started at the same address.
         let gone = self.gone_members(kind, &members);
         self.effects.extend(gone.iter().copied().map(Effect::CloseIdle));
         self.notify_control(now, Event::MemberList(kind, members));
-        // The module sends them nothing more; what is in flight ends by its number alone.
+        // The decision module sends them nothing more, and attempts in flight need only the member's id to end.
         for member in gone {
             self.members.forget(member);
         }
         self.effects.push_back(Effect::MembersChanged);
     }
 
-    /// Members that a list has as gone or, where it is complete, does not have.
+    /// Members that a list reports as gone or, if it is complete, does not contain.
     fn gone_members(&self, kind: ListKind, listed: &[Member]) -> Vec<MemberId> {
         let left = listed.iter().filter(|member| member.lifecycle == Lifecycle::Gone).map(|member| member.id);
         let is_complete = kind != ListKind::Delta;
@@ -67,19 +67,21 @@
         left.chain(self.members.ids().filter(is_unlisted)).collect()
     }
 
-    fn take_purge(&mut self, now: f64, object: Option<u64>, group: u32, at: f64) {
+    fn apply_purge(&mut self, now: f64, object: Option<u64>, group: u32, at: f64) {
         let age = (now - at).max(0.0);
         self.effects.push_back(Effect::Purged { object, group, age });
         self.purged(now, object, group, age);
     }
 
-    /// Something was purged `age` ms ago, as another site or the feed said: an object or, where there is none, a group.
+    /// Handles a purge that the feed or another site announced, `age` ms old: of an object or, if `object` is `None`,
+    /// of a group.
     pub fn purged(&mut self, now: f64, object: Option<u64>, group: u32, age: f64) {
         self.notify_control(now, Event::Purged { object, group, age });
     }
 
-    /// Ejects these members and no others: the decision module gets them as draining, and sends them nothing new. One
-    /// that the list itself has as draining or gone stays so: the module never gets a better state than the list's.
+    /// Ejects exactly these members: the decision module sees them as draining and sends them no new requests. A
+    /// member that is listed as draining or gone keeps that state: the decision module never sees a better one than
+    /// the list's.
     pub fn set_ejected(&mut self, now: f64, members: &[MemberId]) {
         let changed = self.members.set_ejected(members);
         if !changed.is_empty() {
--- a/crates/deckproxy/src/routing/health_checks.rs
+++ b/crates/deckproxy/src/routing/health_checks.rs
@@ -23,7 +23,7 @@
         self.effects.push_back(Effect::SendHealthCheck { key, member, endpoint });
     }
 
-    /// A health check ended: the owner and the decision module are notified.
+    /// Reports the result of a health check to the owner and the decision module.
     pub(super) fn health_checked(
         &mut self,
         now: f64,
@@ -35,7 +35,7 @@
         self.notify_control(now, Event::HealthChecked { member, ok: healthy, load });
     }
 
-    /// A health check timed out, if it is still in flight.
+    /// Handles the timeout of a health check, if it is still in flight.
     pub(super) fn health_check_timed_out(&mut self, now: f64, key: AttemptKey) {
         if let Some(member) = self.health_checks.get(&key).copied() {
             self.effects.push_back(Effect::CancelAttempt { key, member });
--- a/crates/deckproxy/src/routing/intake.rs
+++ b/crates/deckproxy/src/routing/intake.rs
@@ -1,4 +1,4 @@
-//! Intake of requests: validation, limits, and the entry in the table.
+//! Intake of requests: validation, limits, and insertion into the table.
 
 use crate::protocol::downstream::{Answer, Call, RequestError};
 use crate::protocol::limits;
@@ -8,11 +8,12 @@
 use crate::routing::router::Router;
 use deckproxy_control::interface::{Event, Idempotency, Request};
 
-/// Share of the time allowed beyond a request's deadline after which the router answers in place of the module.
+/// Share of the answer slack after a request's deadline that the decision module has for its answer. Then the router
+/// fails the request.
 const SLACK_SHARE: f64 = 0.5;
 
 impl Router {
-    /// The class of a request, as its position in the settings; the error says what is wrong with it.
+    /// Validates a request and returns the index of its class in the settings.
     ///
     /// # Errors
     /// [`RequestError`] if the class is unknown or the request breaks one of its rules.
@@ -26,23 +27,23 @@
         if call.timeout > rules.deadline + limits::SOCKET_SLACK {
             return Err(RequestError::TimeoutOutOfRange);
         }
-        // A size that takes so long would also be learned as the class's.
-        let paced_size = call.size_kb.filter(|_| settings.transfer_rate > 0.0);
-        let sending_time = paced_size.map_or(0.0, |kb| kb / settings.transfer_rate * 1000.0);
-        if sending_time > rules.deadline * limits::TRANSFER_DEADLINES {
+        // Reject sizes whose transfer would take too long: such a size would also be learned as typical of the class.
+        let limited_size = call.size_kb.filter(|_| settings.transfer_rate > 0.0);
+        let transfer_time = limited_size.map_or(0.0, |kb| kb / settings.transfer_rate * 1000.0);
+        if transfer_time > rules.deadline * limits::TRANSFER_DEADLINES {
             return Err(RequestError::SizeOutOfRange);
         }
         Ok(class)
     }
 
-    /// A complete request came in. It is answered at once where it is invalid or over the limit.
+    /// Handles a complete request. Answers it at once if it is invalid or exceeds the limit on open requests.
     pub fn request(&mut self, now: f64, client: ClientId, id: u32, call: Call) {
         let class = match self.validate(&call) {
             Ok(class) => class,
             Err(error) => return self.answer_invalid(client, id, error),
         };
         if self.requests.has_name(&call.name) {
-            // Attempts go by this name on the members' connections: two of one name can't be told apart.
+            // The name identifies attempts on members' connections, so it must be unique among the open requests.
             return self.answer_invalid(client, id, RequestError::NameInUse);
         }
         if self.requests.len() >= self.instance_settings.limits.max_requests {
@@ -62,7 +63,7 @@
         self.effects.push_back(Effect::Answer { client, id, answer, copy: None });
     }
 
-    /// Enters a valid request and hands it to the decision module.
+    /// Adds a valid request to the table and passes it to the decision module.
     fn open(&mut self, now: f64, client: ClientId, client_id: u32, call: Call, class: usize) {
         let id = self.requests.next_id();
         let free = self.requests.is_free(id, client, client_id);
@@ -89,13 +90,13 @@
             finished: false,
         };
         self.requests.insert(id, open);
-        let last =
+        let answer_by =
             deadline + (self.instance_settings.limits.answer_slack + limits::SOCKET_SLACK) * SLACK_SHARE;
-        self.timers.schedule(last, Deadline::Request(id));
+        self.timers.schedule(answer_by, Deadline::Request(id));
         self.notify_control(now, Event::Request(request));
     }
 
-    /// Whether a request of a client is open under this id and owed an answer.
+    /// Whether a client's request with this id is unanswered.
     pub fn is_open(&self, client: ClientId, id: u32) -> bool {
         self.requests.of_client(client, id).is_some()
     }
--- a/crates/deckproxy/src/routing/members.rs
+++ b/crates/deckproxy/src/routing/members.rs
@@ -1,32 +1,32 @@
-//! The list of members as the feed sends it, and the numbers by which the decision module knows them.
+//! The member list of the feed, and the ids of its members in the decision module.
 
 use crate::protocol::feed::MemberEntry;
 use deckproxy_control::interface::{Lifecycle, Member, MemberId};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Where a member is reached: a new process or a new address makes another endpoint.
+/// Where a member is reached. A restart of its process or a new address makes a different endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its address.
+    /// The member's address.
     pub address: SocketAddr,
-    /// When its process started, Unix ms, where the list says so.
+    /// When its process started, Unix ms, if the list says so.
     pub started: Option<f64>,
 }
 
 struct ListedMember {
-    /// Its name on the wire.
+    /// The name on the wire.
     name: Box<str>,
-    /// Where it is reached, if the list gave an address.
+    /// The endpoint, if the list gave an address.
     endpoint: Option<Endpoint>,
-    /// As the list has it.
+    /// The state in the list.
     listed: Member,
-    /// It gets nothing new, whatever the list says.
+    /// Whether it is ejected: it gets no new requests, whatever the list says.
     ejected: bool,
 }
 
 impl ListedMember {
-    /// As the decision module gets it.
+    /// The state that the decision module sees.
     fn effective(&self) -> Member {
         match self.listed.lifecycle {
             Lifecycle::Ready if self.ejected => Member { lifecycle: Lifecycle::Draining, ..self.listed },
@@ -35,29 +35,30 @@
     }
 }
 
-/// All members that are listed, by number.
+/// All listed members, by id.
 #[derive(Default)]
 pub struct Members {
     by_id: HashMap<MemberId, ListedMember>,
     ids: HashMap<Box<str>, MemberId>,
 }
 
-/// FNV-1a: the same number at every gateway, whatever it received before, as the shared hash needs.
+/// FNV-1a: gives a name the same id at every gateway, independent of earlier lists, as rendezvous hashing requires.
 fn hash(name: &str) -> MemberId {
     const OFFSET_BASIS: u32 = 0x811c_9dc5;
     const PRIME: u32 = 0x0100_0193;
     name.bytes().fold(OFFSET_BASIS, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(PRIME))
 }
 
-/// The position of a name in a list of the settings.
+/// The index of a name in a list of the settings.
 fn position(names: &[String], name: &str) -> Option<u32> {
-    // Lists of names reach the settings with blanks and commas replaced.
+    // In the settings, spaces and commas in names are replaced by underscores.
     let name = name.replace([' ', ','], "_");
     names.iter().position(|other| *other == name).and_then(|i| u32::try_from(i).ok())
 }
 
 impl Members {
-    /// Takes one entry of the list; none if its zone or kind is not in the settings.
+    /// Applies an entry of the member list and returns the member's effective state; `None` if the settings do not
+    /// contain its zone or kind.
     pub fn take(&mut self, entry: &MemberEntry, zones: &[String], kinds: &[String]) -> Option<Member> {
         let (zone, kind) = (position(zones, &entry.zone)?, position(kinds, &entry.kind)?);
         let id = self.id_of(&entry.id);
@@ -78,7 +79,7 @@
         Some(member.effective())
     }
 
-    /// The number of a name, which is entered where it is new.
+    /// The id of a member's name; adds the member if the name is new.
     fn id_of(&mut self, name: &str) -> MemberId {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -93,12 +94,12 @@
         id
     }
 
-    /// All as the list has them, with their names.
+    /// All members in their listed state, with their names.
     pub fn listed(&self) -> impl Iterator<Item = (&Member, &str)> {
         self.by_id.values().map(|member| (&member.listed, &*member.name))
     }
 
-    /// Ejects these members from now on, and no others. Returns those whose effective state changed.
+    /// Ejects exactly these members. Returns the members whose effective state changed.
     pub fn set_ejected(&mut self, ejected: &[MemberId]) -> Vec<Member> {
         let mut changed = Vec::new();
         for (id, member) in &mut self.by_id {
@@ -109,39 +110,39 @@
                 changed.push(now);
             }
         }
-        // In one order at every gateway and in every run.
+        // Sorted, as the map's iteration order differs between gateways and runs.
         changed.sort_by_key(|member| member.id);
         changed
     }
 
-    /// Drops one that has left the list.
+    /// Removes a member that is no longer listed.
     pub fn forget(&mut self, id: MemberId) {
         if let Some(member) = self.by_id.remove(&id) {
             self.ids.remove(&member.name);
         }
     }
 
-    /// How many are listed.
+    /// Number of listed members.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// Whether none is listed.
+    /// Whether no member is listed.
     pub fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
 
-    /// The numbers of all that are listed, in no order.
+    /// The ids of all listed members, in no particular order.
     pub fn ids(&self) -> impl Iterator<Item = MemberId> {
         self.by_id.keys().copied()
     }
 
-    /// Where a member is reached.
+    /// A member's endpoint.
     pub fn endpoint(&self, id: MemberId) -> Option<Endpoint> {
         self.by_id.get(&id).and_then(|member| member.endpoint)
     }
 
-    /// Its name on the wire.
+    /// A member's name on the wire.
     pub fn name(&self, id: MemberId) -> Option<&str> {
         self.by_id.get(&id).map(|member| &*member.name)
     }
--- a/crates/deckproxy/src/routing/mod.rs
+++ b/crates/deckproxy/src/routing/mod.rs
@@ -1,4 +1,4 @@
-//! Requests, attempts, members and timers around the decision module, without I/O: typed input in, typed effects out.
+//! Requests, attempts, members and timers around the decision module, without I/O.
 
 mod actions;
 mod attempt_key;
--- a/crates/deckproxy/src/routing/router.rs
+++ b/crates/deckproxy/src/routing/router.rs
@@ -1,8 +1,8 @@
-//! The router: carries requests between clients, the decision module and members.
+//! The router: passes requests between clients, the decision module and members.
 //!
-//! It makes no choice of its own. It notifies the decision module of what happened, carries out the actions that the
-//! module decides on, ends attempts and requests whose time is over, and checks invariants on the way. Its parts by
-//! concern are the other modules of this folder.
+//! It makes no routing decisions. It notifies the decision module of events, applies the actions that the module
+//! returns, ends attempts and requests at their deadlines, and checks invariants. Its methods are grouped by concern in
+//! the other modules of this folder.
 
 use crate::protocol::feed::{KnownEvents, NumberedEvent};
 use crate::routing::attempt_key::AttemptKey;
@@ -21,7 +21,7 @@
 pub struct Router {
     pub(super) control: Control,
     pub(super) instance_settings: InstanceSettings,
-    /// Positions of the classes in the settings, by name.
+    /// Indices of the classes in the settings, by name.
     pub(super) classes: HashMap<Box<str>, usize>,
     pub(super) members: Members,
     pub(super) requests: RequestTable,
@@ -29,19 +29,19 @@
     pub(super) health_checks: HashMap<AttemptKey, MemberId>,
     pub(super) health_checks_sent: u64,
     pub(super) timers: Timers<Deadline>,
-    /// Events that the decision module has not been handed yet.
+    /// Events that have not been passed to the decision module yet.
     pub(super) events: VecDeque<Event>,
-    /// The decision module is at work: further events wait.
+    /// Whether the decision module is handling an event: further events are queued.
     pub(super) notifying: bool,
     pub(super) effects: VecDeque<Effect>,
     /// The number of the feed's last event.
     pub(super) last_event: u64,
-    /// Counts for the summary.
+    /// Counters for the summary.
     pub counters: Counters,
 }
 
 impl Router {
-    /// A router that has just started and knows the feed's events so far.
+    /// Starts a router with the events of the feed that are already known.
     pub fn new(now: f64, instance_settings: InstanceSettings, seed: u64, known: KnownEvents) -> Self {
         let classes =
             instance_settings.classes.iter().enumerate().map(|(i, name)| (name.as_str().into(), i)).collect();
@@ -63,13 +63,13 @@
         router.notify_control(now, Event::Started);
         for NumberedEvent { number, event } in known.events {
             router.last_event = router.last_event.max(number);
-            router.take_feed_event(now, event, ListKind::Cached);
+            router.apply_feed_event(now, event, ListKind::Cached);
         }
         router.last_event = router.last_event.max(known.last);
         router
     }
 
-    /// The next thing to be done outside.
+    /// The next effect to apply.
     pub fn next_effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
@@ -82,7 +82,7 @@
                 Deadline::Control(token) => self.notify_control(now, Event::Timer(token)),
                 Deadline::Attempt(key) => self.cancel_attempt(key, AttemptEnding::Timeout),
                 Deadline::HealthCheck(key) => self.health_check_timed_out(now, key),
-                // The module answers at the last attempt's end or before; this is the safety net below it.
+                // The decision module normally answers earlier; this is a safety net.
                 Deadline::Request(request) => {
                     if self.requests.is_unfinished(request) {
                         self.counters.overdue += 1;
@@ -93,7 +93,7 @@
         }
     }
 
-    /// When `tick` is to be called next, Unix ms.
+    /// When `tick` must be called next, Unix ms.
     pub fn next_deadline(&self) -> Option<f64> {
         self.timers.next_deadline()
     }
@@ -103,7 +103,7 @@
         &self.instance_settings
     }
 
-    /// Requests that are owed an answer.
+    /// Number of unanswered requests.
     pub fn unanswered(&self) -> usize {
         self.requests.unanswered()
     }
@@ -113,7 +113,7 @@
         self.requests.body_bytes()
     }
 
-    /// Sizes of its tables and of the decision module's, by the names that the summary gives them.
+    /// Sizes of the router's and the decision module's tables, by their names in the summary.
     pub fn table_sizes(&self) -> impl Iterator<Item = (&'static str, usize)> {
         let own = [
             ("requests", self.requests.len()),
@@ -121,13 +121,13 @@
             ("health_checks", self.health_checks.len()),
             ("timers", self.timers.len()),
         ];
-        let decisions = self.control.table_sizes();
+        let control_sizes = self.control.table_sizes();
         own.into_iter().chain([
-            ("known_members", decisions.members),
-            ("pending_requests", decisions.requests),
-            ("collapsed_fills", decisions.fills),
-            ("objects", decisions.objects),
-            ("purges", decisions.purges),
+            ("known_members", control_sizes.members),
+            ("pending_requests", control_sizes.requests),
+            ("collapsed_fills", control_sizes.fills),
+            ("objects", control_sizes.objects),
+            ("purges", control_sizes.purges),
         ])
     }
 
@@ -136,22 +136,22 @@
         self.last_event
     }
 
-    /// A member's name on the wire; `?` where it is not known.
+    /// A member's name on the wire; `?` if it is unknown.
     pub fn member_name(&self, id: MemberId) -> &str {
         self.members.name(id).unwrap_or("?")
     }
 
-    /// The members as the list has them, with their names.
+    /// The members in their listed state, with their names.
     pub fn listed_members(&self) -> impl Iterator<Item = (&Member, &str)> {
         self.members.listed()
     }
 
     /// Checks an invariant: asserted in debug builds, counted and logged in release builds.
-    pub(super) fn check_invariant(&mut self, holds: bool, what: &str) {
-        debug_assert!(holds, "{what}");
+    pub(super) fn check_invariant(&mut self, holds: bool, invariant: &str) {
+        debug_assert!(holds, "{invariant}");
         if !holds {
             self.counters.broken_invariants += 1;
-            self.effects.push_back(Effect::Log(format!("broken invariant: {what}")));
+            self.effects.push_back(Effect::Log(format!("broken invariant: {invariant}")));
         }
     }
 }
--- a/crates/deckproxy/src/routing/timers.rs
+++ b/crates/deckproxy/src/routing/timers.rs
@@ -1,11 +1,11 @@
-//! A heap of timers.
+//! A priority queue of timers.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
 struct Entry<T> {
     at: f64,
-    /// Counts the timers in the order in which they were scheduled.
+    /// Increases with each timer that is scheduled.
     sequence: u64,
     payload: T,
 }
@@ -25,14 +25,15 @@
 }
 
 impl<T> Ord for Entry<T> {
-    /// The earliest is the greatest, as the heap gives the greatest first; of two at one time the one scheduled first.
+    /// Reversed, as [`BinaryHeap`] is a max-heap: the earliest timer is the greatest, and of two at the same time the
+    /// one scheduled first.
     fn cmp(&self, other: &Self) -> Ordering {
         other.at.total_cmp(&self.at).then(other.sequence.cmp(&self.sequence))
     }
 }
 
-/// Timers by time, in the unit and from the origin that their owner uses. They can't be cancelled: the owner ignores
-/// one that fires when it is not needed any more.
+/// Timers in the order of their due times, in any unit and time base. They can't be cancelled: the owner ignores a
+/// timer that it no longer needs when it fires.
 pub struct Timers<T> {
     heap: BinaryHeap<Entry<T>>,
     sequence: u64,
@@ -51,7 +52,7 @@
         self.heap.push(Entry { at, sequence: self.sequence, payload });
     }
 
-    /// Timers that have not fired.
+    /// Number of timers that have not fired.
     pub fn len(&self) -> usize {
         self.heap.len()
     }
@@ -66,7 +67,7 @@
         self.heap.peek().map(|entry| entry.at)
     }
 
-    /// Takes the next timer that is due, with the time that it was scheduled for.
+    /// Removes and returns the next timer that is due, with the time that it was scheduled for.
     pub fn pop_due(&mut self, now: f64) -> Option<(f64, T)> {
         self.next_deadline().filter(|at| *at <= now)?;
         self.heap.pop().map(|entry| (entry.at, entry.payload))
--- a/crates/deckproxy/tests/routing/health_checks.rs
+++ b/crates/deckproxy/tests/routing/health_checks.rs
@@ -1,11 +1,12 @@
-//! Health checks beside requests.
+//! Health checks that run at the same time as requests.
 
 use crate::{NOW, router_with_health_checks};
 use bytes::Bytes;
 use deckproxy::protocol::downstream::{Call, ObjectId};
 use deckproxy::routing::{ConnectionFailure, Effect};
 
-/// Health checks and attempts are numbered by themselves, and wait on the same connections.
+/// Health checks and attempts are numbered separately but share connections: the key of a health check must never be
+/// that of an attempt.
 #[test]
 fn a_health_check_belongs_to_no_client() {
     let mut router = router_with_health_checks(true);
--- a/crates/deckproxy/tests/routing/main.rs
+++ b/crates/deckproxy/tests/routing/main.rs
@@ -1,4 +1,4 @@
-//! The router without sockets: a location of two caches, two parents and an origin.
+//! Tests of the router without sockets, with two caches, two parents and an origin.
 
 mod health_checks;
 mod member_lists;
--- a/crates/deckproxy/tests/routing/member_lists.rs
+++ b/crates/deckproxy/tests/routing/member_lists.rs
@@ -1,4 +1,4 @@
-//! Lists of members that change while requests are routed, and ejected members.
+//! Changes of the member list while requests are routed, and ejected members.
 
 use crate::{MEMBERS, NOW, entry, numbered, router};
 use bytes::Bytes;
@@ -8,7 +8,7 @@
 use deckproxy::routing::{ConnectionFailure, Effect, Router};
 use std::collections::BTreeMap;
 
-/// Ids, owners of addresses, clients and objects keep changing while a gateway serves.
+/// Tables stay bounded while member ids, clients and objects keep changing.
 #[test]
 fn thousands_of_member_lists_leak_nothing() {
     let mut router = router();
@@ -54,7 +54,7 @@
         }
         while let Some(effect) = router.next_effect() {
             let Effect::SendAttempt { key, call, .. } = effect else { continue };
-            // One attempt in seven is never answered, one in five fails.
+            // One attempt in seven is never answered; of the others, one in five fails.
             match call.object.number % 35 {
                 n if n % 7 == 0 => {}
                 n if n % 5 == 0 => router.connection_failed(now, key, ConnectionFailure::Reset),
@@ -139,7 +139,7 @@
     router.set_ejected(NOW + 20.0, &[first]);
     let without_first = requested_members(&mut router, NOW + 30.0, 100);
     assert!(without_first.iter().all(|m| m == "s-2"), "{without_first:?}");
-    // The list has it drain; the end of its ejection does not bring it back.
+    // The list reports it as draining: the end of the ejection does not make it ready again.
     let drain_first = FeedEvent::Members {
         complete: false,
         entries: vec![entry(0, Lifecycle::Draining, None)],
@@ -149,7 +149,7 @@
     router.set_ejected(NOW + 50.0, &[]);
     let drained = requested_members(&mut router, NOW + 60.0, 200);
     assert!(drained.iter().all(|m| m == "s-2"), "{drained:?}");
-    // Updates of the list do not end an ejection.
+    // An update of the list does not end an ejection.
     router.set_ejected(NOW + 70.0, &[first, second]);
     let ready = FeedEvent::Members {
         complete: true,
--- a/crates/deckproxy/tests/routing/request_invariants.rs
+++ b/crates/deckproxy/tests/routing/request_invariants.rs
@@ -1,5 +1,5 @@
-//! Invariants of the router under any order of events: one final answer in time, nothing for a request that has ended,
-//! one attempt at a time, and no more attempts than the settings allow.
+//! Invariants of the router under any order of events: one final answer in time, no attempts for a request that has
+//! ended, one attempt at a time, and no more attempts than the settings allow.
 
 use crate::{ATTEMPTS, NOW, entry, numbered, router};
 use bytes::Bytes;
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-/// Half of the slack in the settings and of the sockets' own, ms.
+/// Half of the sum of the settings' answer slack and the socket slack, ms.
 const SLACK: f64 = (8.0 + 50.0) / 2.0;
 
 #[derive(Clone, Copy, Debug)]
@@ -62,7 +62,7 @@
     id: u32,
 }
 
-/// What the model knows of a request.
+/// The expected state of a request.
 struct ModelRequest {
     class: usize,
     deadline: f64,
@@ -72,7 +72,7 @@
     has_ended: bool,
 }
 
-/// The router with the rules that it must keep.
+/// The router under test, with the state to check its invariants against.
 struct Model {
     router: Router,
     now: f64,
@@ -84,7 +84,7 @@
 }
 
 impl Model {
-    /// Carries out the router's effects, and checks the rules on them.
+    /// Applies the router's effects and checks the invariants on them.
     fn apply_effects(&mut self) {
         while let Some(effect) = self.router.next_effect() {
             match effect {
@@ -220,7 +220,7 @@
         self.apply_effects();
     }
 
-    /// Advances time as the event loop does: from one due time to the next.
+    /// Advances time as the event loop does, from one deadline to the next.
     fn wait(&mut self, span: f64) {
         let end = self.now + span;
         while let Some(due) = self.router.next_deadline().filter(|due| *due <= end) {
@@ -232,7 +232,7 @@
     }
 }
 
-/// Takes an entry by its position.
+/// Removes and returns an entry by its position.
 trait PopNth<K, V> {
     fn pop_nth(&mut self, index: usize) -> (K, V);
 }
