--- a/crates/deckproxy/src/routing/feed_events.rs
+++ b/crates/deckproxy/src/routing/feed_events.rs
@@ -42,7 +42,7 @@
     fn apply_member_list(&mut self, now: f64, kind: ListKind, entries: &[MemberEntry], unreadable: usize) {
         let (zones, kinds) = (&self.instance_settings.zones, &self.instance_settings.member_kinds);
         let members: Vec<Member> =
-            entries.iter().filter_map(|entry| self.members.take(entry, zones, kinds)).collect();
+            entries.iter().filter_map(|entry| self.members.apply_entry(entry, zones, kinds)).collect();
         let dropped = unreadable + entries.len() - members.len();
         if dropped > 0 {
             let text = format!("{dropped} entries of the member list could not be read");
@@ -54,7 +54,7 @@
         self.notify_control(now, Event::MemberList(kind, members));
         // The decision module sends them nothing more, and attempts in flight need only the member's id to end.
         for member in gone {
-            self.members.forget(member);
+            self.members.remove(member);
         }
         self.effects.push_back(Effect::MembersChanged);
     }
--- a/crates/deckproxy/src/routing/members.rs
+++ b/crates/deckproxy/src/routing/members.rs
@@ -59,7 +59,7 @@
 impl Members {
     /// Applies an entry of the member list and returns the member's effective state; `None` if the settings do not
     /// contain its zone or kind.
-    pub fn take(&mut self, entry: &MemberEntry, zones: &[String], kinds: &[String]) -> Option<Member> {
+    pub fn apply_entry(&mut self, entry: &MemberEntry, zones: &[String], kinds: &[String]) -> Option<Member> {
         let (zone, kind) = (position(zones, &entry.zone)?, position(kinds, &entry.kind)?);
         let id = self.id_of(&entry.id);
         let endpoint = entry.address.map(|address| Endpoint { address, started: entry.started });
@@ -116,7 +116,7 @@
     }
 
     /// Removes a member that is no longer listed.
-    pub fn forget(&mut self, id: MemberId) {
+    pub fn remove(&mut self, id: MemberId) {
         if let Some(member) = self.by_id.remove(&id) {
             self.ids.remove(&member.name);
         }
