--- a/crates/deckproxy/src/program/effects.rs
+++ b/crates/deckproxy/src/program/effects.rs
@@ -64,7 +64,7 @@
     /// cancels it by a later effect.
     fn is_wanted(&mut self, now: f64, key: AttemptKey, client: ClientId) -> bool {
         self.read_client_before_send(now, client);
-        self.router.is_wanted(key)
+        self.router.is_attempt_active(key)
     }
 
     /// Polls the subsystems for effects and carries them out. Returns whether there were any.
--- a/crates/deckproxy/src/routing/attempts.rs
+++ b/crates/deckproxy/src/routing/attempts.rs
@@ -153,7 +153,7 @@
     }
 
     /// Whether an attempt is in flight and not being cancelled.
-    pub fn is_wanted(&self, key: AttemptKey) -> bool {
+    pub fn is_attempt_active(&self, key: AttemptKey) -> bool {
         self.requests.attempt(key).is_some_and(|attempt| attempt.cancelled_as.is_none())
     }
 
