--- a/crates/deckproxy/src/program/clients.rs
+++ b/crates/deckproxy/src/program/clients.rs
@@ -114,7 +114,7 @@
     /// and a while longer if the client still sends.
     pub(super) fn linger_expired(&mut self, now: f64, id: ClientId) {
         match self.clients.get(&id) {
-            Some(client) if !client.is_half_closed() && self.router.owes_to(id) => {
+            Some(client) if !client.is_half_closed() && self.router.has_unanswered(id) => {
                 self.timers.schedule(now + limits::CLOSING_INTERVAL, TimerTask::LingerExpired(id));
             }
             Some(client) if client.is_still_sending(now) => {
--- a/crates/deckproxy/src/routing/intake.rs
+++ b/crates/deckproxy/src/routing/intake.rs
@@ -101,8 +101,8 @@
         self.requests.of_client(client, id).is_some()
     }
 
-    /// Whether a client is owed an answer.
-    pub fn owes_to(&self, client: ClientId) -> bool {
+    /// Whether a client has unanswered requests.
+    pub fn has_unanswered(&self, client: ClientId) -> bool {
         self.requests.ids_of_client(client).next().is_some()
     }
 }
