--- a/crates/deckproxy/src/program/summary.rs
+++ b/crates/deckproxy/src/program/summary.rs
@@ -25,7 +25,7 @@
             "feed" => self.feed.is_some(), "feed_event" => self.router.last_event(),
             "cpu_ms" => usage.cpu, "memory_kb" => usage.memory, "descriptors" => usage.descriptors,
             "broken_invariants" => counters.broken_invariants, "overdue" => counters.overdue,
-            "timer_late_ms" => format!("{:.1}", counters.late),
+            "timer_late_ms" => format!("{:.1}", counters.max_timer_delay),
             "longest_turn_ms" => format!("{:.1}", self.longest_turn));
     }
 
--- a/crates/deckproxy/src/routing/counters.rs
+++ b/crates/deckproxy/src/routing/counters.rs
@@ -27,7 +27,7 @@
     /// Requests that the router failed because the decision module had not answered them in time.
     pub overdue: u64,
     /// Largest delay with which a timer fired, ms.
-    pub late: f64,
+    pub max_timer_delay: f64,
 }
 
 impl Counters {
--- a/crates/deckproxy/src/routing/router.rs
+++ b/crates/deckproxy/src/routing/router.rs
@@ -77,7 +77,7 @@
     /// Fires the timers that are due.
     pub fn tick(&mut self, now: f64) {
         while let Some((at, deadline)) = self.timers.pop_due(now) {
-            self.counters.late = self.counters.late.max(now - at);
+            self.counters.max_timer_delay = self.counters.max_timer_delay.max(now - at);
             match deadline {
                 Deadline::Control(token) => self.notify_control(now, Event::Timer(token)),
                 Deadline::Attempt(key) => self.cancel_attempt(key, AttemptEnding::Timeout),
