--- a/crates/deckproxy/src/program/effects.rs
+++ b/crates/deckproxy/src/program/effects.rs
@@ -81,7 +81,7 @@
     /// Carries out the subsystems' effects that wait. Returns whether there were any.
     pub(super) fn apply_subsystem_effects(&mut self, now: f64) -> bool {
         let mut any = false;
-        while let Some(effect) = self.subsystems.effect() {
+        while let Some(effect) = self.subsystems.next_effect() {
             any = true;
             self.apply_subsystem_effect(now, effect);
         }
--- a/crates/deckproxy/src/program/subsystems.rs
+++ b/crates/deckproxy/src/program/subsystems.rs
@@ -113,7 +113,7 @@
     }
 
     /// The next effect to be carried out.
-    pub fn effect(&mut self) -> Option<Effect> {
+    pub fn next_effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
 
