--- a/crates/deckproxy/src/program/client_messages.rs
+++ b/crates/deckproxy/src/program/client_messages.rs
@@ -1,4 +1,4 @@
-//! Clients' messages and the answers to them.
+//! Handling of client messages and their answers.
 
 use crate::program::gateway::{Gateway, context};
 use crate::program::subsystem::{Event, RequestKey, Verdict};
@@ -7,7 +7,7 @@
 use crate::transport::client::ClientConnection;
 use crate::transport::clock;
 
-/// Whether an answer is to a request that counts as open on its client's connection.
+/// Whether the answered request was admitted, so that it counts as open on its client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Admitted {
     Yes,
@@ -15,7 +15,7 @@
 }
 
 impl Gateway {
-    /// Decodes and handles the complete messages that a client has sent.
+    /// Decodes and handles the complete messages received from a client.
     pub(super) fn decode_messages(&mut self, now: f64, id: ClientId) {
         loop {
             let Some(client) = self.clients.get_mut(&id) else { return };
@@ -31,12 +31,12 @@
                 Err(error) => self.handle_protocol_error(now, id, &error, bytes),
             }
             if self.clients.get(&id).is_some_and(ClientConnection::is_over_write_limit) {
-                self.drain_client(now, id, "it reads none of its refusals");
+                self.drain_client(now, id, "it does not read its rejections");
             }
         }
     }
 
-    /// Takes bytes that can't be decoded: answers them if they name a request, and drains the connection.
+    /// Handles bytes that can't be decoded: sends an answer if they contain a request id, and drains the connection.
     fn handle_protocol_error(&mut self, now: f64, id: ClientId, fault: &ProtocolError, bytes: usize) {
         let event = match fault.request_id {
             Some(request) => Event::RequestReceived { client: id, id: request, class: "", bytes },
@@ -49,7 +49,7 @@
         self.drain_client(now, id, fault.error.as_str());
     }
 
-    /// Handles a client's message of that size in bytes.
+    /// Handles a client's message; `bytes` is its size.
     fn handle_message(&mut self, now: f64, id: ClientId, message: Message, bytes: usize) {
         let full = self.is_memory_full();
         let event = match &message {
@@ -73,24 +73,24 @@
         }
     }
 
-    /// Handles a request; `full`: connections and bodies hold as many bytes as they may.
+    /// Handles a request; `full` says whether the bound on buffered bytes is exceeded.
     fn handle_request(&mut self, now: f64, key: RequestKey, call: Call, full: bool) {
         let (id, request) = key;
         if self.is_request_open(key) {
-            // Two open requests of one id: their answers could not be distinguished.
+            // Answers to two open requests with the same id could not be distinguished.
             self.router.counters.invalid += 1;
             self.log_peer("a client's connection closes: two open requests of one id");
             return self.close_client(now, id);
         }
         let Some(client) = self.clients.get_mut(&id) else { return };
         if !client.accept_id(request) {
-            // The protocol has ids start at 1 and count up.
+            // The protocol requires ids that start at 1 and increase.
             let error = RequestError::IdOutOfSequence;
             self.enqueue_answer(now, key, &Answer::Invalid(error), Admitted::No);
             return self.drain_client(now, id, error.as_str());
         }
-        // During a shutdown a request that is rejected at once is soon with another gateway. The bound on all bytes
-        // comes before the client's own on open requests.
+        // During a shutdown, a request that is rejected at once can be retried at another gateway sooner. The bound on
+        // all buffered bytes is checked before the client's own limit on open requests.
         let rejecting = self.is_rejecting();
         let admitted = self.clients.get_mut(&id).is_some_and(|client| !rejecting && !full && client.admit());
         if !admitted {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Answers a ping: whether the gateway is ready for requests.
+    /// Answers a ping with whether the gateway is ready for requests.
     fn handle_ping(&mut self, now: f64, id: ClientId, request: u32) {
         let ready = !self.is_shutting_down();
         let Some(client) = self.clients.get_mut(&id) else { return };
@@ -121,7 +121,7 @@
         self.flush_client(now, id);
     }
 
-    /// Cancels those of the requests that are open.
+    /// Cancels the requests that are open.
     fn handle_cancellation(&mut self, now: f64, id: ClientId, requests: Vec<u32>) {
         for request in requests {
             if !self.is_request_open((id, request)) {
@@ -132,7 +132,7 @@
             self.notify(now, &Event::RequestCancelled { client: id, id: request });
             self.router.cancel(now, id, request);
             if too_many {
-                return self.drain_client(now, id, "it takes back all that it asks for");
+                return self.drain_client(now, id, "it cancels too many requests in a row");
             }
         }
     }
@@ -149,7 +149,8 @@
         self.router.is_open(client, id) || self.subsystems.has_request(client, id)
     }
 
-    /// Sends the final answer to an admitted request. One whose client has gone was counted when it went.
+    /// Sends the final answer to an admitted request. If the client has disconnected, the answer is dropped: the
+    /// request was counted as cancelled at that time.
     pub(super) fn answer_client(&mut self, now: f64, id: ClientId, request: u32, answer: &Answer) {
         let replacement = if self.subsystems.is_on() {
             self.subsystems.answer(&context(now, &self.router), (id, request), answer)
--- a/crates/deckproxy/src/program/log_aliases.rs
+++ b/crates/deckproxy/src/program/log_aliases.rs
@@ -1,18 +1,18 @@
-//! The old spelling of log keys and texts that were renamed, written beside the new one for one release.
+//! The old spelling of renamed log keys and texts, logged in addition to the new one for one release.
 //!
 //! A line with a renamed key carries the value under both keys; a line with a renamed text carries the old text under
-//! [`ALIAS_KEY`]. **To be deleted at the release after the next one**, with its two uses: [`AliasDrain`] in `logging` and
-//! [`old_key`] in `subsystem::summary_fields`.
+//! [`ALIAS_KEY`]. **To be deleted at the release after the next one**, with its two uses: [`AliasDrain`] in `logging`
+//! and [`old_key`] in `subsystem::summary_fields`.
 
 use slog::{BorrowedKV, Drain, KV, Key, OwnedKVList, Record, RecordStatic, Serializer};
 use std::fmt;
 
-/// The key of an old text.
+/// The key under which an old text is logged.
 pub const ALIAS_KEY: &str = "alias";
-/// The key whose value is a text of its own.
+/// The key whose value is free text.
 const TEXT_KEY: &str = "what";
 
-/// Where a key stands: the same new name has other old names elsewhere.
+/// Where a key is used: the old name of a key depends on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
     /// The summary line itself.
@@ -21,26 +21,26 @@
     Attempts,
     /// Sizes of tables in the summary.
     Sizes,
-    /// The summary's part on other sites.
+    /// The summary's section on other sites.
     Sites,
-    /// The summary's part on admission control.
+    /// The summary's section on admission control.
     Recovery,
-    /// The summary's part on flow export.
+    /// The summary's section on flow export.
     Flows,
-    /// The summary's part on the fleet.
+    /// The summary's section on the fleet.
     Fleet,
     /// The line at the start of a graceful shutdown.
     Shutdown,
     /// The line on the instances of the fleet.
     FleetView,
-    /// The line with which an instance joins its fleet.
+    /// The line that an instance logs when it joins its fleet.
     FleetJoin,
     /// Any other line.
     Other,
 }
 
 impl Scope {
-    /// The scope of the keys of a line, by its message.
+    /// The scope of a line's keys, by its message.
     fn of_line(message: &str) -> Self {
         match message {
             "summary" | "end" => Scope::Summary,
@@ -54,7 +54,7 @@
 
 /// A renamed key.
 pub struct RenamedKey {
-    /// Where it stands.
+    /// Where it is used.
     pub scope: Scope,
     /// The name in the code.
     pub new: &'static str,
@@ -152,7 +152,7 @@
     key(Scope::Other, "error", "why"),
 ];
 
-/// The old name of a key; none where it was not renamed.
+/// The old name of a key; `None` if it was not renamed.
 pub fn old_key(scope: Scope, new: &str) -> Option<&'static str> {
     RENAMED_KEYS.iter().find(|key| key.scope == scope && key.new == new).map(|key| key.old)
 }
@@ -169,7 +169,7 @@
     RenamedText { new, old }
 }
 
-/// All renamed phrases. The numbers and names around them stand where they stood.
+/// All renamed phrases. The numbers and names around them have kept their places.
 pub const RENAMED_TEXTS: &[RenamedText] = &[
     text("graceful shutdown begins", "told to end"),
     text("reload: polling the feed again", "reload: the feed is asked anew"),
@@ -221,9 +221,11 @@
     text(" is unreachable, or its purges may be missing", " is not heard, or purges of its may be missing"),
     text("all peers are reachable: ", "all peers are heard: "),
     text(": stalled", ": takes nothing"),
+    text("it does not read its rejections", "it reads none of its refusals"),
+    text("it cancels too many requests in a row", "it takes back all that it asks for"),
 ];
 
-/// A text as it was before the renaming; none where it is the same.
+/// The text before the renaming; `None` if it is unchanged.
 pub fn old_text(new: &str) -> Option<String> {
     let old = RENAMED_TEXTS.iter().fold(new.to_string(), |text, phrase| text.replace(phrase.new, phrase.old));
     (old != new).then_some(old)
@@ -244,7 +246,7 @@
     }
 }
 
-/// A line's pairs of keys and values, followed by those of the old spelling.
+/// A line's key-value pairs, followed by those in the old spelling.
 struct WithAliases<'a> {
     message: String,
     pairs: BorrowedKV<'a>,
@@ -261,14 +263,14 @@
     }
 }
 
-/// Passes each value on under its key, and under the old key where that was renamed.
+/// Emits each value under its key, and also under the old key if the key was renamed.
 struct AliasSerializer<'a> {
     scope: Scope,
     inner: &'a mut dyn Serializer,
 }
 
-/// Methods that pass a value on with its type.
-macro_rules! pass_on {
+/// Defines the methods that emit a typed value under both keys.
+macro_rules! emit_under_both_keys {
     ($($method:ident($value:ty)),* $(,)?) => {
         $(fn $method(&mut self, key: Key, value: $value) -> slog::Result {
             self.inner.$method(key, value)?;
@@ -281,7 +283,7 @@
 }
 
 impl Serializer for AliasSerializer<'_> {
-    pass_on! {
+    emit_under_both_keys! {
         emit_usize(usize), emit_isize(isize), emit_bool(bool), emit_char(char),
         emit_u8(u8), emit_i8(i8), emit_u16(u16), emit_i16(i16), emit_u32(u32), emit_i32(i32),
         emit_u64(u64), emit_i64(i64), emit_u128(u128), emit_i128(i128), emit_f32(f32), emit_f64(f64),
