--- a/crates/deckproxy/src/program/accept.rs
+++ b/crates/deckproxy/src/program/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting clients' connections.
+//! Accepting client connections.
 
 use crate::program::connections::EvictionReason;
 use crate::program::gateway::Gateway;
@@ -9,22 +9,22 @@
 use crate::transport::stream::Stream;
 use std::net::TcpStream;
 
-/// Time until accepting is tried again when descriptors or places ran out, ms.
+/// Delay before accepting is retried after descriptors or connection slots ran out, ms.
 const ACCEPT_RETRY_DELAY: f64 = 20.0;
-/// Connections accepted in one go; they are read before more are accepted.
+/// Connections accepted in one turn; they are read before more are accepted.
 const ACCEPT_BATCH: usize = 16;
 
 /// Why accepting stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AcceptProgress {
-    /// Nobody waits any more.
+    /// No more connections are pending.
     Drained,
-    /// Some may still wait.
+    /// More connections may be pending.
     More,
 }
 
 impl Gateway {
-    /// Accepts clients that wait. A shutdown that rejects closes the listener once nobody waits.
+    /// Accepts pending connections. In the rejecting phase of a shutdown, closes the listener once none are pending.
     pub(super) fn accept_clients(&mut self, now: f64) {
         self.accept_pending = false;
         let Some(listener) = self.listener.take() else { return };
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Schedules another try to accept, once however often accepting fails until then.
+    /// Schedules a retry of accepting, unless one is scheduled already.
     pub(super) fn schedule_accept_retry(&mut self, now: f64) {
         if !std::mem::replace(&mut self.accept_retry_scheduled, true) {
             self.timers.schedule(now + ACCEPT_RETRY_DELAY, TimerTask::RetryAccept);
@@ -47,7 +47,7 @@
         for _ in 0..ACCEPT_BATCH {
             if self.clients.len() >= self.bounds.clients && !self.evict_client(now, EvictionReason::NewClient)
             {
-                // Those that wait stay in the kernel's queue until a place is free.
+                // Pending connections stay in the kernel's queue until a slot is free.
                 self.schedule_accept_retry(now);
                 return AcceptProgress::More;
             }
@@ -55,7 +55,7 @@
                 Accepted::One(socket) => self.accept_client(now, socket),
                 Accepted::None => return AcceptProgress::Drained,
                 Accepted::Exhausted => {
-                    // Logged at each try, it would crowd out all other lines.
+                    // Once per summary interval: at each retry, it would crowd out all other lines.
                     if !std::mem::replace(&mut self.exhaustion_logged, true) {
                         self.log_peer("no descriptor is left for a client");
                     }
--- a/crates/deckproxy/src/program/attempts.rs
+++ b/crates/deckproxy/src/program/attempts.rs
@@ -1,5 +1,4 @@
-//! Attempts and health checks on upstream connections: sending, cancelling, answers, and what a broken connection means
-//! for those in flight on it.
+//! Attempts and health checks on upstream connections: sending, cancelling, replies, and connection failures.
 
 use crate::program::connections::{ReadySource, UpstreamId};
 use crate::program::gateway::{Gateway, context};
@@ -45,8 +44,8 @@
         }
     }
 
-    /// Cancels an attempt that could not begin to be written for so long: drains, purges and slow starts may have
-    /// overtaken the decision for it.
+    /// Cancels an attempt of which nothing was written within its timeout: a drain, a purge or a slow start since may
+    /// have made the decision to send it obsolete.
     pub(super) fn expire_unsent(&mut self, now: f64, key: AttemptKey) {
         let upstream = self.attempt_upstreams.get(&key).and_then(|id| self.upstreams.get_mut(id));
         if upstream.is_some_and(|upstream| upstream.connection.cancel_unsent(key)) {
@@ -61,24 +60,24 @@
         self.notify(now, &Event::AttemptEnded { key, outcome });
     }
 
-    /// Cancels an attempt, wherever it is.
+    /// Cancels an attempt, whether or not it has been written or assigned a connection.
     pub(super) fn cancel_attempt(&mut self, now: f64, key: AttemptKey) {
         let connect_timeout = self.router.instance_settings().limits.connect_timeout;
         let Some(id) = self.attempt_upstreams.remove(&key) else {
-            // On no connection: it was cancelled before it was sent.
+            // It was cancelled before it was assigned a connection.
             return self.router.attempt_cancelled(now, key, false);
         };
         let upstream = self.upstreams.get_mut(&id);
-        let withdrawn = upstream.and_then(|upstream| upstream.connection.cancel(key, now, connect_timeout));
-        let withdrawn = withdrawn.unwrap_or(WrittenPart::All);
-        if withdrawn == WrittenPart::Some
+        let written = upstream.and_then(|upstream| upstream.connection.cancel(key, now, connect_timeout));
+        let written = written.unwrap_or(WrittenPart::All);
+        if written == WrittenPart::Some
             && self.upstreams.get(&id).is_some_and(|u| u.connection.in_flight() == 0)
         {
-            // The rest is never written: a request that did not arrive completely never runs.
+            // The rest will never be written, and a request that was received only in part does not run.
             self.close_upstream(id);
         }
         self.flush_upstream(now, id);
-        let may_run = match withdrawn {
+        let may_run = match written {
             WrittenPart::None => false,
             WrittenPart::Some => self.upstreams.contains_key(&id),
             WrittenPart::All => true,
@@ -87,7 +86,7 @@
         self.router.attempt_cancelled(now, key, may_run);
     }
 
-    /// Takes readiness of an upstream connection from the kernel.
+    /// Records the readiness of an upstream connection that the kernel reported, and queues it.
     pub(super) fn upstream_ready(&mut self, id: UpstreamId, readiness: Readiness) {
         if let Some(upstream) = self.upstreams.get_mut(&id) {
             upstream.connection.stream.set_ready(readiness);
@@ -95,7 +94,7 @@
         }
     }
 
-    /// Takes up the end of a connect, writes what waits, and handles the answers that came.
+    /// Completes a pending connect, writes queued messages, and handles received replies.
     pub(super) fn serve_upstream(&mut self, now: f64, id: UpstreamId) {
         let Some(upstream) = self.upstreams.get_mut(&id) else { return };
         if upstream.connecting {
@@ -106,7 +105,7 @@
         }
         self.read_waiting_clients(now, id);
         self.flush_upstream(now, id);
-        // With clients' write buffers at their bound nothing more is read: it would only wait here for its clients.
+        // While the clients' write buffers exceed their bound, nothing more is read: replies could not be passed on.
         let full = self.client_buffers.output() > self.bounds.unread;
         let Some(upstream) = self.upstreams.get_mut(&id) else { return };
         let readable = upstream.connection.stream.is_readable() && !full;
@@ -127,7 +126,7 @@
         }
     }
 
-    /// Hands the complete answers that came on a connection to the router. Returns whether it is still open.
+    /// Passes the complete replies received on a connection to the router. Returns whether it is still open.
     fn take_replies(&mut self, now: f64, id: UpstreamId) -> bool {
         loop {
             let Some(upstream) = self.upstreams.get_mut(&id) else { return false };
@@ -142,7 +141,7 @@
                     self.attempt_upstreams.remove(&key);
                     self.router.reply(clock::now(), key, reply);
                 }
-                // It answers nothing that is still in flight.
+                // A reply to nothing that is still in flight is dropped.
                 Ok(Some(ReceivedReply { key: None, .. })) => {}
                 Err(error) => {
                     self.fail_upstream(now, id, &error.to_string());
@@ -153,7 +152,7 @@
         }
     }
 
-    /// Notifies the subsystems of bytes that came from a member: an answer, or bytes that complete none.
+    /// Notifies the subsystems of bytes received from a member: a complete reply, or bytes that complete none.
     fn notify_received(
         &mut self,
         now: f64,
@@ -175,8 +174,8 @@
         self.subsystems.notify(&context(now, &self.router), &event);
     }
 
-    /// Reads the clients whose attempts wait to be written on a connection: it may have been established, or taken
-    /// bytes again, after they cancelled or left.
+    /// Reads from the clients whose attempts are queued on a connection: they may have cancelled or disconnected before
+    /// the connection was established or became writable again.
     fn read_waiting_clients(&mut self, now: f64, id: UpstreamId) {
         let waiting = self
             .upstreams
@@ -191,7 +190,7 @@
         }
     }
 
-    /// Writes what waits on a connection.
+    /// Writes the queued messages of a connection.
     fn flush_upstream(&mut self, now: f64, id: UpstreamId) {
         let Some(upstream) = self.upstreams.get_mut(&id) else { return };
         let (subsystems, cx) = (&mut self.subsystems, context(now, &self.router));
@@ -202,7 +201,8 @@
         }
     }
 
-    /// A connection has ended for that reason: what was in flight on it ends by how much of it was written.
+    /// Closes a connection that failed, with the reason for the log. Each attempt in flight on it ends as reset if it
+    /// was written, else as not sent.
     pub(super) fn fail_upstream(&mut self, now: f64, id: UpstreamId, why: &str) {
         let Some(upstream) = self.upstreams.get_mut(&id) else { return };
         let lost = upstream.connection.take_lost();
--- a/crates/deckproxy/src/program/clients.rs
+++ b/crates/deckproxy/src/program/clients.rs
@@ -1,4 +1,4 @@
-//! Clients' connections: reading, writing, and their end.
+//! Client connections: reading, writing and closing.
 
 use crate::program::connections::ReadySource;
 use crate::program::gateway::{Gateway, context};
@@ -12,7 +12,7 @@
 use calloop::Readiness;
 
 impl Gateway {
-    /// Takes readiness of a client's connection from the kernel.
+    /// Records the readiness of a client's connection that the kernel reported, and queues it.
     pub(super) fn client_ready(&mut self, id: ClientId, readiness: Readiness) {
         if let Some(client) = self.clients.get_mut(&id) {
             client.stream.set_ready(readiness);
@@ -20,17 +20,17 @@
         }
     }
 
-    /// Writes to and reads from a client's connection in its turn.
+    /// Writes to and reads from a client's connection.
     pub(super) fn serve_client(&mut self, now: f64, id: ClientId) {
         self.flush_client(now, id);
         self.read_client(now, id);
     }
 
-    /// Reads and handles all that has come from a client, up to a bound.
+    /// Reads and handles all data received from a client, up to a limit.
     ///
-    /// No effects are applied here: a request that is cancelled, or whose client has closed, in what was read together
-    /// is never forwarded. Reading does not stop because answers wait, as cancellations and the end of the connection
-    /// come behind all else.
+    /// No effects are applied here, so that a request is never forwarded if its cancellation or the close of the
+    /// connection is read in the same call. Reading does not stop while answers are unwritten, as cancellations and
+    /// the close follow all other data.
     fn read_client(&mut self, now: f64, id: ClientId) {
         let began = clock::now();
         for _ in 0..limits::CLIENT_READ_AHEAD {
@@ -39,12 +39,12 @@
                 return;
             }
             match client.read(now) {
-                // A client that has closed waits for no answer: what came before the close is not handled.
+                // A client that has closed expects no answer: messages before the close are not handled.
                 Progress::Ended => return self.close_client(now, id),
                 Progress::Drained => return self.decode_messages(now, id),
                 Progress::More => self.decode_messages(now, id),
             }
-            // A closing connection's data is only dropped, and a flood of small messages must not delay others.
+            // Data on a closing connection is dropped, and a flood of small messages must not delay other connections.
             if self.clients.get(&id).is_none_or(ClientConnection::is_closing)
                 || clock::now() - began > limits::CLIENT_READ_AGE
             {
@@ -54,7 +54,7 @@
         self.queue(ReadySource::Client(id));
     }
 
-    /// Reads a client's connection also where the kernel has not reported anything to read.
+    /// Reads a client's connection even if the kernel has not reported it as readable.
     pub(super) fn recheck_client(&mut self, now: f64, id: ClientId) {
         if let Some(client) = self.clients.get_mut(&id) {
             client.stream.assume_readable();
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Reads a client's connection before an attempt is sent for it: its end or a cancellation may have come already,
-    /// even if the kernel has not reported it, as a turn took long or the process had no core.
+    /// Reads a client's connection before an attempt is sent for it: a close or a cancellation may have been received
+    /// that the kernel has not reported yet, because a turn took long or the process was not scheduled.
     pub(super) fn read_client_before_send(&mut self, now: f64, id: ClientId) {
         let Some(client) = self.clients.get_mut(&id) else { return };
         if clock::now() - client.drained_at() > limits::CLIENT_READ_AGE {
@@ -72,8 +72,8 @@
         self.read_client(now, id);
     }
 
-    /// Begins to close an idle connection, after a look at what came in the moment before: on the half-close the client
-    /// closes its side, and sends again on another connection what it sent meanwhile.
+    /// Begins to close an idle connection, unless data has just been received on it. After the half-close the client
+    /// closes its side, and repeats requests that it sent meanwhile on another connection.
     pub(super) fn close_idle_client(&mut self, now: f64, id: ClientId) {
         let idle_since = self.clients.get(&id).map(ClientConnection::idle_since);
         self.recheck_client(now, id);
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Closes a client's connection for that reason, once what is open on it is answered: nothing that comes on it is
-    /// handled any more.
+    /// Closes a client's connection, with the reason for the log, once its open requests are answered. Data received
+    /// on it from now on is not handled.
     pub(super) fn drain_client(&mut self, now: f64, id: ClientId, why: &str) {
         let Some(client) = self.clients.get_mut(&id) else { return };
         client.begin_close();
@@ -97,7 +97,7 @@
         self.flush_client(now, id);
     }
 
-    /// Writes what waits for a client, and half-closes a closing connection once all is written.
+    /// Writes a client's write buffer, and half-closes a closing connection once all is written.
     pub(super) fn flush_client(&mut self, now: f64, id: ClientId) {
         let Some(client) = self.clients.get_mut(&id) else { return };
         let (subsystems, cx) = (&mut self.subsystems, context(now, &self.router));
@@ -105,13 +105,13 @@
         if client.flush(now, sent).is_err() {
             self.close_client(now, id);
         } else if client.half_close_if_done(now) {
-            // Lingering close: from here on the client has a while to close its side.
+            // Lingering close: the client now has some time to close its side.
             self.timers.schedule(now + limits::LINGER, TimerTask::LingerExpired(id));
         }
     }
 
-    /// A closing connection has had its time. It stays as long as a request on it is open, which has its own deadline,
-    /// and a while longer if the client still sends.
+    /// Handles the end of a closing connection's linger time. The connection stays open while a request on it is
+    /// unanswered, which the request's deadline limits, and for some time while the client still sends.
     pub(super) fn linger_expired(&mut self, now: f64, id: ClientId) {
         match self.clients.get(&id) {
             Some(client) if !client.is_half_closed() && self.router.has_unanswered(id) => {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Closes a connection by a reset, as its client does not read what is written.
+    /// Resets a connection whose client does not read.
     pub(super) fn reset_client(&mut self, now: f64, id: ClientId) {
         if let Some(client) = self.clients.get(&id) {
             client.stream.reset_on_close();
@@ -133,8 +133,8 @@
         }
     }
 
-    /// Closes a connection, or one that has ended. Reads it first: the kernel would reset a connection that is closed
-    /// over unread bytes, and the client lose what was written to it.
+    /// Closes a connection and cancels the client's requests. Reads the connection first: the kernel resets a
+    /// connection that is closed with unread bytes, and the client would lose data written to it.
     pub(super) fn close_client(&mut self, now: f64, id: ClientId) {
         if let Some(mut client) = self.clients.remove(&id) {
             client.stream.read();
--- a/crates/deckproxy/src/program/collectors.rs
+++ b/crates/deckproxy/src/program/collectors.rs
@@ -1,4 +1,4 @@
-//! Connections to flow collectors: connecting, sending, and their end.
+//! Connections to flow collectors: connecting, sending and closing.
 
 use crate::program::connections::{CollectorId, ReadySource};
 use crate::program::gateway::{Gateway, context};
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 
 impl Gateway {
-    /// Closes connections that a collector has closed already, before more messages are handed to them.
+    /// Closes connections that a collector has closed, before more messages are sent on them.
     pub(super) fn close_gone_collectors(&mut self, now: f64) {
         let count = self.collectors.as_ref().map_or(0, |collectors| collectors.len());
         for index in 0..count {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Sends a message to a collector, or buffers what the kernel does not take.
+    /// Sends a message to a collector, and buffers what the kernel does not accept.
     pub(super) fn send_to_collector(&mut self, now: f64, index: usize, number: u64, message: Bytes) {
         let mut written = Vec::new();
         let collector = self.collectors.as_mut().and_then(|collectors| collectors.get_mut(index));
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Notifies of the messages that were written completely, and of progress or failure.
+    /// Notifies the subsystems of completely written messages, and of progress or failure.
     fn collector_sent(
         &mut self,
         now: f64,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Takes up the end of a connect, a close by the collector, and a socket that takes bytes again.
+    /// Completes a pending connect, handles a close by the collector, and writes buffered messages.
     pub(super) fn serve_collector(&mut self, now: f64, id: CollectorId) {
         let Some(collectors) = &mut self.collectors else { return };
         let Some(index) = collectors.position(id) else { return };
--- a/crates/deckproxy/src/program/connections.rs
+++ b/crates/deckproxy/src/program/connections.rs
@@ -1,4 +1,4 @@
-//! Identifiers of the gateway's connections, and what the event loop keeps of each of them.
+//! Identifiers of the gateway's connections, and their state in the event loop.
 
 use crate::program::subsystem::LinkId;
 use crate::routing::ClientId;
@@ -11,7 +11,7 @@
 /// A connection to a flow collector; never reused within a process.
 pub(super) type CollectorId = u64;
 
-/// A connection or socket that has something to read, write or report.
+/// A connection or socket that is ready to be served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReadySource {
     /// A client's connection.
@@ -28,7 +28,7 @@
     FleetSocket,
 }
 
-/// An upstream connection with the member that it leads to.
+/// An upstream connection and its member.
 pub(super) struct UpstreamConnection {
     /// The socket and the attempts in flight on it.
     pub(super) connection: MemberConnection,
@@ -36,11 +36,11 @@
     pub(super) member: MemberId,
     /// Address and incarnation of the member at that time.
     pub(super) endpoint: Endpoint,
-    /// The TCP handshake is not over yet.
+    /// Whether the TCP handshake is still in progress.
     pub(super) connecting: bool,
 }
 
-/// On whose behalf a client's connection is evicted.
+/// Why a client's connection is evicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EvictionReason {
     /// Another client wants to connect.
--- a/crates/deckproxy/src/program/effects.rs
+++ b/crates/deckproxy/src/program/effects.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the router and the subsystems ask for, until neither asks for more.
+//! Applying the effects of the router and the subsystems until there are no more.
 
 use crate::program::gateway::{Gateway, context};
 use crate::program::subsystem::{Context, Effect as SubsystemEffect, Event, FIRST_LINK_CLIENT, micros};
@@ -10,7 +10,7 @@
 use deckproxy_flow::scheduler::{Micros, TaskId};
 
 impl Gateway {
-    /// Carries out all effects of the router and the subsystems, and those that follow from them.
+    /// Applies all effects of the router and the subsystems, including those that they cause.
     pub(super) fn apply_effects(&mut self, now: f64) {
         loop {
             self.apply_router_effects(now);
@@ -28,7 +28,7 @@
 
     fn apply_router_effect(&mut self, now: f64, effect: Effect) {
         match effect {
-            Effect::SendAttempt { key, client, .. } if !self.is_wanted(now, key, client) => {}
+            Effect::SendAttempt { key, client, .. } if !self.should_send(now, key, client) => {}
             Effect::SendAttempt { key, member, endpoint, client, call, options, unsent_timeout } => {
                 let name = self.router.member_name(member);
                 let event = Event::AttemptSent { key, client, class: &call.class, member: name };
@@ -60,14 +60,14 @@
         }
     }
 
-    /// Whether an attempt is still to be sent, after a look at what its client sent meanwhile. If not, the router
-    /// cancels it by a later effect.
-    fn is_wanted(&mut self, now: f64, key: AttemptKey, client: ClientId) -> bool {
+    /// Whether an attempt must still be sent, after reading what its client has sent meanwhile. If not, a later effect
+    /// of the router cancels it.
+    fn should_send(&mut self, now: f64, key: AttemptKey, client: ClientId) -> bool {
         self.read_client_before_send(now, client);
         self.router.is_attempt_active(key)
     }
 
-    /// Polls the subsystems for effects and carries them out. Returns whether there were any.
+    /// Polls the subsystems for effects and applies them. Returns whether there were any.
     fn poll_subsystems(&mut self, now: f64) -> bool {
         if !self.subsystems.is_on() {
             return false;
@@ -78,7 +78,7 @@
         self.flush_links(now) || any
     }
 
-    /// Carries out the subsystems' effects that wait. Returns whether there were any.
+    /// Applies the queued effects of the subsystems. Returns whether there were any.
     pub(super) fn apply_subsystem_effects(&mut self, now: f64) -> bool {
         let mut any = false;
         while let Some(effect) = self.subsystems.next_effect() {
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Runs a subsystem's background task until that time. Returns whether it has more to do.
+    /// Runs a subsystem's background task until `end`. Returns whether it has more to do.
     pub(super) fn run_subsystem_task(&mut self, task: TaskId, end: Micros) -> bool {
         loop {
             let now = clock::now();
--- a/crates/deckproxy/src/program/event_loop.rs
+++ b/crates/deckproxy/src/program/event_loop.rs
@@ -7,16 +7,16 @@
 use crate::transport::clock;
 use deckproxy_flow::scheduler::TaskId;
 
-/// Time that a turn leaves to background work where no connection waits for its own, microseconds.
+/// Time of a turn for background work when no connection is ready, microseconds.
 const BACKGROUND_BUDGET: u64 = 2000;
-/// Connections served, and datagrams received, in one turn before the loop asks the kernel for events again.
+/// Connections served, and datagrams received, in one turn before the loop polls the kernel again.
 const BATCH: usize = 64;
 
 impl Gateway {
-    /// Runs one turn after events from the kernel: timers first, then each ready connection in its turn.
+    /// Runs one turn after events from the kernel: timers, accepting, ready connections, background work.
     ///
     /// # Errors
-    /// The loop's alarm can't be set.
+    /// The loop's timer can't be set.
     pub fn turn(&mut self) -> calloop::Result<()> {
         let start = clock::now();
         self.run_timers(start);
@@ -38,7 +38,7 @@
         self.loop_timer.set(&self.handle, self.next_timer())
     }
 
-    /// When the loop has to turn again without an event from the kernel, ms.
+    /// When the next turn is due without an event from the kernel, Unix ms.
     fn next_timer(&self) -> f64 {
         let background = self.background.next_due().map(|at| at as f64 / 1000.0);
         [self.router.next_deadline(), self.timers.next_deadline(), self.subsystems.next_due(), background]
@@ -47,7 +47,7 @@
             .fold(f64::MAX, f64::min)
     }
 
-    /// Serves the connections that were ready when this was called, a batch at most.
+    /// Serves the connections that are ready now, at most a batch.
     fn serve_ready(&mut self) {
         for _ in 0..BATCH.min(self.ready.len()) {
             let Some(source) = self.ready.pop_front() else { return };
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Receives the datagrams that wait, a batch at most.
+    /// Receives pending datagrams, at most a batch.
     fn receive_datagrams(&mut self, now: f64) {
         for _ in 0..BATCH {
             let Some((from, bytes)) = self.fleet_socket.as_mut().and_then(|socket| socket.receive()) else {
@@ -76,8 +76,8 @@
         self.queue(ReadySource::FleetSocket);
     }
 
-    /// Runs background tasks in the time that this turn has left; one that has waited for too long runs also where
-    /// none is left.
+    /// Runs background tasks in the time left of this turn. A task that has waited for its maximum delay runs even if
+    /// no time is left.
     fn run_background(&mut self, turn_start: f64) {
         let idle = self.ready.is_empty() && !self.accept_pending;
         let used = micros(clock::now()).saturating_sub(micros(turn_start));
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Runs what is due in the router, the subsystems and the loop itself.
+    /// Fires the due timers of the router, the subsystems and the loop itself.
     fn run_timers(&mut self, now: f64) {
         self.router.tick(now);
         self.subsystems.tick(&context(now, &self.router));
--- a/crates/deckproxy/src/program/feed.rs
+++ b/crates/deckproxy/src/program/feed.rs
@@ -17,7 +17,7 @@
         let Some(address) = self.feed_address.filter(|_| self.feed.is_none()) else { return };
         let mut connected = self.open_feed(address);
         if connected.as_ref().is_err_and(is_exhausted) && self.evict_client(now, EvictionReason::Internal) {
-            // An idle client's descriptor is worth less than the member list.
+            // The member list takes precedence over an idle client.
             connected = self.open_feed(address);
         }
         match connected {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Takes up the end of a connect, writes the poll, and handles the lines that came.
+    /// Completes a pending connect, writes the poll, and handles received lines.
     pub(super) fn serve_feed(&mut self, now: f64) {
         let Some(feed) = &mut self.feed else { return };
         match feed.stream.is_connecting() {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Handles the complete lines that came. Returns whether the connection is still open.
+    /// Handles the complete lines received. Returns whether the connection is still open.
     fn take_feed_lines(&mut self, now: f64) -> bool {
         loop {
             let Some(feed) = &mut self.feed else { return false };
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Handles a line. Returns false where events before it are missing and the feed was not polled for them yet.
+    /// Handles a line. Returns false if events before it are missing and the feed has not been polled for them yet.
     fn take_feed_line(&mut self, now: f64, line: FeedLine) -> bool {
         match line {
             FeedLine::Last(last) => {
@@ -103,13 +103,13 @@
         true
     }
 
-    /// Whether the feed was polled already for what follows the last event; if not, it will be by the next poll.
+    /// Whether the feed was already polled again for the events after the last one. Records that the next poll does so.
     fn is_gap_final(&mut self) -> bool {
         let last = Some(self.router.last_event());
         std::mem::replace(&mut self.feed_gap_polled, last) == last
     }
 
-    /// Closes the feed's connection for that reason, and connects again after a backoff.
+    /// Closes the feed's connection, with the reason for the log, and reconnects after a backoff.
     pub(super) fn reconnect_feed_later(&mut self, now: f64, why: &str) {
         if let Some(feed) = self.feed.take() {
             feed.stream.close(&self.handle);
--- a/crates/deckproxy/src/program/gateway.rs
+++ b/crates/deckproxy/src/program/gateway.rs
@@ -1,7 +1,7 @@
-//! The state of one gateway: its connections, the router between them, its timers and its subsystems.
+//! The state of one gateway: its connections, router, timers and subsystems.
 //!
-//! The methods stand in one module for each concern: `event_loop` (turns, timers, background work), `effects` (what
-//! the router and the subsystems ask for), `accept`, `eviction`, `clients`, `client_messages`, `upstream_pool`,
+//! Its methods are grouped by concern: `event_loop` (turns, timers, background work), `effects` (effects of the router
+//! and the subsystems), `accept`, `eviction`, `clients`, `client_messages`, `upstream_pool`,
 //! `attempts`, `site_links`, `collectors`, `feed`, `housekeeping`, `reload`, `shutdown` and `summary`.
 
 use crate::program::connections::{ReadySource, UpstreamConnection, UpstreamId};
@@ -36,21 +36,21 @@
     TaskSettings { priority_weight: 4, time_slice: 500, max_delay: 50_000 };
 /// Scheduling of the periodic summary among the background tasks: slice and longest delay in microseconds.
 const SUMMARY_TASK: TaskSettings = TaskSettings { priority_weight: 1, time_slice: 1000, max_delay: 500_000 };
-/// Time between two looks at idle and stalled connections, ms.
+/// Time between two checks for idle and stalled connections, ms.
 pub(super) const HOUSEKEEPING_INTERVAL: f64 = 250.0;
 /// Time between two summaries in the log, ms.
 pub(super) const SUMMARY_INTERVAL: f64 = 10_000.0;
-/// Log lines about single peers in one summary interval; a flood of them would hide all others.
-const PEER_LINES: u32 = 50;
+/// Limit on log lines about single peers in one summary interval, so that they don't crowd out others.
+const MAX_PEER_LINES: u32 = 50;
 
-/// How far a graceful shutdown has come.
+/// The phase of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ShutdownPhase {
-    /// No shutdown was asked for.
+    /// No shutdown has begun.
     Running,
-    /// Everything that still comes is served.
+    /// New connections and requests are still served.
     Draining,
-    /// Connections that wait are accepted once more, and new requests on all connections rejected.
+    /// Pending connections are accepted a last time, and new requests are rejected on all connections.
     Rejecting,
 }
 
@@ -61,31 +61,31 @@
     pub(super) router: Router,
     pub(super) loop_timer: LoopTimer<Gateway>,
     pub(super) timers: Timers<TimerTask>,
-    /// Where clients connect; none once a shutdown has closed it.
+    /// The listener for clients; `None` once a shutdown has closed it.
     pub(super) listener: Option<Listener>,
     pub(super) clients: BTreeMap<ClientId, ClientConnection>,
     pub(super) upstreams: BTreeMap<UpstreamId, UpstreamConnection>,
-    /// Upstream connections by the member that they lead to.
+    /// Upstream connections by member.
     pub(super) upstream_pools: HashMap<MemberId, Vec<UpstreamId>>,
     /// The upstream connection that carries each attempt or health check.
     pub(super) attempt_upstreams: HashMap<AttemptKey, UpstreamId>,
-    /// The clients' address in force.
+    /// The address that clients connect to.
     pub(super) listen: SocketAddr,
     pub(super) feed_address: Option<SocketAddr>,
     pub(super) feed: Option<FeedConnection>,
     /// Delay before the next connection to the feed, ms; grows with each failure.
     pub(super) feed_backoff: f64,
-    /// The last event before a gap for which the feed was polled again.
+    /// The last event before the gap for which the feed was polled again.
     pub(super) feed_gap_polled: Option<u64>,
-    /// Connections that wait for their turn, each at most once.
+    /// Queue of connections to be served, each at most once.
     pub(super) ready: VecDeque<ReadySource>,
-    /// Clients may wait to be accepted.
+    /// Whether connections may be pending on the listener.
     pub(super) accept_pending: bool,
-    /// A timer will have accepting tried again.
+    /// Whether a timer for a retry of accepting is scheduled.
     pub(super) accept_retry_scheduled: bool,
-    /// The number given to a connection last.
+    /// The id of the newest connection.
     pub(super) last_connection_id: u64,
-    /// How many connections and bytes may be held.
+    /// Limits on connections and buffered bytes.
     pub(super) bounds: Bounds,
     /// Bytes buffered on clients' connections.
     pub(super) client_buffers: Rc<BufferUsage>,
@@ -93,24 +93,24 @@
     pub(super) upstream_buffers: Rc<BufferUsage>,
     /// Bytes buffered on the feed's connection.
     pub(super) feed_buffers: Rc<BufferUsage>,
-    /// What an operator file switched on.
+    /// The subsystems that the operator file enables.
     pub(super) subsystems: Subsystems,
-    /// Links to gateways of other sites, where there are such.
+    /// Links to gateways of other sites, if the operator file configures sites.
     pub(super) site_links: Option<Box<SiteLinks>>,
-    /// Connections to flow collectors, where there are such.
+    /// Connections to flow collectors, if there are collectors.
     pub(super) collectors: Option<Box<CollectorConnections>>,
-    /// The socket shared with the fleet's other instances, where there are such.
+    /// The datagram socket for the fleet's other instances, if the operator file configures a fleet.
     pub(super) fleet_socket: Option<Box<DatagramSocket>>,
-    /// Work for the time that requests leave.
+    /// Background tasks, which run when no connection is ready or their maximum delay has passed.
     pub(super) background: Scheduler,
     pub(super) housekeeping_task: TaskId,
     pub(super) summary_task: TaskId,
     pub(super) shutdown: ShutdownPhase,
-    /// A shutdown is complete: the process may end.
+    /// Whether a shutdown is complete and the process may end.
     pub(super) done: bool,
-    /// Lines about single peers in this summary interval.
+    /// Log lines about single peers in this summary interval, including suppressed ones.
     pub(super) peer_lines_logged: u32,
-    /// That no descriptor is left for clients was logged in this summary interval.
+    /// Whether a lack of descriptors for clients was logged in this summary interval.
     pub(super) exhaustion_logged: bool,
     /// Most connections to clients and members at one time.
     pub(super) peak_connections: usize,
@@ -118,12 +118,12 @@
     pub(super) longest_turn: f64,
 }
 
-/// What subsystems may look at, while the gateway's other fields are in use.
+/// The context for subsystems. A function, so that the gateway's other fields can be borrowed at the same time.
 pub(super) fn context(now: f64, router: &Router) -> Context<'_> {
     Context { now, router, full: false }
 }
 
-/// Binds the address for links of other sites' gateways, where an operator file names one.
+/// Binds the address for links of other sites' gateways, if the operator file has one.
 fn bind_site_links(
     handle: &LoopHandle<'static, Gateway>,
     sockets: usize,
@@ -146,7 +146,7 @@
     Ok(Some(Box::new(SiteLinks::new(listener, sockets))))
 }
 
-/// Binds the address for datagrams of the fleet's other instances, where an operator file names one.
+/// Binds the address for datagrams of the fleet's other instances, if the operator file has one.
 fn bind_fleet_socket(
     handle: &LoopHandle<'static, Gateway>,
     operator: &Operator,
@@ -167,10 +167,11 @@
 }
 
 impl Gateway {
-    /// Starts a gateway: it listens, applies the last known member list, and begins to connect to the feed.
+    /// Starts a gateway: listens for clients, applies the last known member list, and schedules the connection to the
+    /// feed.
     ///
     /// # Errors
-    /// An address can't be bound, or a subsystem can't be started as the operator file asks.
+    /// An address can't be bound, or a subsystem can't be started with its settings in the operator file.
     pub fn new(handle: LoopHandle<'static, Gateway>, log: Logger, files: Files) -> Result<Self, StartError> {
         let now = clock::now();
         let Files { config, operator } = files;
@@ -231,7 +232,7 @@
         Ok(gateway)
     }
 
-    /// Sets the bounds for clients and members, from the process's memory in MB and its descriptors less those
+    /// Sets the bounds for clients and members from the process's memory in MB and its descriptors, without those
     /// reserved for links, collectors and the fleet's socket.
     pub(super) fn set_bounds(&mut self, memory: f64, sockets: usize) {
         let links = self.site_links.as_ref().map_or(0, |links| links.limit);
@@ -245,7 +246,7 @@
         self.done
     }
 
-    /// Whether there is something to do without an event from the kernel.
+    /// Whether there is work to do without an event from the kernel.
     pub fn is_busy(&self) -> bool {
         !self.ready.is_empty() || self.accept_pending || self.background.is_ready()
     }
@@ -255,12 +256,12 @@
         self.shutdown != ShutdownPhase::Running
     }
 
-    /// Whether a graceful shutdown has come to where new requests are rejected.
+    /// Whether a graceful shutdown has reached the phase in which new requests are rejected.
     pub(super) fn is_rejecting(&self) -> bool {
         self.shutdown == ShutdownPhase::Rejecting
     }
 
-    /// Whether connections and bodies hold as many bytes as they may.
+    /// Whether the bytes buffered for connections and bodies exceed their bound.
     pub(super) fn is_memory_full(&self) -> bool {
         let (clients, upstreams) = (&self.client_buffers, &self.upstream_buffers);
         let buffered = clients.input() + clients.output() + upstreams.input();
@@ -270,28 +271,28 @@
         buffered + bodies + links + collectors > self.bounds.buffered
     }
 
-    /// Numbers a new connection.
+    /// Allocates the id for a new connection.
     pub(super) fn next_connection_id(&mut self) -> u64 {
         self.last_connection_id += 1;
         self.last_connection_id
     }
 
-    /// Queues a connection for its turn, once.
+    /// Queues a connection to be served, unless it is queued already.
     pub(super) fn queue(&mut self, source: ReadySource) {
         if !self.ready.contains(&source) {
             self.ready.push_back(source);
         }
     }
 
-    /// Notifies the subsystems of an event that borrows nothing from the gateway.
+    /// Notifies the subsystems of an event that does not borrow from the gateway.
     pub(super) fn notify(&mut self, now: f64, event: &Event<'_>) {
         self.subsystems.notify(&context(now, &self.router), event);
     }
 
-    /// Logs a line about a single peer; only so many are written in a summary interval.
+    /// Logs a line about a single peer, up to [`MAX_PEER_LINES`] in a summary interval.
     pub(super) fn log_peer(&mut self, text: &str) {
         self.peer_lines_logged += 1;
-        if self.peer_lines_logged <= PEER_LINES {
+        if self.peer_lines_logged <= MAX_PEER_LINES {
             warn!(self.log, "peer"; "what" => text.to_string());
         }
     }
--- a/crates/deckproxy/src/program/housekeeping.rs
+++ b/crates/deckproxy/src/program/housekeeping.rs
@@ -1,4 +1,4 @@
-//! Periodic looks at connections: idle ones are closed, stalled ones reset, unread upstream data is read again.
+//! Periodic checks of connections: closes idle ones, resets stalled ones, and resumes reading from paused upstreams.
 
 use crate::program::connections::{ReadySource, UpstreamConnection, UpstreamId};
 use crate::program::gateway::Gateway;
@@ -8,7 +8,7 @@
 use slog::debug;
 
 impl Gateway {
-    /// One round of housekeeping.
+    /// Runs one round of housekeeping.
     pub(super) fn housekeeping(&mut self, now: f64) {
         self.notify(now, &Event::Housekeeping);
         if self.feed.as_ref().is_some_and(|feed| now - feed.last_line_at > limits::FEED_SILENCE) {
@@ -41,7 +41,8 @@
         }
     }
 
-    /// Resets, drains or closes a client's connection that stalls, keeps a message waiting or is idle for too long.
+    /// Resets a client's connection that is stalled, drains one that delays the rest of a message, or closes one that
+    /// is idle for too long.
     fn check_client(&mut self, now: f64, id: ClientId) {
         let Some(client) = self.clients.get(&id) else { return };
         let idle = now - client.idle_since();
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Queues the upstream connections that were not read while clients' write buffers were at their bound.
+    /// Queues the upstream connections that were not read while the clients' write buffers exceeded their bound.
     fn resume_upstreams(&mut self) {
         let readable = self.upstreams.iter().filter(|(_, upstream)| upstream.connection.stream.is_readable());
         for id in readable.map(|(id, _)| *id).collect::<Vec<_>>() {
@@ -64,7 +65,7 @@
         }
     }
 
-    /// With clients' write buffers over their bound, resets the client's connection that holds most.
+    /// Resets the client connection with the most buffered bytes, as the clients' write buffers exceed their bound.
     fn reset_largest_client(&mut self, now: f64) {
         let largest =
             self.clients.iter().max_by_key(|(_, client)| client.buffered_bytes()).map(|(id, _)| *id);
--- a/crates/deckproxy/src/program/recovery.rs
+++ b/crates/deckproxy/src/program/recovery.rs
@@ -1,4 +1,5 @@
-//! Admission control against retry storms, before the router: which requests pass, and the Retry-After of the others.
+//! Admission control against retry storms: decides which requests reach the router, and sets the Retry-After of
+//! rejected ones.
 
 use crate::program::subsystem::{
     ClientIdentities, Context, Effects, Event, Field, OpenRequests, RequestKey, Subsystem, Verdict,
@@ -18,17 +19,17 @@
     admission: Admission,
     /// Indices of the classes by name.
     classes: HashMap<Box<str>, usize>,
-    /// Requests that passed, with their objects.
+    /// Admitted requests that are open, with their objects.
     open: OpenRequests<u64>,
     identities: ClientIdentities,
-    /// Whether clients get a Retry-After.
+    /// Whether rejections carry a Retry-After.
     sends_retry_after: bool,
-    /// A storm was on when that was logged last.
+    /// Whether the last log line reported the start of a storm.
     storm_logged: bool,
 }
 
 impl Recovery {
-    /// Starts what the operator file asks for; none where it asks for nothing.
+    /// Starts the admission control; `None` if the operator file does not enable it.
     pub(super) fn start(
         log: &Logger,
         instance_settings: &InstanceSettings,
@@ -52,12 +53,12 @@
         }))
     }
 
-    /// Whether clients' addresses are wanted.
+    /// Whether it needs the clients' addresses.
     pub(super) fn wants_addresses(&self) -> bool {
         self.identities.wants_addresses()
     }
 
-    /// Logs when a retry storm has begun or ended.
+    /// Logs the start or end of a retry storm.
     fn log_storm(&mut self) {
         let cap = self.admission.cap();
         if std::mem::replace(&mut self.storm_logged, cap.is_some()) == cap.is_some() {
@@ -85,7 +86,7 @@
     }
 
     fn request(&mut self, cx: &Context<'_>, request: RequestKey, call: &Call, _: &mut Effects) -> Verdict {
-        // A request of an unknown class is left to the router, which answers it as unusable.
+        // The router answers requests of unknown classes as invalid.
         let Some(class) = self.classes.get(&call.class).copied() else { return Verdict::Pass };
         let client = self.identities.identity(request.0);
         let key = retries::RequestKey { client, object: call.object.number };
@@ -101,14 +102,14 @@
         }
     }
 
-    /// Takes the final answer; a rejection is sent with the Retry-After that the admission control sets.
+    /// Records the final answer; replaces the Retry-After of a rejection by that of the admission control.
     fn answer(&mut self, cx: &Context<'_>, request: RequestKey, answer: &Answer) -> Option<Answer> {
         let object = self.open.remove(request)?;
         let (outcome, retry_after) = match answer {
             Answer::Served(_) | Answer::NotModified => (RequestOutcome::Served, 0.0),
             Answer::Rejected(retry_after) => (RequestOutcome::Rejected, *retry_after),
             Answer::Failed => (RequestOutcome::Failed, 0.0),
-            // That says nothing of the load.
+            // An invalid request says nothing about the load.
             Answer::Invalid(_) => return None,
         };
         let client = self.identities.identity(request.0);
--- a/crates/deckproxy/src/program/reload.rs
+++ b/crates/deckproxy/src/program/reload.rs
@@ -7,15 +7,16 @@
 use slog::{info, warn};
 
 impl Gateway {
-    /// Takes from a new configuration what may change while serving: the feed's address, where it is polled at once
-    /// for what follows the last event, and the limits. All else needs a restart, and a configuration that can't be
-    /// used changes nothing. No connection of a client or member is touched.
+    /// Applies the parts of a new configuration and operator file that may change while serving: the feed's address,
+    /// the limits, and settings of subsystems. Reconnects to the feed at once and polls it for the events after the
+    /// last one. All else needs a restart, and a configuration that can't be used changes nothing. Connections of
+    /// clients and members stay open.
     pub fn reload(&mut self, now: f64, read: impl Fn() -> Result<Files, FileError>) {
         let mut files = read();
         if files.as_ref().is_err_and(FileError::is_exhausted)
             && self.evict_client(now, EvictionReason::Internal)
         {
-            // The gateway lacked a descriptor: nobody asks for this reload again, and the feed may have moved.
+            // Retry with the freed descriptor: the signal is not repeated, and the feed's address may have changed.
             files = read();
         }
         let Files { config, operator } = match files {
@@ -33,7 +34,7 @@
         self.apply_subsystem_effects(now);
         self.set_bounds(config.memory, config.sockets);
         self.feed_address = config.feed;
-        // Also where the address is the same: whoever asks for a reload doubts what is known.
+        // Even if the address is unchanged: a reload also serves to refresh the member list.
         if let Some(feed) = self.feed.take() {
             feed.stream.close(&self.handle);
         }
--- a/crates/deckproxy/src/program/shutdown.rs
+++ b/crates/deckproxy/src/program/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown: what still comes is served for a while, then new requests are rejected, then what is open fails,
-//! and the process ends once all answers are written.
+//! Graceful shutdown: new requests are served for some time, then rejected, then requests that are still open fail. The
+//! process ends once all answers are written.
 
 use crate::program::gateway::{Gateway, ShutdownPhase, context};
 use crate::program::subsystem::Event;
@@ -8,7 +8,7 @@
 use slog::info;
 
 impl Gateway {
-    /// Begins a graceful shutdown; the process ends by itself once it is complete. Does nothing if one has begun.
+    /// Begins a graceful shutdown, unless one has begun; the process ends once it is complete.
     pub fn terminate(&mut self, now: f64) {
         if self.is_shutting_down() {
             return;
@@ -17,7 +17,7 @@
         self.shutdown = ShutdownPhase::Draining;
         self.timers.schedule(now + limits::DRAIN_ACCEPT, TimerTask::RejectNewRequests);
         self.notify(now, &Event::ShutdownBegan);
-        // The fleet's other instances are notified at once, and the address is free for a successor.
+        // Notify the fleet's other instances at once, and free the address for the next process.
         self.apply_effects(now);
         if let Some(socket) = self.fleet_socket.take() {
             socket.close(&self.handle);
@@ -28,9 +28,9 @@
         self.timers.schedule(now + last, TimerTask::FailOpenRequests);
     }
 
-    /// The process is about to be killed: whatever is open fails, and all connections close soon.
+    /// Fails all open requests and schedules the close of all client connections, before the process is killed.
     pub(super) fn fail_open_requests(&mut self, now: f64) {
-        // A stream of new clients must not delay the end: those that wait now are not accepted.
+        // Pending connections are not accepted, so that a stream of new clients can't delay the end.
         if let Some(listener) = self.listener.take() {
             listener.close(&self.handle);
         }
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Whether a shutdown has nothing left to answer or to write to other sites.
+    /// Whether a shutdown has no unanswered requests and nothing to write to other sites.
     pub(super) fn has_settled(&mut self) -> bool {
         self.is_shutting_down()
             && self.listener.is_none()
@@ -51,8 +51,8 @@
             && self.site_links.as_ref().is_none_or(|links| links.is_written())
     }
 
-    /// All is answered: closes clients' connections once that is written and nothing came in the moment before, then
-    /// has the subsystems finish.
+    /// Closes the client connections once their answers are written and no data has just been received on them, then
+    /// finishes the subsystems. Called once all requests are answered.
     pub(super) fn finish_shutdown(&mut self, now: f64) {
         for id in self.clients.keys().copied().collect::<Vec<_>>() {
             self.close_idle_client(now, id);
@@ -61,7 +61,7 @@
             return;
         }
         if self.subsystems.counts_members() {
-            // Bytes that came on them and were not read count too.
+            // Closing an upstream connection also counts its received bytes that complete no reply.
             for id in self.upstreams.keys().copied().collect::<Vec<_>>() {
                 self.close_upstream(id);
             }
--- a/crates/deckproxy/src/program/site_links.rs
+++ b/crates/deckproxy/src/program/site_links.rs
@@ -1,4 +1,4 @@
-//! Links to gateways of other sites: accepting, connecting, frames, pieces of bodies, and their end.
+//! Links to gateways of other sites: accepting, connecting, frames, pieces of bodies, and closing.
 
 use crate::program::connections::{EvictionReason, ReadySource};
 use crate::program::gateway::{Gateway, context};
@@ -12,11 +12,11 @@
 use deckproxy_sites::frame::Frame;
 use std::net::{SocketAddr, TcpStream};
 
-/// Pieces of bodies written to one connection before others have their turn.
-const PIECES: usize = 32;
+/// Pieces of bodies written to one link before other connections are served.
+const PIECES_PER_TURN: usize = 32;
 
 impl Gateway {
-    /// Accepts the links that wait.
+    /// Accepts pending links.
     pub(super) fn accept_links(&mut self, now: f64) {
         loop {
             let Some(links) = &mut self.site_links else { return };
@@ -26,7 +26,7 @@
                 Accepted::None => return,
                 Accepted::Exhausted => {
                     if !self.evict_client(now, EvictionReason::Internal) {
-                        // The kernel reports those that wait only when another one comes.
+                        // Retry later: the kernel reports the pending connections only when another one arrives.
                         self.log_peer("no descriptor is left for a link");
                         self.schedule_accept_retry(now);
                         return;
@@ -41,7 +41,8 @@
         if self.site_links.as_ref().is_none_or(|links| links.open.len() >= links.limit) {
             return self.log_peer("a link is rejected: too many connections");
         }
-        // A short send buffer: what is more urgent must not wait behind much. Fails only where the socket is gone.
+        // A small send buffer, so that urgent frames are not queued behind much data. Fails only if the socket is
+        // closed.
         let _ = socket2::SockRef::from(&socket).set_send_buffer_size(limits::LINK_SEND_BUFFER);
         let id = self.next_connection_id();
         let Some(links) = &mut self.site_links else { return };
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Connects to a peer's gateway; with no address, or no place for a connection, that fails at once.
+    /// Connects to a peer's gateway; fails at once if there is no address or the limit on links is reached.
     pub(super) fn connect_link(
         &mut self,
         now: f64,
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Closes a link that is not established in time.
+    /// Closes a link that was not established in time.
     pub(super) fn link_connect_timeout(&mut self, now: f64, id: LinkId) {
         let link = self.site_links.as_ref().and_then(|links| links.open.get(&id));
         if link.is_some_and(|link| link.connecting.is_some()) {
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Has a link closed once its write buffer is empty.
+    /// Closes a link once its write buffer is empty.
     pub(super) fn close_link_when_written(&mut self, id: LinkId, why: &str) {
         if let Some(links) = &mut self.site_links
             && let Some(link) = links.open.get_mut(&id)
@@ -119,7 +120,7 @@
         self.log_peer(&format!("a link closes: {why}"));
     }
 
-    /// Takes up the end of a connect and what came on a link, and has it written to.
+    /// Completes a pending connect, reads and handles received frames, and schedules a write.
     pub(super) fn serve_link(&mut self, now: f64, id: LinkId) {
         if !self.is_link_established(now, id) {
             return;
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Whether a link's connection is established; one whose connect failed is closed.
+    /// Whether a link is established; closes it if its connect failed.
     fn is_link_established(&mut self, now: f64, id: LinkId) -> bool {
         let link = self.site_links.as_mut().and_then(|links| links.open.get_mut(&id));
         let Some(link) = link else { return false };
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Hands the complete frames that came on a link to the subsystem. Returns whether the link is still open.
+    /// Passes the complete frames received on a link to the subsystem. Returns whether the link is still open.
     fn take_frames(&mut self, now: f64, id: LinkId) -> bool {
         loop {
             let link = self.site_links.as_mut().and_then(|links| links.open.get_mut(&id));
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Writes to all links that have something to write. Returns whether there were any.
+    /// Writes to all links that are queued for writing. Returns whether there were any.
     pub(super) fn flush_links(&mut self, now: f64) -> bool {
         let mut any = false;
         while let Some(id) = self.site_links.as_mut().and_then(|links| links.to_flush.pop_first()) {
@@ -191,9 +192,9 @@
         any
     }
 
-    /// Writes what waits on a link, and pieces of bodies as long as it takes them.
+    /// Writes a link's write buffer, then pieces of bodies while the link accepts them.
     fn flush_link(&mut self, now: f64, id: LinkId) {
-        for _ in 0..PIECES {
+        for _ in 0..PIECES_PER_TURN {
             let Some(links) = &mut self.site_links else { return };
             let Some(link) = links.open.get_mut(&id) else { return };
             if link.connecting.is_some() {
@@ -210,11 +211,11 @@
             let Some(piece) = piece else { return };
             link.send(&piece);
         }
-        // Other connections have their turn first.
+        // Other connections are served first.
         self.queue(ReadySource::Link(id));
     }
 
-    /// Closes a link, or one that has ended.
+    /// Closes a link and notifies the subsystems.
     fn close_link(&mut self, now: f64, id: LinkId) {
         let Some(links) = &mut self.site_links else { return };
         let Some(mut link) = links.open.remove(&id) else { return };
--- a/crates/deckproxy/src/program/subsystems.rs
+++ b/crates/deckproxy/src/program/subsystems.rs
@@ -1,4 +1,4 @@
-//! The subsystems that are switched on, and the effects of theirs that wait.
+//! The enabled subsystems and their queued effects.
 
 use crate::program::fleet::Fleet;
 use crate::program::flows::Flows;
@@ -16,7 +16,7 @@
 use deckproxy_sites::frame::Frame;
 use slog::{Logger, warn};
 
-/// All subsystems, each switched on or off, in the order in which they get events.
+/// All subsystems, each enabled or not, in the order in which they are notified of events.
 pub struct Subsystems {
     /// Admission control against retry storms.
     recovery: Option<Box<Recovery>>,
@@ -26,13 +26,13 @@
     sites: Option<Box<Sites>>,
     /// The other instances of the fleet.
     fleet: Option<Box<Fleet>>,
-    /// Effects that wait to be carried out.
+    /// Effects that have not been applied yet.
     effects: Effects,
-    /// Whether any is on.
+    /// Whether any subsystem is enabled.
     on: bool,
 }
 
-/// Each subsystem's part of the summary in the log; `off` for one that is off.
+/// Each subsystem's section of the summary in the log; `off` for one that is not enabled.
 pub struct Summaries {
     /// Links to gateways of other sites.
     pub sites: String,
@@ -45,10 +45,10 @@
 }
 
 impl Subsystems {
-    /// Starts what the operator file asks for.
+    /// Starts the subsystems that the operator file enables.
     ///
     /// # Errors
-    /// The fleet can't be started: a name of its settings is missing or unusable.
+    /// The fleet can't be started: a name in its settings is missing or invalid.
     pub fn start(
         log: &Logger,
         now: f64,
@@ -66,7 +66,7 @@
         Ok(Subsystems { recovery, flows, sites, fleet, effects: Effects::new(), on })
     }
 
-    /// Those that are on, in the order in which they get events, and the queue for their effects.
+    /// The enabled subsystems, in the order in which they are notified of events, and the queue for their effects.
     fn all(&mut self) -> (impl Iterator<Item = &mut dyn Subsystem>, &mut Effects) {
         fn one<'a, S: Subsystem + 'a>(slot: &'a mut Option<Box<S>>) -> Option<&'a mut dyn Subsystem> {
             slot.as_deref_mut().map(|subsystem| subsystem as &mut dyn Subsystem)
@@ -75,17 +75,17 @@
         (all.into_iter().flatten(), &mut self.effects)
     }
 
-    /// Whether any is on.
+    /// Whether any subsystem is enabled.
     pub fn is_on(&self) -> bool {
         self.on
     }
 
-    /// Whether links join this site with others.
+    /// Whether links to other sites are enabled.
     pub fn has_sites(&self) -> bool {
         self.sites.is_some()
     }
 
-    /// Whether clients' addresses are wanted.
+    /// Whether any subsystem needs the clients' addresses.
     pub fn wants_addresses(&self) -> bool {
         self.flows.is_some()
             || self.recovery.as_ref().is_some_and(|r| r.wants_addresses())
@@ -97,27 +97,27 @@
         self.flows.as_ref().map_or(0, |f| f.collectors())
     }
 
-    /// Whether a background task hands messages to collectors.
+    /// Whether a background task sends messages to collectors.
     pub fn sends_to_collectors(&self, task: TaskId) -> bool {
         self.flows.as_ref().is_some_and(|f| f.is_send_task(task))
     }
 
-    /// Whether a subsystem took over a client's request of that id and has not answered it.
+    /// Whether a subsystem has taken over a client's request with this id and not answered it.
     pub fn has_request(&self, client: ClientId, id: u32) -> bool {
         self.sites.as_ref().is_some_and(|s| s.has_request((client, id)))
     }
 
-    /// The next piece of a body for a link whose write buffer takes more.
+    /// The next piece of a body for a link whose write buffer accepts more.
     pub fn body_piece(&mut self, link: LinkId) -> Option<Frame> {
         self.sites.as_mut().and_then(|s| s.body_piece(link))
     }
 
-    /// The next effect to be carried out.
+    /// The next effect to apply.
     pub fn next_effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
 
-    /// Notifies all of an event.
+    /// Notifies all enabled subsystems of an event.
     pub fn notify(&mut self, cx: &Context<'_>, event: &Event<'_>) {
         if !self.on {
             return;
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Notifies of bytes that came on a link: flows with the site at its other end, sites without.
+    /// Notifies flows and sites of bytes received on a link; only flows need the site at its other end.
     pub fn link_bytes_received(&mut self, cx: &Context<'_>, link: LinkId, bytes: usize) {
         let Subsystems { flows, sites, effects, .. } = self;
         let Some(sites) = sites else { return };
@@ -139,7 +139,7 @@
         sites.event(cx, &Event::LinkBytesReceived { link, site: None, bytes }, effects);
     }
 
-    /// Notifies flows of bytes that the kernel took for a link.
+    /// Notifies flows of bytes written to a link.
     pub fn link_bytes_sent(&mut self, cx: &Context<'_>, link: LinkId, bytes: usize) {
         let Subsystems { flows, sites, effects, .. } = self;
         if let (Some(sites), Some(flows)) = (sites, flows) {
@@ -148,34 +148,35 @@
         }
     }
 
-    /// Decides on a client's request: the first verdict that is not `Pass` counts, and later subsystems are not asked.
+    /// Decides on a client's request: the first verdict other than `Pass` is returned, without consulting the
+    /// subsystems after it.
     pub fn request(&mut self, cx: &Context<'_>, request: RequestKey, call: &Call) -> Verdict {
         let (all, out) = self.all();
         let mut verdicts = all.map(|subsystem| subsystem.request(cx, request, call, out));
         verdicts.find(|verdict| !matches!(verdict, Verdict::Pass)).unwrap_or(Verdict::Pass)
     }
 
-    /// The answer to send a client in place of this one, if another.
+    /// A replacement for a final answer, if a subsystem has one.
     pub fn answer(&mut self, cx: &Context<'_>, request: RequestKey, answer: &Answer) -> Option<Answer> {
         let (mut all, _) = self.all();
         all.find_map(|subsystem| subsystem.answer(cx, request, answer))
     }
 
-    /// Takes the answer to a request that came over a link and was served by the router.
+    /// Handles the router's answer to a request that was received over a link.
     pub fn routed(&mut self, cx: &Context<'_>, client: ClientId, answer: Answer, copy: Option<CopyInfo>) {
         if let Some(sites) = &mut self.sites {
             sites.routed(cx, client, answer, copy, &mut self.effects);
         }
     }
 
-    /// Takes a frame that came on a link.
+    /// Handles a frame received on a link.
     pub fn frame(&mut self, cx: &Context<'_>, link: LinkId, frame: Frame) {
         if let Some(sites) = &mut self.sites {
             sites.frame(cx, link, frame, &mut self.effects);
         }
     }
 
-    /// Collects the effects that the subsystems want carried out by now.
+    /// Collects the effects that are due.
     pub fn poll(&mut self, cx: &Context<'_>) {
         let (all, out) = self.all();
         for subsystem in all {
@@ -183,14 +184,14 @@
         }
     }
 
-    /// When the first of them wants a tick, ms.
+    /// When the next tick of a subsystem is due, Unix ms.
     pub fn next_due(&self) -> Option<f64> {
         let sites = self.sites.as_ref().and_then(|s| s.next_due());
         let fleet = self.fleet.as_ref().and_then(|f| f.next_due());
         sites.into_iter().chain(fleet).min_by(f64::total_cmp)
     }
 
-    /// Ticks those whose time has come.
+    /// Ticks the subsystems whose tick is due.
     pub fn tick(&mut self, cx: &Context<'_>) {
         let (all, out) = self.all();
         for subsystem in all {
@@ -200,24 +201,24 @@
         }
     }
 
-    /// Runs a background task until that time at most. Returns whether it has more to do.
+    /// Runs a background task until `end` at the latest. Returns whether it has more to do.
     pub fn run_task(&mut self, cx: &Context<'_>, task: TaskId, end: Micros) -> bool {
         let (mut all, out) = self.all();
         all.find_map(|subsystem| subsystem.run_task(cx, task, end, out)).unwrap_or(false)
     }
 
-    /// Bytes that they hold beside those that wait on connections.
+    /// Bytes buffered by subsystems, without those in connections' buffers.
     pub fn buffered_bytes(&self) -> usize {
         self.sites.as_ref().map_or(0, |s| s.buffered_bytes())
     }
 
-    /// Whether none owes an answer any more.
+    /// Whether no subsystem has unanswered requests.
     pub fn is_settled(&mut self) -> bool {
         let (mut all, _) = self.all();
         all.all(|subsystem| subsystem.is_settled())
     }
 
-    /// The process is about to be killed: has all answer what is open as failed.
+    /// Answers all open requests of the subsystems as failed, before the process is killed.
     pub fn fail_open(&mut self, cx: &Context<'_>) {
         let (all, out) = self.all();
         for subsystem in all {
@@ -225,23 +226,24 @@
         }
     }
 
-    /// All requests are answered and all clients gone. Returns whether no subsystem has anything left to do.
+    /// Finishes all subsystems, once all requests are answered and all client connections closed. Returns whether no
+    /// subsystem has anything left to do.
     pub fn finish(&mut self, cx: &Context<'_>) -> bool {
         let (all, out) = self.all();
         let mut done = true;
         for subsystem in all {
-            // Each has its turn, also after one that is not done yet.
+            // No short-circuit: each subsystem must finish, even after one that is not done yet.
             done &= subsystem.finish(cx, out);
         }
         done
     }
 
-    /// Whether bytes on upstream connections are counted: these have to be closed before [`Subsystems::finish`].
+    /// Whether bytes on upstream connections are counted, so that these must be closed before [`Subsystems::finish`].
     pub fn counts_members(&self) -> bool {
         self.flows.is_some()
     }
 
-    /// Takes what a new operator file may change while serving.
+    /// Applies the settings of a new operator file that may change while serving.
     pub fn reload(&mut self, log: &Logger, cx: &Context<'_>, operator: &Operator) {
         let switches = [
             ("recovery", self.recovery.is_some(), operator.recovery.is_some()),
@@ -260,7 +262,7 @@
         }
     }
 
-    /// Each subsystem's part of the summary in the log.
+    /// Each subsystem's section of the summary in the log.
     pub fn summaries(&mut self) -> Summaries {
         fn one<S: Subsystem>(slot: &mut Option<Box<S>>, scope: Scope) -> String {
             let Some(subsystem) = slot else { return "off".to_string() };
--- a/crates/deckproxy/src/program/summary.rs
+++ b/crates/deckproxy/src/program/summary.rs
@@ -9,7 +9,7 @@
 use slog::info;
 
 impl Gateway {
-    /// Logs the summary under that message.
+    /// Logs the summary with this message.
     pub fn summary(&mut self, message: &'static str) {
         let counters = self.router.counters;
         let usage = Usage::now();
@@ -29,14 +29,14 @@
             "longest_turn_ms" => format!("{:.1}", self.longest_turn));
     }
 
-    /// How many attempts ended in each way, without those that none did.
+    /// Number of attempts by ending, without endings that did not occur.
     fn attempt_endings(&self) -> String {
         let endings = ENDINGS.iter().zip(self.router.counters.endings).filter(|(_, count)| *count > 0);
         let fields: Vec<Field> = endings.map(|(ending, count)| Field::value(*ending, count)).collect();
         summary_text(Scope::Attempts, &fields)
     }
 
-    /// Sizes of all tables and buffers that grow with traffic; each has a bound.
+    /// Sizes of all tables and buffers that grow with traffic; each of them is bounded.
     fn sizes(&self) -> String {
         let tables = [
             ("upstream_pools", self.upstream_pools.len()),
--- a/crates/deckproxy/src/program/timer_task.rs
+++ b/crates/deckproxy/src/program/timer_task.rs
@@ -1,30 +1,30 @@
-//! What the event loop does when one of its timers fires.
+//! Delayed tasks of the event loop.
 
 use crate::program::connections::UpstreamId;
 use crate::program::subsystem::LinkId;
 use crate::routing::{AttemptKey, ClientId};
 
-/// A delayed task of the event loop. A task whose subject is gone by then does nothing.
+/// A task that the event loop runs when a timer fires. It does nothing if its subject no longer exists.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum TimerTask {
-    /// An upstream connection must be established by now.
+    /// Fail an upstream connection that is not established yet.
     UpstreamConnectTimeout(UpstreamId),
-    /// A link's connection must be established by now.
+    /// Close a link that is not established yet.
     LinkConnectTimeout(LinkId),
     /// Connect to the control feed.
     ConnectFeed,
-    /// Try to accept again after descriptors or places ran out.
+    /// Retry accepting after descriptors or connection slots ran out.
     RetryAccept,
-    /// Cancel an attempt of which nothing could be written.
+    /// Cancel an attempt of which nothing has been written.
     ExpireUnsent(AttemptKey),
-    /// The lingering close of a client's connection has had its time.
+    /// End the lingering close of a client's connection.
     LingerExpired(ClientId),
-    /// Close a client's connection, whatever is open on it.
+    /// Close a client's connection, even with open requests.
     CloseClient(ClientId),
-    /// Graceful shutdown: from now on new requests are rejected.
+    /// Graceful shutdown: begin to reject new requests.
     RejectNewRequests,
-    /// Graceful shutdown: requests that are still open fail now.
+    /// Graceful shutdown: fail the requests that are still open.
     FailOpenRequests,
-    /// Only wake the loop: a subsystem waits for the time.
+    /// Wake the loop for a subsystem that waits for this time.
     WakeLoop,
 }
--- a/crates/deckproxy/src/program/upstream_pool.rs
+++ b/crates/deckproxy/src/program/upstream_pool.rs
@@ -1,4 +1,4 @@
-//! The pools of upstream connections by member: choosing, opening, retiring and closing them.
+//! Pools of upstream connections by member: selecting, opening, retiring and closing connections.
 
 use crate::program::connections::{EvictionReason, ReadySource, UpstreamConnection, UpstreamId};
 use crate::program::gateway::{Gateway, context};
@@ -12,20 +12,20 @@
 use deckproxy_control::interface::MemberId;
 use std::io;
 
-/// A member's connections that an attempt could use, after those of no more use were closed.
+/// The state of a member's pool after outdated connections were closed.
 struct PoolState {
-    /// Connections without an attempt in flight, the one used last first.
+    /// Connections without an attempt in flight, most recently used first.
     idle: Vec<UpstreamId>,
     /// Number of connections that are not established yet.
     connecting: usize,
 }
 
 impl Gateway {
-    /// A connection that can take an attempt of that name.
+    /// Selects or opens a connection for an attempt with this name.
     ///
-    /// Each attempt has a connection to itself while descriptors allow: an answer that can't be read, a silence or a
-    /// reset ends all attempts in flight on its connection. Idle connections are reused, the one used last first, so
-    /// that those not needed reach the idle timeout.
+    /// Each attempt has its own connection while descriptors allow, because a malformed reply, a timeout or a reset
+    /// ends all attempts in flight on a connection. Idle connections are reused, most recently used first, so that
+    /// surplus ones reach the idle timeout.
     pub(super) fn upstream_for(
         &mut self,
         now: f64,
@@ -37,14 +37,14 @@
         if let Some(id) = self.reusable_upstream(now, pool.idle, name) {
             return Some(id);
         }
-        let most = self.bounds.member_connections;
-        if self.upstreams.len() < most - most / limits::SHARING_RESERVE
+        let max_connections = self.bounds.member_connections;
+        if self.upstreams.len() < max_connections - max_connections / limits::SHARING_RESERVE
             && pool.connecting < limits::CONNECTING
             && let Some(id) = self.connect_upstream(now, member, endpoint)
         {
             return Some(id);
         }
-        // Descriptors are short, or the member takes no more connections for now: attempts share connections.
+        // Descriptors are scarce, many connects to the member are pending, or a connect failed: share a connection.
         self.shareable_upstream(member, name).or_else(|| self.connect_upstream(now, member, endpoint))
     }
 
@@ -55,8 +55,8 @@
         let (mut idle, mut connecting) = (Vec::new(), 0);
         for id in self.upstream_pools.get(&member).cloned().unwrap_or_default() {
             let Some(upstream) = self.upstreams.get_mut(&id) else { continue };
-            // A new incarnation, or another address: the old connections carry nothing new. Nor does one that the
-            // member is about to close for being idle.
+            // Retire connections to an earlier incarnation or another address, and those that the member is about to
+            // close as idle.
             let idle_since = upstream.connection.idle_since();
             let expires = idle_timeout > 0.0 && now - idle_since > idle_timeout - limits::IDLE_MARGIN;
             upstream.connection.retired |=
@@ -75,14 +75,14 @@
         PoolState { idle: idle.into_iter().map(|(_, id)| id).collect(), connecting }
     }
 
-    /// The first idle connection that can take an attempt of that name; closes those that the member has closed.
+    /// The first idle connection that accepts an attempt with this name; closes those that the member has closed.
     fn reusable_upstream(&mut self, now: f64, idle: Vec<UpstreamId>, name: &str) -> Option<UpstreamId> {
         for id in idle {
             let Some(upstream) = self.upstreams.get_mut(&id) else { continue };
             if upstream.connection.is_stale(now) {
                 self.close_upstream(id);
             } else if !upstream.connection.stream.input.is_empty() {
-                // What came unasked is handled in its turn; behind half of a message no answer could be read.
+                // Serve it to handle the unsolicited data; a reply after a partial message could not be decoded.
                 self.queue(ReadySource::Upstream(id));
             } else if upstream.connection.accepts(name) {
                 return Some(id);
@@ -91,11 +91,11 @@
         None
     }
 
-    /// The member's connection with the fewest attempts in flight that can take one more of that name.
+    /// The member's connection with the fewest attempts in flight that accepts another one with this name.
     fn shareable_upstream(&self, member: MemberId, name: &str) -> Option<UpstreamId> {
         let streams = self.router.instance_settings().limits.max_streams;
         let is_shareable = |connection: &MemberConnection| {
-            // An idle connection with half of an answer that nobody waits for is not to be shared.
+            // An idle connection with part of an unsolicited reply must not be used.
             (connection.in_flight() > 0 || connection.stream.input.is_empty())
                 && connection.in_flight() < streams
                 && connection.stream.unwritten_bytes() < limits::MEMBER_WRITE_BUFFER
@@ -109,7 +109,7 @@
             .map(|(_, id)| id)
     }
 
-    /// Opens a connection to a member; none if the kernel refuses, or no place or descriptor can be freed for it.
+    /// Opens a connection to a member; `None` if that fails or no slot or descriptor can be freed for it.
     fn connect_upstream(&mut self, now: f64, member: MemberId, endpoint: Endpoint) -> Option<UpstreamId> {
         if self.upstreams.len() >= self.bounds.member_connections {
             let oldest = self.longest_idle_upstream()?;
@@ -118,7 +118,7 @@
         let id = self.next_connection_id();
         let mut connected = self.open_upstream(id, endpoint);
         if connected.as_ref().is_err_and(is_exhausted) && self.evict_client(now, EvictionReason::Internal) {
-            // An idle client's descriptor is worth less than a request.
+            // A request takes precedence over an idle client.
             connected = self.open_upstream(id, endpoint);
         }
         let stream = match connected {
@@ -167,7 +167,7 @@
         upstream.connection.stream.close(&self.handle);
     }
 
-    /// Notifies the subsystems of messages that were sent and received in part on a connection that closes.
+    /// Notifies the subsystems of the partially sent and received messages on a connection that is closed.
     fn notify_cut_messages(&mut self, upstream: &UpstreamConnection) {
         let cx = context(clock::now(), &self.router);
         let member = cx.router.member_name(upstream.member);
@@ -178,7 +178,8 @@
         self.subsystems.notify(&cx, &Event::MemberBytesReceived { member, bytes });
     }
 
-    /// Closes a member's idle connections; the others take nothing new, and close once nothing is in flight on them.
+    /// Closes a member's idle connections and retires the others: they get no new attempts, and are closed once none
+    /// is in flight on them.
     pub(super) fn retire_upstreams(&mut self, member: MemberId) {
         for id in self.upstream_pools.get(&member).cloned().unwrap_or_default() {
             let Some(upstream) = self.upstreams.get_mut(&id) else { continue };
--- a/crates/deckproxy/src/program/usage.rs
+++ b/crates/deckproxy/src/program/usage.rs
@@ -1,8 +1,8 @@
-//! The process's use of CPU, memory and descriptors, as the kernel reports it.
+//! The process's CPU, memory and descriptor usage, as reported by the kernel.
 
 use std::fs;
 
-/// Resource usage of the process; 0 where the kernel does not report it.
+/// Resource usage of the process; 0 for values that the kernel does not report.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
     /// CPU time used by the main thread, ms.
