--- a/crates/deckproxy/src/lib.rs
+++ b/crates/deckproxy/src/lib.rs
@@ -1,4 +1,4 @@
-//! The gateway: clients, caches and the control feed on sockets, around the decision module.
+//! The gateway: connects clients, caches and the control feed to the decision module.
 //!
 //! Layers, each of which uses only those before it: `protocol` (messages, without I/O), `transport` (sockets and
 //! connections), `routing` (requests and attempts around the decision module, without I/O), `program` (the event loop,
--- a/crates/deckproxy/src/program/gateway.rs
+++ b/crates/deckproxy/src/program/gateway.rs
@@ -31,10 +31,10 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Scheduling of housekeeping among the background tasks: slice and longest delay in microseconds.
+/// Scheduling of housekeeping among the background tasks: time slice and maximum delay in microseconds.
 const HOUSEKEEPING_TASK: TaskSettings =
     TaskSettings { priority_weight: 4, time_slice: 500, max_delay: 50_000 };
-/// Scheduling of the periodic summary among the background tasks: slice and longest delay in microseconds.
+/// Scheduling of the periodic summary among the background tasks: time slice and maximum delay in microseconds.
 const SUMMARY_TASK: TaskSettings = TaskSettings { priority_weight: 1, time_slice: 1000, max_delay: 500_000 };
 /// Time between two checks for idle and stalled connections, ms.
 pub(super) const HOUSEKEEPING_INTERVAL: f64 = 250.0;
@@ -112,7 +112,7 @@
     pub(super) peer_lines_logged: u32,
     /// Whether a lack of descriptors for clients was logged in this summary interval.
     pub(super) exhaustion_logged: bool,
-    /// Most connections to clients and members at one time.
+    /// Peak number of connections to clients and members.
     pub(super) peak_connections: usize,
     /// Longest turn of the loop, ms.
     pub(super) longest_turn: f64,
