--- a/crates/deckproxy/src/program/subsystem/client_identities.rs
+++ b/crates/deckproxy/src/program/subsystem/client_identities.rs
@@ -1,29 +1,30 @@
-//! Identities of clients, for limits on what one client may do.
+//! Client identities, for limits per client.
 
 use super::event::Event;
 use crate::routing::ClientId;
 use std::collections::HashMap;
 use std::net::IpAddr;
 
-/// Identities of clients: their connections or, where asked for, their addresses.
+/// Identifies clients by connection or, if so configured, by address.
 #[derive(Debug, Default)]
 pub struct ClientIdentities {
+    /// The number of each connected client's address; none if clients are identified by connection.
     addresses: Option<HashMap<ClientId, u64>>,
 }
 
 impl ClientIdentities {
-    /// Identifies clients by their addresses, or by their connections.
+    /// Identifies clients by their addresses if `addresses` is set, else by their connections.
     pub fn by_address(addresses: bool) -> Self {
         ClientIdentities { addresses: addresses.then(HashMap::new) }
     }
 
-    /// Whether clients' addresses are wanted.
+    /// Whether connect events have to carry the client's address.
     pub fn wants_addresses(&self) -> bool {
         self.addresses.is_some()
     }
 
-    /// Takes up clients that came and went. To be called last for an event: a client that has gone is not known
-    /// afterwards.
+    /// Records clients that connect and removes those that disconnect. Must be the last step of handling an event, as
+    /// the address of a disconnected client is unknown afterwards.
     pub fn event(&mut self, event: &Event<'_>) {
         let Some(all) = &mut self.addresses else { return };
         match event {
@@ -37,7 +38,7 @@
         }
     }
 
-    /// The number that identifies a client, also over several connections where it is identified by its address.
+    /// The number that identifies a client; the same for all its connections if it is identified by address.
     pub fn identity(&self, id: ClientId) -> u64 {
         self.addresses.as_ref().and_then(|all| all.get(&id).copied()).unwrap_or(id)
     }
@@ -46,7 +47,7 @@
 fn address_number(address: IpAddr) -> u64 {
     match address.to_canonical() {
         IpAddr::V4(v4) => u64::from(u32::from(v4)),
-        // Of IPv6 the network's half: a client has many addresses in it.
+        // IPv6: the upper 64 bits, as one client may use many addresses of its /64 network.
         IpAddr::V6(v6) => (u128::from(v6) >> 64) as u64,
     }
 }
--- a/crates/deckproxy/src/program/subsystem/effect.rs
+++ b/crates/deckproxy/src/program/subsystem/effect.rs
@@ -1,4 +1,4 @@
-//! What subsystems ask the event loop to do.
+//! Effects that subsystems return to the event loop.
 
 use super::event::Note;
 use super::ids::LinkId;
@@ -12,9 +12,9 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// What the event loop is to do.
+/// An action for the event loop to carry out.
 pub enum Effect {
-    /// Send the final answer to a client's request that the subsystem took over; it is counted.
+    /// Send the final answer to a client's request that the subsystem took over, and count it.
     Answer {
         /// The client.
         client: ClientId,
@@ -23,18 +23,18 @@
         /// The answer.
         answer: Answer,
     },
-    /// Have the router serve a request that came over a link.
+    /// Pass a request that was received over a link to the router.
     Route {
-        /// A number from [`FIRST_LINK_CLIENT`] on that stands for the request.
+        /// The request's id in place of a client: [`FIRST_LINK_CLIENT`] or above.
         client: ClientId,
         /// The request.
         call: Box<Call>,
     },
-    /// Cancel a request that was given to the router by `Route`.
+    /// Cancel a request that was passed to the router by [`Effect::Route`].
     Abort(ClientId),
     /// Count a request that the subsystem took over.
     CountReceived,
-    /// Count a request that the subsystem took over and whose client cancelled it.
+    /// Count a request that the subsystem took over and its client cancelled.
     CountCancelled,
     /// Invalidate copies.
     Purge {
@@ -58,7 +58,7 @@
     },
     /// Send a frame on a link.
     SendFrame(LinkId, Frame),
-    /// Close a link, for that reason, once all frames are written.
+    /// Close a link for the given reason once all queued frames are written.
     CloseLink(LinkId, String),
     /// Connect to a collector.
     ConnectCollector {
@@ -78,9 +78,9 @@
         /// The encoded message.
         message: Bytes,
     },
-    /// Close the connection to the collector at that index.
+    /// Close the connection to the collector with this index.
     CloseCollector(usize),
-    /// The list of collectors changed: for each new index the previous one, if any.
+    /// The list of collectors changed; holds the previous index, if any, for each new index.
     ReorderCollectors(Vec<Option<usize>>),
     /// Send a datagram to another instance of the fleet.
     SendDatagram {
@@ -89,22 +89,22 @@
         /// The payload.
         bytes: Vec<u8>,
     },
-    /// Send a member a health check.
+    /// Send a health check to a member.
     HealthCheck(MemberId),
-    /// From now on these members, and no others, are ejected: they get no new attempts, whatever the list says.
+    /// Replace the set of ejected members: they get no new attempts, whatever the member list says.
     EjectMembers(Vec<MemberId>),
-    /// Run a background task at that time, or as soon as there is time.
+    /// Schedule a background task.
     WakeTask {
         /// The task.
         task: TaskId,
-        /// When; none for now.
+        /// When to run it; none for as soon as possible.
         at: Option<Micros>,
     },
-    /// Wake the loop at that time, ms.
+    /// Wake the loop at this time, ms.
     WakeLoopAt(f64),
-    /// Log a line about a single peer, of which only so many are written.
+    /// Write a rate-limited log line about a single peer.
     LogPeer(String),
 }
 
-/// Effects that wait to be carried out, in order.
+/// Pending effects, in the order in which they are carried out.
 pub type Effects = VecDeque<Effect>;
--- a/crates/deckproxy/src/program/subsystem/event.rs
+++ b/crates/deckproxy/src/program/subsystem/event.rs
@@ -1,4 +1,4 @@
-//! What the event loop notifies subsystems of.
+//! Events that the event loop delivers to subsystems.
 
 use super::ids::LinkId;
 use crate::protocol::downstream::Answer;
@@ -10,29 +10,29 @@
 use deckproxy_sites::responder::RunId;
 use std::net::{IpAddr, SocketAddr};
 
-/// What happened.
+/// An event on a connection, a timer or the control feed.
 pub enum Event<'a> {
-    /// A client connected; the address only where a subsystem wants it.
+    /// A client connected.
     ClientConnected {
         /// The new connection.
         client: ClientId,
-        /// The client's address.
+        /// The client's address, if a subsystem needs it.
         address: Option<IpAddr>,
     },
-    /// A client sent bytes that are no request.
+    /// A client sent bytes that are not part of a request.
     ClientBytesReceived {
         /// The client.
         client: ClientId,
         /// Number of bytes.
         bytes: usize,
     },
-    /// A client sent a request; one that can't be read has an empty class.
+    /// A client sent a request.
     RequestReceived {
         /// The client.
         client: ClientId,
         /// The client's id of the request.
         id: u32,
-        /// The request's class.
+        /// The request's class; empty if the request can't be decoded.
         class: &'a str,
         /// Size of the message.
         bytes: usize,
@@ -51,7 +51,7 @@
         /// The client.
         client: ClientId,
     },
-    /// A message was written to a client completely.
+    /// A message to a client was written completely.
     ClientBytesSent {
         /// The client.
         client: ClientId,
@@ -74,36 +74,36 @@
         /// Bytes received and not decoded.
         unread: usize,
     },
-    /// An attempt begins for a client, or for a request that came over a link.
+    /// An attempt was started for a client's request, or for one that was received over a link.
     AttemptSent {
         /// The attempt.
         key: AttemptKey,
-        /// The client, or a number from [`FIRST_LINK_CLIENT`] on.
+        /// The client, or a number from [`FIRST_LINK_CLIENT`] on for a request received over a link.
         client: ClientId,
         /// The request's class.
         class: &'a str,
         /// The member's name.
         member: &'a str,
     },
-    /// The kernel took a message to a member, completely or in part.
+    /// The kernel accepted a message to a member, completely or in part.
     MemberBytesSent {
         /// The member's name.
         member: &'a str,
-        /// The message and how much of it.
+        /// The message, and the number of bytes accepted.
         written: WrittenMessage,
     },
     /// A member answered.
     MemberReplied {
         /// The member's name.
         member: &'a str,
-        /// What it answered; none if that is not in flight any more.
+        /// The attempt that it answered; none if that is no longer in flight.
         key: Option<AttemptKey>,
         /// The answer's status.
         status: Status,
         /// Size of the message.
         bytes: usize,
     },
-    /// A member sent bytes that are no complete answer.
+    /// A member sent bytes that do not form a complete answer.
     MemberBytesReceived {
         /// The member's name.
         member: &'a str,
@@ -126,9 +126,9 @@
         /// Time since the purge, ms.
         age: f64,
     },
-    /// Another site's gateway connected.
+    /// The gateway of another site opened a link connection.
     LinkAccepted(LinkId),
-    /// A link's connection that was asked for is established.
+    /// A requested link connection was established.
     LinkConnected {
         /// Index of the peer.
         peer: usize,
@@ -137,14 +137,14 @@
         /// The connection.
         link: LinkId,
     },
-    /// A link's connection that was asked for was not established.
+    /// A requested link connection could not be established.
     LinkConnectFailed {
         /// Index of the peer.
         peer: usize,
         /// Index among the peer's addresses.
         address_index: usize,
     },
-    /// Bytes came on a link.
+    /// Bytes were received on a link.
     LinkBytesReceived {
         /// The connection.
         link: LinkId,
@@ -153,7 +153,7 @@
         /// Number of bytes.
         bytes: usize,
     },
-    /// The kernel took bytes for a link.
+    /// The kernel accepted bytes for a link.
     LinkBytesSent {
         /// The site at its other end, once known.
         site: Option<&'a str>,
@@ -167,27 +167,27 @@
         /// Attempts of which no byte was written.
         unsent: &'a [u64],
     },
-    /// The connection to the collector at that index is established.
+    /// The connection to the collector with this index was established.
     CollectorConnected(usize),
-    /// The connection to the collector at that index ended or could not be established.
+    /// The connection to the collector with this index ended or could not be established.
     CollectorFailed(usize),
-    /// The kernel took bytes for the collector at that index.
+    /// The kernel accepted bytes for the collector with this index.
     CollectorBytesSent(usize),
-    /// The kernel took a message to a collector completely.
+    /// The kernel accepted a message to a collector completely.
     CollectorMessageSent {
         /// Index of the collector.
         index: usize,
-        /// The message.
+        /// The message's number.
         number: u64,
     },
-    /// A datagram came from another instance of the fleet, or from whoever claims to be one.
+    /// A datagram was received on the fleet's socket; its sender is not authenticated.
     Datagram {
         /// The sender's address.
         from: SocketAddr,
         /// The payload.
         bytes: &'a [u8],
     },
-    /// A member's health check ended.
+    /// A health check of a member ended.
     HealthChecked {
         /// The member.
         member: MemberId,
@@ -196,18 +196,18 @@
     },
     /// The member list changed.
     MemberListChanged,
-    /// Another subsystem, or this one, published a note.
+    /// A subsystem, possibly the receiving one, published a note.
     Notified(&'a Note),
-    /// A quarter of a second has passed.
+    /// Periodic housekeeping, every quarter of a second.
     Housekeeping,
-    /// A graceful shutdown begins.
+    /// A graceful shutdown began.
     ShutdownBegan,
 }
 
-/// What one subsystem publishes to all.
+/// A notification that one subsystem publishes to all.
 #[derive(Debug)]
 pub enum Note {
-    /// A client's request is forwarded to another site.
+    /// A client's request was forwarded to another site.
     RequestForwarded {
         /// The client.
         client: ClientId,
@@ -216,25 +216,25 @@
         /// Name of the site.
         site: String,
     },
-    /// A request came over a link.
+    /// A request was received over a link.
     LinkRequestBegan {
-        /// The request's number here.
+        /// The number of the request at this gateway.
         run: RunId,
         /// Its class.
         class: String,
         /// The site that forwarded it, if it names one.
         site: Option<String>,
     },
-    /// A request that came over a link has its answer or was cancelled.
+    /// A request that was received over a link was answered or cancelled.
     LinkRequestEnded {
-        /// The request's number here.
+        /// The number of the request at this gateway.
         run: RunId,
         /// How it ended.
         outcome: Outcome,
     },
 }
 
-/// The outcome that an answer to a client means for flows.
+/// The flow export outcome of an answer to a client.
 pub fn outcome_of(answer: &Answer) -> Outcome {
     match answer {
         Answer::Served(_) | Answer::NotModified => Outcome::Served,
--- a/crates/deckproxy/src/program/subsystem/ids.rs
+++ b/crates/deckproxy/src/program/subsystem/ids.rs
@@ -7,10 +7,10 @@
 pub type LinkId = u64;
 /// A client's request: the client's connection and the id that the client gave the request.
 pub type RequestKey = (ClientId, u32);
-/// From this number on, what the router takes for a client is a request that came over a link.
+/// Client ids from this one on stand for requests that were received over links.
 pub const FIRST_LINK_CLIENT: ClientId = 1 << 62;
 
-/// Converts a time of the loop's clock, ms, to whole microseconds.
+/// Converts a time of the event loop's clock from milliseconds to whole microseconds.
 pub fn micros(ms: f64) -> Micros {
     (ms * 1000.0) as Micros
 }
--- a/crates/deckproxy/src/program/subsystem/mod.rs
+++ b/crates/deckproxy/src/program/subsystem/mod.rs
@@ -1,8 +1,9 @@
 //! The interface between the event loop and a subsystem: typed events in, typed effects out.
 //!
-//! The loop owns connections, sockets, timers and background work. A subsystem ([`Subsystem`]) gets typed events
-//! ([`Event`]) with a view of the router ([`Context`]), and appends typed effects ([`Effect`]) to a queue. It knows
-//! neither the loop nor the other subsystems, so that each can be read, tested and switched off alone.
+//! The loop owns connections, sockets, timers and background work. A subsystem ([`Subsystem`]) receives typed events
+//! ([`Event`]) with a view of the router ([`Context`]), and appends typed effects ([`Effect`]) to a queue. It
+//! depends on neither the loop nor the other subsystems, so that each can be read, tested and switched off
+//! independently.
 
 mod client_identities;
 mod effect;
@@ -27,85 +28,88 @@
 use deckproxy_operator::Operator;
 use deckproxy_sites::frame::Frame;
 
-/// What a subsystem may look at.
+/// Read-only state that the event loop passes to a subsystem.
 pub struct Context<'a> {
     /// The loop's clock, ms.
     pub now: f64,
     /// The router, its settings and the names of members.
     pub router: &'a Router,
-    /// Requests that would be held for long are to be rejected: memory is at its bound, or a shutdown rejects.
+    /// Requests that would stay open for long must be rejected, because the memory limit is reached or a shutdown is in
+    /// its rejecting phase. Determined only for [`Subsystem::poll`]; false in all other calls.
     pub full: bool,
 }
 
-/// What becomes of a client's request before the router gets it.
+/// A subsystem's decision on a client's request, made before the router receives it.
 pub enum Verdict {
-    /// The next subsystem, and at last the router, gets it.
+    /// Pass the request to the next subsystem and finally to the router.
     Pass,
-    /// The subsystem took it over, and will answer it by [`Effect::Answer`].
+    /// The subsystem took the request over and will answer it by [`Effect::Answer`].
     Taken,
-    /// It is answered at once.
+    /// Answer the request immediately.
     Answer(Answer),
 }
 
-/// A part of the program that an operator file switches on.
+/// A part of the program that the operator file enables.
 pub trait Subsystem {
-    /// Takes an event.
+    /// Handles an event.
     fn event(&mut self, cx: &Context<'_>, event: &Event<'_>, out: &mut Effects);
 
-    /// Decides on a client's request before the router gets it.
+    /// Decides on a client's request before the router receives it.
     fn request(&mut self, _: &Context<'_>, _: RequestKey, _: &Call, _: &mut Effects) -> Verdict {
         Verdict::Pass
     }
 
-    /// Takes the final answer to a client's request; returns the answer to send in its place, if another.
+    /// Handles the final answer to a client's request; returns a different answer to send instead, if any.
     fn answer(&mut self, _: &Context<'_>, _: RequestKey, _: &Answer) -> Option<Answer> {
         None
     }
 
-    /// Takes the answer to a request that was given to the router by [`Effect::Route`], and the copy it came from.
+    /// Handles the router's answer to a request passed to it by [`Effect::Route`], with the copy that served it.
     fn routed(&mut self, _: &Context<'_>, _: ClientId, _: Answer, _: Option<CopyInfo>, _: &mut Effects) {}
 
-    /// Takes a frame that came on a link.
+    /// Handles a frame received on a link.
     fn frame(&mut self, _: &Context<'_>, _: LinkId, _: Frame, _: &mut Effects) {}
 
-    /// Appends the effects that wait. Called after events, until none comes any more.
+    /// Appends pending effects. Called after events until no effect is left.
     fn poll(&mut self, _: &Context<'_>, _: &mut Effects) {}
 
-    /// When [`Subsystem::tick`] is to be called next, ms.
+    /// When [`Subsystem::tick`] must be called next, ms.
     fn next_due(&self) -> Option<f64> {
         None
     }
 
-    /// The time given by [`Subsystem::next_due`] has come.
+    /// Called when the time returned by [`Subsystem::next_due`] is reached.
     fn tick(&mut self, _: &Context<'_>, _: &mut Effects) {}
 
-    /// Runs a background task until that time at most. Returns whether it has more to do; none if the task is not
-    /// this subsystem's.
+    /// Runs a background task until the given time at most. Returns whether more work is left; none if the task
+    /// belongs to another subsystem.
     fn run_task(&mut self, _: &Context<'_>, _: TaskId, _: Micros, _: &mut Effects) -> Option<bool> {
         None
     }
 
-    /// Bytes that it holds beside those that wait on connections.
+    /// Bytes that the subsystem buffers, besides those queued on connections.
     fn buffered_bytes(&self) -> usize {
         0
     }
 
-    /// Whether it owes no answer any more.
+    /// Whether no request is waiting for an answer from the subsystem.
     fn is_settled(&self) -> bool {
         true
     }
 
-    /// The process is about to be killed: answers what is open as failed.
+    /// Answers all open requests as failed, as the process is about to be killed.
     fn fail_open(&mut self, _: &Context<'_>, _: &mut Effects) {}
 
-    /// All requests are answered and all clients gone. Returns whether the subsystem has nothing left to do.
+    /// Finishes pending work of a shutdown, once all requests are answered and all clients have disconnected. Returns
+    /// whether nothing is left to do.
     fn finish(&mut self, _: &Context<'_>, _: &mut Effects) -> bool {
         true
     }
 
-    /// Takes what may change while serving from a new operator file, in which it is still switched on.
+    /// Applies the settings of a new operator file that can change without a restart. The new file still enables the
+    /// subsystem.
     fn reload(&mut self, _: &Context<'_>, _: &Operator, _: &mut Effects) {}
 
-    /// Its part of the summary in the log.
+    /// The subsystem's part of the log's summary line.
     fn summary(&mut self) -> Vec<Field>;
 }
--- a/crates/deckproxy/src/program/subsystem/open_requests.rs
+++ b/crates/deckproxy/src/program/subsystem/open_requests.rs
@@ -1,4 +1,4 @@
-//! Bookkeeping of clients' requests that are open with a subsystem.
+//! Tracks the clients' requests that are open in a subsystem.
 
 use super::event::Event;
 use super::ids::RequestKey;
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
 
-/// Clients' requests that a subsystem let pass or took over and that have no answer yet, with what it keeps of each.
+/// Clients' requests that a subsystem passed on or took over and that are not answered yet, each with a value.
 #[derive(Debug)]
 pub struct OpenRequests<T> {
     open: BTreeMap<RequestKey, T>,
@@ -19,22 +19,23 @@
 }
 
 impl<T> OpenRequests<T> {
-    /// Adds a request.
-    pub fn insert(&mut self, request: RequestKey, kept: T) {
-        self.open.insert(request, kept);
+    /// Adds a request and its value.
+    pub fn insert(&mut self, request: RequestKey, value: T) {
+        self.open.insert(request, value);
     }
 
-    /// Whether a request is open here.
+    /// Whether the request is open.
     pub fn contains(&self, request: RequestKey) -> bool {
         self.open.contains_key(&request)
     }
 
-    /// Removes a request that has its answer; none if it is not open here.
+    /// Removes a request that was answered; returns none if it is not open.
     pub fn remove(&mut self, request: RequestKey) -> Option<T> {
         self.open.remove(&request)
     }
 
-    /// Removes the requests that an event cancels: one, or all of a client that has gone. In order of their ids.
+    /// Removes the requests that an event cancels: a single one, or all of a client that disconnected. Returns them in
+    /// ascending order of their ids.
     pub fn remove_cancelled(&mut self, event: &Event<'_>) -> Vec<(RequestKey, T)> {
         let Some((client, ids)) = cancelled_requests(event) else { return Vec::new() };
         let keys = (client, *ids.start())..=(client, *ids.end());
@@ -43,7 +44,7 @@
     }
 }
 
-/// The client and the ids of its requests that an event cancels.
+/// The client, and the range of its request ids, that an event cancels.
 fn cancelled_requests(event: &Event<'_>) -> Option<(ClientId, RangeInclusive<u32>)> {
     match event {
         Event::RequestCancelled { client, id } => Some((*client, *id..=*id)),
--- a/crates/deckproxy/src/program/subsystem/platform.rs
+++ b/crates/deckproxy/src/program/subsystem/platform.rs
@@ -1,10 +1,10 @@
-//! What the operator file's settings take from the platform's configuration.
+//! The part of the platform's configuration that the operator file's settings depend on.
 
 use deckproxy_control::interface::{Class, Idempotency};
 use deckproxy_operator::{PlatformClass, PlatformSettings};
 use deckproxy_settings::InstanceSettings;
 
-/// The part of the platform's configuration that admission control depends on.
+/// Extracts the platform's settings that admission control depends on.
 pub fn platform_settings(instance_settings: &InstanceSettings) -> PlatformSettings {
     let platform_class = |(name, class): (&String, &Class)| PlatformClass {
         name: name.clone(),
--- a/crates/deckproxy/src/program/subsystem/summary_fields.rs
+++ b/crates/deckproxy/src/program/subsystem/summary_fields.rs
@@ -1,57 +1,57 @@
-//! Named figures in a part of the summary, such as `cap:none,arrived[first:9,retry:1]`.
+//! Named values in a part of the log's summary line, such as `cap:none,arrived[first:9,retry:1]`.
 
 use crate::program::log_aliases::{ALIAS_KEY, Scope, old_key};
 use std::fmt::Display;
 
-/// A named figure, or a group of them.
+/// A named value, or a named group of fields or items.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Field {
     name: String,
     content: Content,
 }
 
-/// What a field holds.
+/// The content of a field.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Content {
     /// A value.
     Value(String),
-    /// Items between brackets that have no names of their own.
+    /// Unnamed items in brackets.
     Items(Vec<String>),
-    /// Fields between brackets, and what separates them.
+    /// Fields in brackets, and their separator.
     Group(Vec<Field>, &'static str),
 }
 
-/// Which spelling is written.
+/// Which spelling of renamed keys to write.
 #[derive(Clone, Copy)]
 enum Spelling {
-    /// The names in the code.
+    /// The current names.
     Current,
-    /// The names before the renaming.
+    /// The names before they were renamed.
     Old(Scope),
 }
 
 impl Field {
-    /// A value.
+    /// A field with a single value.
     pub fn value(name: impl Into<String>, value: impl Display) -> Self {
         Field { name: name.into(), content: Content::Value(value.to_string()) }
     }
 
-    /// Items that have no names of their own.
+    /// A field with unnamed items.
     pub fn items(name: impl Into<String>, items: Vec<String>) -> Self {
         Field { name: name.into(), content: Content::Items(items) }
     }
 
-    /// A group of fields.
+    /// A group of fields separated by commas.
     pub fn group(name: impl Into<String>, fields: impl IntoIterator<Item = Field>) -> Self {
         Field { name: name.into(), content: Content::Group(fields.into_iter().collect(), ",") }
     }
 
-    /// A group of counts with a space between them.
+    /// A group of counts separated by spaces.
     pub fn counts(name: impl Into<String>, fields: impl IntoIterator<Item = Field>) -> Self {
         Field { name: name.into(), content: Content::Group(fields.into_iter().collect(), " ") }
     }
 
-    /// Whether its name or that of a field in it was renamed.
+    /// Whether the field's name, or that of a nested field, was renamed.
     fn is_renamed(&self, scope: Scope) -> bool {
         let inner = match &self.content {
             Content::Group(fields, _) => fields.iter().any(|field| field.is_renamed(scope)),
@@ -76,7 +76,7 @@
     }
 }
 
-/// The text of a part of the summary; renamed fields follow once more in their old spelling, in `alias[...]`.
+/// Formats a part of the summary. Renamed fields are repeated in their old spelling, in `alias[...]`.
 pub fn summary_text(scope: Scope, fields: &[Field]) -> String {
     let mut parts: Vec<String> = fields.iter().map(|field| field.write(Spelling::Current)).collect();
     let renamed = fields.iter().filter(|field| field.is_renamed(scope));
