--- a/crates/deckproxy/src/program/sites/forwarding.rs
+++ b/crates/deckproxy/src/program/sites/forwarding.rs
@@ -1,4 +1,4 @@
-//! Requests forwarded to other sites, and requests that other sites forward.
+//! Forwards requests to other sites, and serves requests that other sites forward.
 
 use super::{Owner, Sites};
 use crate::program::subsystem::{
@@ -15,16 +15,20 @@
 use deckproxy_sites::responder::{RunId, RunResult};
 use deckproxy_sites::site::Destination;
 
-/// A class's rank among all by priority weight, from 0 to 1.
-fn rank(classes: &[interface::Class], class: usize) -> f64 {
+/// A class's rank among all classes by priority weight, from 0 to 1.
+fn priority_rank(classes: &[interface::Class], class: usize) -> f64 {
     let weight = classes[class].priority_weight;
     let below = classes.iter().filter(|other| other.priority_weight < weight).count();
     let above = classes.iter().filter(|other| other.priority_weight > weight).count();
     if below + above == 0 { 0.5 } else { below as f64 / (below + above) as f64 }
 }
 
-/// What forwarding a request to another site takes; the error says why the request can't be used.
-fn forwarding(cx: &Context<'_>, call: &Call, path: Vec<String>) -> Result<ForwardedRequest, RequestError> {
+/// Builds the forwarded form of a request; the error says why the request is invalid.
+fn forwarded_request(
+    cx: &Context<'_>,
+    call: &Call,
+    path: Vec<String>,
+) -> Result<ForwardedRequest, RequestError> {
     let class = cx.router.validate(call)?;
     let settings = &cx.router.instance_settings().settings;
     let rules = &settings.classes[class];
@@ -34,20 +38,20 @@
         deadline: cx.now + call.timeout.min(rules.deadline),
         retry_safety: if safe { RetrySafety::Idempotent } else { RetrySafety::NotIdempotent },
         may_collapse: settings.join_fills && safe && !rules.write && !rules.stream,
-        priority_rank: rank(&settings.classes, class),
+        priority_rank: priority_rank(&settings.classes, class),
         request: link::request_from_call(call, path),
     })
 }
 
 impl Sites {
-    /// Numbers a forwarded request.
-    fn token(&mut self, owner: Owner) -> RequestToken {
+    /// Assigns a token to a forwarded request and records who waits for its answer.
+    fn new_token(&mut self, owner: Owner) -> RequestToken {
         self.last_token += 1;
         self.owners.insert(self.last_token, owner);
         self.last_token
     }
 
-    /// Cancels the forwarded requests that a client cancelled, or all of a client that has gone.
+    /// Cancels a forwarded request that its client cancelled, or all those of a client that disconnected.
     pub(super) fn cancel_client_requests(&mut self, now: f64, event: &Event<'_>, out: &mut Effects) {
         for (_, token) in self.client_requests.remove_cancelled(event) {
             self.owners.remove(&token);
@@ -56,7 +60,7 @@
         }
     }
 
-    /// Forwards a client's request over a link, where it is for another site.
+    /// Forwards a client's request over a link if its destination is another site.
     pub(super) fn forward_client_request(
         &mut self,
         cx: &Context<'_>,
@@ -66,12 +70,12 @@
     ) -> Verdict {
         let destination = self.site.destination(cx.now, &call.class, call.group, call.object.number, &[]);
         let Destination::Remote(site) = destination else { return Verdict::Pass };
-        match forwarding(cx, call, vec![self.site.own_site().to_string()]) {
+        match forwarded_request(cx, call, vec![self.site.own_site().to_string()]) {
             Err(why) => Verdict::Answer(Answer::Invalid(why)),
-            Ok(want) => {
-                let token = self.token(Owner::Client(request));
+            Ok(forwarded) => {
+                let token = self.new_token(Owner::Client(request));
                 self.client_requests.insert(request, token);
-                self.site.request(cx.now, token, &site, want);
+                self.site.request(cx.now, token, &site, forwarded);
                 let (client, id) = request;
                 out.push_back(Effect::Notify(Note::RequestForwarded { client, id, site }));
                 out.push_back(Effect::CountReceived);
@@ -80,7 +84,7 @@
         }
     }
 
-    /// Takes a request that came over a link: it is routed here, forwarded to a further site, or answered at once.
+    /// Handles a request received over a link: routes it locally, forwards it to another site, or answers it at once.
     pub(super) fn link_request(&mut self, cx: &Context<'_>, run: RunId, request: Request, out: &mut Effects) {
         let path = request.site_path.clone();
         let site = path.last().cloned();
@@ -101,19 +105,19 @@
             }
             Destination::Remote(site) => {
                 let path = path.into_iter().chain([self.site.own_site().to_string()]).collect();
-                match forwarding(cx, &call, path) {
+                match forwarded_request(cx, &call, path) {
                     Err(why) => self.answer_link(cx, run, Answer::Invalid(why), None, out),
-                    Ok(want) => {
-                        let token = self.token(Owner::Run(run));
+                    Ok(forwarded) => {
+                        let token = self.new_token(Owner::Run(run));
                         self.transit_requests.insert(run, token);
-                        self.site.request(cx.now, token, &site, want);
+                        self.site.request(cx.now, token, &site, forwarded);
                     }
                 }
             }
         }
     }
 
-    /// Sends the answer to a request that came over a link.
+    /// Sends the answer to a request that was received over a link.
     pub(super) fn answer_link(
         &mut self,
         cx: &Context<'_>,
@@ -136,7 +140,7 @@
         self.site.run_ended(cx.now, run, result);
     }
 
-    /// Takes the final answer to a forwarded request, and passes it on to who waits for it.
+    /// Passes the final answer to a forwarded request to the client or the site that waits for it.
     pub(super) fn forwarded_reply(
         &mut self,
         cx: &Context<'_>,
@@ -153,8 +157,8 @@
             Reply::NotModified { issued_at: issued, tag } => {
                 (Answer::NotModified, Some(CopyInfo { issued, tag: tag.into() }))
             }
-            Reply::Rejected { retry_after: wait } if sends_retry_after => {
-                (Answer::Rejected(wait.min(longest_retry_after)), None)
+            Reply::Rejected { retry_after } if sends_retry_after => {
+                (Answer::Rejected(retry_after.min(longest_retry_after)), None)
             }
             Reply::Rejected { .. } => (Answer::Rejected(0.0), None),
             Reply::Failed => (Answer::Failed, None),
@@ -173,7 +177,7 @@
         }
     }
 
-    /// Cancels a request that came over a link.
+    /// Cancels a request that was received over a link.
     pub(super) fn cancel_link_request(&mut self, cx: &Context<'_>, run: RunId, out: &mut Effects) {
         out.push_back(Effect::Notify(Note::LinkRequestEnded { run, outcome: Outcome::Canceled }));
         match self.transit_requests.remove(&run) {
--- a/crates/deckproxy/src/program/sites/mod.rs
+++ b/crates/deckproxy/src/program/sites/mod.rs
@@ -1,4 +1,4 @@
-//! Links to gateways of other sites: requests forwarded either way, and purges replicated.
+//! Links to the gateways of other sites: request forwarding in both directions and replication of purges.
 
 mod forwarding;
 
@@ -25,15 +25,15 @@
 enum Owner {
     /// A client.
     Client(RequestKey),
-    /// Another site: a request that came over a link and goes on over another.
+    /// Another site: the request was received over one link and forwarded over another.
     Run(RunId),
 }
 
-/// A peer in force.
+/// A configured peer.
 struct ActivePeer {
     /// Its index in the state machine and in the list of addresses.
     index: usize,
-    /// Its part of the operator file.
+    /// The peer's entry in the operator file.
     settings: deckproxy_operator::Peer,
 }
 
@@ -43,15 +43,15 @@
     site: SiteGateway,
     /// Addresses of the peers' gateways, by the peer's index.
     addresses: Vec<Vec<SocketAddr>>,
-    /// The peers in force, by the site's name.
+    /// The configured peers by site name.
     peers: BTreeMap<String, ActivePeer>,
     /// Who waits for each forwarded request.
     owners: HashMap<RequestToken, Owner>,
-    /// Clients' requests that were forwarded.
+    /// Forwarded requests of clients.
     client_requests: OpenRequests<RequestToken>,
-    /// Requests from links that were forwarded over other links.
+    /// Requests that were received over one link and forwarded over another.
     transit_requests: HashMap<RunId, RequestToken>,
-    /// The token given last.
+    /// The token assigned last.
     last_token: RequestToken,
     /// Time of the last tick, ms.
     last_tick: f64,
@@ -61,7 +61,7 @@
     peer.addresses.iter().filter_map(|address| address.parse().ok()).collect()
 }
 
-fn peer_setup(peer: &deckproxy_operator::Peer) -> PeerConfig {
+fn peer_config(peer: &deckproxy_operator::Peer) -> PeerConfig {
     PeerConfig {
         site: peer.site.clone(),
         endpoints: peer.addresses.len(),
@@ -70,12 +70,12 @@
 }
 
 impl Sites {
-    /// Starts what the operator file asks for; none where it asks for nothing.
+    /// Starts the links that the operator file configures; returns none if it configures none.
     pub(super) fn start(log: &Logger, now: f64, seed: u64, operator: &Operator) -> Option<Box<Self>> {
         let sites = operator.sites.as_ref()?;
         let config = SiteConfig {
             own_site: sites.name.clone(),
-            peers: sites.peers.iter().map(peer_setup).collect(),
+            peers: sites.peers.iter().map(peer_config).collect(),
             rules: sites.route_rules(),
             max_hops: sites.max_hops(),
             link: sites.link_limits(),
@@ -85,7 +85,7 @@
             let settings = peer.clone();
             (peer.site.clone(), ActivePeer { index, settings })
         });
-        // The seed is new with each start; the time keeps two that got the same one apart.
+        // The seed is new with each start; the time distinguishes two starts that got the same seed.
         let epoch = seed ^ (now * 1000.0) as u64;
         Some(Box::new(Sites {
             log: log.clone(),
@@ -100,23 +100,23 @@
         }))
     }
 
-    /// Whether a client's request was forwarded and has no answer yet.
+    /// Whether a client's request was forwarded and is not answered yet.
     pub(super) fn has_request(&self, request: RequestKey) -> bool {
         self.client_requests.contains(request)
     }
 
-    /// The site at the other end of a link, once that is known.
+    /// The site at the other end of a link, once it is known.
     pub(super) fn site_of(&self, link: LinkId) -> Option<&str> {
         self.site.site_of(link)
     }
 
-    /// The next piece of a body for a link whose write buffer takes more.
+    /// The next chunk of a body for a link whose write buffer has room.
     pub(super) fn body_piece(&mut self, link: LinkId) -> Option<Frame> {
         self.site.next_chunk(link)
     }
 
-    /// Drops the peers that a new operator file has no more, or with other settings.
-    fn drop_peers(&mut self, new: &deckproxy_operator::Sites) {
+    /// Removes the peers that a new operator file omits or configures differently.
+    fn remove_peers(&mut self, new: &deckproxy_operator::Sites) {
         let is_kept = |name: &str, old: &ActivePeer| {
             new.peers.iter().any(|peer| peer.site == name && *peer == old.settings)
         };
@@ -128,11 +128,11 @@
         }
     }
 
-    /// Adds the peers of a new operator file that are not in force.
+    /// Adds the peers of a new operator file that are not configured yet.
     fn add_peers(&mut self, now: f64, new: &deckproxy_operator::Sites) {
         for peer in &new.peers {
             if !self.peers.contains_key(&peer.site) {
-                let index = self.site.add_peer(now, &peer_setup(peer));
+                let index = self.site.add_peer(now, &peer_config(peer));
                 self.addresses.push(addresses(peer));
                 self.peers.insert(peer.site.clone(), ActivePeer { index, settings: peer.clone() });
             }
@@ -221,7 +221,7 @@
         self.site.open_requests() == 0 && self.site.responder().unfinished_attempts() == 0
     }
 
-    /// The process is about to be killed: all forwarded requests fail.
+    /// Answers all forwarded requests as failed, as the process is about to be killed.
     fn fail_open(&mut self, cx: &Context<'_>, out: &mut Effects) {
         let all: Vec<RequestToken> = self.owners.keys().copied().collect();
         for token in all {
@@ -230,7 +230,7 @@
         }
     }
 
-    /// Takes routes and peers from a new operator file.
+    /// Applies the routes and peers of a new operator file.
     fn reload(&mut self, cx: &Context<'_>, operator: &Operator, _: &mut Effects) {
         let Some(new) = &operator.sites else { return };
         let has_new_limits =
@@ -238,7 +238,7 @@
         if new.name != self.site.own_site() || has_new_limits {
             warn!(self.log, "reload: the site's name, link and trust take a restart");
         }
-        self.drop_peers(new);
+        self.remove_peers(new);
         self.add_peers(cx.now, new);
         self.site.set_routes(new.route_rules());
         info!(self.log, "reload: routes and peers are in force"; "routes" => new.routes.len(), "peers" => new.peers.len());
@@ -277,7 +277,7 @@
     }
 }
 
-/// What the summary says of a peer.
+/// A peer's part of the summary line.
 fn peer_fields(requester: &Requester) -> [Field; 13] {
     let (counters, open, endpoints) = (requester.counters, requester.open_counts(), requester.endpoints_up());
     [
