--- a/crates/deckproxy/src/program/flows/accounting.rs
+++ b/crates/deckproxy/src/program/flows/accounting.rs
@@ -1,4 +1,4 @@
-//! Accounting of bytes, requests and attempts to flows.
+//! Attributes bytes, requests and attempts to flows.
 
 use crate::program::subsystem::{FIRST_LINK_CLIENT, RequestKey, micros};
 use crate::protocol::upstream::Status;
@@ -12,18 +12,18 @@
 use std::collections::HashMap;
 use std::net::IpAddr;
 
-/// Names of classes, members and sites that get a number of their own; further ones share one.
+/// Most names of classes, members and sites that get a number of their own; further names share one.
 const MAX_NAMES: usize = 65_536;
-/// Clients' networks that are counted apart in the search for those with most bytes.
+/// Client networks tracked separately to find those with most bytes.
 const TOP_TRACKED: usize = 64;
 
-/// What one gateway counts for flow export.
+/// The flow accounting of one gateway.
 pub(super) struct Accounting {
     /// The flows.
     pub(super) meter: Meter,
     /// Numbers of the names of classes, members and sites.
     pub(super) names: Names,
-    /// Numbers of the classes that the settings have.
+    /// Numbers of the configured classes.
     classes: HashMap<Box<str>, NameId, RandomState>,
     /// Clients that are connected.
     pub(super) clients: HashMap<ClientId, ClientAccount, RandomState>,
@@ -31,7 +31,7 @@
     pub(super) attempts: Attempts,
     /// Open requests that were received over links.
     pub(super) link_requests: HashMap<RunId, LinkRequest, RandomState>,
-    /// Clients' networks with most bytes since the last summary.
+    /// Client networks with most bytes since the last summary.
     top: HeavyHitters<IpNet>,
 }
 
@@ -41,7 +41,7 @@
     received_at: Micros,
 }
 
-/// The outcome of an attempt that a member's answer means.
+/// The outcome of an attempt by the status of the member's answer.
 fn reply_outcome(status: Status) -> Outcome {
     match status {
         Status::Ok | Status::NotModified => Outcome::Served,
@@ -53,7 +53,7 @@
 }
 
 impl Accounting {
-    /// Nothing counted yet, for the settings' classes.
+    /// Creates empty accounting for the configured classes.
     pub(super) fn new(limits: Limits, classes: &[String]) -> Self {
         let mut names = Names::new(MAX_NAMES);
         let classes = classes.iter().map(|class| (class.as_str().into(), names.number(class))).collect();
@@ -68,7 +68,8 @@
         }
     }
 
-    /// The networks with most bytes since the last call, at most so many, as `NETWORK:BYTES-ERROR`.
+    /// Returns up to `count` networks with most bytes since the last call, as `NETWORK:BYTES-ERROR`, and resets the
+    /// counts.
     pub(super) fn take_top(&mut self, count: usize) -> Vec<String> {
         let top = std::mem::replace(&mut self.top, HeavyHitters::new(TOP_TRACKED));
         top.top(count)
@@ -78,7 +79,7 @@
     }
 
     /// The number of a class; 0 for an unknown one.
-    fn class(&self, name: &str) -> NameId {
+    fn class_number(&self, name: &str) -> NameId {
         self.classes.get(name).copied().unwrap_or(0)
     }
 
@@ -90,7 +91,7 @@
         self.clients.insert(id, ClientAccount::new(client));
     }
 
-    /// A client sent a request of so many bytes; one that can't be read has an empty class.
+    /// A client sent a request; the class is empty if the request can't be decoded.
     pub(super) fn request_received(
         &mut self,
         now: f64,
@@ -98,20 +99,20 @@
         class: &str,
         bytes: usize,
     ) {
-        let class = self.class(class);
+        let class = self.class_number(class);
         if let Some(account) = self.clients.get_mut(&id) {
             account.request_received(&mut self.meter, micros(now), request, class, bytes as u64);
         }
     }
 
-    /// A client sent bytes that are no request.
+    /// A client sent bytes that are not part of a request.
     pub(super) fn client_bytes_received(&mut self, now: f64, id: ClientId, bytes: usize) {
         if let Some(account) = self.clients.get_mut(&id) {
             account.other_bytes_received(&mut self.meter, micros(now), bytes as u64);
         }
     }
 
-    /// A client's request is forwarded to another site.
+    /// A client's request was forwarded to another site.
     pub(super) fn request_forwarded(&mut self, (id, request): RequestKey, site: &str) {
         let site = self.names.number(site);
         if let Some(account) = self.clients.get_mut(&id) {
@@ -119,14 +120,14 @@
         }
     }
 
-    /// An answer was appended to a client's write buffer; `request` none: it answers a ping.
+    /// An answer was appended to a client's write buffer; `request` is none if it answers a ping.
     pub(super) fn answer_queued(&mut self, id: ClientId, request: Option<u32>, outcome: Outcome) {
         if let Some(account) = self.clients.get_mut(&id) {
             account.answer_queued(request, outcome);
         }
     }
 
-    /// A message was written to a client completely.
+    /// A message to a client was written completely.
     pub(super) fn client_bytes_sent(&mut self, now: f64, id: ClientId, bytes: usize) {
         let Some(account) = self.clients.get_mut(&id) else { return };
         account.message_written(&mut self.meter, micros(now), bytes as u64);
@@ -151,7 +152,7 @@
 
     // ---- Members -------------------------------------------------------------------------------------------
 
-    /// An attempt begins for a client, or for a request that was received over a link.
+    /// An attempt was started for a client's request, or for one that was received over a link.
     pub(super) fn attempt_sent(
         &mut self,
         now: f64,
@@ -162,7 +163,7 @@
     ) {
         let source = if client < FIRST_LINK_CLIENT {
             let client = self.clients.get(&client).and_then(ClientAccount::client);
-            RequestSource { client, class: self.class(class), site: 0 }
+            RequestSource { client, class: self.class_number(class), site: 0 }
         } else {
             let request = self.link_requests.get(&(client - FIRST_LINK_CLIENT));
             request.map_or_else(RequestSource::default, |request| request.source)
@@ -171,7 +172,7 @@
         self.attempts.started(micros(now), key, source, member);
     }
 
-    /// The kernel took a message to a member, completely or in part.
+    /// The kernel accepted a message to a member, completely or in part.
     pub(super) fn member_bytes_sent(&mut self, now: f64, member: &str, written: WrittenMessage) {
         let bytes = written.bytes as u64;
         if !self.attempts.bytes_written(written.key, bytes) {
@@ -180,7 +181,7 @@
         }
     }
 
-    /// A member answered with a message of so many bytes; `key` none: nothing that is in flight.
+    /// A member answered; `key` is none if the answer belongs to no attempt in flight.
     pub(super) fn member_replied(
         &mut self,
         now: f64,
@@ -200,7 +201,7 @@
         }
     }
 
-    /// A member sent bytes that end no attempt.
+    /// A member sent bytes that do not end an attempt.
     pub(super) fn member_bytes_received(&mut self, now: f64, member: &str, bytes: usize) {
         if bytes > 0 {
             let member = self.names.number(member);
@@ -217,7 +218,7 @@
 
     /// A request was received over a link.
     pub(super) fn link_request_began(&mut self, now: f64, run: RunId, class: &str, site: Option<&str>) {
-        let class = self.class(class);
+        let class = self.class_number(class);
         let site = self.names.number(site.unwrap_or(""));
         let source = RequestSource { client: None, class, site };
         self.link_requests.insert(run, LinkRequest { source, received_at: micros(now) });
--- a/crates/deckproxy/src/program/flows/mod.rs
+++ b/crates/deckproxy/src/program/flows/mod.rs
@@ -1,5 +1,5 @@
-//! Flow export: bytes and requests on clients', members' and links' connections are accounted to flows, and these are
-//! exported to collectors in the time that requests leave.
+//! Flow export: accounts bytes and requests on the connections of clients, members and links to flows, and exports
+//! these to collectors in background tasks that yield to requests.
 
 mod accounting;
 
@@ -16,17 +16,17 @@
 use slog::{Logger, info, warn};
 use std::net::SocketAddr;
 
-/// Networks with most bytes that a summary names.
+/// Number of networks with most bytes that the summary lists.
 const TOP_LOGGED: usize = 3;
-/// Flows looked at before the time is looked at again.
+/// Flows checked between two reads of the clock.
 const FLOWS_PER_ROUND: usize = 64;
-/// Messages made before the time is looked at again.
+/// Messages encoded between two reads of the clock.
 const MESSAGES_PER_ROUND: usize = 2;
-/// Scheduling of the task that collects flows: slice and longest delay in microseconds.
+/// Scheduling of the task that collects flows; time slice and maximum delay in microseconds.
 const COLLECT_TASK: TaskSettings = TaskSettings { priority_weight: 2, time_slice: 300, max_delay: 200_000 };
-/// Scheduling of the task that sends to collectors: slice and longest delay in microseconds.
+/// Scheduling of the task that sends to collectors; time slice and maximum delay in microseconds.
 const SEND_TASK: TaskSettings = TaskSettings { priority_weight: 2, time_slice: 300, max_delay: 50_000 };
-/// Time until the exporter is polled again where nothing is due before, microseconds.
+/// Longest time between two polls of the exporter, microseconds.
 const EXPORTER_POLL_INTERVAL: Micros = 200_000;
 
 /// The flow export of one gateway.
@@ -37,20 +37,20 @@
     collectors: Vec<(SocketAddr, Transport)>,
     /// The settings in force.
     operator: deckproxy_operator::Flows,
-    /// Takes flows that are due out of the meter.
+    /// The task that moves due flows from the meter to the exporter.
     collect_task: TaskId,
-    /// Makes messages and hands them to collectors.
+    /// The task that encodes messages and sends them to collectors.
     send_task: TaskId,
-    /// Time from one look at all flows to the next, microseconds.
+    /// Time between two scans of all flows, microseconds.
     collect_interval: Micros,
-    /// Buffer for flows that are due.
+    /// Reused buffer for due flows.
     due: Vec<Flow>,
-    /// Until when a shutdown waits for the last flows to be exported, ms.
+    /// When a shutdown stops waiting for the last flows to be exported, ms.
     flush_deadline: Option<f64>,
 }
 
 impl Flows {
-    /// Starts what the operator file asks for; none where it asks for nothing.
+    /// Starts the flow export that the operator file configures; returns none if it configures none.
     pub(super) fn start(
         log: &Logger,
         now: f64,
@@ -62,8 +62,8 @@
         let flows = operator.flows.as_ref()?;
         let (limits, collectors) = (flows.meter_limits(), flows.collector_endpoints());
         let transports: Vec<Transport> = collectors.iter().map(|(_, transport)| *transport).collect();
-        // Sequence numbers begin anywhere: a collector that remembers an earlier process sees a new beginning. Of the seed
-        // they take the lower half.
+        // Sequence numbers start at the lower half of the seed, so that a collector that remembers an earlier process
+        // detects the restart.
         let first_sequence = seed as u32;
         let collect_task = tasks.add(COLLECT_TASK);
         let send_task = tasks.add(SEND_TASK);
@@ -83,17 +83,17 @@
         }))
     }
 
-    /// How many collectors there are.
+    /// The number of collectors.
     pub(super) fn collectors(&self) -> usize {
         self.collectors.len()
     }
 
-    /// Whether a background task is the one that sends to collectors.
+    /// Whether this is the background task that sends to collectors.
     pub(super) fn is_send_task(&self, task: TaskId) -> bool {
         self.send_task == task
     }
 
-    /// Hands flows that are due to the exporter until that time. Returns whether there are more to look at.
+    /// Moves due flows to the exporter until the time `end`. Returns whether flows are left to check.
     fn collect(&mut self, end: Micros, out: &mut Effects) -> bool {
         loop {
             let now = micros(clock::now());
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Has the exporter make messages. Returns whether it has more to do at once.
+    /// Lets the exporter encode messages. Returns whether it has more work to do at once.
     fn send(&mut self, now: f64, out: &mut Effects) -> bool {
         let names = &self.accounting.names;
         let more = self.exporter.poll(now as u64, MESSAGES_PER_ROUND, &|number| names.name(number));
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Takes an event of a connection to a collector. Returns whether it was one.
+    /// Handles an event of a connection to a collector. Returns whether the event was one.
     fn collector_event(&mut self, now: f64, event: &Event<'_>) -> bool {
         let now = now as u64;
         match *event {
@@ -160,7 +160,7 @@
         true
     }
 
-    /// Accounts what happened on connections of clients, members and links.
+    /// Accounts for an event on the connections of clients, members and links.
     fn account(&mut self, now: f64, event: &Event<'_>) {
         let accounting = &mut self.accounting;
         match *event {
@@ -208,15 +208,17 @@
         }
     }
 
-    /// Warns of settings in a new operator file that take a restart.
+    /// Logs a warning if a new operator file changes settings that require a restart.
     fn warn_of_restart(&self, new: &deckproxy_operator::Flows) {
-        let fixed = |flows: &deckproxy_operator::Flows| {
+        let restart_settings = |flows: &deckproxy_operator::Flows| {
             let settings = flows.settings();
             let export::Settings { version, domain, enterprise, max_message, spool_size, replicate, .. } =
                 settings;
             (version, domain, enterprise, max_message, spool_size, replicate)
         };
-        if fixed(new) != fixed(&self.operator) || new.meter_limits() != self.operator.meter_limits() {
+        if restart_settings(new) != restart_settings(&self.operator)
+            || new.meter_limits() != self.operator.meter_limits()
+        {
             warn!(
                 self.log,
                 "reload: flows' delivery, protocol, domain, enterprise, message_bytes, spool_kb and meter take a restart"
@@ -244,7 +246,7 @@
         }
     }
 
-    /// Exports the flows that are left, for as long as the settings allow.
+    /// Exports the remaining flows, for at most the configured flush timeout.
     fn finish(&mut self, cx: &Context<'_>, out: &mut Effects) -> bool {
         if let Some(deadline) = self.flush_deadline {
             return self.exporter.is_drained() || cx.now >= deadline;
@@ -259,15 +261,15 @@
         self.exporter.is_drained() || cx.now >= deadline
     }
 
-    /// Takes collectors, rates and times from a new operator file.
+    /// Applies the collectors, rates and times of a new operator file.
     fn reload(&mut self, cx: &Context<'_>, operator: &Operator, out: &mut Effects) {
         let Some(new) = &operator.flows else { return };
         self.warn_of_restart(new);
-        let wanted = new.settings();
+        let new_settings = new.settings();
         let settings = export::Settings {
-            message_rate: wanted.message_rate,
-            template_interval: wanted.template_interval,
-            stall_timeout: wanted.stall_timeout,
+            message_rate: new_settings.message_rate,
+            template_interval: new_settings.template_interval,
+            stall_timeout: new_settings.stall_timeout,
             ..self.operator.settings()
         };
         let collectors = new.collector_endpoints();
@@ -277,7 +279,7 @@
         self.exporter.replace_collectors(settings, &previous, cx.now as u64);
         out.push_back(Effect::ReorderCollectors(previous.into_iter().map(|(_, index)| index).collect()));
         self.collectors = collectors;
-        // What takes a restart stays as it was.
+        // Settings that require a restart stay unchanged.
         self.operator = deckproxy_operator::Flows {
             collectors: new.collectors.clone(),
             rate: new.rate,
@@ -290,7 +292,7 @@
         info!(self.log, "reload: collectors are in force"; "collectors" => self.collectors.len());
     }
 
-    /// The export's part of the summary; the networks with most bytes are counted anew from it on.
+    /// Flow export's part of the summary line. Resets the counts of the networks with most bytes.
     fn summary(&mut self) -> Vec<Field> {
         let counters = self.exporter.counters;
         let backlog = self.exporter.backlog();
