--- a/crates/deckproxy/src/program/fleet/admission.rs
+++ b/crates/deckproxy/src/program/fleet/admission.rs
@@ -1,4 +1,4 @@
-//! Admission control of clients' requests while the fleet is overloaded.
+//! Admission control of client requests while the fleet is overloaded.
 
 use crate::program::subsystem::{ClientIdentities, Event, OpenRequests, RequestKey, Verdict};
 use crate::protocol::downstream::{Answer, Call};
@@ -7,19 +7,19 @@
 use deckproxy_fleet::overload::{self, RequestInfo, RequestOutcome, Ticket};
 use std::collections::HashMap;
 
-/// What admission control knows of clients' requests.
+/// Admission state of client requests.
 pub(super) struct RequestAdmission {
-    /// Requests that were admitted and have no answer yet.
+    /// Admitted requests that are not answered yet.
     open: OpenRequests<Ticket>,
-    /// Indices of the classes by name.
+    /// Class indices by class name.
     classes: HashMap<Box<str>, usize>,
     identities: ClientIdentities,
-    /// Whether clients get a Retry-After.
+    /// Whether rejections carry a Retry-After.
     sends_retry_after: bool,
 }
 
 impl RequestAdmission {
-    /// No request is open yet, for the settings' classes.
+    /// Creates the state for the configured classes, with no open request.
     pub(super) fn new(classes: &[String], by_address: bool, sends_retry_after: bool) -> Self {
         let classes = classes.iter().enumerate().map(|(index, name)| (name.as_str().into(), index));
         RequestAdmission {
@@ -30,12 +30,12 @@
         }
     }
 
-    /// Whether clients' addresses are wanted.
+    /// Whether connect events have to carry the client's address.
     pub(super) fn wants_addresses(&self) -> bool {
         self.identities.wants_addresses()
     }
 
-    /// Takes up clients that came and went, and requests that were cancelled.
+    /// Handles connecting and disconnecting clients and cancelled requests.
     pub(super) fn event(&mut self, fleet: &mut Fleet, event: &Event<'_>) {
         for (_, ticket) in self.open.remove_cancelled(event) {
             fleet.request_ended(clock::steady(), &ticket, RequestOutcome::ClientGone, 0.0);
@@ -43,9 +43,9 @@
         self.identities.event(event);
     }
 
-    /// Decides on a client's request.
+    /// Admits or rejects a client's request.
     pub(super) fn request(&mut self, fleet: &mut Fleet, request: RequestKey, call: &Call) -> Verdict {
-        // A request of an unknown class is left to the router, which answers it as unusable.
+        // The router rejects a request of an unknown class as invalid.
         let Some(class) = self.classes.get(&call.class).copied() else { return Verdict::Pass };
         let info = RequestInfo {
             client: self.identities.identity(request.0),
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Takes the final answer; a rejection is sent with the Retry-After that the fleet sets.
+    /// Records the final answer. Returns a rejection with the fleet's Retry-After to send instead, if the answer is a
+    /// rejection.
     pub(super) fn answer(
         &mut self,
         fleet: &mut Fleet,
@@ -77,7 +78,7 @@
             Answer::Served(_) | Answer::NotModified => (RequestOutcome::Served, 0.0),
             Answer::Rejected(retry_after) => (RequestOutcome::Rejected, *retry_after),
             Answer::Failed => (RequestOutcome::Failed, 0.0),
-            // That says nothing of the load.
+            // An invalid request says nothing about the load.
             Answer::Invalid(_) => return None,
         };
         let retry_after = fleet.request_ended(clock::steady(), &ticket, outcome, retry_after);
--- a/crates/deckproxy/src/program/fleet/mod.rs
+++ b/crates/deckproxy/src/program/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! This instance among the others of its fleet: gossip datagrams, health checks on behalf of all, ejected members, and
-//! admission control while the fleet is overloaded.
+//! Fleet membership of this instance: gossip datagrams, health checks shared with the other instances, member ejection,
+//! and admission control while the fleet is overloaded.
 
 mod admission;
 mod report;
@@ -19,23 +19,23 @@
 use slog::{Logger, info, warn};
 use std::collections::HashMap;
 
-/// One instance's part in its fleet.
+/// The subsystem that connects this instance to its fleet.
 pub struct Fleet {
     log: Logger,
     core: fleet::Fleet,
-    /// The platform's names for this instance and its locality, which a new operator file may leave in force.
+    /// The platform's names for this instance and its zone, the defaults when an operator file is reloaded.
     platform_names: PlatformNames,
     /// Whether the platform allows health checks.
     health_checks: bool,
-    /// Members by name.
+    /// Member ids by name.
     members: HashMap<String, u32>,
-    /// Attempts at members on trial, by key.
+    /// Attempts at members on trial: the member's id by attempt key.
     trial_attempts: HashMap<AttemptKey, u32>,
-    /// Admission of clients' requests, where the fleet handles overload as one.
+    /// Admission control of client requests, if the fleet's overload control is configured.
     admission: Option<RequestAdmission>,
 }
 
-/// Names that the platform's configuration gives.
+/// Names from the platform's configuration.
 struct PlatformNames {
     /// This instance.
     instance: String,
@@ -43,9 +43,10 @@
     zone: String,
 }
 
-/// Trial attempts remembered at most; one whose end is not seen would stay for ever.
+/// Most trial attempts tracked at a time. An attempt whose end is never reported would otherwise stay forever.
 const TRIAL_ATTEMPTS: usize = 65_536;
 
+/// The router's members in the form that the fleet needs.
 fn listed(router: &Router) -> impl Iterator<Item = ListedMember> + '_ {
     router.listed_members().map(|(member, name)| ListedMember {
         id: member.id,
@@ -57,10 +58,10 @@
 }
 
 impl Fleet {
-    /// Starts what the operator file asks for; none where it asks for nothing.
+    /// Joins the fleet that the operator file configures; returns none if it configures none.
     ///
     /// # Errors
-    /// One of the fleet's names is missing or unusable.
+    /// One of the fleet's names is missing or invalid.
     pub(super) fn start(
         log: &Logger,
         name: &str,
@@ -71,8 +72,8 @@
         let Some(file) = &operator.fleet else { return Ok(None) };
         let conf = router.instance_settings();
         let zone = conf.zones.get(conf.settings.zone as usize).map_or("", String::as_str);
-        // The number of an incarnation has to be higher than that of the last one. Where the clock went back meanwhile,
-        // other instances refute it, and the number is raised.
+        // An incarnation number must exceed the previous one. If the clock was set back in between, other instances
+        // refute the number and this instance raises it.
         let start = clock::now() as u64;
         let mut settings = file.settings(name, zone, start)?;
         let health_checks = conf.limits.health_checks;
@@ -90,7 +91,7 @@
         let own = settings.own.clone();
         info!(log, "fleet: joining"; "fleet" => &file.name, "instance" => &*own.name, "zone" => &*own.zone,
             "address" => %own.address, "incarnation" => start);
-        // The platform may give the same seed to all.
+        // The platform may give the same seed to all instances.
         let seed = seed ^ start.rotate_left(32) ^ deckproxy_fleet::rendezvous::hash_of_name(&own.name);
         let mut core = fleet::Fleet::new(clock::steady(), settings, seed);
         core.set_members(listed(router));
@@ -107,18 +108,18 @@
         Ok(Some(Box::new(fleet)))
     }
 
-    /// Takes the member list from the router.
+    /// Updates the member list from the router's.
     fn update_members(&mut self, router: &Router) {
         self.core.set_members(listed(router));
         self.members = router.listed_members().map(|(member, name)| (name.to_string(), member.id)).collect();
     }
 
-    /// Whether clients' addresses are wanted.
+    /// Whether connect events have to carry the client's address.
     pub(super) fn wants_addresses(&self) -> bool {
         self.admission.as_ref().is_some_and(admission::RequestAdmission::wants_addresses)
     }
 
-    /// Remembers an attempt if it goes to a member on trial.
+    /// Records an attempt if its member is on trial.
     fn trial_sent(&mut self, key: AttemptKey, member: &str) {
         let Some(member) = self.members.get(member).copied() else { return };
         if !self.core.is_on_trial(member) {
@@ -130,7 +131,7 @@
         self.trial_attempts.insert(key, member);
     }
 
-    /// Reports how an attempt ended, if it was a trial.
+    /// Reports the result of an attempt that was recorded as a trial.
     fn trial_ended(&mut self, key: AttemptKey, good: bool) {
         if let Some(member) = self.trial_attempts.remove(&key) {
             self.core.attempt_ended(clock::steady(), member, good);
@@ -151,7 +152,7 @@
             Event::MemberListChanged => self.update_members(cx.router),
             Event::AttemptSent { key, member, .. } if self.core.has_trials() => self.trial_sent(key, member),
             Event::MemberReplied { key: Some(key), status, .. } if !self.trial_attempts.is_empty() => {
-                // A full member, or one that has no copy, is not faulty.
+                // A member that is overloaded or has no copy is not faulty.
                 self.trial_ended(key, !matches!(status, Status::Error));
             }
             Event::AttemptEnded { key, outcome } if !self.trial_attempts.is_empty() => match outcome {
@@ -197,7 +198,7 @@
         self.core.tick(clock::steady());
     }
 
-    /// Takes seeds, prefixes, paths, budgets and health checks from a new operator file.
+    /// Applies seeds, prefixes, paths, budgets and health check settings of a new operator file.
     fn reload(&mut self, cx: &Context<'_>, operator: &Operator, _: &mut Effects) {
         let Some(new) = &operator.fleet else { return };
         let own = self.core.settings().own.clone();
--- a/crates/deckproxy/src/program/fleet/report.rs
+++ b/crates/deckproxy/src/program/fleet/report.rs
@@ -1,4 +1,4 @@
-//! What the log says of the fleet.
+//! Log output about the fleet.
 
 use super::Fleet;
 use crate::program::subsystem::Field;
@@ -12,7 +12,7 @@
 use slog::info;
 
 impl Fleet {
-    /// The fleet's part of the summary.
+    /// The fleet's part of the summary line.
     pub(super) fn report(&self) -> Vec<Field> {
         let counters = self.core.counters;
         let view = self.core.view();
@@ -40,7 +40,7 @@
         fields
     }
 
-    /// What the summary says of datagrams.
+    /// Datagram counters for the summary line.
     fn datagram_fields(&self) -> [Field; 5] {
         let counters = self.core.counters;
         let dropped = DROP_REASONS.iter().zip(counters.dropped).filter(|(_, count)| *count > 0);
@@ -53,7 +53,7 @@
         ]
     }
 
-    /// Logs what this instance sees of the fleet.
+    /// Logs this instance's view of the fleet.
     pub(super) fn log_status(&self, status: &FleetStatus) {
         let names = |all: &[Name]| all.iter().map(|name| &**name).collect::<Vec<_>>().join(" ");
         let view = &status.view;
@@ -64,7 +64,7 @@
     }
 }
 
-/// Admission control's part of the summary.
+/// Admission control's part of the summary line.
 fn overload_field(overload: &Overload) -> Field {
     let counters = overload.counters;
     let counts = overload.rejection_counts();
@@ -90,7 +90,7 @@
     Field::group("overload", fields)
 }
 
-/// Admitted and offered rate, and the lowest priority that is admitted; `none` where no load is shed.
+/// Formats the admitted rate, the offered rate and the lowest admitted priority; `none` if no load is shed.
 fn shed_line(line: Option<&ShedLine>) -> String {
     let Some(line) = line else { return "none".to_string() };
     let lowest = f64::from(line.min_priority) / f64::from(PRIORITIES);
