--- a/crates/deckproxy/tests/sites/forwarding.rs
+++ b/crates/deckproxy/tests/sites/forwarding.rs
@@ -15,10 +15,10 @@
         ("00000000000000aa", Some(SOUTHERN), Some("3"))
     );
     let ttl: f64 = request.field("ttl").unwrap().parse().unwrap();
-    assert!((1000.0..=1200.0).contains(&ttl), "the time left crosses as a span: {ttl}");
+    assert!((1000.0..=1200.0).contains(&ttl), "the remaining time is sent as a duration: {ttl}");
     cache.answer(&request, "200", b"from the south");
     pair.client.expect_served(id, b"from the south");
-    // Own objects stay here.
+    // Objects of the own site are served locally.
     pair.north.members.serve_object(&mut pair.client, "a000000000000001", b"own");
     assert!(pair.south.members.request_if_any().is_none());
 }
@@ -26,7 +26,7 @@
 #[test]
 fn rejection_returns_with_retry_after() {
     let pair = SitePair::start();
-    // No cache of the south is left: its decision module rejects.
+    // The south has no member left, so its decision module rejects the request.
     let entries: Vec<_> = ["s-00000001", "s-00000002", "s-00000003", "s-00000004"]
         .iter()
         .map(|id| {
@@ -40,7 +40,7 @@
     let id = own.request_object(SOUTHERN);
     let local = own.expect_error(id, "Shed");
     let id = client.request_object(SOUTHERN);
-    assert_eq!(client.expect_error(id, "Shed"), local, "as a client of the south would be told");
+    assert_eq!(client.expect_error(id, "Shed"), local, "the same rejection as for a client of the south");
 }
 
 fn kind(id: &str) -> &'static str {
@@ -87,7 +87,7 @@
         &[("north", a)],
         &[("a", "north", ""), ("d", "south", "via: \"north\"")],
     ));
-    // To the south the home of d is the east, to the east it is the south: neither file is invalid by itself.
+    // The south routes d to the east and the east routes it to the south: each file is valid by itself.
     let routes = [("c", "east", ""), ("d", "east", "")];
     let south = LinkedSite::start(operator_text("south", b, &[("east", c)], &routes));
     let north = LinkedSite::start(operator_text(
@@ -102,9 +102,9 @@
     let mut client = north.gateway.client();
     east.members.serve_object(&mut client, "c000000000000001", b"from the east");
     let id = client.request_object("d000000000000001");
-    assert!(matches!(client.next_answer(), (got, Answer::Error(..)) if got == id), "it would come back");
-    // A log line may be read later than the answer.
-    until("it is turned away", || {
+    assert!(matches!(client.next_answer(), (got, Answer::Error(..)) if got == id), "the routes form a loop");
+    // The log line may be read after the answer.
+    until("the rejection is logged", || {
         [&south, &east].iter().any(|s| s.gateway.log().contains("over a link is rejected"))
     });
     // A purge announced in the north reaches all sites.
@@ -112,7 +112,7 @@
         &north.feed_connection,
         &serde_json::json!({"n": 2, "purge": {"key": "c000000000000001", "at": unix_ms()}}),
     );
-    until("the east asks for no older copy", || {
+    until("the purge applies in the east", || {
         let mut own = east.gateway.client();
         let (_, request) = east.members.serve_object(&mut own, "c000000000000001", b"new");
         request.field("within").is_some()
--- a/crates/deckproxy/tests/sites/lifecycle.rs
+++ b/crates/deckproxy/tests/sites/lifecycle.rs
@@ -12,13 +12,15 @@
     let text = std::fs::read_to_string(pair.north.gateway.operator_file()).unwrap();
     // An invalid file changes nothing.
     pair.north.gateway.reload_operator(&text.replace("home: \"south\"", "home: \"west\""));
-    until("the fault is told", || pair.north.gateway.log().contains("no peer is named"));
+    until("the fault is logged", || pair.north.gateway.log().contains("no peer is named"));
     pair.north.gateway.reload_operator(&text.replace("prefix: \"b\"", "prefix: \"e\""));
-    until("the routes are taken", || pair.north.gateway.log().contains("routes and peers are in force"));
+    until("the new routes are in force", || {
+        pair.north.gateway.log().contains("routes and peers are in force")
+    });
     pair.north.members.serve_object(&mut pair.client, "b000000000000009", b"here now");
     cache.answer(&request, "200", b"as it went out");
     pair.client.expect_served(open, b"as it went out");
-    // Without the peer its links are closed, and with it they are opened again.
+    // The links close when the peer is removed, and open again when it is added.
     let alone = pair.north.setup.operator.as_ref().unwrap();
     let alone: String =
         alone.lines().filter(|l| !l.starts_with("peers") && !l.starts_with("routes")).collect();
@@ -27,7 +29,7 @@
     pair.north.gateway.reload_operator(&other);
     until("the links close", || pair.link.open_connections() == 0);
     pair.north.gateway.reload_operator(&text);
-    until("they are back", || pair.link.open_connections() > 0);
+    until("the links are open again", || pair.link.open_connections() > 0);
 }
 
 #[test]
--- a/crates/deckproxy/tests/sites/link_faults.rs
+++ b/crates/deckproxy/tests/sites/link_faults.rs
@@ -14,7 +14,7 @@
         let origin = &pair.south.members.origin;
         let request = origin.next_request();
         pair.link.set_state(state);
-        // The requesting side needs time to notice a silent link.
+        // The requester needs time to notice a silent link.
         std::thread::sleep(Duration::from_millis(if state == LinkState::Reset { 20 } else { 400 }));
         origin.answer(&request, "200", b"written");
         std::thread::sleep(Duration::from_millis(50));
@@ -36,7 +36,7 @@
     pair.client.expect_error(id, "Fault");
     assert!(
         start.elapsed() < Duration::from_millis(900),
-        "told as soon as the new process says that it is another"
+        "failed as soon as the new process announces its new epoch"
     );
     assert!(pair.south.members.origin.request_if_any().is_none(), "{} ran again", request.id);
 }
@@ -69,7 +69,7 @@
     until("both endpoints are up", || north.gateway.log().contains("2 of 2 endpoints are up"));
     other.child.kill().unwrap();
     other.child.wait().unwrap();
-    until("one is cut", || {
+    until("one endpoint is down", || {
         north.gateway.log().contains("1 of 2 endpoints are up") && north.gateway.log().contains(": down")
     });
     let mut client = north.gateway.client();
@@ -87,18 +87,18 @@
     let (cache, request) = pair.south.members.next_request();
     cache.answer(&request, "200", &body);
     let before = pair.link.bytes_relayed();
-    until("a part of it has come", || pair.link.bytes_relayed() > before + 60_000);
+    until("a part of the body has arrived", || pair.link.bytes_relayed() > before + 60_000);
     pair.link.set_state(LinkState::Reset);
     std::thread::sleep(Duration::from_millis(30));
     pair.link.set_state(LinkState::Up);
     pair.client.expect_served(id, &body);
-    assert!(pair.south.members.request_if_any().is_none(), "it was not asked for again");
+    assert!(pair.south.members.request_if_any().is_none(), "the body was requested again");
 }
 
 #[test]
 fn slow_link_is_not_treated_as_cut() {
     let mut pair = SitePair::start();
-    until("its round trip is known", || pair.north.gateway.log().contains("all peers are reachable"));
+    until("the round-trip time is known", || pair.north.gateway.log().contains("all peers are reachable"));
     // One frame of 16 KB takes three times the silence timeout.
     pair.link.throttle(24);
     let body = vec![5; 20_000];
@@ -113,14 +113,14 @@
 fn requests_wait_briefly_for_a_down_link_and_are_then_rejected_with_retry_after() {
     let mut pair = SitePair::start();
     pair.link.set_state(LinkState::Reset);
-    until("the cut is seen", || pair.north.gateway.log().contains("link to south (0): down"));
+    until("the cut is detected", || pair.north.gateway.log().contains("link to south (0): down"));
     let start = Instant::now();
     let id = pair.client.request_object(SOUTHERN);
     let fields = pair.client.expect_error(id, "Shed");
     let took = start.elapsed().as_millis();
     assert!((150..600).contains(&took), "{took} ms");
     assert!(fields["cooldown"].parse::<u32>().unwrap() >= 1, "{fields:?}");
-    // A request that comes just before the link is back is served.
+    // A request that arrives just before the link is restored is served.
     let id = pair.client.request_object(SOUTHERN);
     pair.link.set_state(LinkState::Up);
     let (cache, request) = pair.south.members.next_request();
--- a/crates/deckproxy/tests/sites/link_protocol.rs
+++ b/crates/deckproxy/tests/sites/link_protocol.rs
@@ -70,7 +70,7 @@
     let listen_address: SocketAddr =
         pair.south.setup.operator.as_ref().unwrap().split('"').nth(3).unwrap().parse().unwrap();
     let mut good = link::encode_frame(&hello("south", 1)).to_vec();
-    // A valid hello, followed by one that a requesting side never sends.
+    // A valid hello, followed by a second one, which a requester never sends.
     good.extend(link::encode_frame(&Payload::Hello(Hello::default()).into()));
     let cases: [&[u8]; 5] =
         [b"\xff\xff\xff\xffrest", b"\0\0\0\x05nodes", &[0; 64], b"GET / HTTP/1.1\r\n\r\n", &good];
--- a/crates/deckproxy/tests/sites/main.rs
+++ b/crates/deckproxy/tests/sites/main.rs
@@ -1,4 +1,4 @@
-//! Gateways of two and three sites on sockets: members are answered by hand, and the links between sites are cut.
+//! Gateways of two and three sites over sockets: the tests answer for the members and cut the links between sites.
 
 mod forwarding;
 mod lifecycle;
@@ -56,7 +56,7 @@
     }
 }
 
-/// A northern and a southern site; the north's connection to the south goes through a relay.
+/// A northern and a southern site; the north connects to the south through a relay.
 struct SitePair {
     north: LinkedSite,
     south: LinkedSite,
--- a/crates/deckproxy/tests/sites/purges.rs
+++ b/crates/deckproxy/tests/sites/purges.rs
@@ -11,14 +11,14 @@
     let purge = |n: u64| serde_json::json!({"n": n, "purge": {"key": SOUTHERN, "at": unix_ms()}});
     send_line(&pair.north.feed_connection, &purge(2));
     let mut within = None;
-    until("the south asks for no older copy", || {
+    until("the purge applies in the south", || {
         let mut own = pair.south.gateway.client();
         let (_, request) = pair.south.members.serve_object(&mut own, SOUTHERN, b"new");
         within = request.field("within").and_then(|w| w.parse::<u64>().ok());
         within.is_some()
     });
     assert!(within.unwrap() < 5000, "{within:?}");
-    // An answer older than a purge that the requesting side knows is not passed on.
+    // The requester does not pass on an answer older than a purge that it knows of.
     let id = pair.client.request_object("b000000000000005");
     let (cache, request) = pair.south.members.next_request();
     let key = serde_json::json!({"n": 3, "purge": {"key": "b000000000000005", "at": unix_ms()}});
@@ -40,23 +40,29 @@
         let (_, request) = pair.north.members.serve_object(&mut own, "a000000000000001", b"own");
         request.field("within").and_then(|w| w.parse::<u64>().ok())
     };
-    until("the south is heard", || pair.north.gateway.log().contains("all peers are reachable"));
+    until("the south is reachable", || pair.north.gateway.log().contains("all peers are reachable"));
     pair.link.set_state(LinkState::Silent);
-    until("the north doubts", || pair.north.gateway.log().matches("is unreachable").count() == 2);
+    until("the north considers the south unreachable", || {
+        pair.north.gateway.log().matches("is unreachable").count() == 2
+    });
     let bound = within(&pair);
     assert!(bound.is_some_and(|w| w <= 1000), "{bound:?}");
     pair.link.set_state(LinkState::Up);
-    until("it is heard again", || pair.north.gateway.log().matches("all peers are reachable").count() == 2);
+    until("the south is reachable again", || {
+        pair.north.gateway.log().matches("all peers are reachable").count() == 2
+    });
 }
 
 #[test]
 fn local_copies_are_served_while_the_lease_lasts() {
     let mut pair = SitePair::start_with("mode: COPIES");
-    until("the south is heard", || pair.north.gateway.log().contains("all peers are reachable"));
+    until("the south is reachable", || pair.north.gateway.log().contains("all peers are reachable"));
     pair.north.members.serve_object(&mut pair.client, SOUTHERN, b"copy");
     pair.link.set_state(LinkState::Silent);
-    until("the north doubts", || pair.north.gateway.log().matches("is unreachable").count() == 2);
+    until("the north considers the south unreachable", || {
+        pair.north.gateway.log().matches("is unreachable").count() == 2
+    });
     let id = pair.client.request_object(SOUTHERN);
     pair.client.expect_error(id, "Shed");
-    assert!(pair.north.members.request_if_any().is_none(), "a copy that nobody vouches for");
+    assert!(pair.north.members.request_if_any().is_none(), "a copy was requested after the lease expired");
 }
