--- a/crates/deckproxy/tests/fleet/datagrams.rs
+++ b/crates/deckproxy/tests/fleet/datagrams.rs
@@ -11,7 +11,7 @@
     let mut rig = start(5, 4);
     let mute = FaultKind::Mute(vec![0, 3]);
     rig.begin_fault(&mute, 0.0);
-    rig.until("those not heard know it", |rig| {
+    rig.until("the unheard instances detect that they are in the minority", |rig| {
         [0, 3].into_iter().all(|i| rig.view(i).is_some_and(|v| !v.in_larger_part))
             && [1, 2, 4]
                 .into_iter()
@@ -19,7 +19,7 @@
     });
     wait_for_health_checks(&rig, 6);
     rig.end_fault(&mute);
-    rig.until("all are one again", Rig::has_converged);
+    rig.until("all views have converged again", Rig::has_converged);
     finish_and_check(rig);
 }
 
@@ -57,7 +57,7 @@
         let bytes = other.encode(&deckproxy_fleet::wire::Packet { from, body }).unwrap();
         stranger.send_to(&bytes, at).unwrap();
     }
-    rig.until("the relays have passed them", |rig| rig.datagrams() > 0);
+    rig.until("the relays have forwarded datagrams", |rig| rig.datagrams() > 0);
     wait_for_health_checks(&rig, 4);
     assert!(rig.has_converged());
     let (run, _) = finish_and_check(rig);
--- a/crates/deckproxy/tests/fleet/main.rs
+++ b/crates/deckproxy/tests/fleet/main.rs
@@ -1,5 +1,5 @@
-//! Several processes of the gateway that know of each other, with faults between them. What is judged was counted at
-//! members, relays and clients; which peers an instance considers dead and its gossip store are read from its log.
+//! A fleet of gateway processes with faults between them. The judged figures are counted at members, relays and
+//! clients; which peers an instance considers dead and the state of its gossip store are read from its log.
 
 mod cache_ejection;
 mod datagrams;
@@ -40,10 +40,10 @@
     Rig::start(&plan(instances, seed), &draw())
 }
 
-/// Waits until each cache has received so many further health checks.
+/// Waits until each cache has received `times` further health checks.
 fn wait_for_health_checks(rig: &Rig, times: usize) {
     let before: Vec<usize> = rig.caches().iter().map(|c| rig.health_checks(c)).collect();
-    rig.until("each cache is probed again", |rig| {
+    rig.until("each cache receives further health checks", |rig| {
         rig.caches().iter().zip(&before).all(|(c, before)| rig.health_checks(c) >= before + times)
     });
 }
@@ -52,14 +52,13 @@
     rig.view(i).map_or(0, |view| view.heard.len())
 }
 
-/// Ends all processes; expects that no rule was broken, no member got twice the intended health checks, and no instance was
-/// considered dead without cause.
+/// Ends all processes; expects that no rule was violated and no member received twice the intended health checks.
 fn finish_and_check(rig: Rig) -> (RunRecord, FleetFigures) {
     let run = rig.finish();
     let figures = judge(&run);
     assert!(figures.verdict.holds(), "{:#?}", figures.verdict.violations);
     assert!(figures.verdict.served > 0, "clients were served");
     assert_eq!(run.process_faults, Vec::<String>::new());
-    assert!(figures.check_ratio_max < 2.0, "{} times the probes", figures.check_ratio_max);
+    assert!(figures.check_ratio_max < 2.0, "{} times the intended health checks", figures.check_ratio_max);
     (run, figures)
 }
--- a/crates/deckproxy/tests/fleet/membership.rs
+++ b/crates/deckproxy/tests/fleet/membership.rs
@@ -1,4 +1,5 @@
-//! Instances that are killed, paused and restarted: the others take over their share, and they take it back.
+//! Instances that are killed, paused and restarted: the others take over their share of the members, and
+//! return it later.
 
 use crate::{finish_and_check, heard, start, wait_for_health_checks};
 use deckproxy_rig::judge::judge;
@@ -13,22 +14,22 @@
     wait_for_health_checks(&rig, 4);
     rig.begin_fault(&FaultKind::Kill(1), 0.0);
     rig.wait_for_processes();
-    rig.until("the others take it for gone", |rig| [0, 2, 3].iter().all(|i| heard(rig, *i) == 2));
-    rig.until("they observe all", |rig| {
+    rig.until("the others consider it dead", |rig| [0, 2, 3].iter().all(|i| heard(rig, *i) == 2));
+    rig.until("they observe all caches", |rig| {
         let observes = |i: usize| rig.view(i).map_or(0, |v| v.observes);
         [0, 2, 3].into_iter().map(observes).sum::<u64>() == 12
     });
     wait_for_health_checks(&rig, 4);
     rig.end_fault(&FaultKind::Kill(1));
     rig.wait_for_processes();
-    rig.until("the new life is one of them", Rig::has_converged);
-    rig.until("it has its share again", |rig| rig.view(1).is_some_and(|v| v.observes > 0));
+    rig.until("the new incarnation has joined", Rig::has_converged);
+    rig.until("it observes its share again", |rig| rig.view(1).is_some_and(|v| v.observes > 0));
     wait_for_health_checks(&rig, 4);
     let (run, _) = finish_and_check(rig);
     check_judges_detect_planted_faults(&run);
 }
 
-/// Each judge detects a fault that is planted in the record.
+/// Checks that each judge detects a fault planted in the record.
 fn check_judges_detect_planted_faults(run: &RunRecord) {
     let member = run.members[0].clone();
     let middle = (run.traffic_from + run.traffic_to) / 2.0;
@@ -39,7 +40,7 @@
         copy.facts.sort_by(|a, b| a.at.total_cmp(&b.at));
         judge(&copy)
     };
-    // An instance that continues checks which others took over.
+    // An instance continues health checks that others took over.
     let extra_checks = judge_with_fault(&|record| {
         let probe = |i: usize| Seen {
             at: middle + i as f64 * 100.0,
@@ -48,7 +49,7 @@
         record.facts.extend((0..16).map(probe));
     });
     assert!(extra_checks.check_ratio_max >= 2.0, "{}", extra_checks.check_ratio_max);
-    // An instance that does not take over: nobody checks a member for a while.
+    // An instance does not take over, so that a member gets no health checks for a while.
     let missing_checks = judge_with_fault(&|record| {
         let within = middle - 2500.0..middle + 2500.0;
         record.facts.retain(|s| {
@@ -62,9 +63,10 @@
     });
     assert!(good.convergence_ms.is_some());
     assert_ne!(outdated_store.convergence_ms, good.convergence_ms);
-    // An instance that considers another dead, though nothing is between them.
+    // An instance considers another one dead although no fault separates them.
     let false_death = judge_with_fault(&|record| {
-        let last = record.logs[0].rfind("\"lost\":\"").expect("it says who is lost") + "\"lost\":\"".len();
+        let last =
+            record.logs[0].rfind("\"lost\":\"").expect("the log lists lost instances") + "\"lost\":\"".len();
         record.logs[0].insert_str(last, "i2 ");
         record.absences.iter_mut().for_each(|a| *a = deckproxy_rig::absence::Absences::default());
         record.traffic_from = 0.0;
@@ -87,17 +89,17 @@
     let mut rig = start(4, 2);
     rig.begin_fault(&FaultKind::Pause(2), 0.0);
     rig.wait_for_processes();
-    rig.until("the others take it for gone", |rig| [0, 1, 3].iter().all(|i| heard(rig, *i) == 2));
+    rig.until("the others consider it dead", |rig| [0, 1, 3].iter().all(|i| heard(rig, *i) == 2));
     wait_for_health_checks(&rig, 3);
     rig.end_fault(&FaultKind::Pause(2));
     rig.wait_for_processes();
-    rig.until("it says that it stood still", |rig| rig.log(2).contains("this process was paused"));
-    rig.until("all are one again", Rig::has_converged);
+    rig.until("the instance logs the pause", |rig| rig.log(2).contains("this process was paused"));
+    rig.until("all views have converged again", Rig::has_converged);
     wait_for_health_checks(&rig, 4);
     let views = deckproxy_rig::fleet_view::views(&rig.log(2));
     assert!(
         views.iter().skip_while(|v| v.is_stale).any(|v| v.is_stale),
-        "its view was old after it had been good"
+        "the view became stale after it had been current"
     );
     finish_and_check(rig);
 }
@@ -107,7 +109,7 @@
     let mut rig = start(4, 6);
     rig.begin_fault(&FaultKind::RollingRestart, 6.0);
     rig.wait_for_processes();
-    rig.until("all new lives are one", Rig::has_converged);
+    rig.until("all new incarnations have converged", Rig::has_converged);
     assert!((0..4).all(|i| rig.log(i).matches("\"fleet: takes part\"").count() == 2));
     wait_for_health_checks(&rig, 4);
     let (run, figures) = finish_and_check(rig);
@@ -122,14 +124,16 @@
         rig.begin_fault(&FaultKind::Kill(other), 0.0);
     }
     rig.wait_for_processes();
-    rig.until("it is alone", |rig| rig.view(0).is_some_and(|v| v.heard.is_empty() && !v.in_larger_part));
+    rig.until("the instance has no live peers", |rig| {
+        rig.view(0).is_some_and(|v| v.heard.is_empty() && !v.in_larger_part)
+    });
     let before = rig.served_by(0);
-    rig.until("it serves", |rig| rig.served_by(0) > before + 100);
+    rig.until("it serves requests", |rig| rig.served_by(0) > before + 100);
     wait_for_health_checks(&rig, 2);
     for other in [1, 2] {
         rig.end_fault(&FaultKind::Kill(other));
     }
     rig.wait_for_processes();
-    rig.until("all are one again", Rig::has_converged);
+    rig.until("all views have converged again", Rig::has_converged);
     finish_and_check(rig);
 }
