--- a/crates/deckproxy/tests/attempt_endings.rs
+++ b/crates/deckproxy/tests/attempt_endings.rs
@@ -1,4 +1,4 @@
-//! How attempts end and which ending is reported to the decision module, case by case as in docs/architecture.md.
+//! Which ending of an attempt is reported to the decision module, for each case listed in docs/architecture.md.
 
 use bytes::Bytes;
 use deckproxy::protocol::config;
@@ -10,12 +10,12 @@
 
 const NOW: f64 = 1_764_576_000_000.0;
 
-/// A router that knows one cache and the origin.
+/// A router with one cache and the origin as members.
 fn router() -> Router {
     router_with("127.0.0.1:9")
 }
 
-/// The same, with this address of the members in the list.
+/// Like [`router`], with the given member address in the list.
 fn router_with(address: &str) -> Router {
     let entry = |id: &str, zone: &str, kind: &str| {
         json!({"id": id, "host_port": address, "locality": zone, "flavor": kind, "cell": 0,
@@ -54,7 +54,7 @@
     }
 }
 
-/// The effects that concern requests.
+/// The pending effects that concern requests.
 fn effects(router: &mut Router) -> Vec<Effect> {
     let others = |e: &Effect| matches!(e, Effect::Log(_) | Effect::MembersChanged);
     std::iter::from_fn(|| router.next_effect()).filter(|e| !others(e)).collect()
@@ -69,10 +69,10 @@
     }
 }
 
-fn reply(word: Status) -> Reply {
+fn reply(status: Status) -> Reply {
     Reply {
         id: "0000000000000001".into(),
-        status: word,
+        status,
         load_report: Vec::new(),
         copy: None,
         body: Bytes::from_static(b"body"),
@@ -83,45 +83,45 @@
     router.counters.endings[ENDINGS.iter().position(|e| *e == ending).unwrap()]
 }
 
-/// Checks which ending is reported after an event, and that the module retries or rejects only if the attempt never ran.
-fn check_ending(what: &str, ending: &str, never_ran: bool, happen: impl Fn(&mut Router, AttemptKey)) {
+/// Checks which ending an event leads to, and that the request is retried or rejected only if the attempt never ran.
+fn check_ending(what: &str, ending: &str, never_ran: bool, trigger: impl Fn(&mut Router, AttemptKey)) {
     let mut router = router();
     let key = start_request(&mut router);
-    happen(&mut router, key);
+    trigger(&mut router, key);
     assert_eq!(count(&router, ending), 1, "{what}: {:?}", router.counters);
     assert_eq!(router.counters.endings.iter().sum::<u64>(), 1, "{what}");
     let after = effects(&mut router);
-    let again = after.iter().any(|e| matches!(e, Effect::SendAttempt { .. }));
-    let refused = after.iter().any(|e| matches!(e, Effect::Answer { answer: Answer::Rejected(_), .. }));
+    let retried = after.iter().any(|e| matches!(e, Effect::SendAttempt { .. }));
+    let rejected = after.iter().any(|e| matches!(e, Effect::Answer { answer: Answer::Rejected(_), .. }));
     let failed = after.iter().any(|e| matches!(e, Effect::Answer { answer: Answer::Failed, .. }));
-    assert_eq!(again || refused, never_ran, "{what}: {after:?}");
+    assert_eq!(retried || rejected, never_ran, "{what}: {after:?}");
     assert_eq!(failed, !never_ran, "{what}: {after:?}");
     assert_eq!(router.counters.broken_invariants, 0);
 }
 
 #[test]
-fn each_ending_is_reported_by_what_it_proves() {
-    check_ending("no connection, or not written whole", "connect_failed", true, |r, k| {
+fn each_cause_reports_its_ending() {
+    check_ending("no connection, or written only in part", "connect_failed", true, |r, k| {
         r.connection_failed(NOW, k, ConnectionFailure::NotSent);
     });
-    check_ending("broke after it was written whole", "reset", false, |r, k| {
+    check_ending("reset after it was written completely", "reset", false, |r, k| {
         r.connection_failed(NOW, k, ConnectionFailure::Reset);
     });
     check_ending("a miss", "miss", true, |r, k| r.reply(NOW, k, reply(Status::Miss)));
-    check_ending("full", "rejected", true, |r, k| r.reply(NOW, k, reply(Status::Rejected)));
-    check_ending("over already", "not_sent", true, |r, k| r.reply(NOW, k, reply(Status::Expired)));
+    check_ending("overloaded member", "rejected", true, |r, k| r.reply(NOW, k, reply(Status::Rejected)));
+    check_ending("expired at the member", "not_sent", true, |r, k| r.reply(NOW, k, reply(Status::Expired)));
     check_ending("an error", "error", false, |r, k| r.reply(NOW, k, reply(Status::Error)));
-    check_ending("a copy that holds and nobody named", "error", false, |r, k| {
+    check_ending("not modified without a client copy", "error", false, |r, k| {
         r.reply(NOW, k, reply(Status::NotModified));
     });
-    check_ending("a probe's word", "error", false, |r, k| r.reply(NOW, k, reply(Status::Health(true))));
-    check_ending("silence until its time was over", "timeout", false, |r, k| {
+    check_ending("health check answer", "error", false, |r, k| r.reply(NOW, k, reply(Status::Health(true))));
+    check_ending("no answer before the deadline", "timeout", false, |r, k| {
         r.tick(NOW + 1000.0);
-        let withdraw = r.next_effect();
-        assert!(matches!(withdraw, Some(Effect::CancelAttempt { key, .. }) if key == k), "{withdraw:?}");
+        let cancel = r.next_effect();
+        assert!(matches!(cancel, Some(Effect::CancelAttempt { key, .. }) if key == k), "{cancel:?}");
         r.attempt_cancelled(NOW + 1000.0, k, true);
     });
-    check_ending("its time was over while it waited to be written", "not_sent", true, |r, k| {
+    check_ending("deadline passed before it was written", "not_sent", true, |r, k| {
         r.tick(NOW + 1000.0);
         assert!(matches!(r.next_effect(), Some(Effect::CancelAttempt { .. })));
         r.attempt_cancelled(NOW + 1000.0, k, false);
@@ -147,7 +147,7 @@
         assert!(matches!(&effects(&mut router)[..], [Effect::CancelAttempt { key: k, .. }] if *k == key));
         router.attempt_cancelled(NOW + 5.0, key, sent);
         assert_eq!((count(&router, ending), router.counters.endings.iter().sum::<u64>()), (1, 1));
-        assert!(effects(&mut router).is_empty(), "nobody is owed anything");
+        assert!(effects(&mut router).is_empty(), "no answer is pending");
     }
 }
 
@@ -172,12 +172,12 @@
     let key = start_request(&mut router);
     router.cancel(NOW + 5.0, 1, 7);
     assert!(matches!(&effects(&mut router)[..], [Effect::CancelAttempt { key: k, .. }] if *k == key));
-    // Its answer crosses the cancellation: it counts as the ending, and is sent to nobody.
+    // The answer crosses the cancellation: it counts as the attempt's ending and is not forwarded.
     router.reply(NOW + 6.0, key, reply(Status::Ok));
     router.attempt_cancelled(NOW + 6.0, key, true);
     assert!(effects(&mut router).is_empty());
     assert_eq!((router.counters.cancelled, count(&router, "ok"), count(&router, "cancelled")), (1, 1, 0));
-    // The name is free again once no attempt has it.
+    // The request's name can be used again once no attempt has it.
     router.request(NOW + 7.0, 1, 8, call("once", 1));
     assert!(matches!(&effects(&mut router)[..], [Effect::SendAttempt { .. }]));
 }
@@ -196,7 +196,7 @@
 fn no_request_outlives_its_deadline_whatever_its_attempts_do() {
     let mut router = router();
     start_request(&mut router);
-    // The cancellation is never confirmed: that must not cost the client its answer.
+    // The cancellation is never confirmed; the client must be answered nevertheless.
     router.tick(NOW + 1000.0);
     assert!(matches!(&effects(&mut router)[..], [Effect::CancelAttempt { .. }]));
     router.tick(NOW + 1058.0);
@@ -226,6 +226,6 @@
     let config = config::read(text.to_string().as_bytes()).unwrap();
     let mut router = Router::new(NOW, config.settings, config.seed, config.known);
     router.request(NOW, 1, 7, call("page", 1));
-    let refused = Effect::Answer { client: 1, id: 7, answer: Answer::Rejected(0.0), copy: None };
-    assert_eq!(effects(&mut router), [refused]);
+    let rejection = Effect::Answer { client: 1, id: 7, answer: Answer::Rejected(0.0), copy: None };
+    assert_eq!(effects(&mut router), [rejection]);
 }
--- a/crates/deckproxy/tests/check.rs
+++ b/crates/deckproxy/tests/check.rs
@@ -1,4 +1,4 @@
-//! `deckproxy check` as an operator runs it: each fault on a line of standard error, and how many there are.
+//! The `deckproxy check` command: prints each fault on a line of standard error, followed by their number.
 
 use std::path::Path;
 use std::process::Command;
@@ -10,7 +10,8 @@
   routes { prefix: "7" home: "west" via: "north" } }
 "#;
 
-/// Runs `check` on files in a folder; returns the exit code and the lines of standard error.
+/// Writes the files to the folder and runs `check` there on the named ones. Returns the exit code and the lines of
+/// standard error.
 fn check(folder: &Path, files: &[(&str, &[u8])], names: &[&str]) -> (Option<i32>, Vec<String>) {
     for (name, content) in files {
         std::fs::write(folder.join(name), content).unwrap();
@@ -60,5 +61,5 @@
         ]
     );
     let (code, errors) = check(folder.path(), &files, &["north.textproto"]);
-    assert_eq!((code, errors), (Some(0), Vec::new()), "one file by itself has no loop");
+    assert_eq!((code, errors), (Some(0), Vec::new()), "a single file has no loop");
 }
--- a/crates/deckproxy/tests/client_disconnect.rs
+++ b/crates/deckproxy/tests/client_disconnect.rs
@@ -1,5 +1,5 @@
-//! Clients that disconnect or cancel: no attempt begins for them, whatever their requests wait for and however late the
-//! event loop is. The process is paused while a test places the events to be read in the kernel's buffers.
+//! Clients that disconnect or cancel: no attempt is started for them, whatever their requests wait for and however late
+//! the event loop runs. The process is paused while a test fills the kernel's buffers with the events to be read.
 
 use deckproxy_standins::limit_checkers::CancellationChecker;
 use deckproxy_standins::*;
@@ -15,14 +15,14 @@
     unix_ms() as f64
 }
 
-/// A client whose write was served, so that an idle connection to the origin exists: the next write is sent at once.
+/// A client with a served write, so that an idle connection to the origin exists and the next write is sent at once.
 fn client_with_idle_origin_connection(site: &TestSite, gateway: &Gateway) -> Client {
     let mut client = gateway.client();
     site.serve_write(&mut client, b"warm", b"warm");
     client
 }
 
-/// A fill in flight at a cache that a second client's request waits for.
+/// A fill in flight at a cache, and a second client's request that waits for it.
 struct CollapsedFill<'a> {
     cache: &'a Member,
     _leader: Client,
@@ -38,19 +38,24 @@
     let mut waiter = gateway.client();
     waiter.request_object(OBJECT);
     let lookup = cache.answer_miss();
-    until("it waits", || cache.request_if_any().is_none());
+    until("the request waits for the fill", || cache.request_if_any().is_none());
     CollapsedFill { cache, _leader: leader, fill, waiter, waiter_request: lookup.id }
 }
 
-/// Reports the attempts that the caches receive in a short while, and expects that none was for a client that had left.
+/// Passes the attempts that the caches receive shortly afterwards to the checker, and expects none for a disconnected
+/// client.
 fn expect_no_late_attempts(site: &TestSite, mut checker: CancellationChecker) {
     while let Some((_, request)) = site.request_if_any() {
         checker.attempt_began(&request.id, now());
     }
-    assert!(checker.late_attempts().is_empty(), "sent for a client that left: {:?}", checker.late_attempts());
+    assert!(
+        checker.late_attempts().is_empty(),
+        "sent for a disconnected client: {:?}",
+        checker.late_attempts()
+    );
 }
 
-/// Has a new client send a write, and expects that this is the next request that the origin receives.
+/// Sends a write from a new client, and expects it to be the next request that the origin receives.
 fn expect_next_write_is_of_new_client(site: &TestSite, gateway: &Gateway) {
     let request = site.serve_write(&mut gateway.client(), b"there", b"done");
     assert_eq!(request.body, b"there");
@@ -69,7 +74,7 @@
     checker.client_left(&waiter_request, now());
     thread::sleep(PAST_TOLERANCE);
     gateway.resume();
-    // The leader retries, and nothing is sent for the client that left.
+    // The leader retries, and nothing is sent for the disconnected client.
     let (_, next) = site.next_request();
     assert_eq!(next.id, fill.id);
     expect_no_late_attempts(&site, checker);
@@ -82,10 +87,10 @@
     let mut leader = gateway.client();
     let (_, cache, fill) = site.start_fill(&mut leader, OBJECT);
     let mut waiter = gateway.client();
-    // Its timeout is so short that its wait ends long before the leader's fill.
+    // The timeout is so short that the wait ends long before the leader's fill.
     waiter.send_request("page", &[("lookup", OBJECT), ("allow", "700")], &[]);
     let lookup = cache.answer_miss();
-    until("it waits", || cache.request_if_any().is_none());
+    until("the request waits for the fill", || cache.request_if_any().is_none());
     gateway.pause();
     drop(waiter);
     let mut checker = CancellationChecker::default();
@@ -113,7 +118,7 @@
     thread::sleep(PAST_TOLERANCE);
     gateway.resume();
     let request = site.origin.next_request();
-    assert_eq!(request.body, b"kept", "what was taken back went out");
+    assert_eq!(request.body, b"kept", "a cancelled request was sent");
     site.origin.answer(&request, "200", b"done");
     client.expect_served(kept, b"done");
 }
@@ -134,7 +139,7 @@
 #[test]
 fn cancellation_is_read_while_answers_wait_for_a_slow_reader() {
     let (site, gateway, mut client) = TestSite::start_with_client();
-    // A small receive buffer, as the client does not read.
+    // A small receive buffer, so that answers queue at the gateway while the client does not read.
     socket2::SockRef::from(&client.stream_handle()).set_recv_buffer_size(64 * 1024).unwrap();
     let body = vec![7u8; 240_000];
     let ids: Vec<u64> = (0..31).map(|_| client.request_object(OBJECT)).collect();
@@ -144,9 +149,9 @@
     for (cache, request) in &requests {
         cache.answer(request, "200", &body);
     }
-    // Over 7 MB have been read from the caches, of which the kernel accepts a part.
+    // Over 7 MB were read from the caches; the kernel accepts only a part of them.
     let mut other = gateway.client();
-    until("the answers wait for their reader", || {
+    until("the answers are queued for the client", || {
         let ping = other.ping();
         other.next_answer() == (ping, Answer::Ready(true)) && gateway.usage().peak_memory_kb > 6 * 1024
     });
@@ -184,10 +189,10 @@
     let mut chunk = [0; 4096];
     while !got.windows(5).any(|w| w == b"there") {
         let n = origin.read(&mut chunk).unwrap();
-        assert!(n > 0, "the connection is used by the next one");
+        assert!(n > 0, "the next request uses the connection");
         got.extend_from_slice(&chunk[..n]);
     }
-    assert!(!got.windows(4).any(|w| w == b"left"), "sent for a client that left");
+    assert!(!got.windows(4).any(|w| w == b"left"), "sent for a disconnected client");
     assert_eq!(id, 2);
 }
 
@@ -211,7 +216,7 @@
     thread::sleep(Duration::from_millis(450));
     gateway.resume();
     expect_next_write_is_of_new_client(&site, &gateway);
-    assert!(site.parent.request_if_any().is_none(), "sent for a client that left");
+    assert!(site.parent.request_if_any().is_none(), "sent for a disconnected client");
 }
 
 #[test]
@@ -238,7 +243,7 @@
     let mut waiter = gateway.client();
     let id = waiter.request_object(OBJECT);
     let lookup = cache.answer_miss();
-    assert!(cache.request_if_any().is_none(), "it waits");
+    assert!(cache.request_if_any().is_none(), "the request waits for the fill");
     drop(leader);
     cache.expect_cancelled(&fill.id);
     let next = cache.next_request();
--- a/crates/deckproxy/tests/client_limits.rs
+++ b/crates/deckproxy/tests/client_limits.rs
@@ -82,7 +82,7 @@
         busy.push(client);
     }
     let idle: Vec<Client> = (0..60).map(|_| gateway.client()).collect();
-    until("the lack is noted", || gateway.log().contains("no descriptor is left"));
+    until("the exhaustion is logged", || gateway.log().contains("no descriptor is left"));
     let before = gateway.cpu_ms();
     std::thread::sleep(Duration::from_millis(500));
     assert!(gateway.cpu_ms() - before < 100, "{} ms of CPU in half a second", gateway.cpu_ms() - before);
@@ -115,7 +115,7 @@
         answered += 1;
     }
     assert!(answered > 600, "{answered}");
-    // While the caches count as overloaded the request may be rejected, and is retried.
+    // The request may be rejected while the caches count as overloaded, and is then repeated.
     let mut other = gateway.client();
     let mut serve = || {
         let id = other.request_object("00000000000000aa");
@@ -134,7 +134,7 @@
     assert!(memory < 128 * 1024, "{memory} KB");
     // Over 140 MB were answered to clients that read nothing; all of it is freed with them.
     drop(greedy);
-    until("it is served again", serve);
+    until("the client is served again", serve);
 }
 
 #[test]
@@ -191,7 +191,7 @@
                     usize::from(matches!(client.next_answer().1, Answer::Error(word, _) if word == "Shed"));
             }
         }
-        // The program's own pages, 5 MB as deployed, are within the 32 MB too, with 3 MB to spare.
+        // The 32 MB also include the program's own pages, 5 MB as deployed, and a margin of 3 MB.
         let (memory, descriptors) = (gateway.own_memory_kb(), gateway.usage().descriptors);
         peak = (memory.max(peak.0), descriptors.max(peak.1));
         assert!(memory < 24 * 1024 && descriptors <= 256, "round {round}: {memory} KB, {descriptors}");
@@ -227,5 +227,5 @@
     }
     stop.store(true, std::sync::atomic::Ordering::SeqCst);
     let sent: u64 = floods.into_iter().map(|f| f.join().unwrap()).sum();
-    assert!(sent > 2000, "{sent} pings are no flood");
+    assert!(sent > 2000, "{sent} pings are not a flood");
 }
--- a/crates/deckproxy/tests/codecs.rs
+++ b/crates/deckproxy/tests/codecs.rs
@@ -1,4 +1,5 @@
-//! Properties of the decoders: any split gives the same values, and no bytes make them panic or allocate without bound.
+//! Properties of the decoders: the result does not depend on how the input is split, and no input causes a panic or an
+//! unbounded allocation.
 
 use bytes::{Bytes, BytesMut};
 use deckproxy::protocol::downstream::{self, Answer, Call, Message, ObjectId, ProtocolError, RequestError};
@@ -8,8 +9,8 @@
 use proptest::prelude::*;
 use rmpv::Value;
 
-/// Decodes bytes piece by piece.
-fn in_pieces<T>(bytes: &[u8], cuts: &[usize], mut take: impl FnMut(&mut BytesMut) -> Vec<T>) -> Vec<T> {
+/// Decodes bytes that arrive in pieces, split at `cuts`.
+fn in_pieces<T>(bytes: &[u8], cuts: &[usize], mut decode: impl FnMut(&mut BytesMut) -> Vec<T>) -> Vec<T> {
     let mut cuts: Vec<usize> = cuts.iter().map(|c| c % (bytes.len() + 1)).collect();
     cuts.push(bytes.len());
     cuts.sort_unstable();
@@ -17,7 +18,7 @@
     for cut in cuts {
         buffer.extend_from_slice(&bytes[from..cut]);
         from = cut;
-        all.extend(take(&mut buffer));
+        all.extend(decode(&mut buffer));
     }
     all
 }
@@ -31,7 +32,10 @@
             match decoder.next(buffer) {
                 Ok(Some(message)) => got.push(Ok(message)),
                 Ok(None) => {
-                    assert!(buffer.len() <= limits::CLIENT_MESSAGE, "no message is awaited beyond the limit");
+                    assert!(
+                        buffer.len() <= limits::CLIENT_MESSAGE,
+                        "no incomplete message exceeds the limit"
+                    );
                     break;
                 }
                 Err(e) => {
@@ -222,7 +226,7 @@
 }
 
 #[test]
-fn encoded_ask_has_only_the_requested_fields() {
+fn encoded_attempt_has_only_the_requested_fields() {
     let call = Call {
         name: "9b1f03aa5c7e2d41".into(),
         class: "page".into(),
@@ -267,7 +271,7 @@
 fn health_checks_and_cancellations_encode_with_one_argument() {
     assert_eq!(upstream::encode_health_check("p1"), &b"*2\r\n$4\r\nINFO\r\n$2\r\np1\r\n"[..]);
     assert_eq!(upstream::encode_cancel("9b1f"), &b"*2\r\n$4\r\nQUIT\r\n$4\r\n9b1f\r\n"[..]);
-    // Answers to health checks come with or without fields and body.
+    // Answers to health checks may omit the fields and the body.
     for (text, alive, report) in [
         ("*2\r\n$2\r\np1\r\n$5\r\nalive\r\n", true, vec![]),
         ("*3\r\n$2\r\np1\r\n$4\r\ndead\r\n$1\r\n-\r\n", false, vec![]),
--- a/crates/deckproxy/tests/connection_close.rs
+++ b/crates/deckproxy/tests/connection_close.rs
@@ -1,4 +1,4 @@
-//! Closes by the gateway: each reads what has arrived first, and discards nothing that was written.
+//! Connections that the gateway closes: it first reads what has arrived, and discards no written answer.
 
 use deckproxy::protocol::{downstream, limits};
 use deckproxy::transport::client as transport;
@@ -21,13 +21,13 @@
 fn client_with_unread_request_is_not_evicted() {
     let site = TestSite::start();
     let mut setup = site.setup();
-    // Ten places for clients, one of which is reserved.
+    // Ten client connections, one of which is reserved.
     setup.sockets = 30;
     let gateway = setup.start();
     let mut oldest = ready_client(&gateway);
     let _others: Vec<Client> = (0..8).map(|_| ready_client(&gateway)).collect();
     gateway.pause();
-    // The new connection is read first; the request of the client that was idle for longest is unread at that moment.
+    // The new connection is read first, while the request of the longest idle client is still unread.
     let mut newcomer = gateway.client();
     let ping = newcomer.ping();
     let id = oldest.request_object(OBJECT);
@@ -35,7 +35,7 @@
     let (cache, request) = site.next_request();
     cache.answer(&request, "200", b"there");
     oldest.expect_served(id, b"there");
-    assert_eq!(newcomer.next_answer(), (ping, Answer::Ready(true)), "another made room");
+    assert_eq!(newcomer.next_answer(), (ping, Answer::Ready(true)), "another client was evicted");
 }
 
 #[test]
@@ -46,11 +46,11 @@
     let mut idle: Vec<Client> = (0..150).map(|_| ready_client(&gateway)).collect();
     let start = Instant::now();
     gateway.signal("TERM");
-    until("it is told", || gateway.log().contains("graceful shutdown begins"));
+    until("the shutdown begins", || gateway.log().contains("graceful shutdown begins"));
     gateway.pause();
     let ids: Vec<u64> = idle.iter_mut().map(|client| client.request_object(OBJECT)).collect();
-    assert!(start.elapsed() < Duration::from_millis(600), "they came in time");
-    until("the time for stragglers is over", || start.elapsed() > Duration::from_millis(750));
+    assert!(start.elapsed() < Duration::from_millis(600), "the requests arrived in time");
+    until("the time for late requests is over", || start.elapsed() > Duration::from_millis(750));
     gateway.resume();
     for (client, id) in idle.iter_mut().zip(ids) {
         client.expect_error(id, "Shed");
@@ -66,15 +66,15 @@
     let gateway = site.setup().start();
     let start = Instant::now();
     let mut idle: Vec<Client> = (0..150).map(|_| ready_client(&gateway)).collect();
-    let all_rest = Instant::now();
-    until_in(Duration::from_secs(12), "they have rested for nearly so long", || {
+    let all_idle_since = Instant::now();
+    until_in(Duration::from_secs(12), "the idle timeout is nearly reached", || {
         start.elapsed() > Duration::from_millis(9600)
     });
     gateway.pause();
-    assert!(start.elapsed() < Duration::from_secs(10), "none was closed yet");
+    assert!(start.elapsed() < Duration::from_secs(10), "no client has been closed yet");
     let pings: Vec<u64> = idle.iter_mut().map(Client::ping).collect();
-    until_in(Duration::from_secs(12), "the time-out of all has passed", || {
-        all_rest.elapsed() > Duration::from_millis(10_100)
+    until_in(Duration::from_secs(12), "all idle timeouts have passed", || {
+        all_idle_since.elapsed() > Duration::from_millis(10_100)
     });
     gateway.resume();
     for (client, id) in idle.iter_mut().zip(pings) {
@@ -89,10 +89,10 @@
     let mut client = ready_client(&gateway);
     let start = Instant::now();
     gateway.signal("TERM");
-    until("it is told", || gateway.log().contains("graceful shutdown begins"));
+    until("the shutdown begins", || gateway.log().contains("graceful shutdown begins"));
     let (id, bytes) = client.encode_request("page", &[("lookup", OBJECT)], &[]);
     client.send(&bytes[..20]);
-    until("the time for stragglers is over", || start.elapsed() > Duration::from_millis(900));
+    until("the time for late requests is over", || start.elapsed() > Duration::from_millis(900));
     client.send(&bytes[20..]);
     client.expect_error(id, "Shed");
     client.expect_clean_close();
@@ -114,12 +114,12 @@
     client.expect_clean_close();
 }
 
-/// There is always a connection to accept, and those that were accepted are new.
+/// There is always a connection to accept, and all accepted connections are new.
 #[test]
 fn shutdown_ends_in_time_while_idle_clients_keep_connecting() {
     let site = TestSite::start();
     let mut setup = site.setup();
-    // Ten places for clients.
+    // Ten client connections.
     setup.sockets = 30;
     let mut gateway = setup.start();
     let (address, filling) = (gateway.address, AtomicBool::new(true));
@@ -151,7 +151,7 @@
             thread::sleep(Duration::from_millis(2));
             code = gateway.child.try_wait().unwrap().and_then(|c| c.code());
         }
-        // In any case: the other threads wait for this.
+        // Also on failure, as the other threads wait for this flag.
         filling.store(false, Ordering::SeqCst);
         (code, start.elapsed())
     });
@@ -170,7 +170,7 @@
         gateway.signal(signal);
     }
     gateway.resume();
-    until("it is told", || gateway.log().contains("graceful shutdown begins"));
+    until("the shutdown begins", || gateway.log().contains("graceful shutdown begins"));
     gateway.signal("TERM");
     gateway.signal("HUP");
     cache.answer(&request, "200", b"kept");
@@ -192,14 +192,14 @@
         }
         written
     });
-    until("the rest is of no use", || gateway.log().contains("a client's connection closes"));
-    flood.join().unwrap().expect("16 MB are taken off, as an answer is owed");
+    until("the gateway closes the connection", || gateway.log().contains("a client's connection closes"));
+    flood.join().unwrap().expect("16 MB are read, as an answer is pending");
     cache.answer(&request, "200", &vec![3; 200_000]);
     client.expect_served(id, &vec![3; 200_000]);
     client.expect_clean_close();
 }
 
-/// Everything is written and the connection shut down, but most of the answer is in the gateway's kernel buffer.
+/// The answer is written and the connection shut down, but most of it is still in the gateway's kernel buffer.
 #[test]
 fn slow_reader_that_keeps_sending_gets_its_answer_before_close() {
     let (site, gateway, mut client) = TestSite::start_with_client();
@@ -207,14 +207,14 @@
     let id = client.request_object(OBJECT);
     let (cache, request) = site.next_request();
     client.send(b"\xc1");
-    until("the rest is of no use", || gateway.log().contains("a client's connection closes"));
+    until("the gateway closes the connection", || gateway.log().contains("a client's connection closes"));
     cache.answer(&request, "200", &vec![3; 200_000]);
     let mut handle = client.stream_handle();
     handle.peek(&mut [0]).unwrap();
-    // Three times the time that a client has to close its side.
+    // Three times as long as a client has to close its side.
     let start = Instant::now();
     while start.elapsed() < Duration::from_millis(900) {
-        handle.write_all(&[0; 1024]).expect("it is taken off and not answered with a reset");
+        handle.write_all(&[0; 1024]).expect("the bytes are read and not answered with a reset");
         thread::sleep(Duration::from_millis(10));
     }
     client.expect_served(id, &vec![3; 200_000]);
@@ -232,8 +232,8 @@
     let (cache, request) = site.next_request();
     let (_, bytes) = client.encode_request("page", &[("lookup", OBJECT)], &[]);
     client.send(&bytes[..20]);
-    until("the connection is to close", || gateway.log().contains("keeps a message waiting"));
-    // Longer than a closing connection without pending answers is kept.
+    until("the gateway starts to close the connection", || gateway.log().contains("keeps a message waiting"));
+    // Longer than a closing connection without pending answers stays open.
     thread::sleep(Duration::from_millis(1700));
     cache.answer(&request, "200", b"owed");
     client.expect_served(id, b"owed");
--- a/crates/deckproxy/tests/control_feed.rs
+++ b/crates/deckproxy/tests/control_feed.rs
@@ -1,4 +1,4 @@
-//! The control feed: event numbers, heartbeats, reconnects, and a gateway without it.
+//! The control feed: event numbers, heartbeats, reconnects, and a gateway without a feed.
 
 use deckproxy_standins::limit_checkers::DescriptorExhaustionChecker;
 use deckproxy_standins::*;
@@ -19,7 +19,7 @@
     let site = TestSite::start();
     let SubscribedGateway { gateway: _gateway, mut client, feed, subscription } = site.start_subscribed();
     send_line(&subscription, &group_purge(2, 5));
-    until("the purge is known", || site.is_bound_by_purge(&mut client, 5));
+    until("the purge is applied", || site.is_bound_by_purge(&mut client, 5));
     drop(subscription);
     let (from, subscription) = feed.accept();
     assert_eq!(from, 2);
@@ -29,8 +29,8 @@
     let (a, b) = text.split_at(20);
     (&subscription).write_all(a.as_bytes()).unwrap();
     (&subscription).write_all(b.as_bytes()).unwrap();
-    until("the purge is known", || site.is_bound_by_purge(&mut client, 7));
-    assert!(!site.is_bound_by_purge(&mut client, 6), "an event of a number that was told before");
+    until("the purge is applied", || site.is_bound_by_purge(&mut client, 7));
+    assert!(!site.is_bound_by_purge(&mut client, 6), "an event with a repeated number was applied");
 }
 
 #[test]
@@ -42,7 +42,7 @@
     assert_eq!(from, 1, "2 and 3 are missing");
     // The feed no longer has them; later events still apply.
     send_line(&subscription, &group_purge(4, 5));
-    until("the purge is known", || site.is_bound_by_purge(&mut client, 5));
+    until("the purge is applied", || site.is_bound_by_purge(&mut client, 5));
     // A heartbeat with a later number reveals missing events too.
     send_line(&subscription, &json!(9));
     let (from, subscription) = feed.accept();
@@ -50,7 +50,7 @@
     for number in 5..=9 {
         send_line(&subscription, &group_purge(number, 10));
     }
-    until("the purges are known", || site.is_bound_by_purge(&mut client, 10));
+    until("the purges are applied", || site.is_bound_by_purge(&mut client, 10));
 }
 
 #[test]
@@ -68,7 +68,7 @@
     );
     send_line(&subscription, &json!({"n": 5, "later": {"version": 2}}));
     send_line(&subscription, &group_purge(6, 5));
-    until("the purge is known", || site.is_bound_by_purge(&mut client, 5));
+    until("the purge is applied", || site.is_bound_by_purge(&mut client, 5));
 }
 
 #[test]
@@ -109,7 +109,8 @@
     assert!(!site.is_bound_by_purge(&mut client, 5));
 }
 
-/// Regression test: the feed was considered silent before its connection was up, and so was each later one.
+/// Regression test: the feed was considered silent before its connection was established, and so was each later
+/// connection.
 #[test]
 fn feed_timeout_starts_when_the_connection_is_up() {
     let site = TestSite::start();
@@ -117,7 +118,7 @@
     let mut setup = site.setup();
     setup.feed = listener.address;
     let _gateway = setup.start();
-    // The connection is up at the second attempt of the handshake, after 1 s; nothing is sent for 1.9 s after that.
+    // The second attempt of the handshake succeeds, after 1 s; nothing is sent for another 1.9 s.
     let mut connection = listener.accept();
     let mut first_line = [0; 6];
     connection.set_read_timeout(Some(PATIENCE)).unwrap();
@@ -125,11 +126,14 @@
     assert_eq!(&first_line, b"SUB 1\n");
     connection.set_read_timeout(Some(Duration::from_millis(1900))).unwrap();
     let got = connection.read(&mut [0]);
-    assert!(matches!(&got, Err(e) if e.kind() == std::io::ErrorKind::WouldBlock), "given up: {got:?}");
+    assert!(
+        matches!(&got, Err(e) if e.kind() == std::io::ErrorKind::WouldBlock),
+        "the connection was abandoned: {got:?}"
+    );
 }
 
-/// Idle clients take each descriptor that is freed, and new clients arrive one after another, while service discovery is
-/// down and after it is restored.
+/// Idle clients use up each freed descriptor, and new clients keep arriving, while service discovery is down and after
+/// it is restored.
 #[test]
 fn descriptor_exhaustion_by_idle_clients_spares_the_watch_and_new_clients() {
     let site = TestSite::start();
@@ -138,7 +142,7 @@
     setup.feed = at;
     let gateway = setup.start_limited("ulimit -n 32");
     let mut idle: Vec<Client> = Vec::new();
-    until("none is left", || {
+    until("no descriptor is left", || {
         let mut client = gateway.client();
         client.expect_ready();
         idle.push(client);
@@ -149,7 +153,7 @@
     let mut checker = DescriptorExhaustionChecker::default();
     let (filling, caches) = (AtomicBool::new(true), AtomicBool::new(true));
     thread::scope(|scope| {
-        // Further idle clients connect whenever one was closed.
+        // Another idle client connects whenever one was closed.
         scope.spawn(|| {
             let mut more = Vec::new();
             while filling.load(Ordering::SeqCst) {
@@ -201,13 +205,13 @@
         caches.store(false, Ordering::SeqCst);
     });
     assert!(checker.holds(), "{checker:?}");
-    // Logged once in an interval of the log's summary: logged for each client, it would use up the rate limit.
+    // Logged once per summary interval: a line for each client would use up the log's rate limit.
     let lacks = gateway.log().matches("no descriptor is left").count();
     assert!((1..=2).contains(&lacks), "{lacks} lines");
 }
 
-/// Clients that connected a moment ago use all descriptors when the watch is due to reconnect, and none is overdue with
-/// its first message. Regression test: that attempt failed, and so did each later one at such a moment.
+/// All descriptors are used by new clients, none of which is overdue with its first message, when the watch is due to
+/// reconnect. Regression test: that attempt and each later one in such a situation failed.
 #[test]
 fn watch_gets_a_descriptor_when_all_clients_are_new() {
     let site = TestSite::start();
@@ -216,19 +220,19 @@
     setup.feed = at;
     let gateway = setup.start_limited("ulimit -n 32");
     let refusals = || gateway.log().matches("control feed: Connection refused").count();
-    // From the sixth on the attempts are 1 s apart.
-    until("its tries are a second apart", || refusals() >= 6);
-    let tried = refusals();
-    until("the next one has just been", || refusals() > tried);
+    // From the sixth attempt on, the interval is 1 s.
+    until("the attempts are 1 s apart", || refusals() >= 6);
+    let attempts = refusals();
+    until("the next attempt was made", || refusals() > attempts);
     let start = Instant::now();
     gateway.pause();
     let discovery = std::net::TcpListener::bind(at).unwrap();
     discovery.set_nonblocking(true).unwrap();
     let _silent: Vec<_> = (0..40).map(|_| std::net::TcpStream::connect(gateway.address).unwrap()).collect();
-    until("its next try is nearly due", || start.elapsed() > Duration::from_millis(970));
+    until("the following attempt is nearly due", || start.elapsed() > Duration::from_millis(970));
     gateway.resume();
     until("discovery is watched", || discovery.accept().is_ok());
-    assert!(start.elapsed() < Duration::from_millis(1900), "not at its first try: {:?}", start.elapsed());
+    assert!(start.elapsed() < Duration::from_millis(1900), "not at the first attempt: {:?}", start.elapsed());
 }
 
 /// Whether a new client is served before its request times out.
--- a/crates/deckproxy/tests/flows.rs
+++ b/crates/deckproxy/tests/flows.rs
@@ -1,4 +1,4 @@
-//! Flow export of the real gateway: an independent decoder collects, clients and members count what passed.
+//! Flow export of the real gateway: an independent decoder's sums are compared with what clients and members count.
 
 use deckproxy_standins::collector::{Collection, Collector, FlowRecord};
 use deckproxy_standins::*;
@@ -21,7 +21,7 @@
     setup.start()
 }
 
-/// One request that a cache serves with a body of that size.
+/// Serves one request from a cache with a body of the given size.
 fn serve_bytes(site: &TestSite, client: &mut Client, size: usize) {
     let id = client.request_object(OBJECT);
     let (cache, request) = site.next_request();
@@ -30,7 +30,7 @@
     client.expect_served(id, &body);
 }
 
-/// The sums of clients' flows of class `page`: what a client that sends no other requests has written and read.
+/// The sums of the client flows of class `page`; they match a client's own counts if it sends no other requests.
 fn page_sums(collection: &Collection) -> [u64; 3] {
     collection.sums(|f| f.leg == "client" && f.class == "page")
 }
@@ -49,7 +49,7 @@
     for size in [0, 10, 5000, 150_000] {
         serve_bytes(&site, &mut client, size);
     }
-    // A request that all caches reject is another flow.
+    // A request that all caches reject belongs to another flow.
     let id = client.request_object(OBJECT);
     for _ in 0..6 {
         let Some((cache, request)) = site.request_if_any() else { break };
@@ -60,14 +60,14 @@
     let before = (client.bytes_written, client.bytes_read);
     let id = client.send_request("nonsense", &[("lookup", OBJECT)], &[]);
     assert_eq!(client.next_answer().0, id);
-    until("all requests are told", || collector.collection().leg_sums("client")[2] == 6);
+    until("all requests are reported", || collector.collection().leg_sums("client")[2] == 6);
     let got = collector.collection();
     assert_eq!(page_sums(&got), [before.1, before.0, 5]);
     let unusable = got.sums(|f| f.result == "unusable" && f.class.is_empty());
     assert_eq!(unusable, [client.bytes_read - before.1, client.bytes_written - before.0, 1]);
     let served = got.sums(|f| f.leg == "client" && f.result == "served");
     assert_eq!(served[2], 4);
-    // Attempts are flows of their own, with the client that caused them.
+    // Attempts are separate flows that carry the client that caused them.
     let of_members: Vec<&FlowRecord> =
         got.flows.iter().filter(|f| f.leg == "member" && f.requests > 0).collect();
     assert!(of_members.iter().all(|f| f.member.starts_with("s-0000") && f.class == "page"), "{of_members:?}");
@@ -76,7 +76,7 @@
     );
     assert!(got.leg_sums("member")[0] > 155_000);
     assert_eq!((got.undecoded, got.missing), (0, 0));
-    assert_eq!(got.described.len(), 6, "each of our elements is described: {:?}", got.described);
+    assert_eq!(got.described.len(), 6, "each enterprise element is described: {:?}", got.described);
     let log = shut_down(gateway);
     assert!(log.contains("collectors[up]") && log.contains("lost[flows:0,unreported:0]"), "{log}");
 }
@@ -84,7 +84,7 @@
 #[test]
 fn graceful_shutdown_flushes_flows() {
     let (site, collector) = (TestSite::start(), Collector::tcp());
-    // Nothing would be exported for a minute.
+    // With these settings nothing is exported within the first minute.
     let operator =
         operator_text(&[(collector.address, "TCP")], "").replace("active_ms: 300 idle_ms: 100", "");
     let gateway = start(&site, operator);
@@ -107,7 +107,7 @@
     let log = shut_down(gateway);
     // 700 ms for late requests, 200 ms for flows.
     assert!(told.elapsed() < Duration::from_secs(2), "{:?}", told.elapsed());
-    assert!(!log.contains("waiting[flows:0"), "what was not told is named: {log}");
+    assert!(!log.contains("waiting[flows:0"), "unreported flows are logged: {log}");
 }
 
 #[test]
@@ -122,13 +122,13 @@
     }
     assert_eq!(collector.collection().messages, 0);
     collector.restart();
-    until("all is told", || page_sums(&collector.collection())[2] == 5);
+    until("all flows are reported", || page_sums(&collector.collection())[2] == 5);
     assert_eq!(page_sums(&collector.collection()), [client.bytes_read, client.bytes_written, 5]);
-    // After a restart without templates it receives them again, and decodes on.
+    // A collector that restarts without templates receives them again and continues to decode.
     collector.stop();
     collector.restart();
     serve_bytes(&site, &mut client, 700);
-    until("all is told", || page_sums(&collector.collection())[2] == 6);
+    until("all flows are reported", || page_sums(&collector.collection())[2] == 6);
     let got = collector.collection();
     assert_eq!(
         (page_sums(&got), got.undecoded, got.missing),
@@ -142,18 +142,18 @@
     let gateway = start(&site, operator_text(&[(old.address, "TCP")], ""));
     let mut client = gateway.client();
     serve_bytes(&site, &mut client, 1000);
-    until("it is told", || page_sums(&old.collection())[2] == 1);
+    until("the flow is reported", || page_sums(&old.collection())[2] == 1);
     // A request is in flight while the collectors change.
     let id = client.request_object(OBJECT);
     let (cache, request) = site.next_request();
     gateway.reload_operator(&operator_text(&[(new.address, "UDP")], "rate: 50 domain: 9"));
-    until("it is taken", || gateway.log().contains("collectors are in force"));
-    until("the domain is told to take a restart", || gateway.log().contains("take a restart"));
+    until("the reload is applied", || gateway.log().contains("collectors are in force"));
+    until("the log says that the domain takes a restart", || gateway.log().contains("take a restart"));
     gateway.reload_operator("flows { collectors { address: \"here\" } }");
-    until("it is refused", || gateway.log().contains("the configuration in force stays"));
+    until("the invalid file is rejected", || gateway.log().contains("the configuration in force stays"));
     cache.answer(&request, "200", b"held");
     client.expect_served(id, b"held");
-    until("it is told", || page_sums(&new.collection())[2] == 1);
+    until("the flow is reported", || page_sums(&new.collection())[2] == 1);
     let (old, new) = (old.collection(), new.collection());
     let sums = [0, 1, 2].map(|i| page_sums(&old)[i] + page_sums(&new)[i]);
     assert_eq!(sums, [client.bytes_read, client.bytes_written, 2]);
@@ -171,7 +171,7 @@
         std::thread::sleep(Duration::from_millis(150));
     }
     collector.restart();
-    until("all is told", || page_sums(&collector.collection())[2] == 4);
+    until("all flows are reported", || page_sums(&collector.collection())[2] == 4);
     assert_eq!(page_sums(&collector.collection()), [client.bytes_read, client.bytes_written, 4]);
 }
 
@@ -186,7 +186,7 @@
             serve_bytes(&site, client, size);
         }
     }
-    until("all is told", || page_sums(&collector.collection())[2] == 4);
+    until("all flows are reported", || page_sums(&collector.collection())[2] == 4);
     let got = collector.collection();
     let want = [
         clients[0].bytes_read + clients[1].bytes_read,
@@ -200,13 +200,13 @@
 fn client_disconnect_is_reported_as_cut_with_bytes_the_kernel_accepted() {
     let (site, collector) = (TestSite::start(), Collector::tcp());
     let gateway = start(&site, operator_text(&[(collector.address, "TCP")], ""));
-    // With a small kernel buffer, most of the answer stays with the gateway.
+    // With a small kernel buffer, most of the answer stays in the gateway.
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4096).unwrap();
     socket.connect(&gateway.address.into()).unwrap();
     let mut stream: TcpStream = socket.into();
-    // More than the kernel buffers for one connection, whatever it grants, and than the gateway buffers for a client
-    // before it reads no further requests.
+    // More than the kernel buffers for one connection, whatever size it grants, and more than the gateway buffers for a
+    // client before it stops reading requests.
     let mut requests = Client::connect(gateway.address);
     let (mut wrote, mut asked) = (0, 0);
     for n in 0..30 {
@@ -222,9 +222,9 @@
     drop(stream);
     let own = |f: &FlowRecord| f.leg == "client" && f.class == "page";
     let cut = |f: &FlowRecord| own(f) && f.result == "cut";
-    until("all are told", || collector.collection().sums(own)[2] == asked);
+    until("all requests are reported", || collector.collection().sums(own)[2] == asked);
     let got = collector.collection();
-    assert!(got.sums(cut)[2] >= 1, "some of it stayed with the gateway");
+    assert!(got.sums(cut)[2] >= 1, "a part of the answers stayed in the gateway");
     let [out, back, _] = got.sums(own);
     assert!((3000..asked * 200_100).contains(&out), "{out} of {asked}");
     assert_eq!(back, wrote);
@@ -237,11 +237,11 @@
     let wrote = client.bytes_written;
     client.send(&[0x94, 0x00]);
     drop(client);
-    until("it is told", || collector.collection().sums(cut)[2] == before + 1);
-    let word = |f: &FlowRecord| f.leg == "client" && f.class.is_empty();
-    // The flow without a class has the ping of the start, the cancellation and the two bytes of the incomplete message.
-    until("the words are told", || collector.collection().sums(word)[1] > 2);
-    until("all bytes are told", || collector.collection().leg_sums("client")[1] >= back + wrote + 2);
+    until("the flow is reported", || collector.collection().sums(cut)[2] == before + 1);
+    let unclassified = |f: &FlowRecord| f.leg == "client" && f.class.is_empty();
+    // The flow without a class counts the initial ping, the cancellation and the two bytes of the incomplete message.
+    until("the bytes without a class are reported", || collector.collection().sums(unclassified)[1] > 2);
+    until("all bytes are reported", || collector.collection().leg_sums("client")[1] >= back + wrote + 2);
     assert_eq!(collector.collection().leg_sums("client")[2], asked + 1);
 }
 
@@ -253,7 +253,7 @@
         &site,
         operator_text(&[(first.address, "TCP"), (second.address, "TCP")], "message_bytes: 65000"),
     );
-    // Each client's address is a flow: more of them than the kernel buffers for a collector that does not read.
+    // Each client address is a flow; these exceed what the kernel buffers for a collector that does not read.
     let request = |n: u32| {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         let from = SocketAddr::from((std::net::Ipv4Addr::from(0x7f40_0000 + n), 0));
@@ -267,11 +267,11 @@
     let mut asked = 0;
     let end = Instant::now() + Duration::from_secs(30);
     while !gateway.log().contains("collector 0: stalled") {
-        assert!(Instant::now() < end, "never given up after {asked} clients: {}", gateway.log());
+        assert!(Instant::now() < end, "never dropped after {asked} clients: {}", gateway.log());
         (asked..asked + 500).for_each(request);
         asked += 500;
     }
-    until("the other one is told", || !second.collection().flows.is_empty());
+    until("the other collector receives flows", || !second.collection().flows.is_empty());
 }
 
 #[test]
--- a/crates/deckproxy/tests/lifecycle.rs
+++ b/crates/deckproxy/tests/lifecycle.rs
@@ -30,12 +30,12 @@
     cache.answer(&late, "200", b"2");
     new.expect_served(second, b"2");
     std::thread::sleep(Duration::from_millis(300));
-    assert!(gateway.child.try_wait().unwrap().is_none(), "one request is open");
+    assert!(gateway.child.try_wait().unwrap().is_none(), "one request is still open");
     cache.answer(&request, "200", b"1");
     old.expect_served(first, b"1");
     assert_eq!(gateway.wait_for_exit(), Some(0));
     assert!(start.elapsed() < Duration::from_secs(3), "{:?}", start.elapsed());
-    until("its end is logged", || gateway.log().contains("end"));
+    until("the end is logged", || gateway.log().contains("end"));
 }
 
 #[test]
@@ -131,9 +131,9 @@
         cache.answer(request, "200", &body);
     }
     gateway.signal("TERM");
-    // The client reads long after all is answered, and well before the deadline of the shutdown.
+    // The client starts to read long after all requests are answered, and well before the shutdown's deadline.
     std::thread::sleep(Duration::from_millis(1400));
-    assert!(gateway.child.try_wait().unwrap().is_none(), "7 MB are not in the kernel's buffers");
+    assert!(gateway.child.try_wait().unwrap().is_none(), "7 MB do not fit into the kernel's buffers");
     for _ in 0..32 {
         assert!(matches!(client.next_answer().1, Answer::Served(b, _) if b == body));
     }
@@ -146,7 +146,7 @@
     let site = TestSite::start();
     let SubscribedGateway { mut gateway, mut client, feed, subscription: line } = site.start_subscribed();
     gateway.stop_reading_log();
-    // Each lost feed connection logs a line; the first closes the log's reader, the others meet a broken pipe.
+    // Each lost feed connection logs a line; the first makes the log's reader close, the others get a broken pipe.
     drop(line);
     for _ in 0..4 {
         drop(feed.accept());
@@ -156,14 +156,14 @@
     assert_eq!(gateway.wait_for_exit(), Some(0));
 }
 
-/// Clients that connected in time are answered, also where no place was free for them until the end.
+/// Clients that connected in time are answered, even if the connection limit kept them waiting until the end.
 #[test]
 fn shutdown_answers_connections_waiting_to_be_accepted() {
     let site = TestSite::start();
     let mut setup = site.setup();
     setup.sockets = 30;
     let mut gateway = setup.start();
-    // All ten places are taken by clients with a request in flight.
+    // All ten client connections have a request in flight.
     let mut busy: Vec<Client> = (0..10).map(|_| gateway.client()).collect();
     let ids: Vec<u64> = busy.iter_mut().map(|c| c.request_object(OBJECT)).collect();
     let requests: Vec<(&Member, MemberRequest)> = ids.iter().map(|_| site.next_request()).collect();
@@ -171,7 +171,7 @@
     let late: Vec<u64> = waiting.iter_mut().map(|c| c.request_object(OBJECT)).collect();
     let start = Instant::now();
     gateway.signal("TERM");
-    until("the time for stragglers is over", || start.elapsed() > Duration::from_millis(800));
+    until("the time for late requests is over", || start.elapsed() > Duration::from_millis(800));
     for (cache, request) in &requests {
         cache.answer(request, "200", b"x");
     }
@@ -181,7 +181,7 @@
     assert_eq!(gateway.wait_for_exit(), Some(0));
 }
 
-/// The configuration is a pipe: opening that for writing proves that the gateway reads it.
+/// The configuration is a named pipe: opening it for writing succeeds only once the gateway reads it.
 #[test]
 fn shutdown_before_ready_exits() {
     let site = TestSite::start();
@@ -200,7 +200,7 @@
     assert!(gateway.log().contains("graceful shutdown begins"), "{}", gateway.log());
 }
 
-/// Regression test: the stand-in removed the file when the log ended, when a successor may have its own of that name.
+/// Regression test: the stand-in removed the file when the log ended, although a successor may use a file of that name.
 #[test]
 fn configuration_file_exists_until_its_gateway_is_dropped() {
     let site = TestSite::start();
@@ -209,7 +209,7 @@
     assert_eq!(gateway.wait_for_exit(), Some(0));
     std::thread::sleep(QUIET);
     let path = gateway.path.clone();
-    assert!(path.exists(), "it went with the end of the log");
+    assert!(path.exists(), "it was removed at the end of the log");
     drop(gateway);
     assert!(!path.exists());
 }
--- a/crates/deckproxy/tests/link_codec.rs
+++ b/crates/deckproxy/tests/link_codec.rs
@@ -1,4 +1,4 @@
-//! The codec of links between sites: frames in any split, and malformed bytes.
+//! The codec of links between sites: frames split at any point, and malformed bytes.
 
 use bytes::{Bytes, BytesMut};
 use deckproxy::protocol::link::{self, Decoder};
@@ -26,7 +26,7 @@
                 ..Request::default()
             })
         });
-    let piece = (any::<u64>(), any::<u32>(), prop::collection::vec(any::<u8>(), 0..2000)).prop_map(
+    let chunk = (any::<u64>(), any::<u32>(), prop::collection::vec(any::<u8>(), 0..2000)).prop_map(
         |(number, at, bytes)| Payload::Chunk(BodyChunk { number, offset: at, bytes: bytes.into() }),
     );
     let small = prop_oneof![
@@ -41,7 +41,7 @@
             .prop_map(|numbers| Payload::Release(AttemptNumbers { numbers })),
         any::<u64>().prop_map(|object| Payload::Purge(Purge { object: Some(object), ..Purge::default() })),
     ];
-    let one = prop_oneof![request, piece, small];
+    let one = prop_oneof![request, chunk, small];
     prop::collection::vec(one.prop_map(Frame::from), 0..12)
 }
 
@@ -67,8 +67,8 @@
             while let Some(frame) = Decoder.next(&mut buffer).unwrap() {
                 read.push(frame);
             }
-            let lacks = Decoder.missing(&buffer);
-            prop_assert!(lacks > 0 && lacks <= limits::LINK_FRAME + 4, "{}", lacks);
+            let missing = Decoder.missing(&buffer);
+            prop_assert!(missing > 0 && missing <= limits::LINK_FRAME + 4, "{}", missing);
             if rest.is_empty() {
                 break;
             }
@@ -88,7 +88,7 @@
     }
 
     #[test]
-    fn ask_is_a_valid_call_or_rejected(name in ".{0,20}", class in ".{0,200}", allow in any::<f64>(), group in any::<u32>(), size in prop::option::of(any::<f64>())) {
+    fn request_is_a_valid_call_or_rejected(name in ".{0,20}", class in ".{0,200}", allow in any::<f64>(), group in any::<u32>(), size in prop::option::of(any::<f64>())) {
         let object = "00000000000000aa".to_string();
         let request = Request { name, class, time_left: allow, group, size_kb: size, object, ..Request::default() };
         if let Ok(call) = link::call_from_request(request) {
--- a/crates/deckproxy/tests/log_aliases.rs
+++ b/crates/deckproxy/tests/log_aliases.rs
@@ -1,4 +1,4 @@
-//! Renamed keys and texts of the log are written in both spellings, with equal values.
+//! Renamed log keys and texts are written in both spellings, with equal values.
 
 use deckproxy::program::log_aliases::{ALIAS_KEY, AliasDrain, RENAMED_KEYS, RENAMED_TEXTS, Scope, old_text};
 use deckproxy::program::subsystem::{Field, summary_text};
@@ -37,7 +37,7 @@
     ("collapsed_fills", "filling"),
 ];
 
-/// The line with that message, once it is logged.
+/// Waits for the line with this message and returns it.
 fn line(log: impl Fn() -> String, message: &str) -> Value {
     let mark = format!("\"msg\":\"{message}\"");
     let find = || log().lines().rfind(|line| line.contains(&mark)).and_then(|l| serde_json::from_str(l).ok());
@@ -45,7 +45,7 @@
     find().unwrap()
 }
 
-/// The value of a figure in a text such as `a:1,b:2`.
+/// The value of a field in a text such as `a:1,b:2`.
 fn figure<'a>(text: &'a str, name: &str) -> &'a str {
     let values = text.split([',', '[', ']']).filter_map(|part| part.split_once(':'));
     values
@@ -102,7 +102,7 @@
     }
 }
 
-/// What is written, as JSON, of what that function logs.
+/// The JSON line that results from what the function logs.
 fn logged(write: impl Fn(&Logger)) -> Value {
     let written = Written::default();
     let json = slog_json::Json::new(written.clone()).add_default_keys().build();
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn renamed_key_stands_beside_the_old_one_with_the_same_value_and_type() {
+fn renamed_key_is_repeated_under_the_old_name_with_the_same_value_and_type() {
     let line = logged(|log| {
         info!(log, "summary"; "accepted" => 7_u64, "in_flight" => 3_usize, "feed" => true, "served" => 4);
     });
--- a/crates/deckproxy/tests/malformed_requests.rs
+++ b/crates/deckproxy/tests/malformed_requests.rs
@@ -1,4 +1,4 @@
-//! Malformed and incomplete requests: what is answered, and which connections are closed.
+//! Malformed and incomplete requests: how they are answered, and which connections are closed.
 
 use deckproxy_standins::*;
 use rmpv::Value;
@@ -95,7 +95,7 @@
     client.expect_error(id, "Unusable");
     client.send_value(&Value::Array(vec![2.into(), "unknown".into(), Value::Array(vec![])]));
     site.serve_object(&mut client, OBJECT, b"after");
-    assert!(site.origin.request_if_any().is_none(), "nothing of it went out");
+    assert!(site.origin.request_if_any().is_none(), "no invalid request was forwarded");
 }
 
 #[test]
@@ -110,7 +110,7 @@
     cache.answer(&request, "200", b"first");
     client.expect_served(first, b"first");
     client.expect_closed();
-    assert!(unread > 0 && site.request_if_any().is_none(), "nothing that came after it goes out");
+    assert!(unread > 0 && site.request_if_any().is_none(), "no later request is forwarded");
     let mut client = gateway.client();
     client.encode_request("page", &[], &[]);
     let id = client.request_object(OBJECT);
@@ -129,7 +129,7 @@
     cache.expect_cancelled(&request.id);
 }
 
-/// They are closed within 3 s of connecting, however their bytes are spread.
+/// The clients are closed within 3 s of connecting, however their bytes are spread over time.
 #[test]
 fn clients_with_incomplete_messages_are_closed_and_idle_ones_are_not() {
     let site = TestSite::start();
--- a/crates/deckproxy/tests/member_answers.rs
+++ b/crates/deckproxy/tests/member_answers.rs
@@ -7,7 +7,7 @@
     let (site, _gateway, mut client) = TestSite::start_with_client();
     let all = site.send_writes(&mut client, 10);
     site.origin.send(all[3].1.connection, b"$5\r\nnoise\r\n");
-    // The class must not be retried once it may have run.
+    // A request of this class must not be retried once it may have run.
     client.expect_error(all[3].0, "Fault");
     for (id, request) in all.iter().filter(|(id, _)| *id != all[3].0) {
         site.origin.answer(request, "200", b"whole");
@@ -55,7 +55,7 @@
         member.answer(request, "200", b"kept");
         served += 1;
     }
-    // Requests of the crashed cache are retried at the other, as far as the retry budget reaches.
+    // Requests at the crashed cache are retried at the other one, as far as the retry budget allows.
     let mut answers = 0;
     while answers < ids.len() {
         while let Some(request) = site.caches[1].request_if_any() {
@@ -80,7 +80,8 @@
     }
 }
 
-/// Regression test: the second answer was taken for the fill's, and the next attempt was sent beside the fill.
+/// Regression test: the second answer was attributed to the fill, so a further attempt was sent while the fill was in
+/// flight.
 #[test]
 fn second_answer_to_a_lookup_does_not_end_its_fill() {
     let (site, _gateway, mut client) = TestSite::start_with_client();
@@ -90,7 +91,7 @@
     let fill = cache.next_request();
     assert_eq!(fill.id, request.id);
     cache.answer(&request, "404", &[]);
-    assert!(site.request_if_any().is_none(), "sent again while the fill is out");
+    assert!(site.request_if_any().is_none(), "sent again while the fill is in flight");
     cache.answer(&fill, "200", b"filled");
     client.expect_served(id, b"filled");
 }
@@ -104,7 +105,7 @@
     let again = site.origin.next_request();
     assert_eq!(again.id, request.id);
     site.origin.answer(&request, "500", &[]);
-    assert!(site.origin.request_if_any().is_none(), "sent again while the repeat is out");
+    assert!(site.origin.request_if_any().is_none(), "sent again while the retry is in flight");
     site.origin.answer(&again, "200", b"done");
     client.expect_served(id, b"done");
 }
--- a/crates/deckproxy/tests/member_connections.rs
+++ b/crates/deckproxy/tests/member_connections.rs
@@ -1,11 +1,11 @@
-//! Connections to members: when one is opened, reused, shared and closed. A fault would show as a request that is sent
-//! twice, not retried, or answered late.
+//! Connections to members: when they are opened, reused, shared and closed. A fault would make a request be sent twice,
+//! not be retried, or be answered late.
 
 use deckproxy_standins::*;
 use serde_json::json;
 use std::time::{Duration, Instant};
 
-/// Serves one request, so that a connection is up; returns the cache of the object and the connection's number.
+/// Serves one request, so that a connection is established; returns the object's cache and the connection's number.
 fn use_connection<'a>(site: &'a TestSite, client: &mut Client) -> (&'a Member, u64) {
     let (cache, request) = site.serve_object(client, OBJECT, b"warm");
     (cache, request.connection)
@@ -17,7 +17,7 @@
     site.origin.stop_listening();
     let gateway = site.setup().start();
     let mut client = gateway.client();
-    // Without an idempotency key it may be rejected as safe to retry only because it never ran.
+    // Without an idempotency key it may be rejected as retryable only because it never ran.
     let id = client.send_request("once", &[("lookup", OBJECT)], b"x");
     client.expect_error(id, "Shed");
 }
@@ -29,7 +29,7 @@
     let setup = site.setup_with_cache_at(late.address);
     let gateway = setup.start();
     let mut client = gateway.client();
-    // The gateway has this client's descriptor once it has answered.
+    // The descriptor count includes this client once it is answered.
     client.expect_ready();
     let before = gateway.usage().descriptors;
     let start = Instant::now();
@@ -39,7 +39,7 @@
     site.parent.answer(&request, "200", b"done");
     client.expect_served(id, b"done");
     // Only the parent's connection is new: the failed one is closed.
-    until("the handshake is given up", || gateway.usage().descriptors <= before + 1);
+    until("the handshake is abandoned", || gateway.usage().descriptors <= before + 1);
 }
 
 #[test]
@@ -70,8 +70,8 @@
         let before = gateway.usage().descriptors;
         cache.close(connection);
         cache.expect_closed();
-        // A request sent before the gateway's socket reports the close would cross it, which is another case.
-        until("the gateway has seen it", || gateway.usage().descriptors < before);
+        // A request sent before the gateway notices the close would cross it, which is another case.
+        until("the gateway has noticed the close", || gateway.usage().descriptors < before);
     }
     assert!(!gateway.log().contains("attempts in flight"), "{}", gateway.log());
 }
@@ -84,7 +84,7 @@
     let gateway = setup.start();
     let mut client = gateway.client();
     let (cache, first) = use_connection(&site, &mut client);
-    // The gateway closes it half a second before the member would.
+    // The gateway closes the connection half a second before the member would.
     let start = Instant::now();
     cache.expect_closed();
     assert!(start.elapsed() < Duration::from_secs(1), "{:?}", start.elapsed());
@@ -139,12 +139,12 @@
     let site = TestSite::start();
     let SubscribedGateway { gateway: _gateway, mut client, subscription: line, .. } = site.start_subscribed();
     let (cache, connection) = use_connection(&site, &mut client);
-    // Its old process crashed silently: the connection still looks open.
+    // The old process crashed silently: the connection still looks open.
     let mut again = cache.entry("edge", "box", "Ready");
     again["up_since_ms"] = json!(unix_ms() - 60_000);
     let other = site.other_cache(cache).entry("edge", "box", "Terminating");
     send_line(&line, &member_update(2, &[again, other]));
-    until("requests go by a new connection", || {
+    until("requests use a new connection", || {
         let (_, now) = use_connection(&site, &mut client);
         now != connection
     });
@@ -163,7 +163,7 @@
     client.expect_served(id, b"whole");
 }
 
-/// Regression test: it was the shared connection with the fewest attempts in flight, and therefore preferred.
+/// Regression test: the connection had the fewest attempts in flight of the shared ones and was therefore preferred.
 #[test]
 fn partial_answer_on_an_idle_connection_is_not_shared_when_descriptors_are_scarce() {
     let site = TestSite::start();
@@ -184,7 +184,7 @@
     client.expect_served(id, b"whole");
 }
 
-/// Regression test: its attempt timed out, and the connection looked like any other with one attempt in flight.
+/// Regression test: after its attempt timed out, the connection was treated like any other with one attempt in flight.
 #[test]
 fn connection_with_an_incomplete_answer_is_not_reused() {
     let site = TestSite::start();
@@ -195,10 +195,10 @@
     let broken = client.send_request("once", &[("lookup", OBJECT), ("allow", "700")], b"x");
     let first = site.origin.next_request();
     let all = site.send_writes(&mut client, 4);
-    assert_eq!(all[3].1.connection, first.connection, "the fifth shares");
+    assert_eq!(all[3].1.connection, first.connection, "the fifth attempt shares a connection");
     let whole = Member::encode(&first.id, "200", "-", &[7; 5000]);
     site.origin.send(first.connection, &whole[..3000]);
-    // Its timeout is over, and more than the connect timeout has passed since the last byte.
+    // The request timed out, and more than the connect timeout has passed since the last byte.
     client.expect_error(broken, "Fault");
     let id = client.send_request("once", &[("lookup", OBJECT)], b"y");
     let next = site.origin.next_request();
--- a/crates/deckproxy/tests/member_drain.rs
+++ b/crates/deckproxy/tests/member_drain.rs
@@ -9,11 +9,11 @@
 /// Longer than the grace period after the announcement of a drain.
 const PAST_GRACE: Duration = Duration::from_millis(560);
 
-/// Waits until a purge that was announced last applies: all earlier events have been applied by then.
+/// Announces a purge and waits until it applies: all earlier events have been applied by then.
 fn wait_until_applied(site: &TestSite, client: &mut Client, subscription: &std::net::TcpStream, number: u64) {
     let group = 200 + number;
     send_line(subscription, &group_purge(number, group));
-    until("what was told before is known", || {
+    until("all earlier events are applied", || {
         let fields = [("lookup", "0000000000000001"), ("bucket", &*group.to_string())];
         let id = client.send_request("page", &fields, &[]);
         let (cache, request) = site.next_request();
@@ -45,13 +45,13 @@
     listener.wait_for_handshake();
     let drain = entry("s-00000009", listener.address, "hub", "origin", "Terminating");
     send_line(&subscription, &member_update(2, &[drain]));
-    let told = Instant::now();
+    let announced = Instant::now();
     let mut up = listener.accept();
-    assert!(told.elapsed() > PAST_GRACE, "it came up after the drain's time: {:?}", told.elapsed());
+    assert!(announced.elapsed() > PAST_GRACE, "connected within the grace period: {:?}", announced.elapsed());
     up.set_read_timeout(Some(Duration::from_millis(500))).unwrap();
     let got = up.read(&mut [0; 64]);
     assert!(!matches!(got, Ok(1..)), "written after the drain: {got:?}");
-    // It never ran, so that it may be rejected as safe to retry.
+    // It never ran, so it may be rejected as retryable.
     let answered = client.next_answer();
     assert!(
         answered.0 == id && matches!(&answered.1, Answer::Error(word, _) if word == "Shed"),
@@ -66,17 +66,17 @@
     let (id, cache, fill) = site.start_fill(&mut client, OBJECT);
     assert_eq!(fill.field("miss"), Some(&*site.parent.id));
     send_line(&subscription, &member_update(2, &[site.parent.entry("hub", "parent", "Terminating")]));
-    let told = Instant::now();
+    let announced = Instant::now();
     let mut other = Client::connect(client.stream_handle().peer_addr().unwrap());
     wait_until_applied(&site, &mut other, &subscription, 3);
-    until("the drain's time is over", || told.elapsed() > PAST_GRACE);
+    until("the grace period is over", || announced.elapsed() > PAST_GRACE);
     cache.answer(&fill, "500", &[]);
-    // It is retried at the cache, whose source counts as failed, with the origin as the source.
+    // The fill is retried at the same cache with the origin as its source, as the former source counts as failed.
     let next = cache.next_request();
     assert_eq!((next.id.as_str(), next.field("miss")), (fill.id.as_str(), Some(&*site.origin.id)));
     cache.answer(&next, "200", b"filled");
     client.expect_served(id, b"filled");
-    assert!(site.parent.request_if_any().is_none(), "the parent that drains was asked");
+    assert!(site.parent.request_if_any().is_none(), "a request was sent to the draining parent");
 }
 
 #[test]
@@ -87,18 +87,18 @@
     let mut waiter = gateway.client();
     let id = waiter.request_object(OBJECT);
     let lookup = cache.answer_miss();
-    until("it waits", || cache.request_if_any().is_none());
+    until("the request waits for the fill", || cache.request_if_any().is_none());
     send_line(&subscription, &member_update(2, &[cache.entry("edge", "box", "Terminating")]));
-    let told = Instant::now();
+    let announced = Instant::now();
     let mut other = gateway.client();
     wait_until_applied(&site, &mut other, &subscription, 3);
-    until("the drain's time is over", || told.elapsed() > PAST_GRACE);
+    until("the grace period is over", || announced.elapsed() > PAST_GRACE);
     drop(leader);
     cache.expect_cancelled(&fill.id);
-    // The waiter leads at the other cache, from whichever source is in use by then.
+    // The waiter becomes the leader at the other cache, with whichever source is in use by then.
     let next = site.other_cache(cache).next_request();
     assert!(next.id == lookup.id && next.field("miss").is_some(), "{next:?}");
     site.other_cache(cache).answer(&next, "200", b"filled");
     waiter.expect_served(id, b"filled");
-    assert!(cache.request_if_any().is_none(), "the cache that drains was asked");
+    assert!(cache.request_if_any().is_none(), "a request was sent to the draining cache");
 }
--- a/crates/deckproxy/tests/member_list.rs
+++ b/crates/deckproxy/tests/member_list.rs
@@ -26,7 +26,7 @@
         let take = |n: &&str| members.take(&line(n, at, Lifecycle::Ready), &zones, &kinds).unwrap().id;
         names.iter().map(take).collect()
     };
-    // Gateways with other members, or in another order, agree: the shared hash depends on it.
+    // Gateways that know other members, or in another order, assign the same ids: the shared hash depends on them.
     let all = ids(&["s-1", "s-2", "s-3"]);
     assert_eq!(ids(&["s-9", "s-3", "s-1", "s-2"])[1..], [all[2], all[0], all[1]]);
     assert!(all[0] != all[1] && all[1] != all[2] && all[0] != all[2]);
@@ -40,7 +40,7 @@
     assert_eq!((m.zone, m.kind, m.cell, m.weight, m.lifecycle), (1, 0, 2, 4.0, Lifecycle::Ready));
     assert_eq!(members.name(m.id), Some("s-1"));
     assert!(members.endpoint(m.id).is_some());
-    // An entry without an address keeps the address, for attempts in flight.
+    // An entry without an address leaves the known address in place, for attempts in flight.
     let gone = members.take(&line("s-1", None, Lifecycle::Gone), &zones, &kinds).unwrap();
     assert_eq!((gone.id, gone.lifecycle), (m.id, Lifecycle::Gone));
     assert!(members.endpoint(m.id).is_some());
--- a/crates/deckproxy/tests/migrate.rs
+++ b/crates/deckproxy/tests/migrate.rs
@@ -1,4 +1,4 @@
-//! `deckproxy migrate` as an operator runs it: the real program on files of the old shape.
+//! The `deckproxy migrate` command: runs the real program on files of the old shape.
 
 use deckproxy_standins::*;
 use serde_json::{Value, json};
@@ -61,7 +61,7 @@
     wanted["settings"]["limits"]["retryAfter"] = json!(false);
     assert_eq!(moved, wanted);
     assert_eq!(run(&["check", text(&new)]).0, Some(0));
-    // A gateway that runs as another user reads it as it read the old one.
+    // The permissions stay, so that a gateway that runs as another user can read the new file too.
     let mode = |path| std::fs::metadata(path).unwrap().permissions();
     assert_eq!(mode(&new), mode(&old));
     let (code, out, _) = run(&words);
@@ -224,5 +224,5 @@
     let mut gateway = Gateway::spawn(&bad.to_string(), setup.listen);
     assert_eq!(gateway.wait_for_exit(), Some(1));
     let wanted = "setting weightKind: \"heavy\" is not allowed; allowed: none, nominal, rough, live";
-    until("the refusal is told", || gateway.log().contains(wanted));
+    until("the rejection is logged", || gateway.log().contains(wanted));
 }
--- a/crates/deckproxy/tests/overload.rs
+++ b/crates/deckproxy/tests/overload.rs
@@ -1,5 +1,5 @@
-//! Several processes of the gateway under overload and faults: what they admit in sum, what is retried and when. Everything
-//! is counted at clients and members.
+//! Several gateway processes under overload and faults: what they admit in total, and what is retried and when. All
+//! counts are taken at clients and members.
 
 use deckproxy_fleet::fleet::kinds;
 use deckproxy_fleet::gossip_store::{AuthorUpdate, Delta, EntryUpdate, Key};
@@ -17,9 +17,9 @@
 use std::net::UdpSocket;
 use std::sync::{Condvar, Mutex};
 
-/// Runs side by side: figures by the second need the machine's cores. With two runs, moments without a core made answers
-/// some 100 ms late in both.
-const SIDE_BY_SIDE: usize = 1;
+/// Number of concurrent runs. Per-second figures need the machine's cores: with two runs, answers in both were some
+/// 100 ms late at times when no core was free.
+const CONCURRENT_RUNS: usize = 1;
 static RUNNING: (Mutex<usize>, Condvar) = (Mutex::new(0), Condvar::new());
 
 struct Turn;
@@ -27,14 +27,14 @@
 impl Turn {
     fn wait() -> Self {
         let running = RUNNING.0.lock().unwrap();
-        *RUNNING.1.wait_while(running, |n| *n >= SIDE_BY_SIDE).unwrap() += 1;
+        *RUNNING.1.wait_while(running, |n| *n >= CONCURRENT_RUNS).unwrap() += 1;
         Turn
     }
 }
 
 impl Drop for Turn {
     fn drop(&mut self) {
-        // Also when the test that has the turn failed.
+        // Also after a panic of the test.
         *RUNNING.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner) -= 1;
         RUNNING.1.notify_one();
     }
@@ -68,31 +68,31 @@
     }
 }
 
-/// Plays a plan and checks what every run must keep: no rule is broken, a first attempt costs little more work than without
-/// overload, retries stay within their budget, higher priority is served first, no instance's clients are worse off, and
-/// service recovers.
-fn play_and_check(plan: &Plan) -> (RunRecord, OverloadFigures) {
+/// Runs a plan and checks the requirements on every run: no rule is violated, a first attempt costs little more work
+/// than without overload, retries stay within their budget, higher priority is served first, clients of all instances
+/// are treated equally, and service recovers.
+fn run_and_check(plan: &Plan) -> (RunRecord, OverloadFigures) {
     let _turn = Turn::wait();
     let run = run_plan(plan, &requests(), |_, _| {});
     let f = judge(&run, OverloadCriteria::default());
     assert!(f.verdict.holds(), "{:#?}", f.verdict.violations);
     assert_eq!(run.process_faults, Vec::<String>::new());
-    let told = format!(
+    let summary = format!(
         "{:?}",
         OverloadFigures { verdict: deckproxy_standins::rules::Verdict::default(), ..f.clone() }
     );
-    assert!(f.goodput_before > 0.95, "the machine is too slow: {told}");
-    assert!(f.goodput_trough < 0.9, "it was no overload: {told}");
-    assert!(f.amplification <= 1.3 || plan.ignore_retry_after, "{told}");
-    assert!(f.member_amplification <= 1.3, "{told}");
-    // A client that moves to another instance faster than the gossip counts as a first attempt there for a moment.
+    assert!(f.goodput_before > 0.95, "the machine is too slow: {summary}");
+    assert!(f.goodput_trough < 0.9, "the load caused no overload: {summary}");
+    assert!(f.amplification <= 1.3 || plan.ignore_retry_after, "{summary}");
+    assert!(f.member_amplification <= 1.3, "{summary}");
+    // A retry at another instance counts as a first attempt there until the gossip reports the rejection.
     assert!(
         f.budget_ratio <= if plan.ignore_retry_after { 1.5 } else { 1.2 } && f.split_budget_ratio <= 1.5,
-        "{told}"
+        "{summary}"
     );
-    assert!(f.inversions <= 0.03, "{told}");
-    assert!(f.jain_index >= 0.95, "{told}");
-    assert!(f.recovery_seconds.is_some_and(|s| s <= 6.0), "{told}");
+    assert!(f.inversions <= 0.03, "{summary}");
+    assert!(f.jain_index >= 0.95, "{summary}");
+    assert!(f.recovery_seconds.is_some_and(|s| s <= 6.0), "{summary}");
     (run, f)
 }
 
@@ -105,12 +105,12 @@
     // Twice as long as the others: in the first seconds no Retry-After is given, as the capacity is not known yet.
     let mut long = plan(1, &[]);
     (long.seconds, long.faults[0].duration) = (28.0, 2.0 * LASTS);
-    let (run, f) = play_and_check(&long);
-    assert_eq!(logged(&run, "the path to the sources is overloaded"), 4, "each has the cut");
+    let (run, f) = run_and_check(&long);
+    assert_eq!(logged(&run, "the path to the sources is overloaded"), 4, "each instance sheds load");
     assert_eq!(logged(&run, "the path to the sources: all requests are admitted again"), 4);
-    assert_eq!(logged(&run, "the caches are overloaded"), 0, "hits pass");
-    // Retry-After was given, and kept for two in three: nine in ten is the target, but times given before the queue was
-    // measured are not kept.
+    assert_eq!(logged(&run, "the caches are overloaded"), 0, "cache hits are admitted");
+    // At least two in three clients that return after their Retry-After are served: nine in ten is the target, but
+    // times announced before the queue was measured are not met.
     assert!(f.returns >= 5 && 3 * f.served_returns >= 2 * f.returns, "{} of {}", f.served_returns, f.returns);
     // Each judge detects a fault that is planted in the record.
     let spoilt = |spoil: &dyn Fn(&mut RunRecord)| {
@@ -166,17 +166,17 @@
         (2.0, 3.0, FaultKind::Kill(0)),
         (2.0, 3.0, FaultKind::Kill(3)),
     ];
-    play_and_check(&plan(2, &killed));
+    run_and_check(&plan(2, &killed));
 }
 
 #[test]
 fn partition_during_overload() {
-    play_and_check(&plan(3, &[(3.0, 4.0, FaultKind::Split(vec![1]))]));
+    run_and_check(&plan(3, &[(3.0, 4.0, FaultKind::Split(vec![1]))]));
 }
 
 #[test]
 fn datagram_loss_during_overload() {
-    play_and_check(&plan(
+    run_and_check(&plan(
         4,
         &[(
             0.0,
@@ -188,19 +188,24 @@
 
 #[test]
 fn paused_instance_during_overload() {
-    let (run, _) = play_and_check(&plan(5, &[(3.0, 3.0, FaultKind::Pause(2))]));
+    let (run, _) = run_and_check(&plan(5, &[(3.0, 3.0, FaultKind::Pause(2))]));
     assert!(run.logs[2].contains("this process was paused"));
 }
 
 #[test]
 fn clients_that_retry_at_every_instance_gain_nothing() {
-    let (_, f) = play_and_check(&Plan { ignore_retry_after: true, ..plan(6, &[]) });
-    assert!(f.attempts > 4 * f.requests, "they came again and again: {} tries of {}", f.attempts, f.requests);
+    let (_, f) = run_and_check(&Plan { ignore_retry_after: true, ..plan(6, &[]) });
+    assert!(
+        f.attempts > 4 * f.requests,
+        "too few retries: {} attempts of {} requests",
+        f.attempts,
+        f.requests
+    );
 }
 
 #[test]
 fn skewed_traffic_during_overload() {
-    let (run, _) = play_and_check(&Plan { skew: 5.0, ..plan(7, &[]) });
+    let (run, _) = run_and_check(&Plan { skew: 5.0, ..plan(7, &[]) });
     let at =
         |door: usize| run.attempts.iter().filter(|t| t.earlier_attempts == 0 && t.instance == door).count();
     assert!(at(0) > 3 * at(1), "{} and {}", at(0), at(1));
@@ -208,12 +213,12 @@
 
 #[test]
 fn empty_caches_of_a_zone_during_retries() {
-    play_and_check(&plan(8, &[(2.5, 2.0, FaultKind::ColdZone(1))]));
+    run_and_check(&plan(8, &[(2.5, 2.0, FaultKind::ColdZone(1))]));
 }
 
 #[test]
 fn rolling_restart_during_overload() {
-    let (run, _) = play_and_check(&plan(9, &[(1.0, 6.0, FaultKind::RollingRestart)]));
+    let (run, _) = run_and_check(&plan(9, &[(1.0, 6.0, FaultKind::RollingRestart)]));
     assert!(run.logs.iter().all(|log| log.matches("\"fleet: takes part\"").count() == 2));
 }
 
@@ -221,7 +226,7 @@
 fn forged_entries_are_dropped_or_expire() {
     let _turn = Turn::wait();
     let rig = Rig::start(&Plan { rate: 60.0, faults: Vec::new(), ..plan(10, &[]) }, &requests());
-    rig.until("each serves", |rig| (0..4).all(|i| rig.log(i).contains("fleet view")));
+    rig.until("each instance has a view", |rig| (0..4).all(|i| rig.log(i).contains("fleet view")));
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     // A shed level that admits nobody, from an unknown instance, claimed to be new each time.
     let line = ShedLine {
@@ -252,20 +257,22 @@
     let wire = Wire::new("rig", vec!["127.0.0.0/8".parse().unwrap()]);
     let packet = Packet { from, body: Body::Delta(Delta { authors: vec![author] }) };
     let good = wire.encode(&packet).unwrap();
-    // A garbled one is dropped.
+    // A corrupted datagram is dropped.
     let mut bad = good.clone();
     *bad.last_mut().unwrap() ^= 1;
     let at = (0..4).map(|i| rig.relay_address(i)).collect::<Vec<_>>();
     let say =
         |bytes: &[u8]| at.iter().for_each(|at| assert_eq!(stranger.send_to(bytes, at).unwrap(), bytes.len()));
     say(&bad);
-    // A valid one that is repeated applies for its stated lifetime and no longer, however new it is claimed to be.
+    // A repeated valid datagram applies for its stated lifetime only, however new it claims to be.
     let crowded = |rig: &Rig| (0..4).filter(|i| rig.log(*i).contains("overloaded")).count();
     assert_eq!(crowded(&rig), 0);
     say(&good);
-    rig.until("it counts", |rig| crowded(rig) == 4);
+    rig.until("the shed level applies", |rig| crowded(rig) == 4);
     say(&good);
-    rig.until("it has ended", |rig| (0..4).all(|i| rig.log(i).contains("all requests are admitted again")));
+    rig.until("the shed level has expired", |rig| {
+        (0..4).all(|i| rig.log(i).contains("all requests are admitted again"))
+    });
     say(&good);
     let run = rig.finish();
     let f = judge(&run, OverloadCriteria::default());
@@ -278,7 +285,7 @@
         .collect();
     assert!(
         run.logs.iter().all(|log| log.matches("overloaded").count() <= 2),
-        "once for each thing at most: {told:#?}"
+        "at most once per resource: {told:#?}"
     );
     let garbled = |log: &String| {
         log.lines().rfind(|l| l.contains("\"msg\":\"end\"")).is_some_and(|l| l.contains("garbled:1"))
--- a/crates/deckproxy/tests/reload.rs
+++ b/crates/deckproxy/tests/reload.rs
@@ -1,4 +1,4 @@
-//! New configurations while serving.
+//! Reload of the configuration while serving.
 
 use deckproxy_standins::*;
 use serde_json::json;
@@ -14,7 +14,7 @@
     let mut client = gateway.client();
     let (_, line) = old.accept();
     send_line(&line, &group_purge(2, 5));
-    until("the purge is known", || site.is_bound_by_purge(&mut client, 5));
+    until("the purge is applied", || site.is_bound_by_purge(&mut client, 5));
     let held = client.request_object(OBJECT);
     let (cache, request) = site.next_request();
     setup.feed = new.address;
@@ -22,14 +22,14 @@
     for _ in 0..3 {
         gateway.reload(Some(&setup.config().to_string()));
         let (from, line) = new.accept();
-        assert_eq!(from, 2, "asked for what follows the last event");
+        assert_eq!(from, 2, "subscribed after the last event");
         lines.push(line);
     }
-    // The old connection is closed, and no new one is made there.
+    // The old connection is closed, and no new one is opened to the old address.
     line.set_read_timeout(Some(PATIENCE)).unwrap();
     assert!(matches!((&line).read(&mut [0]), Ok(0) | Err(_)));
     send_line(&lines[2], &group_purge(3, 6));
-    until("the purge is known", || site.is_bound_by_purge(&mut client, 6));
+    until("the purge is applied", || site.is_bound_by_purge(&mut client, 6));
     cache.answer(&request, "200", b"held");
     client.expect_served(held, b"held");
 }
@@ -52,7 +52,7 @@
         until(why, || gateway.log().contains(why));
     }
     send_line(&line, &group_purge(2, 5));
-    until("the old feed still tells", || site.is_bound_by_purge(&mut client, 5));
+    until("events of the old feed still apply", || site.is_bound_by_purge(&mut client, 5));
     drop(line);
     assert_eq!(feed.accept().0, 2);
 }
@@ -64,9 +64,9 @@
     let gateway = setup.start();
     setup.sockets = 48;
     gateway.reload(Some(&setup.config().to_string()));
-    until("it reloads", || gateway.log().contains("reload"));
+    until("the configuration is reloaded", || gateway.log().contains("reload"));
     let all: Vec<Client> = (0..40).map(|_| gateway.client()).collect();
-    until("it closes what is over the bound", || gateway.usage().descriptors <= 48);
+    until("connections over the limit are closed", || gateway.usage().descriptors <= 48);
     drop(all);
 }
 
@@ -95,9 +95,9 @@
     let id = client.request_object(OBJECT);
     let (cache, request) = site.next_request();
     gateway.signal("TERM");
-    until("it ends", || gateway.log().contains("graceful shutdown begins"));
+    until("the shutdown begins", || gateway.log().contains("graceful shutdown begins"));
     gateway.reload(Some(&setup.config().to_string()));
-    until("it reloads", || gateway.log().contains("reload"));
+    until("the configuration is reloaded", || gateway.log().contains("reload"));
     cache.answer(&request, "200", b"x");
     client.expect_served(id, b"x");
     assert_eq!(gateway.wait_for_exit(), Some(0));
--- a/crates/deckproxy/tests/request_path.rs
+++ b/crates/deckproxy/tests/request_path.rs
@@ -1,4 +1,4 @@
-//! The ordinary path of a request, and what follows each ending, from a client's bytes to a member's and back.
+//! The path of a request from the client to a member and back, and the handling of each ending of an attempt.
 
 use deckproxy_standins::*;
 use serde_json::json;
@@ -40,7 +40,7 @@
     );
     let second = client.request_object(OBJECT);
     let lookup = cache.answer_miss();
-    assert!(cache.request_if_any().is_none(), "the second waits");
+    assert!(cache.request_if_any().is_none(), "the second request waits");
     cache.answer(&fill, "200", b"filled");
     client.expect_served(first, b"filled");
     let again = cache.next_request();
@@ -64,7 +64,7 @@
     assert_eq!((got, answer), (id, Answer::Served(Vec::new(), notmod)));
 }
 
-/// If it were forwarded to the client, it would take its own copy for the one that was meant.
+/// Forwarded to the client, such an answer would wrongly confirm the client's own copy.
 #[test]
 fn not_modified_for_another_tag_is_retried() {
     for fields in ["entity=4be0c1927d55a6f4,issued=1", "entity=,issued=1", "issued=1", "-"] {
@@ -180,7 +180,7 @@
     let (from, line) = feed.accept();
     assert_eq!(from, 2);
     send_line(&line, &json!({"n": 3, "purge": {"group": 17, "at": unix_ms() - 300}}));
-    until("the purge is known", || {
+    until("the purge is applied", || {
         let id = client.send_request("page", &[("lookup", OBJECT), ("bucket", "17")], &[]);
         let (cache, request) = site.next_request();
         cache.answer(&request, "200", b"2");
--- a/crates/deckproxy/tests/restart.rs
+++ b/crates/deckproxy/tests/restart.rs
@@ -1,4 +1,4 @@
-//! A whole fleet that restarts at once while service discovery is unavailable.
+//! A simultaneous restart of a whole fleet while service discovery is unavailable.
 
 use deckproxy_standins::limit_checkers::StartupChecker;
 use deckproxy_standins::*;
@@ -9,7 +9,7 @@
 
 const PROCESSES: usize = 24;
 
-/// The time that a process takes until it answers a ping that it is ready, ms; polled as the load balancer does.
+/// The time until a process answers a ping as ready, ms; polls like the load balancer.
 fn time_until_ready(start: Instant, at: SocketAddr) -> Option<f64> {
     while start.elapsed() < Duration::from_secs(15) {
         if let Ok(stream) = TcpStream::connect(at) {
@@ -25,7 +25,8 @@
     None
 }
 
-/// Service discovery refuses connections, accepts them silently, or lets none come up: a third of the processes each.
+/// For a third of the processes each, service discovery refuses connections, accepts them silently, or never completes
+/// the handshake.
 #[test]
 fn nine_in_ten_restarted_gateways_are_ready_in_time_without_discovery() {
     let site = TestSite::start();
@@ -38,7 +39,7 @@
             setup
         })
         .collect();
-    // They serve clients that stay connected; then all are killed and restarted at their addresses.
+    // All processes have a connected client when they are killed and restarted at their addresses.
     let first: Vec<Gateway> = thread::scope(|scope| {
         let all: Vec<_> = setups.iter().map(|setup| scope.spawn(|| setup.start())).collect();
         all.into_iter().map(|one| one.join().unwrap()).collect()
@@ -60,7 +61,7 @@
         }
     });
     assert!(checker.holds(), "{checker:?}");
-    // Each serves, from the member list in its configuration.
+    // Each process serves with the member list of its configuration.
     for gateway in &next {
         let mut client = gateway.client();
         site.serve_object(&mut client, OBJECT, b"there");
@@ -69,7 +70,7 @@
     for client in &clients {
         let mut handle = client.stream_handle();
         handle.set_read_timeout(Some(PATIENCE)).unwrap();
-        // Perhaps the pong, and then a close or a reset.
+        // Possibly the pong, followed by a close or a reset.
         let silent = loop {
             match handle.read(&mut [0; 64]) {
                 Ok(1..) => {}
--- a/crates/deckproxy/tests/slow_start.rs
+++ b/crates/deckproxy/tests/slow_start.rs
@@ -1,5 +1,6 @@
-//! Members in slow start under a fleet of 24 processes of unequal traffic that learn of the member's start at different
-//! moments, some of them just restarted. The checker counts at the members, fills through a parent included.
+//! Members in slow start under a fleet of 24 processes with unequal traffic, which learn of the member's start at
+//! different times and of which some have just restarted. Requests are counted at the members, including fills through
+//! a parent.
 
 use deckproxy_standins::limit_checkers::{SlowStartChecker, SlowStartLimits};
 use deckproxy_standins::*;
@@ -18,7 +19,7 @@
 
 /// A request that a member received.
 struct ReceivedRequest {
-    /// When it came, Unix ms.
+    /// When it was received, Unix ms.
     at_ms: f64,
     /// The member.
     member: String,
@@ -86,7 +87,8 @@
 impl Process {
     fn new(gateway: Gateway, number: usize) -> Self {
         let mut client = gateway.client();
-        // It sends a ping at once: the other processes start before its first request, and silent clients are closed after 2 s.
+        // Sends a ping at once: the other processes start before the first request, and silent clients are closed after
+        // 2 s.
         client.expect_ready();
         Process { gateway, client, ids: Vec::new(), objects: (number as u64 + 1) << 32 }
     }
@@ -106,7 +108,7 @@
     }
 }
 
-/// A fleet in which each process knows the warm members. It is 24 processes.
+/// A fleet of 24 processes, each of which knows the warm members.
 struct Fleet {
     settings: Value,
     known: Vec<Value>,
@@ -144,8 +146,9 @@
     }
 }
 
-/// A member starts while the fleet serves, and the fleet learns of it step by step. Its load is checked in each window
-/// of all these: unequal traffic, a pause in which budgets could accumulate, a surge of all, a restart of some.
+/// A member starts while the fleet serves, and the processes learn of it one after another. Its load is checked in each
+/// window during unequal traffic, a pause in which budgets could accumulate, a surge at all processes, and a restart of
+/// some.
 fn check_slow_start(cold_is_a_parent: bool) {
     let received = ReceivedRequests::default();
     let cold = RecordingMember::start(if cold_is_a_parent { "s-p0000001" } else { "s-c0000001" }, &received);
@@ -168,7 +171,7 @@
     }
     settings["groupSize"] = json!(PROCESSES);
     settings["familyInfo"]["zoneBalancers"] = json!([0, PROCESSES]);
-    // Warm after five minutes: its budget is nearly constant throughout, a handful of calls in a window.
+    // The ramp takes five minutes, so the budget is nearly constant during the test: a handful of calls per window.
     settings["rules"]["rampTimeMs"] = json!(300_000.0);
     settings["familyInfo"]["upperColdMs"] = json!(300_000.0);
     settings["rules"]["fallMs"] = json!(500.0);
@@ -185,14 +188,14 @@
             if step == 10 * (i as u32 % 5) {
                 send_line(&fleet.lines[i], &event);
             }
-            // The busiest has some ten times the traffic of the quietest.
+            // The busiest process has about ten times the traffic of the least busy one.
             if step % (5 + 2 * i as u32) == 0 {
                 process.send_request();
             }
         }
     }
     fleet.all.iter_mut().for_each(Process::settle);
-    // A process gets a slot each 2.9 s: a pause in which each could save one.
+    // A process gets a slot every 2.9 s, so each could save one during this pause.
     thread::sleep(Duration::from_millis(3300));
     (0..SURGE).for_each(|_| fleet.all.iter_mut().for_each(Process::send_request));
     fleet.all.iter_mut().for_each(Process::settle);
@@ -217,8 +220,17 @@
         multiple,
         window_ms: window,
     };
-    assert_eq!(checker.first_overload(limits), None, "{} calls came", checker.total_work_ms() / WORK);
-    assert!(checker.total_work_ms() >= 3.0 * WORK, "it is used: {} calls", checker.total_work_ms() / WORK);
+    assert_eq!(
+        checker.first_overload(limits),
+        None,
+        "{} calls were received",
+        checker.total_work_ms() / WORK
+    );
+    assert!(
+        checker.total_work_ms() >= 3.0 * WORK,
+        "too few calls to the member: {}",
+        checker.total_work_ms() / WORK
+    );
 }
 
 #[test]
--- a/crates/deckproxy/tests/structure.rs
+++ b/crates/deckproxy/tests/structure.rs
@@ -1,13 +1,14 @@
-//! No module of the program is in a circle of imports with another: who changes one must not have to know all others.
+//! The program's modules have no import cycles, so that each can be changed without knowing all the others.
 //!
-//! A module that is a folder counts as one, with all its files; the files of each folder are checked among themselves, too.
+//! A module that is a folder counts as one with all its files; the files of each folder are also checked against each
+//! other.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Names that follow a path prefix in code, such as `a`, `b` and `e` of `use crate::program::{a, b::{C, D}, e}` after
-/// `crate::program::`: those at the first level.
+/// First-level names that follow a path prefix in code, such as `a`, `b` and `e` of `use crate::program::{a, b::{C, D}, e}`
+/// after `crate::program::`.
 fn names_after(text: &str, prefix: &str) -> Vec<String> {
     let code =
         text.lines().map(str::trim).filter(|line| !line.starts_with("//")).collect::<Vec<_>>().join(" ");
@@ -42,8 +43,8 @@
     out
 }
 
-/// A circle, if there is one, as the files on it.
-fn circle(graph: &BTreeMap<String, BTreeSet<String>>) -> Option<Vec<String>> {
+/// The files on an import cycle, if there is one.
+fn import_cycle(graph: &BTreeMap<String, BTreeSet<String>>) -> Option<Vec<String>> {
     fn walk<'a>(
         graph: &'a BTreeMap<String, BTreeSet<String>>,
         at: &'a str,
@@ -70,7 +71,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("src/program")
 }
 
-/// The Rust files in a folder and those below it, as one text.
+/// The concatenated text of a file, or of all files in a folder and its subfolders.
 fn text_of(path: &Path) -> String {
     if path.is_file() {
         return fs::read_to_string(path).expect("a source file");
@@ -126,22 +127,19 @@
 #[test]
 fn program_modules_have_no_import_cycle() {
     let graph = graph(&program());
-    assert!(graph["gateway"].contains("subsystem"), "imports are not found any more: {graph:?}");
-    assert_eq!(circle(&graph), None);
+    assert!(graph["gateway"].contains("subsystem"), "imports are no longer found: {graph:?}");
+    assert_eq!(import_cycle(&graph), None);
 }
 
 #[test]
 fn files_of_a_module_folder_have_no_import_cycle() {
     let folders = folders();
-    assert!(!folders.is_empty(), "no folder is found any more");
+    assert!(!folders.is_empty(), "no folder is found");
     for (folder, files) in folders {
         assert!(files.contains_key("mod"), "{folder}: {:?}", files.keys());
         let graph = graph_within(&files);
-        assert!(
-            graph.values().any(|imports| !imports.is_empty()),
-            "{folder}: imports are not found any more"
-        );
-        assert_eq!(circle(&graph), None, "{folder}");
+        assert!(graph.values().any(|imports| !imports.is_empty()), "{folder}: imports are no longer found");
+        assert_eq!(import_cycle(&graph), None, "{folder}");
     }
 }
 
@@ -151,8 +149,8 @@
     files.get_mut("ids").expect("the identifiers").push_str("\nuse super::{effect::Effect, Context};\n");
     let graph = graph_within(&files);
     assert!(graph["ids"].contains("effect") && graph["ids"].contains("mod"), "{graph:?}");
-    let circle = circle(&graph).expect("effect and ids import each other");
-    assert!(circle.contains(&"ids".to_string()), "{circle:?}");
+    let cycle = import_cycle(&graph).expect("effect and ids import each other");
+    assert!(cycle.contains(&"ids".to_string()), "{cycle:?}");
 }
 
 #[test]
@@ -170,6 +168,6 @@
     sites.push_str("\nuse crate::program::{flows::{Flows, Other}, gateway::Gateway};\n");
     let graph = graph(&files);
     assert!(graph["sites"].contains("flows"), "{graph:?}");
-    let circle = circle(&graph).expect("gateway and sites import each other");
-    assert!(circle.contains(&"sites".to_string()) && circle.contains(&"gateway".to_string()), "{circle:?}");
+    let cycle = import_cycle(&graph).expect("gateway and sites import each other");
+    assert!(cycle.contains(&"sites".to_string()) && cycle.contains(&"gateway".to_string()), "{cycle:?}");
 }
--- a/crates/deckproxy/tests/timers.rs
+++ b/crates/deckproxy/tests/timers.rs
@@ -10,7 +10,7 @@
     }
     assert_eq!(timers.pop_due(0.5), None);
     assert_eq!(timers.next_deadline(), Some(1.0));
-    let rung: Vec<_> = std::iter::from_fn(|| timers.pop_due(5.0)).collect();
-    assert_eq!(rung, [(1.0, "a"), (3.0, "b"), (5.0, "c"), (5.0, "d")]);
+    let fired: Vec<_> = std::iter::from_fn(|| timers.pop_due(5.0)).collect();
+    assert_eq!(fired, [(1.0, "a"), (3.0, "b"), (5.0, "c"), (5.0, "d")]);
     assert_eq!(timers.next_deadline(), None);
 }
--- a/crates/deckproxy/tests/unsent_requests.rs
+++ b/crates/deckproxy/tests/unsent_requests.rs
@@ -1,4 +1,5 @@
-//! Requests that could not be written to a stalled member: they never ran, and may be retried elsewhere in time.
+//! Requests that could not be written to a stalled member: they never ran and may be retried elsewhere before their
+//! deadline.
 
 use deckproxy_standins::*;
 use serde_json::json;
@@ -8,11 +9,11 @@
 fn requests_unsent_to_a_stalled_member_count_as_never_run() {
     let site = TestSite::start();
     let mut setup = site.setup();
-    // Few connections, which attempts must share.
+    // Few connections, so that attempts must share them.
     setup.sockets = 40;
     let gateway = setup.start();
     let mut client = gateway.client();
-    // Once its connection is up the origin stops reading: the kernel's buffers fill with bodies.
+    // The origin stops reading once its connection is established, so that bodies fill the kernel's buffers.
     let id = client.send_request("once", &[("lookup", OBJECT)], b"x");
     let request = site.origin.next_request();
     site.origin.answer(&request, "200", b"done");
@@ -43,7 +44,7 @@
         }
     }
     assert!(rejected.len() > 50 && failed.len() > 5, "{} rejected, {} failed", rejected.len(), failed.len());
-    // When it reads on, nothing that was rejected is among what the kernel had buffered.
+    // No rejected request is among those that the kernel had buffered when the origin resumes reading.
     site.origin.resume_reading();
     while let Some(request) = site.origin.request_if_any() {
         assert!(failed.contains(&request.id), "{} was rejected and yet arrived", request.id);
@@ -54,7 +55,7 @@
 fn requests_unsent_to_a_stalled_cache_are_retried_elsewhere_before_the_deadline() {
     let site = TestSite::start();
     let mut setup = site.setup();
-    // Few connections, which attempts must share.
+    // Few connections, so that attempts must share them.
     setup.sockets = 40;
     let gateway = setup.start();
     let mut client = gateway.client();
@@ -73,7 +74,7 @@
     assert!((380..850).contains(&took), "{took} ms");
 }
 
-/// Regression test: the retry was decided in time, and then waited for its connection until long after the window.
+/// Regression test: the retry was decided in time, but then waited for its connection until long after the window.
 #[test]
 fn idempotent_write_is_not_sent_after_its_retry_window() {
     let site = TestSite::start();
@@ -95,14 +96,18 @@
     let mut first = origin.accept();
     let mut got = [0; 4];
     std::io::Read::read_exact(&mut first, &mut got).unwrap();
-    // It may have run. No connection comes up until the handshake's second attempt.
+    // The write may have run. No connection is established until the second attempt of the handshake.
     origin.fill_queue();
     socket2::SockRef::from(&first).set_linger(Some(Duration::ZERO)).unwrap();
     drop(first);
     client.expect_error(id, "Shed");
-    assert!(start.elapsed() < Duration::from_millis(900), "at its window's end: {:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_millis(900),
+        "rejected after the end of the window: {:?}",
+        start.elapsed()
+    );
     let mut second = origin.accept();
     second.set_read_timeout(Some(QUIET)).unwrap();
     let read = std::io::Read::read(&mut second, &mut got);
-    assert!(!matches!(read, Ok(1..)), "written after its time: {got:?}");
+    assert!(!matches!(read, Ok(1..)), "written after the window: {got:?}");
 }
--- a/crates/deckproxy/tests/write_buffer.rs
+++ b/crates/deckproxy/tests/write_buffer.rs
@@ -1,13 +1,13 @@
-//! The queue of messages that wait to be written, against a kernel that accepts little at a time.
+//! The write buffer with a kernel that accepts few bytes at a time.
 
 use bytes::Bytes;
 use deckproxy::transport::write_buffer::{OutgoingMessage, WriteBuffer, WrittenMessage};
 use proptest::prelude::*;
 use std::io::{self, IoSlice, Write};
 
-/// A writer that accepts so many bytes at each call, the last first, and then would block.
+/// A writer that accepts the given number of bytes at each call, last number first, and then would block.
 struct Kernel {
-    takes: Vec<usize>,
+    accepts: Vec<usize>,
     got: Vec<u8>,
 }
 
@@ -17,7 +17,7 @@
     }
 
     fn write_vectored(&mut self, slices: &[IoSlice<'_>]) -> io::Result<usize> {
-        let Some(mut left) = self.takes.pop().filter(|n| *n > 0) else {
+        let Some(mut left) = self.accepts.pop().filter(|n| *n > 0) else {
             return Err(io::ErrorKind::WouldBlock.into());
         };
         let before = self.got.len();
@@ -57,7 +57,7 @@
             m.parts.iter().for_each(|p| want.extend_from_slice(p));
             buffer.push(m);
         }
-        let mut kernel = Kernel { takes, got: Vec::new() };
+        let mut kernel = Kernel { accepts: takes, got: Vec::new() };
         let mut written = Vec::new();
         let mut done = false;
         while !done {
@@ -67,8 +67,8 @@
             let whole: usize = sizes[..written.len()].iter().map(|(a, b, c)| a + b + c).sum();
             let next: usize = sizes.get(written.len()).map_or(1, |(a, b, c)| a + b + c);
             prop_assert!((whole..whole + next).contains(&kernel.got.len()));
-            if kernel.takes.is_empty() {
-                kernel.takes = vec![64; 100];
+            if kernel.accepts.is_empty() {
+                kernel.accepts = vec![64; 100];
             }
         }
         prop_assert_eq!(kernel.got, want);
@@ -79,17 +79,17 @@
 }
 
 #[test]
-fn only_unstarted_messages_can_be_withdrawn() {
+fn only_unstarted_messages_can_be_cancelled() {
     let mut buffer = WriteBuffer::default();
     (1..=3).for_each(|key| buffer.push(message(key, [10, 10, 10])));
-    let mut kernel = Kernel { takes: vec![0, 5], got: Vec::new() };
+    let mut kernel = Kernel { accepts: vec![0, 5], got: Vec::new() };
     let mut written = Vec::new();
     assert!(!buffer.flush(&mut kernel, &mut written).unwrap());
-    assert!(!buffer.cancel(1), "five of its bytes are out");
+    assert!(!buffer.cancel(1), "five of its bytes are written");
     assert!(buffer.cancel(2));
     assert!(!buffer.cancel(2) && !buffer.cancel(9));
     assert_eq!(buffer.bytes(), 55);
-    kernel.takes = vec![1000; 3];
+    kernel.accepts = vec![1000; 3];
     assert!(buffer.flush(&mut kernel, &mut written).unwrap());
     assert_eq!(
         (written, kernel.got.len()),
