--- a/crates/deckproxy/tests/fleet/cache_ejection.rs
+++ b/crates/deckproxy/tests/fleet/cache_ejection.rs
@@ -1,6 +1,6 @@
 //! Caches that hang, fail, crash or are slow: which of them are ejected, and until when.
 
-use crate::{draw, finish_and_check, heard, plan, start, wait_for_health_checks};
+use crate::{count_live_peers, draw, finish_and_check, plan, start, wait_for_health_checks};
 use deckproxy_rig::plan::{CacheFault, FaultKind};
 use deckproxy_rig::rig::Rig;
 
@@ -53,7 +53,7 @@
     rig.begin_fault(&FaultKind::Kill(observer), 0.0);
     rig.wait_for_processes();
     let others: Vec<usize> = (0..4).filter(|i| *i != observer).collect();
-    rig.until("the others consider it dead", |rig| others.iter().all(|i| heard(rig, *i) == 2));
+    rig.until("the others consider it dead", |rig| others.iter().all(|i| count_live_peers(rig, *i) == 2));
     let (before, probes) = (rig.attempts(&cache), rig.health_checks(&cache));
     // The observer's successor has decided by then.
     rig.until("health checks continue", |rig| rig.health_checks(&cache) > probes + 10);
--- a/crates/deckproxy/tests/fleet/main.rs
+++ b/crates/deckproxy/tests/fleet/main.rs
@@ -48,7 +48,7 @@
     });
 }
 
-fn heard(rig: &Rig, i: usize) -> usize {
+fn count_live_peers(rig: &Rig, i: usize) -> usize {
     rig.view(i).map_or(0, |view| view.heard.len())
 }
 
--- a/crates/deckproxy/tests/fleet/membership.rs
+++ b/crates/deckproxy/tests/fleet/membership.rs
@@ -1,7 +1,7 @@
 //! Instances that are killed, paused and restarted: the others take over their share of the members, and
 //! return it later.
 
-use crate::{finish_and_check, heard, start, wait_for_health_checks};
+use crate::{count_live_peers, finish_and_check, start, wait_for_health_checks};
 use deckproxy_rig::judge::judge;
 use deckproxy_rig::plan::FaultKind;
 use deckproxy_rig::rig::Rig;
@@ -14,7 +14,7 @@
     wait_for_health_checks(&rig, 4);
     rig.begin_fault(&FaultKind::Kill(1), 0.0);
     rig.wait_for_processes();
-    rig.until("the others consider it dead", |rig| [0, 2, 3].iter().all(|i| heard(rig, *i) == 2));
+    rig.until("the others consider it dead", |rig| [0, 2, 3].iter().all(|i| count_live_peers(rig, *i) == 2));
     rig.until("they observe all caches", |rig| {
         let observes = |i: usize| rig.view(i).map_or(0, |v| v.observes);
         [0, 2, 3].into_iter().map(observes).sum::<u64>() == 12
@@ -89,7 +89,7 @@
     let mut rig = start(4, 2);
     rig.begin_fault(&FaultKind::Pause(2), 0.0);
     rig.wait_for_processes();
-    rig.until("the others consider it dead", |rig| [0, 1, 3].iter().all(|i| heard(rig, *i) == 2));
+    rig.until("the others consider it dead", |rig| [0, 1, 3].iter().all(|i| count_live_peers(rig, *i) == 2));
     wait_for_health_checks(&rig, 3);
     rig.end_fault(&FaultKind::Pause(2));
     rig.wait_for_processes();
--- a/crates/deckproxy/tests/flows.rs
+++ b/crates/deckproxy/tests/flows.rs
@@ -103,10 +103,10 @@
     let mut client = gateway.client();
     serve_bytes(&site, &mut client, 3000);
     drop(client);
-    let told = Instant::now();
+    let signalled = Instant::now();
     let log = shut_down(gateway);
     // 700 ms for late requests, 200 ms for flows.
-    assert!(told.elapsed() < Duration::from_secs(2), "{:?}", told.elapsed());
+    assert!(signalled.elapsed() < Duration::from_secs(2), "{:?}", signalled.elapsed());
     assert!(!log.contains("waiting[flows:0"), "unreported flows are logged: {log}");
 }
 
--- a/crates/deckproxy/tests/member_connections.rs
+++ b/crates/deckproxy/tests/member_connections.rs
@@ -173,13 +173,13 @@
     let gateway = setup.start();
     let mut client = gateway.client();
     let all = site.send_writes(&mut client, 4);
-    let (id, rests) = &all[0];
-    site.origin.answer(rests, "200", b"done");
+    let (id, idle_request) = &all[0];
+    site.origin.answer(idle_request, "200", b"done");
     client.expect_served(*id, b"done");
-    site.origin.send(rests.connection, b"*4\r\n$16\r\n0123");
+    site.origin.send(idle_request.connection, b"*4\r\n$16\r\n0123");
     let id = client.send_request("once", &[("lookup", OBJECT)], b"y");
     let next = site.origin.next_request();
-    assert_ne!(next.connection, rests.connection);
+    assert_ne!(next.connection, idle_request.connection);
     site.origin.answer(&next, "200", b"whole");
     client.expect_served(id, b"whole");
 }
--- a/crates/deckproxy/tests/overload.rs
+++ b/crates/deckproxy/tests/overload.rs
@@ -113,12 +113,12 @@
     // times announced before the queue was measured are not met.
     assert!(f.returns >= 5 && 3 * f.served_returns >= 2 * f.returns, "{} of {}", f.served_returns, f.returns);
     // Each judge detects a fault that is planted in the record.
-    let spoilt = |spoil: &dyn Fn(&mut RunRecord)| {
+    let judge_with_fault = |plant_fault: &dyn Fn(&mut RunRecord)| {
         let mut copy = run.clone();
-        spoil(&mut copy);
+        plant_fault(&mut copy);
         judge(&copy, OverloadCriteria::default())
     };
-    let twice = spoilt(&|p| {
+    let twice = judge_with_fault(&|p| {
         let again: Vec<_> = p.facts.iter().filter(|s| s.at > p.traffic_from + 5000.0).cloned().collect();
         p.facts.extend(again);
         p.facts.sort_by(|a, b| a.at.total_cmp(&b.at));
@@ -129,29 +129,29 @@
         twice.member_amplification,
         f.member_amplification
     );
-    let broken = spoilt(&|p| {
+    let broken = judge_with_fault(&|p| {
         for t in p.attempts.iter_mut().filter(|t| t.after_retry_after) {
             t.answer = t.answer.map(|answer| AttemptAnswer { outcome: Outcome::Rejected(None), ..answer });
         }
     });
     assert_eq!(broken.served_returns, 0);
-    let unjust = spoilt(&|p| {
+    let unjust = judge_with_fault(&|p| {
         for t in p.attempts.iter_mut().filter(|t| t.class != "page") {
             t.answer = t.answer.map(|answer| AttemptAnswer { outcome: Outcome::Rejected(None), ..answer });
         }
     });
     assert!(unjust.inversions > 0.03, "{}", unjust.inversions);
-    let unfair = spoilt(&|p| {
+    let unfair = judge_with_fault(&|p| {
         for t in p.attempts.iter_mut().filter(|t| t.instance < 2) {
             t.answer = t.answer.map(|answer| AttemptAnswer { outcome: Outcome::Rejected(None), ..answer });
         }
     });
     assert!(unfair.jain_index < 0.9, "{}", unfair.jain_index);
-    let repeats = spoilt(&|p| {
+    let repeats = judge_with_fault(&|p| {
         p.attempts.iter_mut().filter(|t| t.request % 2 == 0).for_each(|t| t.earlier_attempts += 1);
     });
     assert!(repeats.budget_ratio > 1.2, "{}", repeats.budget_ratio);
-    let stuck = spoilt(&|p| {
+    let stuck = judge_with_fault(&|p| {
         for t in p.attempts.iter_mut().filter(|t| t.at > p.traffic_to - 5000.0) {
             t.answer = t.answer.map(|answer| AttemptAnswer { outcome: Outcome::Rejected(None), ..answer });
         }
@@ -206,8 +206,9 @@
 #[test]
 fn skewed_traffic_during_overload() {
     let (run, _) = run_and_check(&Plan { skew: 5.0, ..plan(7, &[]) });
-    let at =
-        |door: usize| run.attempts.iter().filter(|t| t.earlier_attempts == 0 && t.instance == door).count();
+    let at = |instance: usize| {
+        run.attempts.iter().filter(|t| t.earlier_attempts == 0 && t.instance == instance).count()
+    };
     assert!(at(0) > 3 * at(1), "{} and {}", at(0), at(1));
 }
 
@@ -261,23 +262,23 @@
     let mut bad = good.clone();
     *bad.last_mut().unwrap() ^= 1;
     let at = (0..4).map(|i| rig.relay_address(i)).collect::<Vec<_>>();
-    let say =
+    let send_to_all =
         |bytes: &[u8]| at.iter().for_each(|at| assert_eq!(stranger.send_to(bytes, at).unwrap(), bytes.len()));
-    say(&bad);
+    send_to_all(&bad);
     // A repeated valid datagram applies for its stated lifetime only, however new it claims to be.
-    let crowded = |rig: &Rig| (0..4).filter(|i| rig.log(*i).contains("overloaded")).count();
-    assert_eq!(crowded(&rig), 0);
-    say(&good);
-    rig.until("the shed level applies", |rig| crowded(rig) == 4);
-    say(&good);
+    let count_overloaded = |rig: &Rig| (0..4).filter(|i| rig.log(*i).contains("overloaded")).count();
+    assert_eq!(count_overloaded(&rig), 0);
+    send_to_all(&good);
+    rig.until("the shed level applies", |rig| count_overloaded(rig) == 4);
+    send_to_all(&good);
     rig.until("the shed level has expired", |rig| {
         (0..4).all(|i| rig.log(i).contains("all requests are admitted again"))
     });
-    say(&good);
+    send_to_all(&good);
     let run = rig.finish();
     let f = judge(&run, OverloadCriteria::default());
     assert!(f.verdict.holds(), "{:#?}", f.verdict.violations);
-    let told: Vec<&str> = run
+    let shed_lines: Vec<&str> = run
         .logs
         .iter()
         .flat_map(|l| l.lines())
@@ -285,7 +286,7 @@
         .collect();
     assert!(
         run.logs.iter().all(|log| log.matches("overloaded").count() <= 2),
-        "at most once per resource: {told:#?}"
+        "at most once per resource: {shed_lines:#?}"
     );
     let garbled = |log: &String| {
         log.lines().rfind(|l| l.contains("\"msg\":\"end\"")).is_some_and(|l| l.contains("garbled:1"))
--- a/crates/deckproxy/tests/structure.rs
+++ b/crates/deckproxy/tests/structure.rs
@@ -7,8 +7,8 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// First-level names that follow a path prefix in code, such as `a`, `b` and `e` of `use crate::program::{a, b::{C, D}, e}`
-/// after `crate::program::`.
+/// First-level names that follow a path prefix in code, such as `a`, `b` and `e` of
+/// `use crate::program::{a, b::{C, D}, e}` after `crate::program::`.
 fn names_after(text: &str, prefix: &str) -> Vec<String> {
     let code =
         text.lines().map(str::trim).filter(|line| !line.starts_with("//")).collect::<Vec<_>>().join(" ");
