--- a/crates/deckproxy/src/routing/cancellation.rs
+++ b/crates/deckproxy/src/routing/cancellation.rs
@@ -37,7 +37,8 @@
         self.requests.remove_if_done(request);
     }
 
-    /// Cancels an attempt that is in flight and not being cancelled already; `ending` is reported if it was sent.
+    /// Cancels an attempt that is in flight and not being cancelled already; `ending` is reported if it may have
+    /// run.
     pub(super) fn cancel_attempt(&mut self, key: AttemptKey, ending: AttemptEnding) {
         let attempt = self.requests.attempt_mut(key);
         if let Some(attempt) = attempt.filter(|attempt| attempt.cancelled_as.is_none()) {
@@ -46,12 +47,13 @@
         }
     }
 
-    /// Handles the end of a cancelled attempt, which its connection no longer carries. `sent` says whether it may have
-    /// run; otherwise it counts as not sent.
-    pub fn attempt_cancelled(&mut self, now: f64, key: AttemptKey, sent: bool) {
+    /// Handles the owner's confirmation that an attempt was cancelled and is no longer in flight on a connection. It
+    /// ends as not sent unless it may have run.
+    pub fn attempt_cancelled(&mut self, now: f64, key: AttemptKey, may_have_run: bool) {
         let cancelled_as = self.requests.attempt(key).and_then(|attempt| attempt.cancelled_as);
         if let Some(ending) = cancelled_as {
-            self.end_attempt(now, key, if sent { ending } else { AttemptEnding::NotSent }.into());
+            let ending = if may_have_run { ending } else { AttemptEnding::NotSent };
+            self.end_attempt(now, key, ending.into());
         }
     }
 }
--- a/crates/deckproxy/src/routing/completion.rs
+++ b/crates/deckproxy/src/routing/completion.rs
@@ -23,14 +23,15 @@
 impl Router {
     /// Sends a request's final answer. Does nothing if the request is finished, as the decision module may act on a
     /// request that has finished in the meantime.
-    pub(super) fn finish(&mut self, request: RequestId, last: FinalAnswer) {
+    pub(super) fn finish(&mut self, request: RequestId, final_answer: FinalAnswer) {
         let Some(open) = self.requests.get_mut(request).filter(|open| !open.finished) else { return };
         open.finished = true;
         let (client, id) = (open.client, open.client_id);
-        self.counters.count(&last.answer);
+        self.counters.count(&final_answer.answer);
         let was_unanswered = self.requests.remove_unanswered(client, id);
         self.check_invariant(was_unanswered, "one final answer to a request");
-        self.effects.push_back(Effect::Answer { client, id, answer: last.answer, copy: last.copy });
+        let FinalAnswer { answer, copy } = final_answer;
+        self.effects.push_back(Effect::Answer { client, id, answer, copy });
         self.requests.remove_if_done(request);
     }
 
--- a/crates/deckproxy/src/routing/counters.rs
+++ b/crates/deckproxy/src/routing/counters.rs
@@ -16,7 +16,7 @@
     pub failed: u64,
     /// Requests cancelled by the client, or by the end of its connection.
     pub cancelled: u64,
-    /// Invalid requests, and client connections drained for breaking a limit or the protocol.
+    /// Invalid requests, and client connections drained or closed for breaking a limit or the protocol.
     pub invalid: u64,
     /// Attempts by ending, in the order of [`ENDINGS`].
     pub endings: [u64; ENDINGS.len()],
--- a/crates/deckproxy/src/routing/effect.rs
+++ b/crates/deckproxy/src/routing/effect.rs
@@ -10,7 +10,7 @@
 /// Identifies a client's connection.
 pub type ClientId = u64;
 
-/// How an attempt or a health check ended without an answer.
+/// How a connection that was to carry an attempt or a health check failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionFailure {
     /// No connection was established, or it failed before the message was written completely: the attempt did not run.
--- a/crates/deckproxy/src/routing/feed_events.rs
+++ b/crates/deckproxy/src/routing/feed_events.rs
@@ -61,10 +61,10 @@
 
     /// Members that a list reports as gone or, if it is complete, does not contain.
     fn gone_members(&self, kind: ListKind, listed: &[Member]) -> Vec<MemberId> {
-        let left = listed.iter().filter(|member| member.lifecycle == Lifecycle::Gone).map(|member| member.id);
+        let gone = listed.iter().filter(|member| member.lifecycle == Lifecycle::Gone).map(|member| member.id);
         let is_complete = kind != ListKind::Delta;
         let is_unlisted = |id: &MemberId| is_complete && !listed.iter().any(|member| member.id == *id);
-        left.chain(self.members.ids().filter(is_unlisted)).collect()
+        gone.chain(self.members.ids().filter(is_unlisted)).collect()
     }
 
     fn apply_purge(&mut self, now: f64, object: Option<u64>, group: u32, at: f64) {
--- a/crates/deckproxy/src/routing/intake.rs
+++ b/crates/deckproxy/src/routing/intake.rs
@@ -8,8 +8,8 @@
 use crate::routing::router::Router;
 use deckproxy_control::interface::{Event, Idempotency, Request};
 
-/// Share of the answer slack after a request's deadline that the decision module has for its answer. Then the router
-/// fails the request.
+/// Share of the slack after a request's deadline (answer slack plus socket slack) after which the router fails a request
+/// that the decision module has not answered.
 const SLACK_SHARE: f64 = 0.5;
 
 impl Router {
--- a/crates/deckproxy/src/routing/members.rs
+++ b/crates/deckproxy/src/routing/members.rs
@@ -64,6 +64,7 @@
         let id = self.id_of(&entry.id);
         let endpoint = entry.address.map(|address| Endpoint { address, started: entry.started });
         let member = self.by_id.get_mut(&id)?;
+        // An entry of a gone member without an address keeps the known one, for attempts in flight.
         if entry.lifecycle != Lifecycle::Gone || endpoint.is_some() {
             member.endpoint = endpoint;
         }
@@ -85,6 +86,7 @@
             return *id;
         }
         let mut id = hash(name);
+        // On a collision, the next free id, which depends on the order in which the members were listed.
         while self.by_id.contains_key(&id) {
             id = id.wrapping_add(1);
         }
@@ -105,9 +107,9 @@
         for (id, member) in &mut self.by_id {
             let before = member.effective();
             member.ejected = ejected.contains(id);
-            let now = member.effective();
-            if now != before {
-                changed.push(now);
+            let after = member.effective();
+            if after != before {
+                changed.push(after);
             }
         }
         // Sorted, as the map's iteration order differs between gateways and runs.
--- a/crates/deckproxy/src/routing/requests.rs
+++ b/crates/deckproxy/src/routing/requests.rs
@@ -15,7 +15,7 @@
     pub(super) member: MemberId,
     /// When it was sent, Unix ms.
     pub(super) sent_at: f64,
-    /// Set while it is being cancelled: the ending to report if it was sent.
+    /// Set while it is being cancelled: the ending to report if it may have run.
     pub(super) cancelled_as: Option<AttemptEnding>,
 }
 
--- a/crates/deckproxy/src/routing/router.rs
+++ b/crates/deckproxy/src/routing/router.rs
@@ -34,7 +34,7 @@
     /// Whether the decision module is handling an event: further events are queued.
     pub(super) notifying: bool,
     pub(super) effects: VecDeque<Effect>,
-    /// The number of the feed's last event.
+    /// The number of the last event received from the feed.
     pub(super) last_event: u64,
     /// Counters for the summary.
     pub counters: Counters,
@@ -82,7 +82,7 @@
                 Deadline::Control(token) => self.notify_control(now, Event::Timer(token)),
                 Deadline::Attempt(key) => self.cancel_attempt(key, AttemptEnding::Timeout),
                 Deadline::HealthCheck(key) => self.health_check_timed_out(now, key),
-                // The decision module normally answers earlier; this is a safety net.
+                // A safety net: the decision module answers when the last attempt ends, or earlier.
                 Deadline::Request(request) => {
                     if self.requests.is_unfinished(request) {
                         self.counters.overdue += 1;
@@ -131,7 +131,7 @@
         ])
     }
 
-    /// The number of the feed's last event.
+    /// The number of the last event received from the feed.
     pub fn last_event(&self) -> u64 {
         self.last_event
     }
