--- a/crates/deckproxy/src/program/log_aliases.rs
+++ b/crates/deckproxy/src/program/log_aliases.rs
@@ -221,6 +221,7 @@
     text(" is unreachable, or its purges may be missing", " is not heard, or purges of its may be missing"),
     text("all peers are reachable: ", "all peers are heard: "),
     text(": stalled", ": takes nothing"),
+    text("broken invariant: health checks are allowed", "broken invariant: probes are allowed"),
     text("it does not read its rejections", "it reads none of its refusals"),
     text("it cancels too many requests in a row", "it takes back all that it asks for"),
 ];
--- a/crates/deckproxy/src/routing/health_checks.rs
+++ b/crates/deckproxy/src/routing/health_checks.rs
@@ -11,7 +11,7 @@
     /// Sends a member a health check.
     pub fn health_check(&mut self, now: f64, member: MemberId) {
         let allowed = self.instance_settings.limits.health_checks;
-        self.check_invariant(allowed, "probes are allowed");
+        self.check_invariant(allowed, "health checks are allowed");
         self.health_checks_sent += 1;
         let key = health_check_key(self.health_checks_sent);
         let Some(endpoint) = self.members.endpoint(member).filter(|_| allowed) else {
