--- a/crates/deckproxy/src/program/attempts.rs
+++ b/crates/deckproxy/src/program/attempts.rs
@@ -105,7 +105,7 @@
         }
         self.read_waiting_clients(now, id);
         self.flush_upstream(now, id);
-        // While the clients' write buffers exceed their bound, nothing more is read: replies could not be passed on.
+        // While the clients' write buffers exceed their bound, nothing is read: replies would only add to them.
         let full = self.client_buffers.output() > self.bounds.unread;
         let Some(upstream) = self.upstreams.get_mut(&id) else { return };
         let readable = upstream.connection.stream.is_readable() && !full;
--- a/crates/deckproxy/src/program/cli.rs
+++ b/crates/deckproxy/src/program/cli.rs
@@ -101,7 +101,7 @@
 pub enum Level {
     /// All lines.
     Debug,
-    /// Single events and summaries.
+    /// Lifecycle events and summaries, and problems.
     Info,
     /// Problems only.
     Warning,
--- a/crates/deckproxy/src/program/client_messages.rs
+++ b/crates/deckproxy/src/program/client_messages.rs
@@ -84,7 +84,7 @@
         }
         let Some(client) = self.clients.get_mut(&id) else { return };
         if !client.accept_id(request) {
-            // The protocol requires ids that start at 1 and increase.
+            // The protocol requires ids that start at 1 and increase by 1.
             let error = RequestError::IdOutOfSequence;
             self.enqueue_answer(now, key, &Answer::Invalid(error), Admitted::No);
             return self.drain_client(now, id, error.as_str());
@@ -121,7 +121,7 @@
         self.flush_client(now, id);
     }
 
-    /// Cancels the requests that are open.
+    /// Cancels those of the requests that are open. Drains the connection if too many in a row were cancelled.
     fn handle_cancellation(&mut self, now: f64, id: ClientId, requests: Vec<u32>) {
         for request in requests {
             if !self.is_request_open((id, request)) {
--- a/crates/deckproxy/src/program/collectors.rs
+++ b/crates/deckproxy/src/program/collectors.rs
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Reorders the connections after a new list of collectors, and closes those of collectors that are not in it.
+    /// Reorders the connections to match a new list of collectors, and closes those of collectors that are not in it.
     pub(super) fn reorder_collectors(&mut self, previous: &[Option<usize>]) {
         for collector in self.collectors.get_or_insert_default().reorder(previous) {
             collector.close(&self.handle);
--- a/crates/deckproxy/src/program/effects.rs
+++ b/crates/deckproxy/src/program/effects.rs
@@ -38,8 +38,8 @@
                 self.send_attempt(now, (key, member, endpoint), &call.name, message);
             }
             Effect::SendHealthCheck { key, member, endpoint } => {
-                let tag = format!("p{:x}", key & 0xffff_ffff);
-                self.send_attempt(now, (key, member, endpoint), &tag, MemberMessage::HealthCheck);
+                let name = format!("p{:x}", key & 0xffff_ffff);
+                self.send_attempt(now, (key, member, endpoint), &name, MemberMessage::HealthCheck);
             }
             Effect::CancelAttempt { key, .. } => self.cancel_attempt(now, key),
             Effect::Answer { client, id, answer, copy } => match client {
--- a/crates/deckproxy/src/program/eviction.rs
+++ b/crates/deckproxy/src/program/eviction.rs
@@ -28,10 +28,10 @@
         false
     }
 
-    /// The client to evict. In order of preference: a half-closed connection; the oldest one that has sent no valid
-    /// message within the minimum age; the one idle for longest.
+    /// The client to evict. In order of preference: a half-closed connection; the oldest one that has sent no request or
+    /// ping, once it has reached the minimum age; the one idle for longest.
     ///
-    /// Once clients that have sent no valid message use half of all slots, idle clients are not evicted for more of
+    /// Once clients that have sent no request or ping use half of all slots, idle clients are not evicted for more of
     /// them: a new client must wait until the oldest of them reaches the minimum age. For the gateway's own needs, the
     /// oldest of them is evicted at once if there is no other candidate.
     fn eviction_candidate(&self, now: f64, reason: EvictionReason) -> Option<ClientId> {
@@ -41,9 +41,11 @@
         let oldest = unproven.peek().map(|(id, client)| (**id, now - client.accepted_at()));
         let overdue = oldest.filter(|(_, age)| *age > limits::CLIENT_MIN_AGE).map(|(id, _)| id);
         let any_unproven = oldest.filter(|_| reason == EvictionReason::Internal).map(|(id, _)| id);
-        let crowded = unproven.count() >= self.bounds.clients / 2;
-        let idle =
-            self.clients.iter().filter(|(_, client)| !crowded && client.is_idle() && client.is_proven());
+        let unproven_use_half = unproven.count() >= self.bounds.clients / 2;
+        let idle = self
+            .clients
+            .iter()
+            .filter(|(_, client)| !unproven_use_half && client.is_idle() && client.is_proven());
         let longest_idle =
             idle.min_by(|a, b| a.1.idle_since().total_cmp(&b.1.idle_since())).map(|(id, _)| *id);
         let half_closed = self.clients.iter().find(|(_, client)| client.is_half_closed()).map(|(id, _)| *id);
--- a/crates/deckproxy/src/program/feed.rs
+++ b/crates/deckproxy/src/program/feed.rs
@@ -103,7 +103,8 @@
         true
     }
 
-    /// Whether the feed was already polled again for the events after the last one. Records that the next poll does so.
+    /// Whether the feed was already polled again for the events missing after the last one, so that it does not have
+    /// them. If not, records that the next poll requests them.
     fn is_gap_final(&mut self) -> bool {
         let last = Some(self.router.last_event());
         std::mem::replace(&mut self.feed_gap_polled, last) == last
--- a/crates/deckproxy/src/program/file_fault.rs
+++ b/crates/deckproxy/src/program/file_fault.rs
@@ -70,7 +70,7 @@
         FileFault::NotUtf8 { path, line, offset }
     }
 
-    /// Whether the file could not be opened because the process had no descriptors left.
+    /// Whether the file could not be opened because the process had no descriptors left, which is no fault of the file.
     pub fn is_exhausted(&self) -> bool {
         matches!(self, FileFault::Unreadable { error, .. } if is_exhausted(error))
     }
--- a/crates/deckproxy/src/program/files.rs
+++ b/crates/deckproxy/src/program/files.rs
@@ -47,7 +47,7 @@
 }
 
 impl FileError {
-    /// Whether a file could not be opened because the process had no descriptors left.
+    /// Whether a file could not be opened because the process had no descriptors left, which is no fault of the file.
     pub fn is_exhausted(&self) -> bool {
         match self {
             FileError::UnreadableConfiguration { error, .. } => is_exhausted(error),
--- a/crates/deckproxy/src/program/gateway.rs
+++ b/crates/deckproxy/src/program/gateway.rs
@@ -1,8 +1,8 @@
 //! The state of one gateway: its connections, router, timers and subsystems.
 //!
 //! Its methods are grouped by concern: `event_loop` (turns, timers, background work), `effects` (effects of the router
-//! and the subsystems), `accept`, `eviction`, `clients`, `client_messages`, `upstream_pool`,
-//! `attempts`, `site_links`, `collectors`, `feed`, `housekeeping`, `reload`, `shutdown` and `summary`.
+//! and the subsystems), `accept`, `eviction`, `clients`, `client_messages`, `upstream_pool`, `attempts`, `site_links`,
+//! `collectors`, `feed`, `housekeeping`, `reload`, `shutdown` and `summary`.
 
 use crate::program::connections::{ReadySource, UpstreamConnection, UpstreamId};
 use crate::program::files::Files;
--- a/crates/deckproxy/src/program/migrate.rs
+++ b/crates/deckproxy/src/program/migrate.rs
@@ -112,7 +112,7 @@
 }
 
 /// Reads the old configuration, and the shapes to merge over it in order. Reports the faults of all files and
-/// arguments together.
+/// arguments together, except that an argument without `=` fails at once.
 fn read_input(arguments: &Migrate) -> Result<(Value, Vec<Value>), MigrateError> {
     let mut faults = Vec::new();
     let mut read = |path: &Path, completeness| {
--- a/crates/deckproxy/src/program/reload.rs
+++ b/crates/deckproxy/src/program/reload.rs
@@ -10,7 +10,8 @@
     /// Applies the parts of a new configuration and operator file that may change while serving: the feed's address,
     /// the limits, and settings of subsystems. Reconnects to the feed at once and polls it for the events after the
     /// last one. All else needs a restart, and a configuration that can't be used changes nothing. Connections of
-    /// clients and members stay open.
+    /// clients and members stay open, except that one of a client may be evicted if no descriptor is left for the files
+    /// or the feed.
     pub fn reload(&mut self, now: f64, read: impl Fn() -> Result<Files, FileError>) {
         let mut files = read();
         if files.as_ref().is_err_and(FileError::is_exhausted)
--- a/crates/deckproxy/src/program/shutdown.rs
+++ b/crates/deckproxy/src/program/shutdown.rs
@@ -22,10 +22,11 @@
         if let Some(socket) = self.fleet_socket.take() {
             socket.close(&self.handle);
         }
-        let longest =
+        let longest_deadline =
             self.router.instance_settings().settings.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
-        let last = longest.min(limits::DRAIN_DEADLINE) + limits::DRAIN_ACCEPT - limits::DRAIN_MARGIN;
-        self.timers.schedule(now + last, TimerTask::FailOpenRequests);
+        let fail_after =
+            longest_deadline.min(limits::DRAIN_DEADLINE) + limits::DRAIN_ACCEPT - limits::DRAIN_MARGIN;
+        self.timers.schedule(now + fail_after, TimerTask::FailOpenRequests);
     }
 
     /// Fails all open requests and schedules the close of all client connections, before the process is killed.
@@ -42,7 +43,8 @@
         }
     }
 
-    /// Whether a shutdown has no unanswered requests and nothing to write to other sites.
+    /// Whether a shutdown has closed the listener, and no request is unanswered and nothing left to write to other
+    /// sites.
     pub(super) fn has_settled(&mut self) -> bool {
         self.is_shutting_down()
             && self.listener.is_none()
--- a/crates/deckproxy/src/program/subsystems.rs
+++ b/crates/deckproxy/src/program/subsystems.rs
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Collects the effects that are due.
+    /// Polls the subsystems, which queue the effects that are due.
     pub fn poll(&mut self, cx: &Context<'_>) {
         let (all, out) = self.all();
         for subsystem in all {
