--- a/crates/deckproxy/src/program/attempts.rs
+++ b/crates/deckproxy/src/program/attempts.rs
@@ -110,7 +110,7 @@
         let Some(upstream) = self.upstreams.get_mut(&id) else { return };
         let readable = upstream.connection.stream.is_readable() && !full;
         let progress = if readable { upstream.connection.read(now) } else { Progress::Drained };
-        if !self.take_replies(now, id) {
+        if !self.handle_replies(now, id) {
             return;
         }
         match progress {
@@ -127,7 +127,7 @@
     }
 
     /// Passes the complete replies received on a connection to the router. Returns whether it is still open.
-    fn take_replies(&mut self, now: f64, id: UpstreamId) -> bool {
+    fn handle_replies(&mut self, now: f64, id: UpstreamId) -> bool {
         loop {
             let Some(upstream) = self.upstreams.get_mut(&id) else { return false };
             let before = upstream.connection.stream.input.len();
--- a/crates/deckproxy/src/program/feed.rs
+++ b/crates/deckproxy/src/program/feed.rs
@@ -50,7 +50,7 @@
             return self.reconnect_feed_later(now, "broke");
         }
         let progress = if feed.stream.is_readable() { feed.read() } else { Progress::Drained };
-        if !self.take_feed_lines(now) {
+        if !self.handle_feed_lines(now) {
             return;
         }
         match progress {
@@ -61,12 +61,12 @@
     }
 
     /// Handles the complete lines received. Returns whether the connection is still open.
-    fn take_feed_lines(&mut self, now: f64) -> bool {
+    fn handle_feed_lines(&mut self, now: f64) -> bool {
         loop {
             let Some(feed) = &mut self.feed else { return false };
             let complete = match feed.take_line(now) {
                 Ok(None) => return true,
-                Ok(Some(line)) => self.take_feed_line(now, line),
+                Ok(Some(line)) => self.handle_feed_line(now, line),
                 Err(error) => {
                     self.reconnect_feed_later(now, &error.to_string());
                     return false;
@@ -80,7 +80,7 @@
     }
 
     /// Handles a line. Returns false if events before it are missing and the feed has not been polled for them yet.
-    fn take_feed_line(&mut self, now: f64, line: FeedLine) -> bool {
+    fn handle_feed_line(&mut self, now: f64, line: FeedLine) -> bool {
         match line {
             FeedLine::Last(last) => {
                 if last > self.router.last_event() && !self.is_gap_final() {
--- a/crates/deckproxy/src/program/site_links.rs
+++ b/crates/deckproxy/src/program/site_links.rs
@@ -135,7 +135,7 @@
         if received > 0 {
             self.subsystems.link_bytes_received(&context(now, &self.router), id, received);
         }
-        if !self.take_frames(now, id) {
+        if !self.handle_frames(now, id) {
             return;
         }
         match progress {
@@ -165,7 +165,7 @@
     }
 
     /// Passes the complete frames received on a link to the subsystem. Returns whether the link is still open.
-    fn take_frames(&mut self, now: f64, id: LinkId) -> bool {
+    fn handle_frames(&mut self, now: f64, id: LinkId) -> bool {
         loop {
             let link = self.site_links.as_mut().and_then(|links| links.open.get_mut(&id));
             let Some(link) = link else { return false };
--- a/crates/deckproxy/src/program/upstream_pool.rs
+++ b/crates/deckproxy/src/program/upstream_pool.rs
@@ -33,7 +33,7 @@
         endpoint: Endpoint,
         name: &str,
     ) -> Option<UpstreamId> {
-        let pool = self.check_pool(now, member, endpoint);
+        let pool = self.prune_pool(now, member, endpoint);
         if let Some(id) = self.reusable_upstream(now, pool.idle, name) {
             return Some(id);
         }
@@ -50,7 +50,7 @@
 
     /// Retires a member's outdated connections, closes the retired ones without an attempt in flight, and lists those
     /// that are idle.
-    fn check_pool(&mut self, now: f64, member: MemberId, endpoint: Endpoint) -> PoolState {
+    fn prune_pool(&mut self, now: f64, member: MemberId, endpoint: Endpoint) -> PoolState {
         let idle_timeout = self.router.instance_settings().limits.idle_timeout;
         let (mut idle, mut connecting) = (Vec::new(), 0);
         for id in self.upstream_pools.get(&member).cloned().unwrap_or_default() {
@@ -162,13 +162,13 @@
             }
         }
         if self.subsystems.is_on() {
-            self.notify_cut_messages(&upstream);
+            self.notify_partial_messages(&upstream);
         }
         upstream.connection.stream.close(&self.handle);
     }
 
     /// Notifies the subsystems of the partially sent and received messages on a connection that is closed.
-    fn notify_cut_messages(&mut self, upstream: &UpstreamConnection) {
+    fn notify_partial_messages(&mut self, upstream: &UpstreamConnection) {
         let cx = context(clock::now(), &self.router);
         let member = cx.router.member_name(upstream.member);
         if let Some(written) = upstream.connection.stream.partially_written() {
