--- a/crates/deckproxy/src/program/shutdown.rs
+++ b/crates/deckproxy/src/program/shutdown.rs
@@ -62,7 +62,7 @@
         if !self.clients.is_empty() {
             return;
         }
-        if self.subsystems.counts_members() {
+        if self.subsystems.counts_upstream_bytes() {
             // Closing an upstream connection also counts its received bytes that complete no reply.
             for id in self.upstreams.keys().copied().collect::<Vec<_>>() {
                 self.close_upstream(id);
--- a/crates/deckproxy/src/program/subsystems.rs
+++ b/crates/deckproxy/src/program/subsystems.rs
@@ -239,7 +239,7 @@
     }
 
     /// Whether bytes on upstream connections are counted, so that these must be closed before [`Subsystems::finish`].
-    pub fn counts_members(&self) -> bool {
+    pub fn counts_upstream_bytes(&self) -> bool {
         self.flows.is_some()
     }
 
