--- a/crates/deckproxy/src/program/attempts.rs
+++ b/crates/deckproxy/src/program/attempts.rs
@@ -160,7 +160,7 @@
         received: Option<&ReceivedReply>,
         bytes: usize,
     ) {
-        if !self.subsystems.is_on() {
+        if !self.subsystems.is_any_enabled() {
             return;
         }
         let member = self.router.member_name(member);
--- a/crates/deckproxy/src/program/client_messages.rs
+++ b/crates/deckproxy/src/program/client_messages.rs
@@ -152,7 +152,7 @@
     /// Sends the final answer to an admitted request. If the client has disconnected, the answer is dropped: the
     /// request was counted as cancelled at that time.
     pub(super) fn answer_client(&mut self, now: f64, id: ClientId, request: u32, answer: &Answer) {
-        let replacement = if self.subsystems.is_on() {
+        let replacement = if self.subsystems.is_any_enabled() {
             self.subsystems.answer(&context(now, &self.router), (id, request), answer)
         } else {
             None
--- a/crates/deckproxy/src/program/effects.rs
+++ b/crates/deckproxy/src/program/effects.rs
@@ -69,7 +69,7 @@
 
     /// Polls the subsystems for effects and applies them. Returns whether there were any.
     fn poll_subsystems(&mut self, now: f64) -> bool {
-        if !self.subsystems.is_on() {
+        if !self.subsystems.is_any_enabled() {
             return false;
         }
         let full = self.subsystems.has_sites() && (self.is_memory_full() || self.is_rejecting());
--- a/crates/deckproxy/src/program/subsystems.rs
+++ b/crates/deckproxy/src/program/subsystems.rs
@@ -29,7 +29,7 @@
     /// Effects that have not been applied yet.
     effects: Effects,
     /// Whether any subsystem is enabled.
-    on: bool,
+    any_enabled: bool,
 }
 
 /// Each subsystem's section of the summary in the log; `off` for one that is not enabled.
@@ -62,8 +62,8 @@
         let flows = Flows::start(log, now, seed, &instance_settings.classes, operator, background);
         let sites = Sites::start(log, now, seed, operator);
         let fleet = Fleet::start(log, name, router, seed, operator)?;
-        let on = recovery.is_some() || flows.is_some() || sites.is_some() || fleet.is_some();
-        Ok(Subsystems { recovery, flows, sites, fleet, effects: Effects::new(), on })
+        let any_enabled = recovery.is_some() || flows.is_some() || sites.is_some() || fleet.is_some();
+        Ok(Subsystems { recovery, flows, sites, fleet, effects: Effects::new(), any_enabled })
     }
 
     /// The enabled subsystems, in the order in which they are notified of events, and the queue for their effects.
@@ -76,8 +76,8 @@
     }
 
     /// Whether any subsystem is enabled.
-    pub fn is_on(&self) -> bool {
-        self.on
+    pub fn is_any_enabled(&self) -> bool {
+        self.any_enabled
     }
 
     /// Whether links to other sites are enabled.
@@ -119,7 +119,7 @@
 
     /// Notifies all enabled subsystems of an event.
     pub fn notify(&mut self, cx: &Context<'_>, event: &Event<'_>) {
-        if !self.on {
+        if !self.any_enabled {
             return;
         }
         let (all, out) = self.all();
--- a/crates/deckproxy/src/program/upstream_pool.rs
+++ b/crates/deckproxy/src/program/upstream_pool.rs
@@ -161,7 +161,7 @@
                 self.upstream_pools.remove(&upstream.member);
             }
         }
-        if self.subsystems.is_on() {
+        if self.subsystems.is_any_enabled() {
             self.notify_partial_messages(&upstream);
         }
         upstream.connection.stream.close(&self.handle);
