--- a/crates/deckproxy/tests/routing/health_checks.rs
+++ b/crates/deckproxy/tests/routing/health_checks.rs
@@ -32,7 +32,9 @@
     assert_eq!(router.client_of(attempt), Some(7));
     for _ in 0..600 {
         router.health_check(NOW, member);
-        let Some(Effect::SendHealthCheck { key, .. }) = router.next_effect() else { panic!("none is sent") };
+        let Some(Effect::SendHealthCheck { key, .. }) = router.next_effect() else {
+            panic!("no health check is sent")
+        };
         assert_eq!(router.client_of(key), None);
         router.connection_failed(NOW, key, ConnectionFailure::NotSent);
         while router.next_effect().is_some() {}
--- a/crates/deckproxy/tests/routing/request_invariants.rs
+++ b/crates/deckproxy/tests/routing/request_invariants.rs
@@ -100,7 +100,7 @@
                     assert!(request.attempts <= ATTEMPTS);
                     assert!(
                         request.class != 2 || !request.may_have_run,
-                        "an effect that may have run is sent again"
+                        "a request that may have run and is not idempotent is sent again"
                     );
                     assert!(self.in_flight.insert(key, request_key).is_none(), "a key used twice");
                 }
@@ -116,7 +116,7 @@
                     let is_rejected = matches!(answer, Answer::Rejected(_));
                     assert!(
                         !(is_rejected && request.class == 2 && request.may_have_run),
-                        "a rejection of what may have run"
+                        "a request that may have run is rejected"
                     );
                     request.has_ended = true;
                 }
