--- a/crates/deckproxy/src/program/migrate.rs
+++ b/crates/deckproxy/src/program/migrate.rs
@@ -105,7 +105,7 @@
     } else {
         match write(&arguments.old, &arguments.out, text.as_bytes(), arguments.replace)? {
             WriteOutcome::Written => println!("{out}: written ({} bytes), {count}", text.len()),
-            WriteOutcome::Unchanged => println!("{out}: is that already, {count}"),
+            WriteOutcome::Unchanged => println!("{out}: already has this content, {count}"),
         }
     }
     Ok(if losses.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(WITH_LOSSES) })
