--- a/crates/deckproxy/src/program/clients.rs
+++ b/crates/deckproxy/src/program/clients.rs
@@ -73,7 +73,7 @@
     }
 
     /// Begins to close an idle connection, unless data has just been received on it. After the half-close the client
-    /// closes its side, and repeats requests that it sent meanwhile on another connection.
+    /// closes its side, and repeats on another connection the requests that it sent in the meantime.
     pub(super) fn close_idle_client(&mut self, now: f64, id: ClientId) {
         let idle_since = self.clients.get(&id).map(ClientConnection::idle_since);
         self.recheck_client(now, id);
--- a/crates/deckproxy/src/program/feed.rs
+++ b/crates/deckproxy/src/program/feed.rs
@@ -17,7 +17,7 @@
         let Some(address) = self.feed_address.filter(|_| self.feed.is_none()) else { return };
         let mut connected = self.open_feed(address);
         if connected.as_ref().is_err_and(is_exhausted) && self.evict_client(now, EvictionReason::Internal) {
-            // The member list takes precedence over an idle client.
+            // Retry with the freed descriptor: the member list takes precedence over an idle client.
             connected = self.open_feed(address);
         }
         match connected {
--- a/crates/deckproxy/src/program/upstream_pool.rs
+++ b/crates/deckproxy/src/program/upstream_pool.rs
@@ -118,7 +118,7 @@
         let id = self.next_connection_id();
         let mut connected = self.open_upstream(id, endpoint);
         if connected.as_ref().is_err_and(is_exhausted) && self.evict_client(now, EvictionReason::Internal) {
-            // A request takes precedence over an idle client.
+            // Retry with the freed descriptor: a request takes precedence over an idle client.
             connected = self.open_upstream(id, endpoint);
         }
         let stream = match connected {
--- a/crates/deckproxy/tests/routing/health_checks.rs
+++ b/crates/deckproxy/tests/routing/health_checks.rs
@@ -30,6 +30,7 @@
     });
     let (attempt, member) = sent.expect("an attempt is sent");
     assert_eq!(router.client_of(attempt), Some(7));
+    // More health checks than the 256 attempt keys of one request.
     for _ in 0..600 {
         router.health_check(NOW, member);
         let Some(Effect::SendHealthCheck { key, .. }) = router.next_effect() else {
--- a/crates/deckproxy/tests/routing/member_lists.rs
+++ b/crates/deckproxy/tests/routing/member_lists.rs
@@ -8,7 +8,7 @@
 use deckproxy::routing::{ConnectionFailure, Effect, Router};
 use std::collections::BTreeMap;
 
-/// Tables stay bounded while member ids, clients and objects keep changing.
+/// Tables stay bounded while member ids, the member at an address, clients and objects keep changing.
 #[test]
 fn thousands_of_member_lists_leak_nothing() {
     let mut router = router();
