--- a/crates/deckproxy/src/program/attempts.rs
+++ b/crates/deckproxy/src/program/attempts.rs
@@ -105,12 +105,12 @@
         }
         self.read_waiting_clients(now, id);
         self.flush_upstream(now, id);
-        // While the clients' write buffers exceed their bound, nothing more is read: replies could not be passed on.
+        // While the clients' write buffers exceed their bound, nothing is read: replies would only add to them.
         let full = self.client_buffers.output() > self.bounds.unread;
         let Some(upstream) = self.upstreams.get_mut(&id) else { return };
         let readable = upstream.connection.stream.is_readable() && !full;
         let progress = if readable { upstream.connection.read(now) } else { Progress::Drained };
-        if !self.take_replies(now, id) {
+        if !self.handle_replies(now, id) {
             return;
         }
         match progress {
@@ -127,7 +127,7 @@
     }
 
     /// Passes the complete replies received on a connection to the router. Returns whether it is still open.
-    fn take_replies(&mut self, now: f64, id: UpstreamId) -> bool {
+    fn handle_replies(&mut self, now: f64, id: UpstreamId) -> bool {
         loop {
             let Some(upstream) = self.upstreams.get_mut(&id) else { return false };
             let before = upstream.connection.stream.input.len();
@@ -160,7 +160,7 @@
         received: Option<&ReceivedReply>,
         bytes: usize,
     ) {
-        if !self.subsystems.is_on() {
+        if !self.subsystems.is_any_enabled() {
             return;
         }
         let member = self.router.member_name(member);
--- a/crates/deckproxy/src/program/client_messages.rs
+++ b/crates/deckproxy/src/program/client_messages.rs
@@ -84,7 +84,7 @@
         }
         let Some(client) = self.clients.get_mut(&id) else { return };
         if !client.accept_id(request) {
-            // The protocol requires ids that start at 1 and increase.
+            // The protocol requires ids that start at 1 and increase by 1.
             let error = RequestError::IdOutOfSequence;
             self.enqueue_answer(now, key, &Answer::Invalid(error), Admitted::No);
             return self.drain_client(now, id, error.as_str());
@@ -121,7 +121,7 @@
         self.flush_client(now, id);
     }
 
-    /// Cancels the requests that are open.
+    /// Cancels those of the requests that are open. Drains the connection if too many in a row were cancelled.
     fn handle_cancellation(&mut self, now: f64, id: ClientId, requests: Vec<u32>) {
         for request in requests {
             if !self.is_request_open((id, request)) {
@@ -152,7 +152,7 @@
     /// Sends the final answer to an admitted request. If the client has disconnected, the answer is dropped: the
     /// request was counted as cancelled at that time.
     pub(super) fn answer_client(&mut self, now: f64, id: ClientId, request: u32, answer: &Answer) {
-        let replacement = if self.subsystems.is_on() {
+        let replacement = if self.subsystems.is_any_enabled() {
             self.subsystems.answer(&context(now, &self.router), (id, request), answer)
         } else {
             None
--- a/crates/deckproxy/src/program/effects.rs
+++ b/crates/deckproxy/src/program/effects.rs
@@ -38,8 +38,8 @@
                 self.send_attempt(now, (key, member, endpoint), &call.name, message);
             }
             Effect::SendHealthCheck { key, member, endpoint } => {
-                let tag = format!("p{:x}", key & 0xffff_ffff);
-                self.send_attempt(now, (key, member, endpoint), &tag, MemberMessage::HealthCheck);
+                let name = format!("p{:x}", key & 0xffff_ffff);
+                self.send_attempt(now, (key, member, endpoint), &name, MemberMessage::HealthCheck);
             }
             Effect::CancelAttempt { key, .. } => self.cancel_attempt(now, key),
             Effect::Answer { client, id, answer, copy } => match client {
@@ -69,7 +69,7 @@
 
     /// Polls the subsystems for effects and applies them. Returns whether there were any.
     fn poll_subsystems(&mut self, now: f64) -> bool {
-        if !self.subsystems.is_on() {
+        if !self.subsystems.is_any_enabled() {
             return false;
         }
         let full = self.subsystems.has_sites() && (self.is_memory_full() || self.is_rejecting());
--- a/crates/deckproxy/src/program/feed.rs
+++ b/crates/deckproxy/src/program/feed.rs
@@ -17,7 +17,7 @@
         let Some(address) = self.feed_address.filter(|_| self.feed.is_none()) else { return };
         let mut connected = self.open_feed(address);
         if connected.as_ref().is_err_and(is_exhausted) && self.evict_client(now, EvictionReason::Internal) {
-            // The member list takes precedence over an idle client.
+            // Retry with the freed descriptor: the member list takes precedence over an idle client.
             connected = self.open_feed(address);
         }
         match connected {
@@ -50,7 +50,7 @@
             return self.reconnect_feed_later(now, "broke");
         }
         let progress = if feed.stream.is_readable() { feed.read() } else { Progress::Drained };
-        if !self.take_feed_lines(now) {
+        if !self.handle_feed_lines(now) {
             return;
         }
         match progress {
@@ -61,12 +61,12 @@
     }
 
     /// Handles the complete lines received. Returns whether the connection is still open.
-    fn take_feed_lines(&mut self, now: f64) -> bool {
+    fn handle_feed_lines(&mut self, now: f64) -> bool {
         loop {
             let Some(feed) = &mut self.feed else { return false };
             let complete = match feed.take_line(now) {
                 Ok(None) => return true,
-                Ok(Some(line)) => self.take_feed_line(now, line),
+                Ok(Some(line)) => self.handle_feed_line(now, line),
                 Err(error) => {
                     self.reconnect_feed_later(now, &error.to_string());
                     return false;
@@ -80,7 +80,7 @@
     }
 
     /// Handles a line. Returns false if events before it are missing and the feed has not been polled for them yet.
-    fn take_feed_line(&mut self, now: f64, line: FeedLine) -> bool {
+    fn handle_feed_line(&mut self, now: f64, line: FeedLine) -> bool {
         match line {
             FeedLine::Last(last) => {
                 if last > self.router.last_event() && !self.is_gap_final() {
@@ -103,7 +103,8 @@
         true
     }
 
-    /// Whether the feed was already polled again for the events after the last one. Records that the next poll does so.
+    /// Whether the feed was already polled again for the events missing after the last one, so that it does not have
+    /// them. If not, records that the next poll requests them.
     fn is_gap_final(&mut self) -> bool {
         let last = Some(self.router.last_event());
         std::mem::replace(&mut self.feed_gap_polled, last) == last
--- a/crates/deckproxy/src/program/migrate.rs
+++ b/crates/deckproxy/src/program/migrate.rs
@@ -105,14 +105,14 @@
     } else {
         match write(&arguments.old, &arguments.out, text.as_bytes(), arguments.replace)? {
             WriteOutcome::Written => println!("{out}: written ({} bytes), {count}", text.len()),
-            WriteOutcome::Unchanged => println!("{out}: is that already, {count}"),
+            WriteOutcome::Unchanged => println!("{out}: already has this content, {count}"),
         }
     }
     Ok(if losses.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(WITH_LOSSES) })
 }
 
 /// Reads the old configuration, and the shapes to merge over it in order. Reports the faults of all files and
-/// arguments together.
+/// arguments together, except that an argument without `=` fails at once.
 fn read_input(arguments: &Migrate) -> Result<(Value, Vec<Value>), MigrateError> {
     let mut faults = Vec::new();
     let mut read = |path: &Path, completeness| {
