--- a/crates/deckproxy/src/protocol/mod.rs
+++ b/crates/deckproxy/src/protocol/mod.rs
@@ -1,5 +1,5 @@
-//! Decoders and encoders of all protocols on the sockets, without I/O. The names on the wire end here: they are mapped to
-//! the terms of the code where they are parsed.
+//! Decoders and encoders of all protocols on the sockets, without I/O. Names on the wire are used only in this module:
+//! parsing maps them to the terms of the code.
 
 pub mod config;
 pub mod config_file;
--- a/crates/deckproxy/src/protocol/upstream/decode.rs
+++ b/crates/deckproxy/src/protocol/upstream/decode.rs
@@ -1,7 +1,7 @@
 //! Decoding of members' answers.
 //!
-//! The decoder is this project's own: it keeps its position in a message, checks each length before anything is
-//! reserved for it, and gives bodies as slices of what was read.
+//! The decoder is written for this project: it saves its position in a partially received message, checks each length
+//! before it allocates for it, and returns large bodies as slices of the read buffer.
 
 use crate::protocol::limits;
 use crate::protocol::upstream::message::{CopyInfo, Reply, Status};
@@ -9,12 +9,12 @@
 use std::fmt;
 use std::ops::Range;
 
-/// What is wrong with a member's answer: nothing that follows on its connection can be decoded.
+/// Why a member's answer can't be decoded. Nothing that follows on its connection can be decoded either.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyError {
-    /// A string does not end where its length says.
+    /// A string is not terminated at the end of its declared length.
     UnterminatedString,
-    /// A line that should be a length is not one.
+    /// A line that should hold a length does not.
     NoLength,
     /// A string is longer than the limit.
     StringTooLong,
@@ -22,7 +22,7 @@
     NotAReply,
     /// A field is not UTF-8.
     NotAText,
-    /// The status is not known.
+    /// The status is unknown.
     UnknownStatus,
     /// A served answer has no body.
     BodyMissing,
@@ -44,9 +44,9 @@
 
 impl std::error::Error for ReplyError {}
 
-/// Digits in a length, with some to spare.
+/// Upper bound on the bytes of a length line, above any valid length.
 const LENGTH_DIGITS: usize = 16;
-/// What ends a line and a string.
+/// Terminator of lines and strings.
 const LINE_END: &[u8; 2] = b"\r\n";
 
 /// Position of an answer's request name or health check tag.
@@ -58,30 +58,30 @@
 /// Position of its body.
 const BODY: usize = 3;
 
-/// Finds the answers in a stream of bytes.
+/// Incremental decoder of the answers in a byte stream.
 #[derive(Debug, Default)]
 pub struct Decoder {
-    /// Where the next line or string starts.
+    /// Start of the next line or string.
     position: usize,
-    /// How far that line was searched for its end.
+    /// Offset up to which that line was searched for its terminator.
     searched: usize,
-    /// Strings still to come; 0 between messages.
+    /// Strings of the message not yet received; 0 between messages.
     strings_left: usize,
-    /// Length of the string that starts at `position`, once its line was read.
+    /// Length of the string that starts at `position`, once its length line has been read.
     length: Option<usize>,
-    /// The strings of the present message.
+    /// The strings received so far of the current message.
     strings: Vec<Range<usize>>,
 }
 
 impl Decoder {
-    /// Takes the next answer off the buffer, if it is complete.
+    /// Removes the next answer from the buffer and decodes it, if it is complete.
     ///
     /// # Errors
-    /// What comes can't be decoded: it, and all that follows, is of no use.
+    /// The input can't be decoded; neither it nor anything after it on the connection can be used.
     pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<Reply>, ReplyError> {
         loop {
             if let Some(length) = self.length {
-                if !self.take_string(buffer, length)? {
+                if !self.read_string(buffer, length)? {
                     return Ok(None);
                 }
                 if self.strings_left == 0 {
@@ -89,14 +89,14 @@
                     let strings = std::mem::take(self).strings;
                     return reply(&complete, &strings).map(Some);
                 }
-            } else if !self.take_line(buffer)? {
+            } else if !self.read_length_line(buffer)? {
                 return Ok(None);
             }
         }
     }
 
-    /// Takes the string of that length, if it is complete.
-    fn take_string(&mut self, buffer: &[u8], length: usize) -> Result<bool, ReplyError> {
+    /// Reads the string of that length; returns whether it was complete.
+    fn read_string(&mut self, buffer: &[u8], length: usize) -> Result<bool, ReplyError> {
         let end = self.position + length;
         let after = end + LINE_END.len();
         if buffer.len() < after {
@@ -111,11 +111,11 @@
         Ok(true)
     }
 
-    /// Takes the line of a length, if it is complete.
-    fn take_line(&mut self, buffer: &[u8]) -> Result<bool, ReplyError> {
+    /// Reads the line of a length; returns whether it was complete.
+    fn read_length_line(&mut self, buffer: &[u8]) -> Result<bool, ReplyError> {
         let from = self.searched.max(self.position);
         let Some(offset) = buffer[from..].windows(LINE_END.len()).position(|pair| pair == LINE_END) else {
-            // The last byte may be half of a line's end.
+            // The last byte may be the first half of a terminator.
             self.searched = buffer.len().saturating_sub(1).max(self.position);
             let too_long = buffer.len() - self.position > LENGTH_DIGITS;
             return if too_long { Err(ReplyError::NoLength) } else { Ok(false) };
@@ -138,13 +138,13 @@
         Ok(true)
     }
 
-    /// Bytes that are missing at least, where so many have come.
+    /// Minimum number of bytes that are still missing after `have` bytes were received.
     pub fn missing(&self, have: usize) -> usize {
         self.length.map_or(0, |length| (self.position + length + LINE_END.len()).saturating_sub(have))
     }
 }
 
-/// The length in a line, behind its first byte.
+/// The length in a line, after its type byte.
 fn length_in(line: &[u8]) -> Option<usize> {
     let digits = std::str::from_utf8(line.get(1..)?).ok()?;
     let is_plain = digits.bytes().all(|byte| byte.is_ascii_digit()) && digits.len() < LENGTH_DIGITS;
@@ -189,13 +189,13 @@
 fn body(complete: &Bytes, range: Option<&Range<usize>>) -> Bytes {
     let Some(range) = range else { return Bytes::new() };
     if range.len() < limits::SMALL_BODY {
-        // A slice would keep the buffer alive that it came in, many times its size.
+        // A slice would keep the whole read buffer alive, which is many times its size.
         return Bytes::copy_from_slice(&complete[range.clone()]);
     }
     complete.slice(range.clone())
 }
 
-/// Names and values of the load reports among the fields.
+/// Names and values of the load reports in the fields.
 fn load_report(fields: &str) -> Vec<(Box<str>, f64)> {
     let fields = fields.split(',').filter_map(|field| field.split_once('='));
     let reports = fields.filter(|(name, _)| *name == "rep");
@@ -204,7 +204,7 @@
     values.filter_map(|(name, value)| number(value).map(|value| (name.into(), value))).collect()
 }
 
-/// What the fields say of a copy, if they name its time or its tag.
+/// The copy that the fields describe, if they contain its time of issue or its tag.
 fn copy_info(fields: &str) -> Option<CopyInfo> {
     let value_of = |wanted| {
         let mut fields = fields.split(',').filter_map(|field| field.split_once('='));
--- a/crates/deckproxy/src/protocol/upstream/encode.rs
+++ b/crates/deckproxy/src/protocol/upstream/encode.rs
@@ -1,11 +1,11 @@
-//! Encoding of what is sent to members.
+//! Encoding of messages to members.
 
 use crate::protocol::downstream::Call;
 use crate::protocol::upstream::message::AttemptOptions;
 use bytes::Bytes;
 use std::fmt::Write;
 
-/// Encodes an attempt: what comes before its body, its body, what comes after.
+/// Encodes an attempt as three buffers: the bytes before its body, the body, and the bytes after it.
 pub fn encode_attempt(call: &Call, options: &AttemptOptions) -> [Bytes; 3] {
     let fields = fields(call, options);
     let mut head = String::with_capacity(fields.len() + 64);
@@ -33,7 +33,7 @@
         let _ = write!(fields, ",prio={}", options.copy_rank);
     }
     if options.max_age > 0.0 {
-        // Rounded down: a copy must be no older. Less than one would be read as no bound at all.
+        // Rounded down, as no copy may be older. A value below 1 would be read as no bound.
         let _ = write!(fields, ",within={:.0}", options.max_age.floor().max(1.0));
     }
     let flags = flags(options);
@@ -66,7 +66,7 @@
     command("QUIT", name)
 }
 
-/// Encodes a health check under a tag that its answer repeats.
+/// Encodes a health check with a tag that its answer repeats.
 pub fn encode_health_check(tag: &str) -> Bytes {
     command("INFO", tag)
 }
--- a/crates/deckproxy/src/protocol/upstream/message.rs
+++ b/crates/deckproxy/src/protocol/upstream/message.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 
-/// Options of one attempt, beside the request itself.
+/// Options of one attempt, in addition to the request itself.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AttemptOptions {
     /// How long the gateway waits for the answer, ms.
@@ -11,11 +11,11 @@
     pub source: Option<Box<str>>,
     /// The rank at which the copy is cached; 0: it is not cached.
     pub copy_rank: u8,
-    /// The greatest age of a copy that will do, ms; 0: the class's freshness lifetime.
+    /// The greatest accepted age of a copy, ms; 0: the class's freshness lifetime.
     pub max_age: f64,
-    /// Join a fill that is under way.
+    /// Join a fill that is in flight.
     pub join: bool,
-    /// The source gives only what it has cached.
+    /// The source answers only from its cache.
     pub cached_only: bool,
     /// The parent caches no copy.
     pub no_parent_copy: bool,
@@ -36,13 +36,13 @@
     Rejected,
     /// An error; the attempt may have run.
     Error,
-    /// The request's time was over before it ran.
+    /// The request's deadline passed before it ran.
     Expired,
-    /// The answer to a health check: whether the process is well.
+    /// The answer to a health check: whether the process is healthy.
     Health(bool),
 }
 
-/// What an answer says of the copy that it was served from.
+/// The copy that an answer was served from, as described by the answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CopyInfo {
     /// When the origin issued it, Unix ms.
@@ -54,13 +54,13 @@
 /// An answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reply {
-    /// What it answers: a request's name or a health check's tag.
+    /// The name of the request, or the tag of the health check, that it answers.
     pub id: Box<str>,
     /// How the member answered.
     pub status: Status,
     /// Names and values of a load report.
     pub load_report: Vec<(Box<str>, f64)>,
-    /// The copy that it was served from, where it names one.
+    /// The copy that it was served from, if it describes one.
     pub copy: Option<CopyInfo>,
     /// The body.
     pub body: Bytes,
--- a/crates/deckproxy/src/protocol/upstream/mod.rs
+++ b/crates/deckproxy/src/protocol/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! The members' side (caches, parents, the origin): RESP arrays of bulk strings.
+//! The protocol of members (caches, parents, the origin): RESP arrays of bulk strings.
 
 mod decode;
 mod encode;
