--- a/crates/deckproxy/src/protocol/downstream/decode.rs
+++ b/crates/deckproxy/src/protocol/downstream/decode.rs
@@ -7,24 +7,24 @@
 use bytes::{Bytes, BytesMut};
 use rmp::decode;
 
-/// Elements of a request's array, and its kind on the wire.
+/// Number of elements of a request's array, and its message type on the wire.
 const REQUEST: (u32, u32) = (4, 0);
-/// Elements of a notification's array, and its kind on the wire.
+/// Number of elements of a notification's array, and its message type on the wire.
 const NOTIFICATION: (u32, u32) = (3, 2);
-/// Hex digits of a name.
+/// Number of hex digits in a name.
 const NAME_DIGITS: usize = 16;
 
-/// Finds the messages in a stream of bytes.
+/// Incremental decoder of the messages in a byte stream.
 #[derive(Debug, Default)]
 pub struct Decoder {
     scanner: Scanner,
 }
 
 impl Decoder {
-    /// Takes the next message off the buffer, if it is complete.
+    /// Removes the next message from the buffer and decodes it, if it is complete.
     ///
     /// # Errors
-    /// What comes can't be decoded: it, and all that follows, is of no use.
+    /// The input can't be decoded; neither it nor anything after it on the connection can be used.
     pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<Message>, ProtocolError> {
         match self.scanner.scan(buffer) {
             Ok(None) => Ok(None),
@@ -37,27 +37,27 @@
         }
     }
 
-    /// Bytes that are missing at least, where so many have come.
+    /// Minimum number of bytes that are still missing after `have` bytes were received.
     pub fn missing(&self, have: usize) -> usize {
         self.scanner.missing(have)
     }
 }
 
-/// Reads a text where there is one.
+/// Reads a string; on an error, `rest` is unchanged.
 fn text<'a>(rest: &mut &'a [u8]) -> Result<&'a str, RequestError> {
     let (text, after) = decode::read_str_from_slice(*rest).map_err(|_| RequestError::NotAText)?;
     *rest = after;
     Ok(text)
 }
 
-/// The number of elements and the kind of a message.
+/// Reads the number of elements and the type of a message.
 fn kind(rest: &mut &[u8]) -> Option<(u32, u32)> {
     let count = decode::read_array_len(rest).ok()?;
     let kind = decode::read_int(rest).ok()?;
     Some((count, kind))
 }
 
-/// The id of a request, and what follows; none where the message is no request.
+/// The id of a request and the bytes after it; `None` if the message is not a request.
 fn head(bytes: &[u8]) -> Option<(u32, &[u8])> {
     let mut rest = bytes;
     if kind(&mut rest)? != REQUEST {
@@ -119,7 +119,7 @@
     Ok(Message::Call { id, call: Box::new(call) })
 }
 
-/// Reads one field into the request. The names are the protocol's; what is not known is skipped.
+/// Reads one field into the request, by its name on the wire. Unknown fields are skipped.
 fn field(call: &mut Call, rest: &mut &[u8]) -> Result<(), RequestError> {
     let Ok(name) = text(rest) else {
         skip_value(rest)?;
@@ -154,12 +154,12 @@
     if length > limits::CLIENT_BODY {
         return Err(RequestError::BodyTooLarge);
     }
-    // A slice would keep the buffer alive that it came in, many times what is counted for it.
+    // A slice would keep the whole read buffer alive, which is many times the size accounted for the body.
     let body = rest.get(..length).ok_or(RequestError::BodyCutShort)?;
     Ok(Bytes::copy_from_slice(body))
 }
 
-/// A name of 16 lower-case hex digits.
+/// Parses a name of 16 lower-case hex digits.
 pub(in crate::protocol) fn object_id(text: &str, field: &'static str) -> Result<ObjectId, RequestError> {
     let is_digit = |byte: u8| matches!(byte, b'0'..=b'9' | b'a'..=b'f');
     if text.len() != NAME_DIGITS || !text.bytes().all(is_digit) {
@@ -169,8 +169,8 @@
     Ok(ObjectId { text: text.into(), number })
 }
 
-/// A number in the protocol's form: digits, perhaps a point and digits. What else could be read as a number, as a sign,
-/// an exponent or a word, would be passed on to members in another form than it came in.
+/// Parses a number in the protocol's form: digits, optionally followed by a point and digits. Signs, exponents and
+/// words such as `inf` are refused, as they would be forwarded to members in another form than they were received in.
 fn number(text: &str, field: &'static str) -> Result<f64, RequestError> {
     let is_digits = |part: &str| !part.is_empty() && part.bytes().all(|byte| byte.is_ascii_digit());
     let (integer, fraction) = text.split_once('.').unwrap_or((text, "0"));
@@ -178,14 +178,15 @@
     text.parse().ok().filter(|_| is_plain).ok_or(RequestError::Field(field))
 }
 
-/// A whole number; one with leading zeros would be passed on in another form than it came in.
+/// Parses an integer. Leading zeros are refused, as the number would be forwarded in another form than it was received
+/// in.
 fn integer(text: &str, field: &'static str) -> Result<u32, RequestError> {
     let is_digits = text.bytes().all(|byte| byte.is_ascii_digit());
     let is_plain = is_digits && (text.len() == 1 || !text.starts_with('0'));
     text.parse().ok().filter(|_| is_plain).ok_or(RequestError::Field(field))
 }
 
-/// A text that can stand in the members' lists of fields.
+/// Checks that a string can be put into the field lists of the members' protocol.
 pub(in crate::protocol) fn token(text: &str, field: &'static str) -> Result<Box<str>, RequestError> {
     let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.:/".contains(&byte);
     let fits = !text.is_empty() && text.len() <= limits::FIELD && text.bytes().all(is_plain);
--- a/crates/deckproxy/src/protocol/downstream/encode.rs
+++ b/crates/deckproxy/src/protocol/downstream/encode.rs
@@ -1,15 +1,15 @@
 //! Encoding of answers to clients.
 //!
-//! Writing to a vector can't fail: what rmp returns is dropped.
+//! Writing to a vector can't fail, so the results of rmp are ignored.
 
 use crate::protocol::downstream::message::Answer;
 use bytes::Bytes;
 use rmp::encode;
 
-/// Kind of a response on the wire.
+/// Message type of a response on the wire.
 const RESPONSE: u64 = 1;
 
-/// Encodes a final answer: what comes before its body, its body, what comes after.
+/// Encodes a final answer as three buffers: the bytes before its body, the body, and the bytes after it.
 pub fn encode_answer(id: u32, answer: &Answer) -> [Bytes; 3] {
     let mut head = Vec::with_capacity(48);
     response(&mut head, id);
@@ -47,14 +47,14 @@
     bytes.into()
 }
 
-/// The head of a response.
+/// Writes the head of a response.
 fn response(out: &mut Vec<u8>, id: u32) {
     let _ = encode::write_array_len(out, 4);
     let _ = encode::write_uint(out, RESPONSE);
     let _ = encode::write_uint(out, u64::from(id));
 }
 
-/// The head of a result with a body; no error stands before it.
+/// Writes a nil error and the head of a result with a body of that length.
 fn result(out: &mut Vec<u8>, body: usize) {
     let _ = encode::write_nil(out);
     let _ = encode::write_array_len(out, 2);
@@ -67,7 +67,7 @@
     let _ = encode::write_str(out, value);
 }
 
-/// An error with at most one field, and no result after it.
+/// Writes an error with at most one field, and a nil result.
 fn error(out: &mut Vec<u8>, kind: &str, detail: Option<(&str, &str)>) {
     let _ = encode::write_array_len(out, 2);
     let _ = encode::write_str(out, kind);
--- a/crates/deckproxy/src/protocol/downstream/error.rs
+++ b/crates/deckproxy/src/protocol/downstream/error.rs
@@ -1,32 +1,32 @@
-//! What can be wrong with a client's message.
+//! Errors in clients' messages.
 
 use deckproxy_sites::site::Unroutable;
 use std::fmt;
 
-/// What is wrong with a message or a request. Its text goes to the client as the reason, and to the log.
+/// Why a message or a request is invalid. The text is sent to the client as the reason, and logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestError {
-    /// A byte that MessagePack reserves.
+    /// A byte that is reserved in MessagePack.
     ReservedByte,
     /// The value is not a message.
     NotAMessage,
-    /// The message is longer, or holds more values, than the limit.
+    /// The message exceeds the limit of its length or of its number of values.
     MessageTooLarge,
     /// The message is neither a request nor a notification.
     UnknownMessageKind,
-    /// The notification of a cancellation has no list of ids.
+    /// A cancellation has no list of ids.
     CancelWithoutIds,
-    /// The notification of a cancellation has something else than an id in its list.
+    /// The list of a cancellation contains a value that is not an id.
     CancelOfNoId,
-    /// A value ends before its length.
+    /// A value is shorter than its declared length.
     ValueCutShort,
-    /// A field's name or value is not a text.
+    /// The method or a field's value is not a string.
     NotAText,
     /// The parameters are not a pair of fields and a body.
     BadParameters,
     /// The fields are not a map.
     FieldsNotAMap,
-    /// A field's value is not allowed; the field's name on the wire.
+    /// The value of the field with this name on the wire is not allowed.
     Field(&'static str),
     /// A required field is missing.
     FieldMissing,
@@ -34,30 +34,30 @@
     BodyNotBinary,
     /// The body is over the limit.
     BodyTooLarge,
-    /// The body ends before its length.
+    /// The body is shorter than its declared length.
     BodyCutShort,
     /// The size or the timeout of a request from another site is out of range.
     SizeOrTimeoutOutOfRange,
     /// The class is not in the settings.
     UnknownClass,
-    /// An idempotency key is missing, or given in a class without one.
+    /// An idempotency key is missing, or set in a class without idempotency keys.
     IdempotencyKey,
-    /// The timeout is over the class's deadline.
+    /// The timeout exceeds the class's deadline.
     TimeoutOutOfRange,
-    /// The size is over what the class's deadline allows for.
+    /// The size exceeds what the class's deadline allows.
     SizeOutOfRange,
     /// Another open request has the same name.
     NameInUse,
-    /// The ids of the connection's requests do not start at 1 and count up.
+    /// The ids of the connection's requests do not start at 1 and increase by one.
     IdOutOfSequence,
-    /// Another site found the request invalid.
+    /// Another site rejected the request as invalid.
     InvalidAtOtherSite,
     /// The request can't be routed to any site.
     Unroutable(Unroutable),
 }
 
 impl RequestError {
-    /// The reason as it is given to clients and in the log.
+    /// The reason as it is sent to clients and logged.
     pub fn as_str(self) -> &'static str {
         match self {
             RequestError::ReservedByte => "a reserved byte",
@@ -96,11 +96,11 @@
 
 impl std::error::Error for RequestError {}
 
-/// Nothing further that comes on the connection can be decoded.
+/// A message can't be decoded; nor can anything that follows on the connection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProtocolError {
-    /// What was wrong.
+    /// The error in the message.
     pub error: RequestError,
-    /// The id of the request that was being read, if it could be.
+    /// The id of the request that was being decoded, if it could be read.
     pub request_id: Option<u32>,
 }
--- a/crates/deckproxy/src/protocol/downstream/framing.rs
+++ b/crates/deckproxy/src/protocol/downstream/framing.rs
@@ -1,14 +1,14 @@
-//! Where a MessagePack value ends, without a look into it.
+//! Finds the end of a MessagePack value without decoding it.
 
 use crate::protocol::downstream::error::RequestError;
 use crate::protocol::limits;
 use rmp::Marker;
 
-/// What a value takes, as its head says.
+/// Extent of a value, as declared by its head.
 struct Extent {
-    /// Bytes of the head and of what it counts in bytes.
+    /// Bytes of the head and of the data whose length it declares.
     bytes: usize,
-    /// Values that follow as its elements.
+    /// Number of values that follow as its elements.
     values: u64,
 }
 
@@ -18,7 +18,7 @@
     }
 }
 
-/// The extent of the value that starts here; none: its head is not complete.
+/// The extent of the value at the start of `bytes`; `None` if its head is not complete.
 fn extent(bytes: &[u8]) -> Result<Option<Extent>, RequestError> {
     let Some(first) = bytes.first() else { return Ok(None) };
     let number = |size: usize| {
@@ -68,20 +68,20 @@
     Ok(())
 }
 
-/// Finds the end of one message in bytes that come bit by bit.
+/// Finds the end of one message that is received in several reads.
 #[derive(Debug, Default)]
 pub(super) struct Scanner {
-    /// Bytes of the message that were skipped; may lie beyond what has come.
+    /// Bytes of the message that were skipped; may be beyond the bytes received.
     position: usize,
-    /// Within a message, values still to skip. None are left while the end of the last one, a body, is still to
-    /// come: that is not the same as standing between messages.
+    /// Values still to skip; `None` between messages. It is `Some(0)` while the end of the last value, a body, has not
+    /// been received, which differs from being between messages.
     left: Option<u64>,
-    /// Values that were skipped.
+    /// Number of values skipped so far.
     values: u64,
 }
 
 impl Scanner {
-    /// Goes on through what has come so far of a message. Returns its length once it is complete.
+    /// Continues the scan in the bytes received so far of a message. Returns its length once it is complete.
     pub(super) fn scan(&mut self, bytes: &[u8]) -> Result<Option<usize>, RequestError> {
         if self.left.is_none() {
             match bytes.first().map(|byte| Marker::from_u8(*byte)) {
@@ -105,7 +105,7 @@
         Ok(complete.then_some(self.position))
     }
 
-    /// Bytes that are missing at least, of a message of which so many have come.
+    /// Minimum number of bytes that are still missing of a message after `have` bytes were received.
     pub(super) fn missing(&self, have: usize) -> usize {
         self.position.saturating_sub(have)
     }
--- a/crates/deckproxy/src/protocol/downstream/message.rs
+++ b/crates/deckproxy/src/protocol/downstream/message.rs
@@ -6,34 +6,34 @@
 /// The name of an object.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ObjectId {
-    /// As it came and is passed on: 16 hex digits.
+    /// The name as received and forwarded: 16 hex digits.
     pub text: Box<str>,
-    /// The number that the digits stand for.
+    /// The value of the digits.
     pub number: u64,
 }
 
 /// A client's request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Call {
-    /// The client's name for it, 16 hex digits; passed on to members.
+    /// The client's name for it, 16 hex digits; forwarded to members.
     pub name: Box<str>,
     /// The name of its class.
     pub class: Box<str>,
     /// How long the client waits for the answer, ms.
     pub timeout: f64,
-    /// The idempotency key, where the class has one.
+    /// The idempotency key, if the class has one.
     pub idempotency_key: Option<Box<str>>,
     /// The object.
     pub object: ObjectId,
-    /// The part of the object, if named.
+    /// The part of the object, if set.
     pub part: Option<u32>,
     /// The object's group.
     pub group: u32,
-    /// The part's size in KB, if named.
+    /// The part's size in KB, if set.
     pub size_kb: Option<f64>,
     /// The tag of the copy that the client has cached.
     pub cached_tag: Option<Box<str>>,
-    /// The client marks it as a retry.
+    /// Whether the client marked it as a retry.
     pub is_retry: bool,
     /// The body.
     pub body: Bytes,
@@ -49,7 +49,7 @@
         /// The request.
         call: Box<Call>,
     },
-    /// The question whether the gateway is ready.
+    /// A ping, which asks whether the gateway is ready.
     Ping(u32),
     /// Requests that the client cancels.
     Cancel(Vec<u32>),
@@ -60,7 +60,7 @@
         /// What is wrong with it.
         error: RequestError,
     },
-    /// A notification without meaning here.
+    /// A notification that the gateway does not use.
     Ignored,
 }
 
@@ -71,7 +71,7 @@
     Served(Bytes),
     /// The client's cached copy is current.
     NotModified,
-    /// Rejected, with the time after which to retry in ms; below 1: none is named.
+    /// Rejected, with the time after which to retry in ms; below 1, none is sent.
     Rejected(f64),
     /// Failed.
     Failed,
--- a/crates/deckproxy/src/protocol/downstream/mod.rs
+++ b/crates/deckproxy/src/protocol/downstream/mod.rs
@@ -1,7 +1,7 @@
-//! The clients' side: MessagePack-RPC.
+//! The protocol of clients: MessagePack-RPC.
 //!
-//! A first pass finds where a message ends (`framing`); it keeps its position, so that each byte is looked at once
-//! however the message is split, never recurses and never looks into bodies. The complete message is then decoded with
+//! A first pass finds the end of a message (`framing`). It saves its position, so that completed values are not scanned
+//! again however the message is split; it never recurses and skips bodies. The complete message is then decoded with
 //! `rmp`.
 
 mod decode;
