--- a/crates/deckproxy/src/protocol/feed.rs
+++ b/crates/deckproxy/src/protocol/feed.rs
@@ -1,4 +1,4 @@
-//! The control feed: one JSON object a line, and each second a line that holds the last event's number alone.
+//! The control feed: one JSON object per line, and each second a line with only the number of the last event.
 
 use crate::protocol::limits;
 use bytes::{Bytes, BytesMut};
@@ -8,12 +8,12 @@
 use std::net::SocketAddr;
 use std::num::ParseIntError;
 
-/// One entry of the list of members.
+/// An entry of the member list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberEntry {
     /// Its id.
     pub id: Box<str>,
-    /// Where it listens.
+    /// The address at which it listens, if that could be parsed.
     pub address: Option<SocketAddr>,
     /// The name of its zone.
     pub zone: Box<str>,
@@ -23,27 +23,27 @@
     pub cell: u32,
     /// Its state.
     pub lifecycle: Lifecycle,
-    /// Its size; 1 where none is given.
+    /// Its size; 1 if the feed sets none.
     pub size: f64,
-    /// When its process started, Unix ms, if lately.
+    /// When its process started, Unix ms, if the feed reports it.
     pub started: Option<f64>,
 }
 
 /// An event of the feed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FeedEvent {
-    /// The list of members, complete or what has changed.
+    /// The complete member list, or its changed entries.
     Members {
-        /// It is the complete list.
+        /// Whether the list is complete.
         complete: bool,
         /// The entries.
         entries: Vec<MemberEntry>,
-        /// How many entries could not be read.
+        /// Number of entries that could not be parsed.
         unreadable: usize,
     },
     /// A purge of one object.
     PurgeObject {
-        /// The object's number.
+        /// The number of the object.
         object: u64,
         /// When it was purged, Unix ms.
         at: f64,
@@ -55,13 +55,13 @@
         /// When it was purged, Unix ms.
         at: f64,
     },
-    /// An event that this version does not know.
+    /// An event of a type that this version does not support.
     Unknown,
-    /// An event that can't be read; only its number counts.
+    /// An event that can't be parsed; only its number is used.
     Unreadable(EventError),
 }
 
-/// An event with its number; numbers count up by one.
+/// An event with its sequence number; numbers increase by one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NumberedEvent {
     /// Its number.
@@ -70,7 +70,7 @@
     pub event: FeedEvent,
 }
 
-/// The events that a gateway knows at its start.
+/// The events that a gateway's configuration contains.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct KnownEvents {
     /// The number of the last event.
@@ -79,25 +79,25 @@
     pub events: Vec<NumberedEvent>,
 }
 
-/// A line.
+/// A line of the feed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FeedLine {
     /// An event.
     Event(NumberedEvent),
     /// The number of the last event.
     Last(u64),
-    /// A line that can't be read.
+    /// A line that can't be parsed.
     Unreadable(EventError),
 }
 
-/// Why a line or an event can't be read.
+/// Why a line or an event can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EventError {
-    /// The line is not JSON; what the parser says.
+    /// The line is not JSON; the parser's message.
     NotJson(String),
     /// An event has no number.
     NumberMissing,
-    /// A list has no members.
+    /// A member list has no `members` array.
     MembersMissing,
     /// A purge has no time.
     PurgeTimeMissing,
@@ -122,7 +122,7 @@
 
 impl std::error::Error for EventError {}
 
-/// A line has no end within the limit: nothing that follows can be decoded.
+/// A line is longer than the limit. Nothing that follows on the connection can be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LineTooLong;
 
@@ -134,20 +134,20 @@
 
 impl std::error::Error for LineTooLong {}
 
-/// Encodes the subscription to the events after that number.
+/// Encodes a subscription to the events after the number `last`.
 pub fn subscribe(last: u64) -> Bytes {
     format!("SUB {last}\n").into()
 }
 
-/// Finds the lines in a stream of bytes.
+/// Incremental decoder of the lines in a byte stream.
 #[derive(Debug, Default)]
 pub struct Decoder {
-    /// How far the next line was searched for its end.
+    /// Offset up to which the next line was searched for its end.
     searched: usize,
 }
 
 impl Decoder {
-    /// Takes the next line off the buffer, if it is complete.
+    /// Removes the next line from the buffer and decodes it, if it is complete.
     ///
     /// # Errors
     /// The line is longer than [`limits::FEED_LINE`].
@@ -174,7 +174,7 @@
 /// Decodes one event.
 ///
 /// # Errors
-/// The event has no number; one that can't be read otherwise is [`FeedEvent::Unreadable`].
+/// The event has no number. An event with any other fault is returned as [`FeedEvent::Unreadable`].
 pub fn decode_event(value: &Value) -> Result<NumberedEvent, EventError> {
     let number = value["n"].as_u64().ok_or(EventError::NumberMissing)?;
     Ok(NumberedEvent { number, event: event(value).unwrap_or_else(FeedEvent::Unreadable) })
@@ -226,7 +226,7 @@
     })
 }
 
-/// The state that the feed names by `phase`.
+/// The lifecycle state for the feed's `phase`.
 fn lifecycle(phase: &str) -> Option<Lifecycle> {
     match phase {
         "Ready" => Some(Lifecycle::Ready),
--- a/crates/deckproxy/src/protocol/link.rs
+++ b/crates/deckproxy/src/protocol/link.rs
@@ -1,4 +1,4 @@
-//! Links between gateways: a length of four bytes, then a protobuf frame of `deckproxy_sites::frame`.
+//! Links between gateways: a four-byte length, followed by a protobuf frame of `deckproxy_sites::frame`.
 
 use crate::protocol::downstream::{self, Call, RequestError};
 use crate::protocol::limits;
@@ -7,10 +7,10 @@
 use prost::Message;
 use std::fmt;
 
-/// Bytes of a frame's length.
+/// Size of the length prefix in bytes.
 const LENGTH: usize = 4;
 
-/// What is wrong with a frame: nothing that follows on its connection can be decoded.
+/// Why a frame can't be decoded. Nothing that follows on its connection can be decoded either.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
     /// Its length is over the limit.
@@ -30,21 +30,22 @@
 
 impl std::error::Error for FrameError {}
 
-/// Finds the frames in a stream of bytes.
+/// Decoder of the frames in a byte stream.
 #[derive(Debug, Default)]
 pub struct Decoder;
 
-/// The length of the frame that starts here, if that much has come.
+/// The length of the frame at the start of `bytes`, if the length prefix is complete.
 fn frame_length(bytes: &[u8]) -> Option<usize> {
     let length = bytes.first_chunk::<LENGTH>()?;
     Some(u32::from_be_bytes(*length) as usize)
 }
 
 impl Decoder {
-    /// Takes the next frame off the buffer, if it is complete. Its length is checked before anything is reserved for it.
+    /// Removes the next frame from the buffer and decodes it, if it is complete. Its length is checked before anything
+    /// is allocated for it.
     ///
     /// # Errors
-    /// What comes can't be decoded: it, and all that follows, is of no use.
+    /// The input can't be decoded; neither it nor anything after it on the connection can be used.
     pub fn next(&self, buffer: &mut BytesMut) -> Result<Option<Frame>, FrameError> {
         let Some(length) = frame_length(buffer) else { return Ok(None) };
         if length > limits::LINK_FRAME {
@@ -55,11 +56,11 @@
         }
         buffer.advance(LENGTH);
         let frame = buffer.split_to(length).freeze();
-        // What a later version says and is not known here is dropped by the decoder.
+        // The decoder drops fields that only a later version knows.
         Frame::decode(frame).map(Some).map_err(|_| FrameError::Unreadable)
     }
 
-    /// Bytes that are missing at least.
+    /// Minimum number of bytes that are still missing.
     pub fn missing(&self, buffer: &[u8]) -> usize {
         let length = frame_length(buffer).unwrap_or(0);
         (LENGTH + length.min(limits::LINK_FRAME)).saturating_sub(buffer.len())
@@ -70,14 +71,14 @@
 pub fn encode_frame(frame: &Frame) -> Bytes {
     let length = frame.encoded_len();
     let mut bytes = BytesMut::with_capacity(LENGTH + length);
-    // A frame is far below 2^32 bytes: a body goes in chunks.
+    // A frame is far below 2^32 bytes, as bodies are sent in chunks.
     bytes.put_u32(u32::try_from(length).unwrap_or(u32::MAX));
-    // Fails only where the buffer is too small, which it is not.
+    // Fails only if the buffer is too small; it has room for the whole frame.
     let _ = frame.encode(&mut bytes);
     bytes.freeze()
 }
 
-/// A client's request as it is forwarded to another site; its number and remaining time are set when it is sent.
+/// Converts a client's request into one to another site; its number and remaining time are set when it is sent.
 pub fn request_from_call(call: &Call, path: Vec<String>) -> Request {
     Request {
         number: 0,
@@ -95,7 +96,7 @@
     }
 }
 
-/// A request that another site forwarded, held to the same rules as a client's.
+/// Converts a request forwarded by another site, which is validated by the same rules as a client's.
 ///
 /// # Errors
 /// A field is not allowed; fields are named as in the frame.
@@ -127,9 +128,9 @@
         group: request.group,
         size_kb,
         cached_tag,
-        // Retries are counted at the site that the client asked.
+        // Retries are counted at the site that received the client's request.
         is_retry: false,
-        // A slice would keep the frame alive that it came in.
+        // A slice would keep the whole frame alive.
         body: Bytes::copy_from_slice(&request.body),
     })
 }
