--- a/crates/deckproxy/src/protocol/config.rs
+++ b/crates/deckproxy/src/protocol/config.rs
@@ -7,11 +7,11 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Descriptors where the configuration sets no limit.
+/// Limit of descriptors if the configuration sets none.
 const DEFAULT_SOCKETS: f64 = 1024.0;
-/// Memory in MB where the configuration sets no limit.
+/// Limit of memory in MB if the configuration sets none.
 const DEFAULT_MEMORY: f64 = 192.0;
-/// Numbers from here on are left as they are written.
+/// Numbers of this magnitude or more are not reformatted.
 const LARGEST_INTEGER: f64 = 1e15;
 
 /// The configuration of a gateway.
@@ -19,32 +19,32 @@
 pub struct Config {
     /// Its name.
     pub name: String,
-    /// Where clients connect.
+    /// The address at which clients connect.
     pub listen: SocketAddr,
-    /// Where the control feed is.
+    /// The address of the control feed.
     pub feed: Option<SocketAddr>,
     /// Seed of its random numbers.
     pub seed: u64,
-    /// Descriptors it may hold.
+    /// Limit of its descriptors.
     pub sockets: usize,
-    /// Memory it may hold, MB.
+    /// Limit of its memory, MB.
     pub memory: f64,
     /// The settings.
     pub settings: InstanceSettings,
-    /// The feed's events that it knows from the start.
+    /// The feed's events up to its start.
     pub known: KnownEvents,
 }
 
-/// Why a configuration can't be used.
+/// Why a configuration is invalid.
 #[derive(Debug)]
 pub enum ConfigError {
     /// It is not JSON.
     NotJson(serde_json::Error),
-    /// A field is not of the kind that it must be of.
+    /// A field's value has the wrong type, or is missing.
     Field {
         /// The field's path.
         field: String,
-        /// What it should be, as `no text`.
+        /// What is wrong with it, such as `no text`.
         fault: &'static str,
     },
     /// A field is not a socket address.
@@ -54,9 +54,9 @@
         /// Its text.
         text: String,
     },
-    /// The settings can't be used; what their reader says.
+    /// The settings are invalid; the error message of their reader.
     Settings(String),
-    /// An event that is known from the start can't be read.
+    /// An event of the field `known` can't be parsed.
     Known(EventError),
 }
 
@@ -124,7 +124,7 @@
     text.parse().map_err(|_| ConfigError::NotAnAddress { field, text: text.to_string() })
 }
 
-/// A limit that must be above 0 where it is given.
+/// A limit, which must be above 0 if it is set.
 fn limit(root: &Value, name: &str, default: f64) -> Result<f64, ConfigError> {
     let Some(value) = root["limits"].get(name) else { return Ok(default) };
     let number = value.as_f64().filter(|number| *number > 0.0);
@@ -139,20 +139,20 @@
     }
 }
 
-/// Writes an object as pairs of path and value, as the settings' text has them: a list of plain values joined
-/// with commas, a list of objects under its places with their count.
+/// Flattens an object into pairs of path and value in the text form of the settings: a list of scalars is joined with
+/// commas; the objects of a list are flattened under their positions, and their number is added as `count`.
 fn flatten(path: String, value: &Value, out: &mut BTreeMap<String, String>) {
-    let below = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
+    let child_path = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
     match value {
         Value::Object(fields) => {
             for (name, field) in fields {
-                flatten(below(name), field, out);
+                flatten(child_path(name), field, out);
             }
         }
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            out.insert(below("count"), items.len().to_string());
+            out.insert(child_path("count"), items.len().to_string());
             for (position, item) in items.iter().enumerate() {
-                flatten(below(&position.to_string()), item, out);
+                flatten(child_path(&position.to_string()), item, out);
             }
         }
         Value::Array(items) => {
@@ -165,7 +165,7 @@
     }
 }
 
-/// A plain value as the settings' text has it.
+/// A scalar in the text form of the settings.
 fn scalar(value: &Value) -> String {
     match value {
         Value::String(text) => text.replace([' ', ','], "_"),
@@ -175,7 +175,7 @@
     }
 }
 
-/// A number as the settings' text has it: integers may be written with a fraction of zero.
+/// A number in the text form of the settings: an integer with a fraction of zero is written without it.
 pub(super) fn number(text: &str) -> String {
     match text.parse::<f64>() {
         Ok(number) if number.fract() == 0.0 && number.abs() < LARGEST_INTEGER => format!("{number:.0}"),
--- a/crates/deckproxy/src/protocol/config_file.rs
+++ b/crates/deckproxy/src/protocol/config_file.rs
@@ -1,4 +1,4 @@
-//! Reading of configuration files as operators write them: every fault with its place. No I/O.
+//! Parses and checks configuration files; reports every fault with its line and column. No I/O.
 
 use crate::protocol::config;
 use deckproxy_settings::keys::{self, ValueFormat};
@@ -10,9 +10,9 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// The limits beside the settings that are read.
+/// The fields of `limits` that are read.
 pub(super) const LIMITS: [&str; 3] = ["cores", "memory_mb", "sockets"];
-/// Fields without which a gateway does not start.
+/// Fields that a gateway requires to start.
 const REQUIRED: [&str; 3] = ["listen", "seed", "settings"];
 
 /// A fault of a configuration file.
@@ -32,7 +32,7 @@
     }
 }
 
-/// Whether a file is a configuration, or a part to be laid over one.
+/// Whether a file is a complete configuration, or a part to be merged into one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Completeness {
     /// A configuration with which a gateway can start.
@@ -41,14 +41,14 @@
     Partial,
 }
 
-/// A fault with the byte offset at which it stands. Ordered by that.
+/// A fault with its byte offset, by which faults are ordered.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct FaultAt {
     offset: usize,
     what: String,
 }
 
-/// Strict JSON: none of the looser forms that some editors allow.
+/// Options for strict JSON, without any of the parser's extensions.
 fn strict() -> ParseOptions {
     ParseOptions {
         allow_comments: false,
@@ -64,10 +64,10 @@
     }
 }
 
-/// Reads a file's text.
+/// Parses and checks the text of a file.
 ///
 /// # Errors
-/// Every fault in the file, by place.
+/// The faults of the file in order of their position; only the first one if the file is not strict JSON.
 pub fn read(text: &str, completeness: Completeness) -> Result<Value, Vec<Fault>> {
     let parsed = parse_to_ast(text, &CollectOptions::default(), &strict()).map_err(|error| {
         vec![locate(text, FaultAt { offset: error.range().start, what: format!("file: {}", error.kind()) })]
@@ -91,7 +91,7 @@
         && completeness == Completeness::Complete
         && let Err(error) = config::read(text.as_bytes())
     {
-        // What only the complete file shows: a feed's event without its number, and the like.
+        // Some faults are found only in the complete file, such as a feed event without its number.
         faults.push(FaultAt { offset: 0, what: error.to_string() });
     }
     if faults.is_empty() {
@@ -117,7 +117,7 @@
     if path.is_empty() { field.to_string() } else { format!("{path}.{field}") }
 }
 
-/// A plain value as the settings' text has it.
+/// A scalar in the text form of the settings; `None` for any other value.
 fn scalar(node: &Node) -> Option<String> {
     match node {
         Node::StringLit(text) => Some(text.value.replace([' ', ','], "_")),
@@ -143,7 +143,7 @@
         self.completeness == Completeness::Partial && matches!(node, Node::NullKeyword(_))
     }
 
-    /// Finds fields that are given twice.
+    /// Reports duplicate fields.
     fn check_duplicates(&mut self, path: &str, node: &Node) {
         match node {
             Node::Object(object) => {
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Checks all that is read of a file, field by field.
+    /// Checks each field that is read, and that required fields are present.
     fn check_root(&mut self, root: &Object) {
         if self.completeness == Completeness::Complete {
             for field in REQUIRED.iter().filter(|field| root.get(field).is_none()) {
@@ -238,7 +238,7 @@
         }
     }
 
-    /// Checks one setting, or those below it, against what its key may hold.
+    /// Checks a setting, or the settings nested in it, against the format of its key.
     fn check_setting(&mut self, path: &str, node: &Node) {
         if self.is_removal(node) {
             return;
--- a/crates/deckproxy/src/protocol/config_migration.rs
+++ b/crates/deckproxy/src/protocol/config_migration.rs
@@ -4,36 +4,36 @@
 use deckproxy_settings::keys;
 use serde_json::{Map, Value};
 
-/// The fields beside the settings that are read.
+/// The top-level fields that are read.
 const FIELDS: [&str; 9] =
     ["name", "listen", "seed", "limits", "feed", "flow_bytes_per_s", "link_bytes_per_s", "known", "settings"];
-/// Settings of the family that hold a value for each class.
+/// Settings of the family that are lists with a value for each class.
 const BY_CLASS: [&str; 4] = ["maxAgeMs", "usableAfterMs", "agedWorth", "goesThrough"];
-/// Settings of the family that hold a value for each zone.
+/// Settings of the family that are lists with a value for each zone.
 const BY_ZONE: [&str; 2] = ["zoneBalancers", "inletKbPerS"];
-/// Settings that hold a position in a list.
+/// Settings whose value is a position in a list.
 const POSITIONS: [PositionSetting; 3] = [
     PositionSetting { group: Some("familyInfo"), field: "shieldKind", list: "machineTypes" },
     PositionSetting { group: Some("familyInfo"), field: "sourceKind", list: "machineTypes" },
     PositionSetting { group: None, field: "locality", list: "zones" },
 ];
 
-/// A setting that holds a position in a list.
+/// A setting whose value is a position in a list.
 struct PositionSetting {
-    /// The group of settings that it is in.
+    /// The group of settings that contains it.
     group: Option<&'static str>,
-    /// Its name.
+    /// The name of the setting.
     field: &'static str,
-    /// The list.
+    /// The name of the list.
     list: &'static str,
 }
 
-/// A field that could not be carried over, and why.
+/// A field that was removed by a migration, and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Loss {
     /// Path of the field.
     pub field: String,
-    /// Why it was left out.
+    /// Why it was removed.
     pub why: String,
 }
 
@@ -42,12 +42,12 @@
 pub struct Migrated {
     /// The configuration.
     pub config: Value,
-    /// What could not be carried over.
+    /// The fields that were removed.
     pub losses: Vec<Loss>,
 }
 
-/// Migrates a configuration to another shape: what the shape's parts hold, one after the other, replaces what the file
-/// holds, field by field (RFC 7386, so `null` removes a field); what then fits nowhere is left out and reported.
+/// Migrates a configuration to another shape: the parts of the shape are merged into it in order, field by field
+/// (RFC 7386, so `null` removes a field); fields that don't fit the result are removed and reported.
 pub fn migrate(old: &Value, shape: &[Value]) -> Migrated {
     let mut migration = Migration { config: old.clone(), losses: Vec::new() };
     migration.remove_unread();
@@ -66,7 +66,7 @@
     Migrated { config: migration.config, losses: migration.losses }
 }
 
-/// A configuration on its way to another shape.
+/// A migration in progress.
 struct Migration {
     config: Value,
     losses: Vec<Loss>,
@@ -79,7 +79,7 @@
         Some(names.iter().filter_map(|name| name.as_str().map(str::to_string)).collect())
     }
 
-    fn lose(&mut self, field: String, why: String) {
+    fn add_loss(&mut self, field: String, why: String) {
         self.losses.push(Loss { field, why });
     }
 
@@ -100,7 +100,8 @@
         }
     }
 
-    /// Removes lists by class or zone that the shape left alone, though it has another number of those.
+    /// Removes lists by class or zone whose length is not the number of classes or zones because the shape did not
+    /// replace them.
     fn remove_misfit_lists(&mut self, lists: &[&str], count: Option<usize>, of: &str) {
         for list in lists {
             let family = &self.config["settings"]["familyInfo"];
@@ -109,27 +110,27 @@
             if length != count {
                 remove(&mut self.config["settings"]["familyInfo"], list);
                 let why = format!("has {length} values for {count} {of}; give it in the shape");
-                self.lose(format!("settings.familyInfo.{list}"), why);
+                self.add_loss(format!("settings.familyInfo.{list}"), why);
             }
         }
     }
 
-    /// Removes a position that is not in its list any more.
+    /// Removes a position that is out of the range of its list.
     fn remove_misfit_position(&mut self, setting: &PositionSetting) {
         let PositionSetting { group, field, list } = setting;
         let length = self.names(list).map(|names| i64::try_from(names.len()).unwrap_or(i64::MAX));
         let settings = &mut self.config["settings"];
-        let holder = match group {
+        let object = match group {
             Some(group) => &mut settings[*group],
             None => settings,
         };
-        let position = holder.get(*field).and_then(Value::as_f64).map(|position| position as i64);
+        let position = object.get(*field).and_then(Value::as_f64).map(|position| position as i64);
         let (Some(position), Some(length)) = (position, length) else { return };
         if position >= length {
-            remove(holder, field);
+            remove(object, field);
             let path = group.map_or(String::new(), |group| format!("{group}."));
             let why = format!("place {position} of {length} {list}; give it in the shape");
-            self.lose(format!("settings.{path}{field}"), why);
+            self.add_loss(format!("settings.{path}{field}"), why);
         }
     }
 
@@ -154,7 +155,7 @@
     }
 }
 
-/// What is wrong with a member's field that must name an entry of a list, if anything is.
+/// The fault of a member's field that must name an entry of a list, if it names none.
 fn unknown_name(member: &Value, field: &str, names: Option<&[String]>, list: &str) -> Option<String> {
     let name = member[field].as_str().unwrap_or_default();
     let is_unknown = names.is_some_and(|names| !names.iter().any(|other| other == name));
@@ -171,7 +172,7 @@
     keys::KEYS.iter().any(|(key, _)| key.starts_with(&format!("{path}.")))
 }
 
-/// Removes what is not read below a setting.
+/// Removes the unread fields nested in a setting.
 fn retain_setting(name: &str, value: &mut Value, losses: &mut Vec<Loss>) {
     if let Some(fields) = value.as_object_mut().filter(|_| !is_key(name)) {
         retain(fields, &format!("settings.{name}"), losses, |field| is_key(&join(name, field)));
@@ -184,7 +185,7 @@
     }
 }
 
-/// Removes all other fields than those to keep.
+/// Removes the fields for which `keep` returns false, and reports them.
 fn retain(fields: &mut Map<String, Value>, path: &str, losses: &mut Vec<Loss>, keep: impl Fn(&str) -> bool) {
     let removed: Vec<String> = fields.keys().filter(|name| !keep(name)).cloned().collect();
     for name in removed {
@@ -193,8 +194,8 @@
     }
 }
 
-fn remove(holder: &mut Value, field: &str) {
-    if let Some(fields) = holder.as_object_mut() {
+fn remove(object: &mut Value, field: &str) {
+    if let Some(fields) = object.as_object_mut() {
         fields.remove(field);
     }
 }
