--- a/crates/deckproxy/src/protocol/upstream/decode.rs
+++ b/crates/deckproxy/src/protocol/upstream/decode.rs
@@ -15,13 +15,13 @@
     /// A string is not terminated at the end of its declared length.
     UnterminatedString,
     /// A line that should hold a length does not.
-    NoLength,
+    InvalidLength,
     /// A string is longer than the limit.
     StringTooLong,
     /// The value is not an answer.
     NotAReply,
     /// A field is not UTF-8.
-    NotAText,
+    NotUtf8,
     /// The status is unknown.
     UnknownStatus,
     /// A served answer has no body.
@@ -32,10 +32,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             ReplyError::UnterminatedString => "a string without its end",
-            ReplyError::NoLength => "no length",
+            ReplyError::InvalidLength => "no length",
             ReplyError::StringTooLong => "a string over the limit",
             ReplyError::NotAReply => "not an answer",
-            ReplyError::NotAText => "not a text",
+            ReplyError::NotUtf8 => "not a text",
             ReplyError::UnknownStatus => "an unknown word",
             ReplyError::BodyMissing => "an answer without its body",
         })
@@ -118,11 +118,11 @@
             // The last byte may be the first half of a terminator.
             self.searched = buffer.len().saturating_sub(1).max(self.position);
             let too_long = buffer.len() - self.position > LENGTH_DIGITS;
-            return if too_long { Err(ReplyError::NoLength) } else { Ok(false) };
+            return if too_long { Err(ReplyError::InvalidLength) } else { Ok(false) };
         };
         let end = from + offset;
         let line = &buffer[self.position..end];
-        let number = length_in(line).ok_or(ReplyError::NoLength)?;
+        let number = length_in(line).ok_or(ReplyError::InvalidLength)?;
         (self.position, self.searched) = (end + LINE_END.len(), end + LINE_END.len());
         match (self.strings_left, line.first()) {
             (0, Some(b'*')) if (2..=limits::MEMBER_STRINGS).contains(&number) => self.strings_left = number,
@@ -153,7 +153,7 @@
 
 fn reply(complete: &Bytes, strings: &[Range<usize>]) -> Result<Reply, ReplyError> {
     let text = |position: usize| match strings.get(position) {
-        Some(range) => std::str::from_utf8(&complete[range.clone()]).map_err(|_| ReplyError::NotAText),
+        Some(range) => std::str::from_utf8(&complete[range.clone()]).map_err(|_| ReplyError::NotUtf8),
         None => Ok(""),
     };
     let id = text(ID)?;
