--- a/crates/deckproxy/src/protocol/feed.rs
+++ b/crates/deckproxy/src/protocol/feed.rs
@@ -104,7 +104,7 @@
     /// A purge's key is not a hex number.
     PurgeKey(ParseIntError),
     /// A purge names neither an object nor a group.
-    PurgeOfNothing,
+    PurgeTargetMissing,
 }
 
 impl fmt::Display for EventError {
@@ -115,7 +115,7 @@
             EventError::MembersMissing => f.write_str("a list without its members"),
             EventError::PurgeTimeMissing => f.write_str("a purge without its time"),
             EventError::PurgeKey(what) => what.fmt(f),
-            EventError::PurgeOfNothing => f.write_str("a purge of nothing"),
+            EventError::PurgeTargetMissing => f.write_str("a purge of nothing"),
         }
     }
 }
@@ -204,7 +204,7 @@
         return Ok(FeedEvent::PurgeObject { object, at });
     }
     let group = purge["group"].as_u64().and_then(|group| u32::try_from(group).ok());
-    group.map(|group| FeedEvent::PurgeGroup { group, at }).ok_or(EventError::PurgeOfNothing)
+    group.map(|group| FeedEvent::PurgeGroup { group, at }).ok_or(EventError::PurgeTargetMissing)
 }
 
 fn member_entry(value: &Value) -> Option<MemberEntry> {
