--- a/crates/deckproxy/src/protocol/downstream/decode.rs
+++ b/crates/deckproxy/src/protocol/downstream/decode.rs
@@ -45,7 +45,7 @@
 
 /// Reads a string; on an error, `rest` is unchanged.
 fn text<'a>(rest: &mut &'a [u8]) -> Result<&'a str, RequestError> {
-    let (text, after) = decode::read_str_from_slice(*rest).map_err(|_| RequestError::NotAText)?;
+    let (text, after) = decode::read_str_from_slice(*rest).map_err(|_| RequestError::NotAString)?;
     *rest = after;
     Ok(text)
 }
@@ -82,8 +82,8 @@
     if text(&mut rest) != Ok("abort") {
         return Ok(Message::Ignored);
     }
-    let count = decode::read_array_len(&mut rest).map_err(|_| RequestError::CancelWithoutIds)?;
-    let ids = (0..count).map(|_| decode::read_int(&mut rest).map_err(|_| RequestError::CancelOfNoId));
+    let count = decode::read_array_len(&mut rest).map_err(|_| RequestError::CancelIdsMissing)?;
+    let ids = (0..count).map(|_| decode::read_int(&mut rest).map_err(|_| RequestError::InvalidCancelId));
     ids.collect::<Result<_, _>>().map(Message::Cancel)
 }
 
--- a/crates/deckproxy/src/protocol/downstream/error.rs
+++ b/crates/deckproxy/src/protocol/downstream/error.rs
@@ -15,13 +15,13 @@
     /// The message is neither a request nor a notification.
     UnknownMessageKind,
     /// A cancellation has no list of ids.
-    CancelWithoutIds,
+    CancelIdsMissing,
     /// The list of a cancellation contains a value that is not an id.
-    CancelOfNoId,
+    InvalidCancelId,
     /// A value is shorter than its declared length.
     ValueCutShort,
     /// The method or a field's value is not a string.
-    NotAText,
+    NotAString,
     /// The parameters are not a pair of fields and a body.
     BadParameters,
     /// The fields are not a map.
@@ -64,10 +64,10 @@
             RequestError::NotAMessage => "not a message",
             RequestError::MessageTooLarge => "a message over the limit",
             RequestError::UnknownMessageKind => "neither a request nor a notification",
-            RequestError::CancelWithoutIds => "abort without ids",
-            RequestError::CancelOfNoId => "abort of no id",
+            RequestError::CancelIdsMissing => "abort without ids",
+            RequestError::InvalidCancelId => "abort of no id",
             RequestError::ValueCutShort => "a value cut short",
-            RequestError::NotAText => "not a text",
+            RequestError::NotAString => "not a text",
             RequestError::BadParameters => "parameters are not fields and a body",
             RequestError::FieldsNotAMap => "fields are not a map",
             RequestError::Field(name) => name,
