--- a/crates/deckproxy/src/protocol/config_file.rs
+++ b/crates/deckproxy/src/protocol/config_file.rs
@@ -43,7 +43,7 @@
 
 /// A fault with its byte offset, by which faults are ordered.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct FaultAt {
+struct FaultAtOffset {
     offset: usize,
     what: String,
 }
@@ -70,14 +70,17 @@
 /// The faults of the file in order of their position; only the first one if the file is not strict JSON.
 pub fn read(text: &str, completeness: Completeness) -> Result<Value, Vec<Fault>> {
     let parsed = parse_to_ast(text, &CollectOptions::default(), &strict()).map_err(|error| {
-        vec![locate(text, FaultAt { offset: error.range().start, what: format!("file: {}", error.kind()) })]
+        vec![locate(
+            text,
+            FaultAtOffset { offset: error.range().start, what: format!("file: {}", error.kind()) },
+        )]
     })?;
     let Some(root) = parsed.value else {
         return Err(vec![Fault { line: 1, column: 1, what: "file: it is empty".to_string() }]);
     };
     let Node::Object(object) = &root else {
         let what = "file: no object".to_string();
-        return Err(vec![locate(text, FaultAt { offset: root.start(), what })]);
+        return Err(vec![locate(text, FaultAtOffset { offset: root.start(), what })]);
     };
     let mut checker = Checker { completeness, faults: Vec::new() };
     checker.check_duplicates("", &root);
@@ -92,7 +95,7 @@
         && let Err(error) = config::read(text.as_bytes())
     {
         // Some faults are found only in the complete file, such as a feed event without its number.
-        faults.push(FaultAt { offset: 0, what: error.to_string() });
+        faults.push(FaultAtOffset { offset: 0, what: error.to_string() });
     }
     if faults.is_empty() {
         return Ok(value);
@@ -102,7 +105,7 @@
 }
 
 /// The line and column of a fault.
-fn locate(text: &str, fault: FaultAt) -> Fault {
+fn locate(text: &str, fault: FaultAtOffset) -> Fault {
     let before = &text[..text.floor_char_boundary(fault.offset.min(text.len()))];
     let line_start = before.rfind('\n').map_or(0, |newline| newline + 1);
     Fault {
@@ -130,12 +133,12 @@
 /// Collects the faults of one file.
 struct Checker {
     completeness: Completeness,
-    faults: Vec<FaultAt>,
+    faults: Vec<FaultAtOffset>,
 }
 
 impl Checker {
-    fn fault(&mut self, node: &impl Ranged, field: &str, what: impl fmt::Display) {
-        self.faults.push(FaultAt { offset: node.start(), what: format!("{field}: {what}") });
+    fn add_fault(&mut self, node: &impl Ranged, field: &str, what: impl fmt::Display) {
+        self.faults.push(FaultAtOffset { offset: node.start(), what: format!("{field}: {what}") });
     }
 
     /// Whether a value is a `null` that removes its field.
@@ -151,7 +154,7 @@
                 for property in &object.properties {
                     let path = join(path, property.name.as_str());
                     if !seen.insert(property.name.as_str()) {
-                        self.fault(property, &path, "given twice");
+                        self.add_fault(property, &path, "given twice");
                     }
                     self.check_duplicates(&path, &property.value);
                 }
@@ -169,7 +172,7 @@
     fn check_root(&mut self, root: &Object) {
         if self.completeness == Completeness::Complete {
             for field in REQUIRED.iter().filter(|field| root.get(field).is_none()) {
-                self.fault(root, field, "missing");
+                self.add_fault(root, field, "missing");
             }
         }
         for property in &root.properties {
@@ -187,13 +190,13 @@
         let (field, node) = (property.name.as_str(), &property.value);
         match (field, node) {
             ("name", Node::StringLit(_)) => {}
-            ("name", _) => self.fault(node, field, "no text"),
+            ("name", _) => self.add_fault(node, field, "no text"),
             ("listen" | "feed", Node::StringLit(text)) => self.check_address(node, field, &text.value),
             ("feed", Node::NullKeyword(_)) => {}
-            ("listen" | "feed", _) => self.fault(node, field, "no text"),
+            ("listen" | "feed", _) => self.add_fault(node, field, "no text"),
             ("seed", _) => self.check_seed(node),
             ("flow_bytes_per_s" | "link_bytes_per_s", Node::NumberLit(_)) => {}
-            ("flow_bytes_per_s" | "link_bytes_per_s", _) => self.fault(node, field, "no number"),
+            ("flow_bytes_per_s" | "link_bytes_per_s", _) => self.add_fault(node, field, "no number"),
             ("limits", Node::Object(limits)) => self.check_limits(limits),
             ("known", Node::Object(_)) => {}
             ("settings", Node::Object(settings)) => {
@@ -201,7 +204,7 @@
                     self.check_setting(property.name.as_str(), &property.value);
                 }
             }
-            ("limits" | "known" | "settings", _) => self.fault(node, field, "no object"),
+            ("limits" | "known" | "settings", _) => self.add_fault(node, field, "no object"),
             _ => {}
         }
     }
@@ -209,7 +212,7 @@
     fn check_address(&mut self, node: &Node, field: &str, text: &str) {
         if text.parse::<SocketAddr>().is_err() {
             let what = format!("{text:?} is not allowed; allowed: an address as 10.0.0.4:7001");
-            self.fault(node, field, what);
+            self.add_fault(node, field, what);
         }
     }
 
@@ -221,7 +224,7 @@
         };
         if !is_allowed {
             let what = "is not allowed; allowed: up to 16 hex digits in quotes, or a whole number";
-            self.fault(node, "seed", what);
+            self.add_fault(node, "seed", what);
         }
     }
 
@@ -233,7 +236,7 @@
             let is_allowed = matches!(&limit.value, Node::NumberLit(number) if is_positive(number.value));
             if LIMITS.contains(&name) && !is_allowed && !self.is_removal(&limit.value) {
                 let what = "is not allowed; allowed: a number above 0";
-                self.fault(&limit.value, &format!("limits.{name}"), what);
+                self.add_fault(&limit.value, &format!("limits.{name}"), what);
             }
         }
     }
@@ -258,12 +261,12 @@
                 for item in &array.elements {
                     match scalar(item) {
                         Some(value) => self.check_value(path, item, &value),
-                        None => self.fault(item, &format!("settings.{path}"), "no plain value"),
+                        None => self.add_fault(item, &format!("settings.{path}"), "no plain value"),
                     }
                 }
             }
             (_, Node::Object(_) | Node::Array(_)) => {
-                self.fault(node, &format!("settings.{path}"), "no plain value");
+                self.add_fault(node, &format!("settings.{path}"), "no plain value");
             }
             _ => {
                 if let Some(value) = scalar(node) {
@@ -275,7 +278,7 @@
 
     fn check_value(&mut self, path: &str, node: &Node, value: &str) {
         if let Err(invalid) = keys::check(path, value) {
-            self.fault(node, &format!("settings.{path}"), invalid);
+            self.add_fault(node, &format!("settings.{path}"), invalid);
         }
     }
 }
--- a/crates/deckproxy/src/protocol/downstream/decode.rs
+++ b/crates/deckproxy/src/protocol/downstream/decode.rs
@@ -33,7 +33,7 @@
                 self.scanner = Scanner::default();
                 message(&complete).map(Some)
             }
-            Err(error) => Err(ProtocolError { error, request_id: head(buffer).map(|(id, _)| id) }),
+            Err(error) => Err(ProtocolError { error, request_id: request_head(buffer).map(|(id, _)| id) }),
         }
     }
 
@@ -44,23 +44,23 @@
 }
 
 /// Reads a string; on an error, `rest` is unchanged.
-fn text<'a>(rest: &mut &'a [u8]) -> Result<&'a str, RequestError> {
+fn read_str<'a>(rest: &mut &'a [u8]) -> Result<&'a str, RequestError> {
     let (text, after) = decode::read_str_from_slice(*rest).map_err(|_| RequestError::NotAString)?;
     *rest = after;
     Ok(text)
 }
 
 /// Reads the number of elements and the type of a message.
-fn kind(rest: &mut &[u8]) -> Option<(u32, u32)> {
+fn read_type(rest: &mut &[u8]) -> Option<(u32, u32)> {
     let count = decode::read_array_len(rest).ok()?;
-    let kind = decode::read_int(rest).ok()?;
-    Some((count, kind))
+    let message_type = decode::read_int(rest).ok()?;
+    Some((count, message_type))
 }
 
 /// The id of a request and the bytes after it; `None` if the message is not a request.
-fn head(bytes: &[u8]) -> Option<(u32, &[u8])> {
+fn request_head(bytes: &[u8]) -> Option<(u32, &[u8])> {
     let mut rest = bytes;
-    if kind(&mut rest)? != REQUEST {
+    if read_type(&mut rest)? != REQUEST {
         return None;
     }
     let id = decode::read_int(&mut rest).ok()?;
@@ -68,7 +68,7 @@
 }
 
 fn message(complete: &[u8]) -> Result<Message, ProtocolError> {
-    match head(complete) {
+    match request_head(complete) {
         Some((id, rest)) => Ok(request(id, rest).unwrap_or_else(|error| Message::Invalid { id, error })),
         None => notification(complete).map_err(|error| ProtocolError { error, request_id: None }),
     }
@@ -76,10 +76,10 @@
 
 fn notification(complete: &[u8]) -> Result<Message, RequestError> {
     let mut rest = complete;
-    if kind(&mut rest).ok_or(RequestError::NotAMessage)? != NOTIFICATION {
+    if read_type(&mut rest).ok_or(RequestError::NotAMessage)? != NOTIFICATION {
         return Err(RequestError::UnknownMessageKind);
     }
-    if text(&mut rest) != Ok("abort") {
+    if read_str(&mut rest) != Ok("abort") {
         return Ok(Message::Ignored);
     }
     let count = decode::read_array_len(&mut rest).map_err(|_| RequestError::CancelIdsMissing)?;
@@ -88,7 +88,7 @@
 }
 
 fn request(id: u32, mut rest: &[u8]) -> Result<Message, RequestError> {
-    let method = text(&mut rest)?;
+    let method = read_str(&mut rest)?;
     if method == "ping" {
         return Ok(Message::Ping(id));
     }
@@ -110,7 +110,7 @@
     };
     let fields = decode::read_map_len(&mut rest).map_err(|_| RequestError::FieldsNotAMap)?;
     for _ in 0..fields {
-        field(&mut call, &mut rest)?;
+        read_field(&mut call, &mut rest)?;
     }
     if call.name.is_empty() || call.object.text.is_empty() || call.timeout <= 0.0 {
         return Err(RequestError::FieldMissing);
@@ -120,30 +120,30 @@
 }
 
 /// Reads one field into the request, by its name on the wire. Unknown fields are skipped.
-fn field(call: &mut Call, rest: &mut &[u8]) -> Result<(), RequestError> {
-    let Ok(name) = text(rest) else {
+fn read_field(call: &mut Call, rest: &mut &[u8]) -> Result<(), RequestError> {
+    let Ok(name) = read_str(rest) else {
         skip_value(rest)?;
         return skip_value(rest);
     };
     match name {
-        "ref" => call.name = object_id(text(rest)?, "ref")?.text,
-        "lookup" => call.object = object_id(text(rest)?, "lookup")?,
-        "allow" => call.timeout = number(text(rest)?, "allow")?,
-        "room" => call.size_kb = Some(number(text(rest)?, "room")?).filter(|kb| *kb > 0.0),
-        "seg" => call.part = Some(integer(text(rest)?, "seg")?),
+        "ref" => call.name = object_id(read_str(rest)?, "ref")?.text,
+        "lookup" => call.object = object_id(read_str(rest)?, "lookup")?,
+        "allow" => call.timeout = number(read_str(rest)?, "allow")?,
+        "room" => call.size_kb = Some(number(read_str(rest)?, "room")?).filter(|kb| *kb > 0.0),
+        "seg" => call.part = Some(integer(read_str(rest)?, "seg")?),
         "bucket" => {
-            let group = integer(text(rest)?, "bucket")?;
+            let group = integer(read_str(rest)?, "bucket")?;
             call.group =
                 Some(group).filter(|group| *group < limits::GROUPS).ok_or(RequestError::Field("bucket"))?;
         }
         "dup" => {
-            if text(rest)? != "1" {
+            if read_str(rest)? != "1" {
                 return Err(RequestError::Field("dup"));
             }
             call.is_retry = true;
         }
-        "replay" => call.idempotency_key = Some(token(text(rest)?, "replay")?),
-        "etag" => call.cached_tag = Some(token(text(rest)?, "etag")?),
+        "replay" => call.idempotency_key = Some(token(read_str(rest)?, "replay")?),
+        "etag" => call.cached_tag = Some(token(read_str(rest)?, "etag")?),
         _ => skip_value(rest)?,
     }
     Ok(())
--- a/crates/deckproxy/src/protocol/upstream/decode.rs
+++ b/crates/deckproxy/src/protocol/upstream/decode.rs
@@ -122,7 +122,7 @@
         };
         let end = from + offset;
         let line = &buffer[self.position..end];
-        let number = length_in(line).ok_or(ReplyError::InvalidLength)?;
+        let number = parse_length(line).ok_or(ReplyError::InvalidLength)?;
         (self.position, self.searched) = (end + LINE_END.len(), end + LINE_END.len());
         match (self.strings_left, line.first()) {
             (0, Some(b'*')) if (2..=limits::MEMBER_STRINGS).contains(&number) => self.strings_left = number,
@@ -145,7 +145,7 @@
 }
 
 /// The length in a line, after its type byte.
-fn length_in(line: &[u8]) -> Option<usize> {
+fn parse_length(line: &[u8]) -> Option<usize> {
     let digits = std::str::from_utf8(line.get(1..)?).ok()?;
     let is_plain = digits.bytes().all(|byte| byte.is_ascii_digit()) && digits.len() < LENGTH_DIGITS;
     digits.parse().ok().filter(|_| is_plain)
