--- a/crates/deckproxy/src/transport/member.rs
+++ b/crates/deckproxy/src/transport/member.rs
@@ -1,4 +1,4 @@
-//! A connection to a member. It carries many attempts, and knows of each whether it was written completely.
+//! A connection to a member. It carries concurrent attempts and records whether each was written completely.
 
 use crate::protocol::upstream::{Decoder, Reply, ReplyError, encode_cancel, encode_health_check};
 use crate::transport::stream::{Progress, Stream};
@@ -7,18 +7,19 @@
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::io;
 
-/// Key of what is written and is neither an attempt nor a health check.
+/// Key of messages that are neither an attempt nor a health check.
 const OTHER: u64 = u64::MAX;
-/// Names cancelled on one connection from which it is retired; and names answered there that are remembered.
-const NAMES: usize = 32;
+/// Cancelled names without an answer on one connection above which it is retired; also the number of answered names
+/// that are remembered.
+const MAX_TRACKED_NAMES: usize = 32;
 
-/// What is sent to a member.
+/// A message to a member.
 pub enum MemberMessage {
     /// An attempt.
     Attempt {
         /// Its encoded command.
         parts: [Bytes; 3],
-        /// Time after which it is cancelled if none of it is written, ms.
+        /// Time after which the attempt is cancelled if no byte of it was written, ms.
         unsent_timeout: f64,
     },
     /// A health check.
@@ -28,38 +29,38 @@
 /// How much of a cancelled attempt was written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WrittenPart {
-    /// None of it; it never will be.
+    /// No byte; the message was removed from the write buffer.
     None,
-    /// Some of it; the rest still waits.
+    /// Some bytes; the rest is still in the write buffer.
     Some,
-    /// All of it.
+    /// All bytes.
     All,
 }
 
-/// An attempt or health check that is lost with its connection.
+/// An attempt or health check in flight on a connection that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Lost {
     /// Its key.
     pub key: u64,
-    /// It was written completely.
+    /// Whether it was written completely.
     pub written: bool,
 }
 
-/// An answer that was received from a member.
+/// An answer received from a member.
 #[derive(Debug)]
 pub struct ReceivedReply {
-    /// Key of the attempt or health check that it answers; none if that is no longer in flight.
+    /// Key of the attempt or health check that it answers; none if it is no longer in flight.
     pub key: Option<u64>,
     /// The answer.
     pub reply: Reply,
 }
 
-/// What a connection's kind of message needs to know while it is in flight.
+/// An attempt or health check in flight.
 struct InFlight {
     name: Box<str>,
-    /// When it was written completely, Unix ms, if it was.
+    /// When it was written completely, Unix ms; none before that.
     written_at: Option<f64>,
-    /// An attempt, of whose cancellation the member is notified; a health check ends by itself.
+    /// Whether it is an attempt, whose cancellation is sent to the member; a health check needs none.
     is_attempt: bool,
 }
 
@@ -72,17 +73,17 @@
     in_flight: HashMap<u64, InFlight>,
     /// Their keys, by name.
     keys: HashMap<Box<str>, u64>,
-    /// Names cancelled here: an answer to one may still be on its way.
+    /// Cancelled names whose answer may still arrive.
     cancelled: HashSet<Box<str>>,
-    /// Names answered here lately: a second answer to one may come late, behind the next attempt under that name.
+    /// The most recently answered names. A duplicate answer could otherwise be matched to a new attempt of that name.
     answered: VecDeque<Box<str>>,
-    /// When something last came, Unix ms.
+    /// When bytes were last received, Unix ms.
     received_at: f64,
-    /// When something was last in flight, Unix ms.
+    /// When a message was last appended, answered or cancelled, Unix ms; `cancel_unsent` does not update it.
     used_at: f64,
-    /// An answer was taken off the buffer since that was trimmed.
-    taken: bool,
-    /// Takes nothing new; closes once nothing is in flight.
+    /// Whether an answer was decoded since the input buffer was last trimmed.
+    consumed: bool,
+    /// Accepts no new attempts; closes once nothing is in flight.
     pub retired: bool,
     written: Vec<WrittenMessage>,
 }
@@ -99,23 +100,23 @@
             answered: VecDeque::new(),
             received_at: now,
             used_at: now,
-            taken: false,
+            consumed: false,
             retired: false,
             written: Vec::new(),
         }
     }
 
-    /// Attempts and health checks in flight on it.
+    /// Number of attempts and health checks in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// Since when nothing is in flight, Unix ms.
+    /// Since when the connection counts as idle if nothing is in flight, Unix ms.
     pub fn idle_since(&self) -> f64 {
         self.used_at
     }
 
-    /// Whether an attempt of that name can be sent here: an answer under it must have but one meaning.
+    /// Whether an attempt of this name can be sent here: an answer under the name must be unambiguous.
     pub fn accepts(&self, name: &str) -> bool {
         let used = self.keys.contains_key(name) || self.cancelled.contains(name);
         !self.retired && !used && !self.answered.iter().any(|other| **other == *name)
@@ -139,7 +140,7 @@
         self.stream.push(message);
     }
 
-    /// Cancels an attempt if no byte of it was written. Returns whether that was so.
+    /// Cancels an attempt if no byte of it was written. Returns whether it was cancelled.
     pub fn cancel_unsent(&mut self, key: u64) -> bool {
         if !self.stream.cancel(key) {
             return false;
@@ -161,11 +162,11 @@
         self.in_flight.get(&key).is_none_or(|message| message.written_at.is_some())
     }
 
-    /// Cancels an attempt; none if it is not in flight here. Returns how much of it was written.
+    /// Cancels an attempt. Returns how much of it was written; none if it is not in flight here.
     ///
-    /// A connection on which nothing came for `patience` ms since the attempt was written may be dead without a sign,
-    /// and one on which half of an answer has stood for so long will hardly bring the rest: it is retired.
-    pub fn cancel(&mut self, key: u64, now: f64, patience: f64) -> Option<WrittenPart> {
+    /// Retires the connection if nothing was received for `silence_timeout` ms after the attempt was written, as it may
+    /// be silently broken, or if a partial answer has been incomplete for so long, as the rest is unlikely to arrive.
+    pub fn cancel(&mut self, key: u64, now: f64, silence_timeout: f64) -> Option<WrittenPart> {
         let message = self.in_flight.remove(&key)?;
         self.keys.remove(&message.name);
         self.used_at = now;
@@ -177,14 +178,14 @@
             self.stream.push(OutgoingMessage::single(OTHER, encode_cancel(&message.name)));
         }
         self.cancelled.insert(message.name);
-        let silent = message.written_at.is_some_and(|at| self.received_at < at && now - at > patience);
-        // Whatever is sent behind an answer that broke off would be answered behind it, or never.
-        let mid_answer = !self.stream.input.is_empty() && now - self.received_at > patience;
-        self.retired |= silent || mid_answer || self.cancelled.len() > NAMES;
+        let silent = message.written_at.is_some_and(|at| self.received_at < at && now - at > silence_timeout);
+        // Later messages on this connection would be answered only after the incomplete answer, or never.
+        let mid_answer = !self.stream.input.is_empty() && now - self.received_at > silence_timeout;
+        self.retired |= silent || mid_answer || self.cancelled.len() > MAX_TRACKED_NAMES;
         Some(if is_partial { WrittenPart::Some } else { WrittenPart::All })
     }
 
-    /// Reads what has come.
+    /// Reads the available bytes, up to the limit of one turn.
     pub fn read(&mut self, now: f64) -> Progress {
         let before = self.stream.input.len();
         let progress = self.stream.read();
@@ -194,32 +195,33 @@
         progress
     }
 
-    /// Whether nothing is in flight and the member has closed it, which the kernel may not have reported yet: an
-    /// attempt written to it would end as one that may have run.
+    /// Whether nothing is in flight and the member has closed the connection, which the kernel may not have reported
+    /// yet. The outcome of an attempt written to it would be unknown, as it might have run.
     pub fn is_stale(&mut self, now: f64) -> bool {
         self.in_flight() == 0 && self.stream.is_open() && self.read(now) == Progress::Ended
     }
 
-    /// The next complete answer, and the key of what it answers; none for what is not in flight any more.
+    /// Removes the next complete answer from the input buffer and returns it with the key of its attempt or health
+    /// check.
     ///
     /// # Errors
-    /// What comes can't be decoded: the connection is of no more use.
+    /// The received bytes can't be decoded; the connection must be closed.
     pub fn take_reply(&mut self, now: f64) -> Result<Option<ReceivedReply>, ReplyError> {
         let Some(reply) = self.decoder.next(&mut self.stream.input)? else {
             self.stream.missing = self.decoder.missing(self.stream.input.len());
-            self.stream.trim(std::mem::take(&mut self.taken));
+            self.stream.trim(std::mem::take(&mut self.consumed));
             return Ok(None);
         };
-        self.taken = true;
+        self.consumed = true;
         let key = self.keys.get(&reply.id).copied();
-        // An answer to what is not written yet answers something else.
+        // An answer cannot belong to a message that is not completely written yet.
         let key =
             key.filter(|key| self.in_flight.get(key).is_some_and(|message| message.written_at.is_some()));
         if let Some(message) = key.and_then(|key| self.in_flight.remove(&key)) {
             self.keys.remove(&message.name);
             self.used_at = now;
             if message.is_attempt {
-                self.answered.truncate(NAMES - 1);
+                self.answered.truncate(MAX_TRACKED_NAMES - 1);
                 self.answered.push_front(message.name);
             }
         } else {
@@ -228,7 +230,7 @@
         Ok(Some(ReceivedReply { key, reply }))
     }
 
-    /// Writes what the kernel takes, and calls `complete` with each message that it took completely.
+    /// Writes as much as the kernel accepts, and calls `complete` with each completely written message.
     ///
     /// # Errors
     /// The error of the socket if writing fails.
@@ -243,7 +245,7 @@
         flushed
     }
 
-    /// Takes what is in flight as the connection has ended, by key.
+    /// Removes and returns all messages in flight after the connection has ended, sorted by key.
     pub fn take_lost(&mut self) -> Vec<Lost> {
         self.keys.clear();
         let lost = self.in_flight.drain();
