--- a/crates/deckproxy/src/transport/stream.rs
+++ b/crates/deckproxy/src/transport/stream.rs
@@ -1,7 +1,7 @@
-//! One TCP connection: its socket, what came in and is not decoded, what waits to be written.
+//! A TCP connection: its socket, the received bytes that are not decoded yet, and its write buffer.
 //!
-//! It is registered once, edge-triggered, and remembers the readiness that the kernel reported: so a connection that is
-//! not read for a while, for fairness or for backpressure, costs no wake-ups.
+//! It is registered once, edge-triggered, and remembers the readiness that the kernel reported. A connection whose
+//! reading is paused, for fairness or for backpressure, therefore causes no wake-ups.
 
 use crate::transport::buffer_usage::{BufferUsage, UsageShare};
 use crate::transport::registration::register;
@@ -14,51 +14,52 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Bytes read in one call where no longer message is awaited.
-const READ_CHUNK: usize = 16 * 1024;
-/// Bytes read in one turn before others have theirs.
-const READ_TURN: usize = 256 * 1024;
-/// Time after which the kernel gives up what it still holds of a closed connection and the other side does not take.
+/// Bytes read in one call, unless the decoder is missing more for its next message.
+const READ_CHUNK_BYTES: usize = 16 * 1024;
+/// Bytes read in one turn before other connections get theirs.
+const READ_TURN_BYTES: usize = 256 * 1024;
+/// Time after which the kernel discards the remaining bytes of a closed connection if the remote end does not
+/// acknowledge them.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(10);
-/// Size of the kernel's send buffer for a connection that is made from here: what the kernel has not taken is known not
-/// to have been sent.
-const SEND_BUFFER: usize = 128 * 1024;
+/// Size of the kernel's send buffer of an outgoing connection. It is limited as only bytes that the kernel has not
+/// accepted are known not to have been sent.
+const SEND_BUFFER_BYTES: usize = 128 * 1024;
 
-/// ENOMEM: no memory.
-const OUT_OF_MEMORY: i32 = 12;
-/// ENFILE: no descriptor in the system.
-const SYSTEM_FILES: i32 = 23;
-/// EMFILE: no descriptor in the process.
-const PROCESS_FILES: i32 = 24;
-/// ENOBUFS: no buffer.
-const NO_BUFFERS: i32 = 105;
-/// EINPROGRESS: a handshake has begun; it has no stable `ErrorKind`.
-const IN_PROGRESS: i32 = 115;
+/// Out of memory.
+const ENOMEM: i32 = 12;
+/// The system has no free file descriptor.
+const ENFILE: i32 = 23;
+/// The process has no free file descriptor.
+const EMFILE: i32 = 24;
+/// The system has no free socket buffer.
+const ENOBUFS: i32 = 105;
+/// The handshake has begun; this error has no stable `ErrorKind`.
+const EINPROGRESS: i32 = 115;
 
-/// What a turn of reading found.
+/// The result of one turn of reading.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// Nothing more for now.
+    /// No more bytes are available for now.
     Drained,
-    /// There may be more; others have their turn first.
+    /// More bytes may be available; other connections get their turn first.
     More,
-    /// The other side has closed, or the connection broke.
+    /// The remote end has closed the connection, or it failed.
     Ended,
 }
 
-/// Whether an error says that the process or the system has no descriptor or buffer left, which says nothing of the
-/// other side.
+/// Whether an error means that the process or the system is out of descriptors, buffers or memory, which is no fault of
+/// the remote end.
 pub fn is_exhausted(error: &io::Error) -> bool {
-    matches!(error.raw_os_error(), Some(PROCESS_FILES | SYSTEM_FILES | NO_BUFFERS | OUT_OF_MEMORY))
+    matches!(error.raw_os_error(), Some(EMFILE | ENFILE | ENOBUFS | ENOMEM))
 }
 
 /// A connection, established or not.
 pub struct Stream {
     socket: Rc<TcpStream>,
     token: RegistrationToken,
-    /// What came and is not decoded yet.
+    /// Received bytes that are not decoded yet.
     pub input: BytesMut,
-    /// Bytes that the decoder is missing for its next message, at least.
+    /// Lower bound of the bytes that the decoder is missing for its next message.
     pub missing: usize,
     output: WriteBuffer,
     readable: bool,
@@ -68,7 +69,7 @@
 }
 
 impl Stream {
-    /// Takes over an accepted connection. `ready` is called when the kernel reports readiness.
+    /// Wraps an accepted connection. `ready` is called when the kernel reports readiness.
     ///
     /// # Errors
     /// The error of the operating system if the socket cannot be made non-blocking or registered.
@@ -85,7 +86,7 @@
     /// Starts to connect. `ready` is called when the kernel reports readiness.
     ///
     /// # Errors
-    /// The kernel refuses at once: nothing was sent.
+    /// The error of the operating system if the socket cannot be created, connected or registered; nothing was sent.
     pub fn connect<D: 'static>(
         handle: &LoopHandle<'static, D>,
         usage: &Rc<BufferUsage>,
@@ -94,9 +95,9 @@
     ) -> io::Result<Self> {
         let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
-        socket.set_send_buffer_size(SEND_BUFFER)?;
+        socket.set_send_buffer_size(SEND_BUFFER_BYTES)?;
         if let Err(error) = socket.connect(&to.into()) {
-            let begun = error.kind() == ErrorKind::WouldBlock || error.raw_os_error() == Some(IN_PROGRESS);
+            let begun = error.kind() == ErrorKind::WouldBlock || error.raw_os_error() == Some(EINPROGRESS);
             if !begun {
                 return Err(error);
             }
@@ -127,18 +128,18 @@
         })
     }
 
-    /// Takes readiness that the kernel reported.
+    /// Records readiness that the kernel reported.
     pub fn set_ready(&mut self, readiness: Readiness) {
         self.readable |= readiness.readable || readiness.error;
         self.writable |= readiness.writable || readiness.error;
     }
 
-    /// Has the next read ask the kernel, also where it has not reported anything to read.
+    /// Makes the connection count as readable, even if the kernel has not reported it.
     pub fn assume_readable(&mut self) {
         self.readable = true;
     }
 
-    /// Whether the handshake is not over yet; checks whether it has ended.
+    /// Whether the handshake is still in progress; checks first whether it has ended.
     ///
     /// # Errors
     /// The connection could not be established.
@@ -149,7 +150,7 @@
             }
             match self.socket.peer_addr() {
                 Ok(_) => self.connecting = false,
-                // Woken by something else than the end of the handshake.
+                // The wake-up was not caused by the end of the handshake.
                 Err(error) if error.kind() == ErrorKind::NotConnected => self.writable = false,
                 Err(error) => return Err(error),
             }
@@ -157,17 +158,17 @@
         Ok(self.connecting)
     }
 
-    /// Whether the handshake is over.
+    /// Whether the handshake has ended.
     pub fn is_open(&self) -> bool {
         !self.connecting
     }
 
-    /// Whether reading may bring something.
+    /// Whether a read may return bytes.
     pub fn is_readable(&self) -> bool {
         self.readable && !self.connecting
     }
 
-    /// Reads what there is, up to a turn's amount.
+    /// Reads the available bytes, up to the limit of one turn.
     pub fn read(&mut self) -> Progress {
         let progress = self.read_turn();
         self.account();
@@ -175,15 +176,15 @@
     }
 
     fn read_turn(&mut self) -> Progress {
-        let mut left = READ_TURN;
-        while left > 0 {
-            let chunk = self.missing.max(READ_CHUNK).min(left.max(READ_CHUNK));
+        let mut remaining = READ_TURN_BYTES;
+        while remaining > 0 {
+            let chunk = self.missing.max(READ_CHUNK_BYTES).min(remaining.max(READ_CHUNK_BYTES));
             match self.read_chunk(chunk) {
                 Ok(0) => return Progress::Ended,
-                // Read on also after a short read: an end that came with the bytes brings no edge of its own.
+                // Continues after a short read: an EOF that arrived with the bytes triggers no edge of its own.
                 Ok(bytes) => {
                     self.missing = self.missing.saturating_sub(bytes);
-                    left = left.saturating_sub(bytes);
+                    remaining = remaining.saturating_sub(bytes);
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
                     self.readable = false;
@@ -197,22 +198,23 @@
     }
 
     fn read_chunk(&mut self, chunk: usize) -> io::Result<usize> {
-        let have = self.input.len();
-        self.input.resize(have + chunk, 0);
-        let read = (&*self.socket).read(&mut self.input[have..]);
-        self.input.truncate(have + *read.as_ref().unwrap_or(&0));
+        let buffered = self.input.len();
+        self.input.resize(buffered + chunk, 0);
+        let read = (&*self.socket).read(&mut self.input[buffered..]);
+        self.input.truncate(buffered + *read.as_ref().unwrap_or(&0));
         read
     }
 
-    /// Accounts for what the buffers hold now.
+    /// Updates the accounting with the current sizes of the buffers.
     fn account(&mut self) {
         self.usage.set(self.input.len(), self.output.bytes());
     }
 
-    /// To be called when all that can be is decoded; `taken`: some of it just now. An empty buffer is given back, as
-    /// most connections are idle, and half of a message does not keep the memory of what came before it.
-    pub fn trim(&mut self, taken: bool) {
-        if taken || self.input.is_empty() {
+    /// Releases unused memory of the input buffer; called when it holds no further complete message. `consumed` says
+    /// whether messages were decoded since the last call. An empty buffer is freed, as most connections are idle, and a
+    /// partial message does not retain the memory of the messages before it.
+    pub fn trim(&mut self, consumed: bool) {
+        if consumed || self.input.is_empty() {
             self.input = BytesMut::from(&self.input[..]);
         }
         self.account();
@@ -224,7 +226,7 @@
         self.account();
     }
 
-    /// Removes a message of which no byte was written. Returns whether there was one.
+    /// Removes a message of which no byte was written. Returns whether it was removed.
     pub fn cancel(&mut self, key: u64) -> bool {
         let cancelled = self.output.cancel(key);
         self.account();
@@ -236,12 +238,12 @@
         self.output.bytes()
     }
 
-    /// The message that is written in part.
+    /// The partially written message, if any.
     pub fn partially_written(&self) -> Option<WrittenMessage> {
         self.output.partially_written()
     }
 
-    /// Writes what the kernel takes; appends the messages that are written completely.
+    /// Writes as much as the kernel accepts, and appends completely written messages to `written`.
     ///
     /// # Errors
     /// The error of the socket if writing fails.
@@ -255,18 +257,19 @@
         Ok(())
     }
 
-    /// Half-closes the connection: nothing more is written. What the other side still sends is read and dropped until it
-    /// closes too, as the kernel resets a connection that is closed over unread bytes.
+    /// Half-closes the connection: nothing more is written. The caller then reads and drops what the remote end
+    /// still sends until it closes too, as the kernel resets a connection that is closed with unread bytes.
     pub fn half_close(&mut self) {
-        // The kernel goes on writing after the close that follows, as long as the other side reads.
-        // Both fail only where the connection is broken already, which reading reports.
+        // The kernel continues to send after the close that follows, as long as the remote end reads.
+        // Both calls fail only if the connection is already broken, which the next read reports.
         let _ = SockRef::from(&*self.socket).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
         let _ = self.socket.shutdown(Shutdown::Write);
     }
 
-    /// Has the close that follows be a reset: what waits for a side that does not read is not worth the kernel's memory.
+    /// Makes the close that follows a reset: the kernel frees the unsent bytes at once instead of keeping them in
+    /// memory for a remote end that does not read.
     pub fn reset_on_close(&self) {
-        // Fails only where the connection is broken already.
+        // Fails only if the connection is already broken.
         let _ = SockRef::from(&*self.socket).set_linger(Some(Duration::ZERO));
     }
 
--- a/crates/deckproxy/src/transport/write_buffer.rs
+++ b/crates/deckproxy/src/transport/write_buffer.rs
@@ -4,15 +4,15 @@
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind, IoSlice, Write};
 
-/// Slices handed to the kernel in one call, at most.
-const SLICES: usize = 48;
+/// Maximum number of slices in one vectored write.
+const MAX_SLICES: usize = 48;
 
 /// One encoded message.
 #[derive(Debug)]
 pub struct OutgoingMessage {
-    /// By which its owner knows it.
+    /// Identifies the message to its owner.
     pub key: u64,
-    /// Its bytes, in order; the body in the middle is shared, not copied.
+    /// The encoded bytes, in order; the body in the middle is shared, not copied.
     pub parts: [Bytes; 3],
 }
 
@@ -22,33 +22,33 @@
         OutgoingMessage { key, parts: [bytes.into(), Bytes::new(), Bytes::new()] }
     }
 
-    /// Its length in bytes.
+    /// Length in bytes.
     pub fn len(&self) -> usize {
         self.parts.iter().map(Bytes::len).sum()
     }
 
-    /// Whether it has no bytes.
+    /// Whether the message has no bytes.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-/// A message of which the kernel took some or all bytes.
+/// A message of which the kernel accepted some or all bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WrittenMessage {
-    /// By which its owner knows it.
+    /// Identifies the message to its owner.
     pub key: u64,
-    /// Bytes of it that the kernel took.
+    /// Bytes of the message that the kernel accepted.
     pub bytes: usize,
 }
 
-/// Messages in order, the first of them perhaps written in part.
+/// A queue of messages, of which the first may be partially written.
 #[derive(Debug, Default)]
 pub struct WriteBuffer {
     queue: VecDeque<OutgoingMessage>,
-    /// Bytes of the first message that the kernel took.
+    /// Bytes of the first message that the kernel accepted.
     first_written: usize,
-    /// Bytes that wait.
+    /// Bytes waiting to be written.
     bytes: usize,
 }
 
@@ -59,23 +59,23 @@
         self.queue.push_back(message);
     }
 
-    /// Bytes that the kernel has not taken yet.
+    /// Bytes that the kernel has not accepted yet.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Whether all is written.
+    /// Whether no message is waiting.
     pub fn is_empty(&self) -> bool {
         self.queue.is_empty()
     }
 
-    /// The message that is written in part, with how many of its bytes are.
+    /// The partially written message with the number of bytes written; none if there is no such message.
     pub fn partially_written(&self) -> Option<WrittenMessage> {
         let first = self.queue.front().filter(|_| self.first_written > 0)?;
         Some(WrittenMessage { key: first.key, bytes: self.first_written })
     }
 
-    /// Removes a message of which no byte is written. Returns whether there was one.
+    /// Removes a message of which no byte is written. Returns whether it was removed.
     pub fn cancel(&mut self, key: u64) -> bool {
         let Some(position) = self.queue.iter().position(|message| message.key == key) else { return false };
         if position == 0 && self.first_written > 0 {
@@ -87,8 +87,8 @@
         true
     }
 
-    /// Writes until the kernel has taken all or takes no more; appends the messages that are written completely.
-    /// Returns whether all is written.
+    /// Writes until the buffer is empty or the kernel would block, and appends completely written messages to
+    /// `written`. Returns whether the buffer is empty.
     ///
     /// # Errors
     /// The error of the socket if writing fails; [`ErrorKind::WriteZero`] if it accepts no bytes.
@@ -105,24 +105,24 @@
         Ok(true)
     }
 
-    /// The first bytes that wait.
+    /// The first unwritten bytes, as slices for a vectored write.
     fn slices(&self) -> Vec<IoSlice<'_>> {
         let mut written = self.first_written;
-        let mut slices = Vec::with_capacity(SLICES);
+        let mut slices = Vec::with_capacity(MAX_SLICES);
         for part in self.queue.iter().flat_map(|message| &message.parts).filter(|part| !part.is_empty()) {
             let skipped = written.min(part.len());
             written -= skipped;
             if skipped < part.len() {
                 slices.push(IoSlice::new(&part[skipped..]));
             }
-            if slices.len() == SLICES {
+            if slices.len() == MAX_SLICES {
                 break;
             }
         }
         slices
     }
 
-    /// Accounts for bytes that the kernel took.
+    /// Accounts for bytes that the kernel accepted.
     fn advance(&mut self, bytes: usize, written: &mut Vec<WrittenMessage>) {
         self.bytes -= bytes;
         self.first_written += bytes;
