--- a/crates/deckproxy/src/transport/feed.rs
+++ b/crates/deckproxy/src/transport/feed.rs
@@ -5,7 +5,7 @@
 use crate::transport::write_buffer::{OutgoingMessage, WrittenMessage};
 use std::io;
 
-/// Key of the subscription, the only message that is written.
+/// Key of the subscription, the only message that is sent.
 const SUBSCRIPTION: u64 = 0;
 
 /// The feed's connection, established or not.
@@ -13,14 +13,14 @@
     /// The socket and its buffers.
     pub stream: Stream,
     decoder: Decoder,
-    /// When the last line came, or when the connection was established, Unix ms.
+    /// When the last line arrived; before the first one, when the connection was opened or established. Unix ms.
     pub last_line_at: f64,
     established: bool,
     written: Vec<WrittenMessage>,
 }
 
 impl FeedConnection {
-    /// A connection that is not established yet; it subscribes to the events after that number.
+    /// A connection that is not established yet; it subscribes to the events after number `last`.
     pub fn new(mut stream: Stream, last: u64, now: f64) -> Self {
         stream.push(OutgoingMessage::single(SUBSCRIPTION, feed::subscribe(last)));
         FeedConnection {
@@ -32,23 +32,23 @@
         }
     }
 
-    /// Notes that the connection is established: from now on a line comes each second, however long the handshake
-    /// took.
+    /// Records that the connection is established. The silence of the feed is measured from here, as it sends a line
+    /// every second once connected, however long the handshake took.
     pub fn set_established(&mut self, now: f64) {
         if !std::mem::replace(&mut self.established, true) {
             self.last_line_at = now;
         }
     }
 
-    /// Reads what has come.
+    /// Reads the available bytes, up to the limit of one turn.
     pub fn read(&mut self) -> Progress {
         self.stream.read()
     }
 
-    /// The next complete line.
+    /// Removes the next complete line from the input buffer and returns it.
     ///
     /// # Errors
-    /// The line is too long: the connection is of no more use.
+    /// The line is too long; the connection must be closed.
     pub fn take_line(&mut self, now: f64) -> Result<Option<FeedLine>, LineTooLong> {
         let line = self.decoder.next(&mut self.stream.input)?;
         match line {
@@ -58,7 +58,7 @@
         Ok(line)
     }
 
-    /// Writes what the kernel takes.
+    /// Writes as much as the kernel accepts.
     ///
     /// # Errors
     /// The error of the socket if writing fails.
--- a/crates/deckproxy/src/transport/site_link.rs
+++ b/crates/deckproxy/src/transport/site_link.rs
@@ -11,15 +11,15 @@
 use std::io;
 use std::rc::Rc;
 
-/// Key of what is no attempt; those are numbered from 1.
+/// Key of frames that carry no attempt; attempts are numbered from 1.
 const OTHER: u64 = 0;
 
-/// Where a link leads that is not established yet.
+/// The peer address to which a link is being established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkTarget {
     /// The peer, by its position in the operator file.
     pub peer: usize,
-    /// Which of the peer's addresses.
+    /// Index of the address in the peer's list.
     pub address_index: usize,
 }
 
@@ -27,14 +27,14 @@
 pub struct SiteLink {
     /// The socket and its buffers.
     pub stream: Stream,
-    /// Where it leads, while it is not established.
+    /// The target of a link that is not established yet.
     pub connecting: Option<LinkTarget>,
     decoder: Decoder,
     /// Attempts that are not written completely.
     unwritten: BTreeSet<u64>,
-    /// A frame was taken off the buffer since that was trimmed.
-    taken: bool,
-    /// Nothing that comes is handled; it closes once what waits is written.
+    /// Whether a frame was decoded since the input buffer was last trimmed.
+    consumed: bool,
+    /// Received frames are dropped; the link closes once its write buffer is empty.
     pub closing: bool,
     written: Vec<WrittenMessage>,
 }
@@ -47,21 +47,21 @@
             connecting,
             decoder: Decoder,
             unwritten: BTreeSet::new(),
-            taken: false,
+            consumed: false,
             closing: false,
             written: Vec::new(),
         }
     }
 
-    /// Reads what has come.
+    /// Reads the available bytes, up to the limit of one turn.
     pub fn read(&mut self) -> Progress {
         self.stream.read()
     }
 
-    /// The next complete frame.
+    /// Removes the next complete frame from the input buffer and returns it.
     ///
     /// # Errors
-    /// What comes can't be decoded: the link is of no more use.
+    /// The received bytes can't be decoded; the link must be closed.
     pub fn take_frame(&mut self) -> Result<Option<Frame>, FrameError> {
         if self.closing {
             self.stream.input.clear();
@@ -69,15 +69,15 @@
         }
         let frame = self.decoder.next(&mut self.stream.input)?;
         if frame.is_some() {
-            self.taken = true;
+            self.consumed = true;
         } else {
             self.stream.missing = self.decoder.missing(&self.stream.input);
-            self.stream.trim(std::mem::take(&mut self.taken));
+            self.stream.trim(std::mem::take(&mut self.consumed));
         }
         Ok(frame)
     }
 
-    /// Appends a frame.
+    /// Appends a frame to the write buffer.
     pub fn send(&mut self, frame: &Frame) {
         let key = match &frame.payload {
             Some(Payload::Request(request)) => request.number,
@@ -94,13 +94,14 @@
         !self.closing && self.stream.unwritten_bytes() < limits::LINK_WRITE_BUFFER
     }
 
-    /// Takes the attempts of which no byte was written; they never will be.
+    /// Cancels the attempts of which no byte was written and returns their numbers. Clears the set of unwritten
+    /// attempts.
     pub fn take_unsent(&mut self) -> Vec<u64> {
         let unwritten = std::mem::take(&mut self.unwritten);
         unwritten.into_iter().filter(|number| self.stream.cancel(*number)).collect()
     }
 
-    /// Writes what the kernel takes.
+    /// Writes as much as the kernel accepts.
     ///
     /// # Errors
     /// The error of the socket if writing fails.
@@ -115,22 +116,22 @@
 
 /// All links.
 pub struct SiteLinks {
-    /// Where links come in, if they do.
+    /// Listener for links from other sites; none if this gateway accepts no links.
     pub listener: Option<Listener>,
-    /// Some may wait to be accepted.
+    /// Whether links may be waiting to be accepted.
     pub accept_pending: bool,
     /// The links, established or not, by number.
     pub open: HashMap<u64, SiteLink>,
-    /// Those with something to write.
+    /// Numbers of the links with bytes to write.
     pub to_flush: BTreeSet<u64>,
-    /// Bytes in their buffers.
+    /// Bytes in the links' buffers.
     pub usage: Rc<BufferUsage>,
-    /// How many there may be, in both directions.
+    /// Maximum number of links, in both directions together.
     pub limit: usize,
 }
 
 impl SiteLinks {
-    /// No links yet, in a process with so many descriptors.
+    /// An empty set of links, limited to a fraction of the process's `sockets` descriptors.
     pub fn new(listener: Option<Listener>, sockets: usize) -> Self {
         SiteLinks {
             listener,
@@ -142,12 +143,12 @@
         }
     }
 
-    /// Bytes in their buffers.
+    /// Bytes in the links' buffers.
     pub fn buffered_bytes(&self) -> usize {
         self.usage.total()
     }
 
-    /// Whether all is written.
+    /// Whether the write buffers of all links are empty.
     pub fn is_written(&self) -> bool {
         self.open.values().all(|link| link.stream.unwritten_bytes() == 0)
     }
