--- a/crates/deckproxy/src/transport/buffer_usage.rs
+++ b/crates/deckproxy/src/transport/buffer_usage.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// What the buffers of all connections of one kind hold together, in bytes.
+/// Bytes in the buffers of all connections of one kind.
 #[derive(Debug, Default)]
 pub struct BufferUsage {
     input: Cell<usize>,
@@ -16,18 +16,18 @@
         self.input.get()
     }
 
-    /// Bytes that wait to be written.
+    /// Bytes waiting to be written.
     pub fn output(&self) -> usize {
         self.output.get()
     }
 
-    /// All bytes.
+    /// Bytes in the input and output buffers together.
     pub fn total(&self) -> usize {
         self.input() + self.output()
     }
 }
 
-/// One connection's part of a usage; it leaves the sum when it is dropped.
+/// One connection's share of a [`BufferUsage`]; subtracted from the totals when it is dropped.
 #[derive(Debug)]
 pub(super) struct UsageShare {
     usage: Rc<BufferUsage>,
@@ -36,12 +36,12 @@
 }
 
 impl UsageShare {
-    /// The part of a connection whose buffers are empty.
+    /// The share of a connection whose buffers are empty.
     pub(super) fn new(usage: &Rc<BufferUsage>) -> Self {
         UsageShare { usage: Rc::clone(usage), input: 0, output: 0 }
     }
 
-    /// Sets what the connection's buffers hold now.
+    /// Sets the current sizes of the connection's buffers, in bytes.
     pub(super) fn set(&mut self, input: usize, output: usize) {
         let BufferUsage { input: total_input, output: total_output } = &*self.usage;
         total_input.set(total_input.get() - self.input + input);
--- a/crates/deckproxy/src/transport/collector.rs
+++ b/crates/deckproxy/src/transport/collector.rs
@@ -18,8 +18,8 @@
     Udp(UdpSocket),
 }
 
-/// A connection under its number; no later one gets the same.
-struct Numbered {
+/// A connection with its id, which is never reused.
+struct IdentifiedConnection {
     id: u64,
     connection: CollectorConnection,
 }
@@ -27,41 +27,41 @@
 /// The connections to all collectors, by the collectors' positions.
 #[derive(Default)]
 pub struct CollectorConnections {
-    /// The connections, where there are any.
-    slots: Vec<Option<Numbered>>,
-    /// Bytes in their buffers.
+    /// One slot per collector; empty while it has no connection.
+    slots: Vec<Option<IdentifiedConnection>>,
+    /// Bytes in the connections' buffers.
     pub usage: Rc<BufferUsage>,
 }
 
 impl CollectorConnections {
-    /// No connection yet to so many collectors.
+    /// Empty slots for the given number of collectors.
     pub fn new(collectors: usize) -> Self {
         CollectorConnections { slots: (0..collectors).map(|_| None).collect(), usage: Rc::default() }
     }
 
-    /// How many collectors there are.
+    /// The number of collectors.
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Whether there is no collector.
+    /// Whether no collector is configured.
     pub fn is_empty(&self) -> bool {
         self.slots.is_empty()
     }
 
-    /// Bytes in their buffers.
+    /// Bytes in the connections' buffers.
     pub fn buffered_bytes(&self) -> usize {
         self.usage.total()
     }
 
-    /// The position of the collector whose connection has that number.
+    /// The position of the collector whose connection has this id.
     pub fn position(&self, id: u64) -> Option<usize> {
-        self.slots.iter().position(|slot| slot.as_ref().is_some_and(|numbered| numbered.id == id))
+        self.slots.iter().position(|slot| slot.as_ref().is_some_and(|identified| identified.id == id))
     }
 
     /// The connection to the collector at a position.
     pub fn get_mut(&mut self, position: usize) -> Option<&mut CollectorConnection> {
-        self.slots.get_mut(position).and_then(Option::as_mut).map(|numbered| &mut numbered.connection)
+        self.slots.get_mut(position).and_then(Option::as_mut).map(|identified| &mut identified.connection)
     }
 
     /// Sets the connection to the collector at a position.
@@ -69,21 +69,21 @@
     /// # Panics
     /// There is no collector at that position.
     pub fn set(&mut self, position: usize, id: u64, connection: CollectorConnection) {
-        self.slots[position] = Some(Numbered { id, connection });
+        self.slots[position] = Some(IdentifiedConnection { id, connection });
     }
 
-    /// Takes the connection to the collector at a position.
+    /// Removes and returns the connection to the collector at a position.
     pub fn take(&mut self, position: usize) -> Option<CollectorConnection> {
-        self.slots.get_mut(position).and_then(Option::take).map(|numbered| numbered.connection)
+        self.slots.get_mut(position).and_then(Option::take).map(|identified| identified.connection)
     }
 
-    /// Reorders the collectors, given where each was before. Returns the connections to those that are no more.
+    /// Reorders the collectors, given the previous position of each. Returns the connections of removed collectors.
     pub fn reorder(&mut self, previous: &[Option<usize>]) -> Vec<CollectorConnection> {
         let mut old = std::mem::take(&mut self.slots);
         let slots =
             previous.iter().map(|position| position.and_then(|position| old.get_mut(position)?.take()));
         self.slots = slots.collect();
-        old.into_iter().flatten().map(|numbered| numbered.connection).collect()
+        old.into_iter().flatten().map(|identified| identified.connection).collect()
     }
 }
 
@@ -103,24 +103,24 @@
             let stream = Stream::connect(handle, usage, to, ready)?;
             return Ok(CollectorConnection::Tcp(Box::new(stream)));
         }
-        let any: SocketAddr = match to {
+        let unspecified: SocketAddr = match to {
             SocketAddr::V4(_) => (Ipv4Addr::UNSPECIFIED, 0).into(),
             SocketAddr::V6(_) => (Ipv6Addr::UNSPECIFIED, 0).into(),
         };
-        let socket = UdpSocket::bind(any)?;
+        let socket = UdpSocket::bind(unspecified)?;
         socket.set_nonblocking(true)?;
         socket.connect(to)?;
         Ok(CollectorConnection::Udp(socket))
     }
 
-    /// Takes readiness that the kernel reported.
+    /// Records readiness that the kernel reported.
     pub fn set_ready(&mut self, readiness: Readiness) {
         if let CollectorConnection::Tcp(stream) = self {
             stream.set_ready(readiness);
         }
     }
 
-    /// Whether the handshake is not over yet.
+    /// Whether the handshake is still in progress.
     ///
     /// # Errors
     /// The connection could not be established.
@@ -131,8 +131,8 @@
         }
     }
 
-    /// Whether the collector is known to be gone: it closed the connection, or the network reports that nobody listens.
-    /// What it sends otherwise is dropped: neither protocol has a message to the exporter.
+    /// Whether the collector is known to be unreachable: it closed the connection, or the network reported an error
+    /// such as a closed port. Bytes received from it are dropped: neither protocol has messages to the exporter.
     pub fn is_gone(&mut self) -> bool {
         match self {
             CollectorConnection::Tcp(stream) => has_ended(stream),
@@ -140,8 +140,8 @@
         }
     }
 
-    /// Appends a message to the write buffer and writes, or sends the datagram; appends the messages that are written
-    /// completely. Returns whether any bytes were written.
+    /// Appends a message to the write buffer and flushes it, or sends the message as a datagram. Completely written
+    /// messages are appended to `written`. Returns whether any bytes were written.
     ///
     /// # Errors
     /// The error of the socket if writing or sending fails.
@@ -157,7 +157,7 @@
                 self.flush(written)
             }
             CollectorConnection::Udp(socket) => {
-                // An error here reports a datagram before this one; this one was not sent.
+                // An error here is that of an earlier datagram; this one was not sent.
                 socket.send(&message)?;
                 written.push(WrittenMessage { key: number, bytes: message.len() });
                 Ok(true)
@@ -165,8 +165,8 @@
         }
     }
 
-    /// Writes what the kernel takes; appends the messages that are written completely. Returns whether any bytes were
-    /// written, be it without a further message complete.
+    /// Writes as much as the kernel accepts and appends completely written messages to `written`. Returns whether any
+    /// bytes were written, even if they complete no message.
     ///
     /// # Errors
     /// The error of the socket if writing fails.
@@ -185,7 +185,7 @@
     }
 }
 
-/// Reads and drops what has come. Returns whether the connection has ended.
+/// Reads and drops the available bytes. Returns whether the connection has ended.
 fn has_ended(stream: &mut Stream) -> bool {
     while stream.is_open() && stream.is_readable() {
         match stream.read() {
--- a/crates/deckproxy/src/transport/datagram_socket.rs
+++ b/crates/deckproxy/src/transport/datagram_socket.rs
@@ -6,20 +6,20 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
 
-/// Bytes read of a datagram; a longer one is cut, and is too long for its decoder.
-const BUFFER: usize = 2048;
+/// Bytes read of a datagram; a longer one is truncated and exceeds the length that its decoder accepts.
+const MAX_DATAGRAM_BYTES: usize = 2048;
 
-/// The socket. It is registered edge-triggered: once it is ready, receive until no datagram is left.
+/// A UDP socket, registered edge-triggered: once it is ready, call `receive` until it returns none.
 pub struct DatagramSocket {
     socket: Rc<UdpSocket>,
     token: RegistrationToken,
-    buffer: Box<[u8; BUFFER]>,
-    /// Datagrams that the kernel did not take.
+    buffer: Box<[u8; MAX_DATAGRAM_BYTES]>,
+    /// Datagrams that the kernel did not accept.
     pub unsent: u64,
 }
 
 impl DatagramSocket {
-    /// Binds. `ready` is called when datagrams wait.
+    /// Binds the socket. `ready` is called when datagrams are available.
     ///
     /// # Errors
     /// The error of the operating system if the socket cannot be bound or registered.
@@ -31,16 +31,16 @@
         let socket = Rc::new(UdpSocket::bind(address)?);
         socket.set_nonblocking(true)?;
         let token = register(handle, Rc::clone(&socket), Interest::READ, move |data, _| ready(data))?;
-        Ok(DatagramSocket { socket, token, buffer: Box::new([0; BUFFER]), unsent: 0 })
+        Ok(DatagramSocket { socket, token, buffer: Box::new([0; MAX_DATAGRAM_BYTES]), unsent: 0 })
     }
 
-    /// The next datagram and its sender; none where none waits.
+    /// Receives the next datagram and its sender; none if none is available.
     pub fn receive(&mut self) -> Option<(SocketAddr, &[u8])> {
         loop {
             match self.socket.recv_from(&mut self.buffer[..]) {
                 Ok((length, from)) => return Some((from, &self.buffer[..length])),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return None,
-                // It reports an earlier datagram that was not taken at its other end; the next one may be good.
+                // The error is that of an earlier datagram that its destination rejected; the next receive may succeed.
                 Err(error)
                     if matches!(error.kind(), ErrorKind::ConnectionRefused | ErrorKind::Interrupted) => {}
                 Err(_) => return None,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Sends a datagram; what the kernel does not take is lost, as it could be on the network.
+    /// Sends a datagram. One that the kernel does not accept is counted and lost, as it could be on the network.
     pub fn send(&mut self, to: SocketAddr, bytes: &[u8]) {
         self.unsent += u64::from(self.socket.send_to(bytes, to).is_err());
     }
--- a/crates/deckproxy/src/transport/listener.rs
+++ b/crates/deckproxy/src/transport/listener.rs
@@ -8,27 +8,27 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// Connections that wait to be accepted, at most.
-const BACKLOG: i32 = 1024;
+/// Maximum number of connections waiting to be accepted.
+const ACCEPT_BACKLOG: i32 = 1024;
 
-/// The result of accepting.
+/// The result of [`Listener::accept`].
 pub enum Accepted {
-    /// A connection.
+    /// A new connection.
     One(TcpStream),
-    /// Nothing more for now.
+    /// No connection is waiting.
     None,
-    /// The process or the system has no descriptor left; trying again at once would spin.
+    /// The process or the system has no descriptor left; retrying at once would busy-loop.
     Exhausted,
 }
 
-/// The listener. It is registered edge-triggered: once it is ready, accept until there is nothing more.
+/// A listening socket, registered edge-triggered: once it is ready, call `accept` until no connection is waiting.
 pub struct Listener {
     socket: Rc<TcpListener>,
     token: RegistrationToken,
 }
 
 impl Listener {
-    /// Binds and listens. `ready` is called when connections wait.
+    /// Binds and listens. `ready` is called when connections are waiting.
     ///
     /// # Errors
     /// The error of the operating system if the socket cannot be bound or registered.
@@ -38,11 +38,11 @@
         mut ready: impl FnMut(&mut D) + 'static,
     ) -> io::Result<Self> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
-        // A gateway that was killed starts again at its address at once.
+        // Lets a gateway that was killed rebind its address immediately after the restart.
         socket.set_reuse_address(true)?;
         socket.set_nonblocking(true)?;
         socket.bind(&address.into())?;
-        socket.listen(BACKLOG)?;
+        socket.listen(ACCEPT_BACKLOG)?;
         let socket = Rc::new(TcpListener::from(socket));
         let token = register(handle, Rc::clone(&socket), Interest::READ, move |data, _| ready(data))?;
         Ok(Listener { socket, token })
@@ -55,13 +55,13 @@
                 Ok((socket, _)) => return Accepted::One(socket),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Accepted::None,
                 Err(error) if is_exhausted(&error) => return Accepted::Exhausted,
-                // That one connection broke before it was accepted.
+                // This connection failed before it was accepted; the next one may be valid.
                 Err(_) => {}
             }
         }
     }
 
-    /// Stops listening; connections that wait to be accepted are reset.
+    /// Stops listening; connections waiting to be accepted are reset.
     pub fn close<D: 'static>(self, handle: &LoopHandle<'static, D>) {
         handle.remove(self.token);
     }
--- a/crates/deckproxy/src/transport/loop_timer.rs
+++ b/crates/deckproxy/src/transport/loop_timer.rs
@@ -1,14 +1,14 @@
-//! One timer in the event loop that can be set again: it wakes the loop when the next deadline is due.
+//! A resettable timer of the event loop, which wakes the loop when the next deadline is due.
 
 use crate::transport::clock;
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{Dispatcher, LoopHandle, RegistrationToken};
 
-/// The timer. It only ends the loop's wait; its owner looks at what is due.
+/// A timer that only wakes the loop; its owner checks which deadlines are due.
 pub struct LoopTimer<D: 'static> {
     source: Dispatcher<'static, Timer, D>,
     token: RegistrationToken,
-    /// What it is set to, Unix ms.
+    /// The deadline that the timer is set to, Unix ms.
     deadline: f64,
 }
 
@@ -25,7 +25,7 @@
         Ok(LoopTimer { source, token, deadline: f64::MAX })
     }
 
-    /// Sets it to a Unix time in ms; one that has passed wakes the loop at once.
+    /// Sets the deadline, a Unix time in ms; one that has passed wakes the loop immediately.
     ///
     /// # Errors
     /// The error of the event loop if the timer cannot be updated.
--- a/crates/deckproxy/src/transport/mod.rs
+++ b/crates/deckproxy/src/transport/mod.rs
@@ -1,4 +1,5 @@
-//! Sockets, connections, buffers, the event loop's timer and the clock. This layer moves bytes and knows no rule.
+//! Sockets, connections, buffers, the event loop's timer and the clock. This layer moves bytes and makes no routing
+//! decisions.
 
 pub mod buffer_usage;
 pub mod client;
--- a/crates/deckproxy/src/transport/registration.rs
+++ b/crates/deckproxy/src/transport/registration.rs
@@ -5,8 +5,8 @@
 use std::io;
 use std::os::fd::AsFd;
 
-/// Registers a socket edge-triggered: `ready` is called once when it becomes ready, so that its owner has to read or
-/// write until the kernel says that it would block.
+/// Registers a socket edge-triggered: `ready` is called once when it becomes ready, so its owner has to read or
+/// write until the kernel returns `EWOULDBLOCK`.
 pub(super) fn register<D: 'static, S: AsFd + 'static>(
     handle: &LoopHandle<'static, D>,
     socket: S,
