--- a/crates/deckproxy-adapter/src/wire.rs
+++ b/crates/deckproxy-adapter/src/wire.rs
@@ -1,7 +1,7 @@
 //! The frames of the simulator's wire protocol: batches of events are received, replies of actions are sent.
 //!
-//! Fields are little-endian and unpadded. Event records have [`EVENT_BYTES`], action records
-//! [`ACTION_BYTES`], and data of variable size is in the frame's tail. Times are in milliseconds.
+//! Fields are little-endian and unpadded. An event record is [`EVENT_BYTES`] long, an action record
+//! [`ACTION_BYTES`]; data of variable size is in the frame's tail. Times are in milliseconds.
 
 mod batch;
 mod error;
--- a/crates/deckproxy-adapter/src/wire/batch.rs
+++ b/crates/deckproxy-adapter/src/wire/batch.rs
@@ -66,7 +66,7 @@
     if total > BATCH_BYTES_MAX {
         return Err(WireError::BatchTooLong { length, limit: BATCH_BYTES_MAX });
     }
-    // The buffer grows with what arrives, not with the length that the input claims.
+    // The buffer grows with the bytes that arrive: the claimed length, which may be wrong, reserves no memory.
     let mut body = Vec::new();
     input.by_ref().take(total as u64).read_to_end(&mut body).map_err(WireError::Io)?;
     if body.len() < total { Err(WireError::Truncated("a batch")) } else { Ok(body) }
--- a/crates/deckproxy-adapter/src/wire/error.rs
+++ b/crates/deckproxy-adapter/src/wire/error.rs
@@ -49,9 +49,9 @@
 /// An error in a record.
 #[derive(Debug)]
 pub enum RecordError {
-    /// The input ends inside it; the text names the part.
+    /// The record is too short for a field; the text names the part of the frame.
     Truncated(&'static str),
-    /// A field is not a number.
+    /// A field is NaN.
     NotANumber {
         /// The part of the frame.
         part: &'static str,
@@ -64,11 +64,11 @@
         part: &'static str,
         /// Offset in the tail, in bytes.
         offset: usize,
-        /// Number of units.
+        /// Number of units that the field refers to.
         count: usize,
-        /// Bytes of a unit.
+        /// Size of a unit, in bytes.
         unit: usize,
-        /// Bytes of the tail.
+        /// Length of the tail, in bytes.
         tail: usize,
     },
     /// The settings are not UTF-8.
--- a/crates/deckproxy-adapter/src/wire/event.rs
+++ b/crates/deckproxy-adapter/src/wire/event.rs
@@ -112,8 +112,8 @@
         4 => ListKind::Cached,
         code => return Err(RecordError::UnknownListKind(code)),
     };
-    let lines = fields.tail(8, tail, MEMBER_BYTES)?;
-    let members = lines.chunks_exact(MEMBER_BYTES).map(member).collect::<Result<_, _>>()?;
+    let entries = fields.tail(8, tail, MEMBER_BYTES)?;
+    let members = entries.chunks_exact(MEMBER_BYTES).map(member).collect::<Result<_, _>>()?;
     Ok(WireEvent::MemberList(kind, members))
 }
 
@@ -155,8 +155,8 @@
 }
 
 /// Decodes an entry of a member list.
-fn member(line: &[u8]) -> Result<Member, RecordError> {
-    let fields = Fields::new(line, "a list entry");
+fn member(entry: &[u8]) -> Result<Member, RecordError> {
+    let fields = Fields::new(entry, "a list entry");
     let started = fields.f64(1)?;
     let weight = f64::from(fields.f32(9)?);
     Ok(Member {
--- a/crates/deckproxy-adapter/tests/wire.rs
+++ b/crates/deckproxy-adapter/tests/wire.rs
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn every_other_event_is_decoded() {
+fn the_remaining_events_are_decoded() {
     let list = hex("01 0000000000000000 0000803f 0000 00 0000 074a1203
         02 0000000000d4b740 0000c03f 0200 01 0500 f211902c
         00 0000000000000000 00000000 0000 00 0000 01000000");
--- a/crates/deckproxy-settings/src/lib.rs
+++ b/crates/deckproxy-settings/src/lib.rs
@@ -63,10 +63,10 @@
     pub health_checks: bool,
 }
 
-/// Reads the settings from their text, one `key=value` a line.
+/// Reads the settings from their text, one `key=value` a line. Lines without `=` are ignored.
 ///
 /// # Errors
-/// [`SettingsError`] if a value is invalid or the classes are inconsistent.
+/// [`SettingsError`] if a value is invalid.
 pub fn read(text: &str) -> Result<InstanceSettings, SettingsError> {
     read_pairs(text.lines().filter_map(|line| line.trim_end_matches('\r').split_once('=')))
 }
@@ -74,7 +74,7 @@
 /// Reads the settings from pairs of key and value.
 ///
 /// # Errors
-/// [`SettingsError`] if a value is invalid or the classes are inconsistent.
+/// [`SettingsError`] if a value is invalid.
 pub fn read_pairs<'a>(
     pairs: impl IntoIterator<Item = (&'a str, &'a str)>,
 ) -> Result<InstanceSettings, SettingsError> {
