--- a/crates/deckproxy-operator/src/defaults.rs
+++ b/crates/deckproxy-operator/src/defaults.rs
@@ -131,7 +131,7 @@
     pub const WASTED_SHARE: f64 = 0.05;
     /// `Overload.repeats`: retries for each first attempt from which load is shed.
     pub const RETRY_RATIO: f64 = 0.3;
-    /// `Overload.least_per_s`: requests a second that are always admitted.
+    /// `Overload.least_per_s`: completed requests a second below which no overload is detected, always admitted.
     pub const MIN_RATE: u32 = 10;
 }
 
--- a/crates/deckproxy-operator/src/field_positions.rs
+++ b/crates/deckproxy-operator/src/field_positions.rs
@@ -51,9 +51,10 @@
 }
 
 fn scalar(input: &mut Input<'_>) -> ModalResult<()> {
-    let texts = (quoted, repeat::<_, _, (), _, _>(0.., preceded(whitespace, quoted))).void();
-    let word = take_while(1.., |c: char| c.is_ascii_alphanumeric() || "_.+-".contains(c)).void();
-    alt((texts, word)).parse_next(input)
+    let strings = (quoted, repeat::<_, _, (), _, _>(0.., preceded(whitespace, quoted))).void();
+    let number_or_identifier =
+        take_while(1.., |c: char| c.is_ascii_alphanumeric() || "_.+-".contains(c)).void();
+    alt((strings, number_or_identifier)).parse_next(input)
 }
 
 fn message(input: &mut Input<'_>) -> ModalResult<Value> {
@@ -125,14 +126,14 @@
 pub fn find<'a>(fields: &'a [Field], path: &str) -> Option<&'a Field> {
     let mut found = None;
     let mut fields = fields;
-    for step in path.split('.') {
-        let (name, at) = step.split_once('[').unwrap_or((step, "0]"));
-        let at: usize = at.trim_end_matches(']').parse().unwrap_or(0);
-        let mut same = fields.iter().filter(|f| f.name == name);
+    for segment in path.split('.') {
+        let (name, index) = segment.split_once('[').unwrap_or((segment, "0]"));
+        let index: usize = index.trim_end_matches(']').parse().unwrap_or(0);
+        let mut occurrences = fields.iter().filter(|f| f.name == name);
         // A list has several values in one field.
-        let next = match same.clone().next() {
+        let next = match occurrences.clone().next() {
             Some(first) if matches!(first.value, Value::List(_)) => Some(first),
-            _ => same.nth(at),
+            _ => occurrences.nth(index),
         };
         let Some(next) = next else { break };
         found = Some(next);
--- a/crates/deckproxy-operator/src/fleet.rs
+++ b/crates/deckproxy-operator/src/fleet.rs
@@ -46,7 +46,7 @@
             address: self.advertised_address().parse().map_err(|_| FleetSettingsError::Address)?,
             incarnation,
             renewals: 0,
-            // The rules allow 1000 at most.
+            // The field's rule allows at most 1000.
             weight: u16::try_from(self.weight.unwrap_or(defaults::fleet::WEIGHT)).unwrap_or(u16::MAX),
         };
         let probes = self.probes.unwrap_or_default();
@@ -123,6 +123,7 @@
             gives_retry_after: platform.sends_retry_after,
             min_retry_after: min_retry_after.min(max_retry_after),
             max_retry_after,
+            // The tables of rejected requests and served objects record up to twice this number.
             remembered: self.remembered.unwrap_or(defaults::overload::REMEMBERED_REQUESTS) as usize / 2,
             window: f64::from(defaults::recovery::WINDOW_MS),
         }
--- a/crates/deckproxy-operator/src/lib.rs
+++ b/crates/deckproxy-operator/src/lib.rs
@@ -35,8 +35,8 @@
 ///
 /// # Errors
 ///
-/// Every error of the first step that fails, in the order of the text: of syntax, of fields and their types, and then
-/// of values and their relations.
+/// All errors of the first failing step, in the order of the text. The steps check the syntax, then the fields and
+/// their types, then the values and the relations between them.
 pub fn read(bytes: &[u8]) -> Result<Operator, Vec<FileError>> {
     let file = text_format::read(&descriptor(), bytes)?;
     let operator = Operator::decode(&*file.encoded).map_err(|e| vec![file.error("", &e.to_string())])?;
--- a/crates/deckproxy-operator/src/recovery.rs
+++ b/crates/deckproxy-operator/src/recovery.rs
@@ -34,6 +34,7 @@
             max_retry_after,
             // A Retry-After can't be enforced on clients that are sent none.
             enforces_retry_after: platform.sends_retry_after,
+            // The tracker of retries records up to twice this number.
             remembered: self.remembered.unwrap_or(defaults::recovery::REMEMBERED_REQUESTS) as usize / 2,
             ..Settings::default()
         }
--- a/crates/deckproxy-operator/tests/files.rs
+++ b/crates/deckproxy-operator/tests/files.rs
@@ -48,17 +48,18 @@
     let schema = include_str!("../proto/operator.proto");
     let source = include_str!("../src/defaults.rs");
     let mut seen = 0;
-    let mut place = None;
+    let mut documented_field = None;
     for line in source.lines().map(str::trim_start) {
         // The doc comment of each constant begins with the message and the field.
         if let Some((message, field)) =
             line.strip_prefix("/// `").and_then(|l| l.split('`').next()?.split_once('.'))
         {
-            place = Some((message, field));
+            documented_field = Some((message, field));
         }
         let Some(line) = line.strip_prefix("pub const ") else { continue };
         let value = line.split_once("= ").unwrap().1.trim_end_matches(';').replace('_', "");
-        let (message, field) = place.take().unwrap_or_else(|| panic!("no field is named for {line}"));
+        let (message, field) =
+            documented_field.take().unwrap_or_else(|| panic!("no field is named for {line}"));
         let from =
             schema.find(&format!("\nmessage {message} {{")).unwrap_or_else(|| panic!("no message {message}"));
         let within = &schema[from..];
@@ -177,14 +178,14 @@
     let recovery = read(&std::fs::read(path).unwrap()).unwrap().recovery.unwrap();
     let without_page = platform(vec![class("post", 3.0, false)]);
     let all = platform(vec![class("page", 1.0, false), class("post", 3.0, false), class("once", 3.0, false)]);
-    let set = recovery.settings(&all);
-    assert_eq!(set.classes.iter().map(|c| c.priority_weight).collect::<Vec<_>>(), [0.0, 1.0, 1.0]);
+    let settings = recovery.settings(&all);
+    assert_eq!(settings.classes.iter().map(|c| c.priority_weight).collect::<Vec<_>>(), [0.0, 1.0, 1.0]);
     assert_eq!(
-        (set.retry_budget.unwrap().share, set.max_retry_after, set.shedding_steps.len()),
+        (settings.retry_budget.unwrap().share, settings.max_retry_after, settings.shedding_steps.len()),
         (0.2, 500.0, 1)
     );
     assert_eq!(recovery.unknown_classes(&without_page), ["page"]);
-    assert!(set.enforces_retry_after, "clients are sent a Retry-After");
+    assert!(settings.enforces_retry_after, "clients are sent a Retry-After");
     let without_retry_after = PlatformSettings { sends_retry_after: false, ..without_page };
     assert!(
         !recovery.settings(&without_retry_after).enforces_retry_after,
@@ -203,10 +204,15 @@
 fn the_fleet_has_defaults_a_valid_example_and_checks() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/fleet.example.textproto");
     let fleet = read(&std::fs::read(path).unwrap()).unwrap().fleet.unwrap();
-    let set = fleet.settings("n1", "edge-1", 7).unwrap();
-    assert_eq!((&*set.own.name, &*set.own.zone, set.own.incarnation), ("n1", "edge-1", 7));
+    let settings = fleet.settings("n1", "edge-1", 7).unwrap();
+    assert_eq!((&*settings.own.name, &*settings.own.zone, settings.own.incarnation), ("n1", "edge-1", 7));
     assert_eq!(
-        (set.expected_instances, set.observers, set.health_check_interval, set.bytes_per_second),
+        (
+            settings.expected_instances,
+            settings.observers,
+            settings.health_check_interval,
+            settings.bytes_per_second
+        ),
         (2, 2, 1000.0, 16.0 * 1024.0)
     );
     let error = fleet.settings("Northern Gateway", "edge-1", 7).unwrap_err();
@@ -238,7 +244,7 @@
     let fleet = read(&std::fs::read(path).unwrap()).unwrap().fleet.unwrap();
     let overload = fleet.overload.unwrap();
     assert_eq!(overload.client_identity(), deckproxy_operator::Client::Address);
-    let set = overload.settings(
+    let settings = overload.settings(
         &fleet.name,
         &platform(vec![
             class("a", 1.0, false),
@@ -248,11 +254,16 @@
         ]),
     );
     assert_eq!(
-        set.classes.iter().map(|c| (c.band, c.has_effect)).collect::<Vec<_>>(),
+        settings.classes.iter().map(|c| (c.band, c.has_effect)).collect::<Vec<_>>(),
         [(0, false), (2, true), (0, false), (1, false)]
     );
     assert_eq!(
-        (set.fleet.as_str(), set.limits.retry_share, set.max_retry_after, set.min_retry_after),
+        (
+            settings.fleet.as_str(),
+            settings.limits.retry_share,
+            settings.max_retry_after,
+            settings.min_retry_after
+        ),
         ("edge", 0.2, 500.0, 50.0)
     );
     let errors = errors_of(
