--- a/crates/deckproxy-operator/src/defaults.rs
+++ b/crates/deckproxy-operator/src/defaults.rs
@@ -140,7 +140,7 @@
     /// `Fleet.instances`: expected number of instances; 0: as many as are known.
     pub const EXPECTED_INSTANCES: u32 = 0;
     /// `Fleet.kb_per_s`: send rate limit, KB a second.
-    pub const SEND_RATE_KB: u32 = 16;
+    pub const SEND_RATE_KB_PER_S: u32 = 16;
     /// `Fleet.beat_ms`: time between heartbeats, ms.
     pub const HEARTBEAT_INTERVAL_MS: u32 = 500;
     /// `Fleet.pause_ms`: pause of the process after which its view of the fleet is stale, ms.
--- a/crates/deckproxy-operator/src/fleet.rs
+++ b/crates/deckproxy-operator/src/fleet.rs
@@ -62,7 +62,8 @@
                 .filter_map(|way| Some((way.instance.as_str().into(), way.address.parse().ok()?)))
                 .collect(),
             expected_instances: self.instances.unwrap_or(defaults::fleet::EXPECTED_INSTANCES) as usize,
-            bytes_per_second: f64::from(self.kb_per_s.unwrap_or(defaults::fleet::SEND_RATE_KB)) * 1024.0,
+            bytes_per_second: f64::from(self.kb_per_s.unwrap_or(defaults::fleet::SEND_RATE_KB_PER_S))
+                * 1024.0,
             heartbeat_interval,
             digest_interval: heartbeat_interval / 2.0,
             pause_threshold: f64::from(self.pause_ms.unwrap_or(defaults::fleet::PAUSE_THRESHOLD_MS)),
