--- a/crates/deckproxy-operator/src/defaults.rs
+++ b/crates/deckproxy-operator/src/defaults.rs
@@ -65,8 +65,8 @@
     pub const ENTERPRISE_NUMBER: u32 = 32_473;
     /// `Flows.message_bytes`: largest message, bytes.
     pub const MAX_MESSAGE_BYTES: u32 = 1400;
-    /// `Flows.rate`: messages a second to one collector; 0: no limit.
-    pub const MESSAGE_RATE: u32 = 0;
+    /// `Flows.rate`: most messages a second to one collector; 0: no limit.
+    pub const MAX_MESSAGE_RATE: u32 = 0;
     /// `Flows.refresh_ms`: time between templates over UDP, ms.
     pub const TEMPLATE_INTERVAL_MS: u32 = 60_000;
     /// `Flows.spool_kb`: flows that wait for a collector, KB.
--- a/crates/deckproxy-operator/src/flows.rs
+++ b/crates/deckproxy-operator/src/flows.rs
@@ -27,7 +27,7 @@
             domain: self.domain.unwrap_or(defaults::flows::OBSERVATION_DOMAIN),
             enterprise: self.enterprise.unwrap_or(defaults::flows::ENTERPRISE_NUMBER),
             max_message: self.message_bytes.unwrap_or(defaults::flows::MAX_MESSAGE_BYTES) as usize,
-            message_rate: self.rate.unwrap_or(defaults::flows::MESSAGE_RATE),
+            message_rate: self.rate.unwrap_or(defaults::flows::MAX_MESSAGE_RATE),
             template_interval: u64::from(self.refresh_ms.unwrap_or(defaults::flows::TEMPLATE_INTERVAL_MS)),
             spool_size: self.spool_kb.unwrap_or(defaults::flows::SPOOL_SIZE_KB) as usize * 1024,
             max_in_flight: MAX_IN_FLIGHT_BYTES,
