--- a/crates/deckproxy-adapter/src/wire/event.rs
+++ b/crates/deckproxy-adapter/src/wire/event.rs
@@ -44,7 +44,7 @@
         ending: AttemptEnding,
         /// Time since it was sent, in ms.
         elapsed: f64,
-        /// The request has its final answer.
+        /// Whether the request has its final answer.
         finished: bool,
         /// What the answer reports about its copy or fill.
         note: FillNote,
--- a/crates/deckproxy-adapter/src/wire/fields.rs
+++ b/crates/deckproxy-adapter/src/wire/fields.rs
@@ -41,7 +41,7 @@
         Ok(f32::from_le_bytes(self.array(offset)?))
     }
 
-    /// A number; infinite ones are allowed.
+    /// A number other than NaN; infinite ones are allowed.
     pub(super) fn f64(&self, offset: usize) -> Result<f64, RecordError> {
         let number = f64::from_le_bytes(self.array(offset)?);
         if number.is_nan() { Err(RecordError::NotANumber { part: self.part, offset }) } else { Ok(number) }
--- a/crates/deckproxy-operator/src/fleet.rs
+++ b/crates/deckproxy-operator/src/fleet.rs
@@ -175,7 +175,7 @@
 fn check_seeds(fleet: &Fleet) -> Vec<Finding> {
     let networks = fleet.networks();
     if networks.len() != fleet.prefixes.len() {
-        // A network that can't be read is reported by its own rule.
+        // An invalid network is reported by the field's own rule.
         return Vec::new();
     }
     let is_outside = |seed: &str| {
--- a/crates/deckproxy-settings/src/lib.rs
+++ b/crates/deckproxy-settings/src/lib.rs
@@ -51,7 +51,7 @@
     /// Time in ms after which a connection that is not established has failed.
     pub connect_timeout: f64,
     /// Time in ms for which a decision is valid: an attempt that has not begun to be sent by then is not sent. It
-    /// is the shortest of the connect timeout and the grace periods of drains and purges.
+    /// is the shortest of the connect timeout and the grace periods of drains and purges, where these are above 0.
     pub unsent_timeout: f64,
     /// Most attempts in flight on one connection, at least 1.
     pub max_streams: usize,
--- a/crates/deckproxy-settings/tests/settings.rs
+++ b/crates/deckproxy-settings/tests/settings.rs
@@ -74,11 +74,11 @@
     let unsent = |text: &str| settings::read(text).unwrap().limits.unsent_timeout;
     assert_eq!(unsent("limits.connectTimeoutMs=400.0\nrules.drainGraceMs=500.0"), 400.0);
     assert_eq!(unsent("limits.connectTimeoutMs=400.0\nrules.drainGraceMs=300.0"), 300.0);
-    assert!(settings::read("limits.maxStreams=0").is_err(), "a connection must allow one stream");
+    assert!(settings::read("limits.maxStreams=0").is_err(), "a connection must allow at least one stream");
 }
 
 #[test]
-fn weights_are_capacities_unless_they_are_live_or_absent() {
+fn weights_are_capacities_unless_their_kind_is_live_or_none() {
     let are_capacities = |text: &str| settings::read(text).unwrap().settings.weights_are_capacities;
     assert!(are_capacities("") && are_capacities("weightKind=nominal") && are_capacities("weightKind=rough"));
     assert!(!are_capacities("weightKind=none") && !are_capacities("weightKind=live"));
