--- a/crates/deckproxy-adapter/src/wire/reply.rs
+++ b/crates/deckproxy-adapter/src/wire/reply.rs
@@ -113,7 +113,8 @@
     u16::try_from(position).ok().filter(|position| *position != ALL_PEERS)
 }
 
-/// A length as a field of 32 bits. A reply does not reach the limit, as it belongs to one batch, whose size is bounded.
+/// A length as a field of 32 bits; longer ones saturate. A reply stays below the limit in practice, because it belongs to
+/// one batch, whose size is bounded.
 fn saturating_u32(length: usize) -> u32 {
     u32::try_from(length).unwrap_or(u32::MAX)
 }
--- a/crates/deckproxy-operator/src/defaults.rs
+++ b/crates/deckproxy-operator/src/defaults.rs
@@ -101,7 +101,7 @@
     pub const RETRY_SHARE: f64 = 0.2;
     /// `Recovery.repeats_saved`: most unused retries saved up for a class.
     pub const MAX_SAVED_RETRIES: u32 = 20;
-    /// `Recovery.remembered`: rejected requests remembered.
+    /// `Recovery.remembered`: rejected or failed requests remembered.
     pub const REMEMBERED_REQUESTS: u32 = 65_536;
     /// `Recovery.least_back_ms`: shortest Retry-After, ms.
     pub const MIN_RETRY_AFTER_MS: u32 = 50;
@@ -119,7 +119,7 @@
 pub mod overload {
     /// `Overload.share_of_repeats`: retries admitted for each first attempt.
     pub const RETRY_SHARE: f64 = 0.2;
-    /// `Overload.remembered`: requests remembered.
+    /// `Overload.remembered`: rejected or failed requests remembered, and as many served objects.
     pub const REMEMBERED_REQUESTS: u32 = 65_536;
     /// `Overload.least_back_ms`: shortest Retry-After, ms.
     pub const MIN_RETRY_AFTER_MS: u32 = 50;
