--- a/crates/deckproxy-operator/src/defaults.rs
+++ b/crates/deckproxy-operator/src/defaults.rs
@@ -65,8 +65,8 @@
     pub const ENTERPRISE_NUMBER: u32 = 32_473;
     /// `Flows.message_bytes`: largest message, bytes.
     pub const MAX_MESSAGE_BYTES: u32 = 1400;
-    /// `Flows.rate`: messages a second to one collector; 0: no limit.
-    pub const MESSAGE_RATE: u32 = 0;
+    /// `Flows.rate`: most messages a second to one collector; 0: no limit.
+    pub const MAX_MESSAGE_RATE: u32 = 0;
     /// `Flows.refresh_ms`: time between templates over UDP, ms.
     pub const TEMPLATE_INTERVAL_MS: u32 = 60_000;
     /// `Flows.spool_kb`: flows that wait for a collector, KB.
@@ -101,7 +101,7 @@
     pub const RETRY_SHARE: f64 = 0.2;
     /// `Recovery.repeats_saved`: most unused retries saved up for a class.
     pub const MAX_SAVED_RETRIES: u32 = 20;
-    /// `Recovery.remembered`: rejected requests remembered.
+    /// `Recovery.remembered`: rejected or failed requests remembered.
     pub const REMEMBERED_REQUESTS: u32 = 65_536;
     /// `Recovery.least_back_ms`: shortest Retry-After, ms.
     pub const MIN_RETRY_AFTER_MS: u32 = 50;
@@ -119,7 +119,7 @@
 pub mod overload {
     /// `Overload.share_of_repeats`: retries admitted for each first attempt.
     pub const RETRY_SHARE: f64 = 0.2;
-    /// `Overload.remembered`: requests remembered.
+    /// `Overload.remembered`: rejected or failed requests remembered, and as many served objects.
     pub const REMEMBERED_REQUESTS: u32 = 65_536;
     /// `Overload.least_back_ms`: shortest Retry-After, ms.
     pub const MIN_RETRY_AFTER_MS: u32 = 50;
@@ -131,7 +131,7 @@
     pub const WASTED_SHARE: f64 = 0.05;
     /// `Overload.repeats`: retries for each first attempt from which load is shed.
     pub const RETRY_RATIO: f64 = 0.3;
-    /// `Overload.least_per_s`: requests a second that are always admitted.
+    /// `Overload.least_per_s`: completed requests a second below which no overload is detected, always admitted.
     pub const MIN_RATE: u32 = 10;
 }
 
@@ -140,7 +140,7 @@
     /// `Fleet.instances`: expected number of instances; 0: as many as are known.
     pub const EXPECTED_INSTANCES: u32 = 0;
     /// `Fleet.kb_per_s`: send rate limit, KB a second.
-    pub const SEND_RATE_KB: u32 = 16;
+    pub const SEND_RATE_KB_PER_S: u32 = 16;
     /// `Fleet.beat_ms`: time between heartbeats, ms.
     pub const HEARTBEAT_INTERVAL_MS: u32 = 500;
     /// `Fleet.pause_ms`: pause of the process after which its view of the fleet is stale, ms.
--- a/crates/deckproxy-operator/src/fleet.rs
+++ b/crates/deckproxy-operator/src/fleet.rs
@@ -46,7 +46,7 @@
             address: self.advertised_address().parse().map_err(|_| FleetSettingsError::Address)?,
             incarnation,
             renewals: 0,
-            // The rules allow 1000 at most.
+            // The field's rule allows at most 1000.
             weight: u16::try_from(self.weight.unwrap_or(defaults::fleet::WEIGHT)).unwrap_or(u16::MAX),
         };
         let probes = self.probes.unwrap_or_default();
@@ -62,7 +62,8 @@
                 .filter_map(|way| Some((way.instance.as_str().into(), way.address.parse().ok()?)))
                 .collect(),
             expected_instances: self.instances.unwrap_or(defaults::fleet::EXPECTED_INSTANCES) as usize,
-            bytes_per_second: f64::from(self.kb_per_s.unwrap_or(defaults::fleet::SEND_RATE_KB)) * 1024.0,
+            bytes_per_second: f64::from(self.kb_per_s.unwrap_or(defaults::fleet::SEND_RATE_KB_PER_S))
+                * 1024.0,
             heartbeat_interval,
             digest_interval: heartbeat_interval / 2.0,
             pause_threshold: f64::from(self.pause_ms.unwrap_or(defaults::fleet::PAUSE_THRESHOLD_MS)),
@@ -123,6 +124,7 @@
             sends_retry_after: platform.sends_retry_after,
             min_retry_after: min_retry_after.min(max_retry_after),
             max_retry_after,
+            // The tables of rejected requests and served objects record up to twice this number.
             remembered: self.remembered.unwrap_or(defaults::overload::REMEMBERED_REQUESTS) as usize / 2,
             window: f64::from(defaults::recovery::WINDOW_MS),
         }
@@ -173,7 +175,7 @@
 fn check_seeds(fleet: &Fleet) -> Vec<Finding> {
     let networks = fleet.networks();
     if networks.len() != fleet.prefixes.len() {
-        // A network that can't be read is reported by its own rule.
+        // An invalid network is reported by the field's own rule.
         return Vec::new();
     }
     let is_outside = |seed: &str| {
--- a/crates/deckproxy-settings/src/lib.rs
+++ b/crates/deckproxy-settings/src/lib.rs
@@ -51,7 +51,7 @@
     /// Time in ms after which a connection that is not established has failed.
     pub connect_timeout: f64,
     /// Time in ms for which a decision is valid: an attempt that has not begun to be sent by then is not sent. It
-    /// is the shortest of the connect timeout and the grace periods of drains and purges.
+    /// is the shortest of the connect timeout and the grace periods of drains and purges, where these are above 0.
     pub unsent_timeout: f64,
     /// Most attempts in flight on one connection, at least 1.
     pub max_streams: usize,
@@ -63,10 +63,10 @@
     pub health_checks: bool,
 }
 
-/// Reads the settings from their text, one `key=value` a line.
+/// Reads the settings from their text, one `key=value` a line. Lines without `=` are ignored.
 ///
 /// # Errors
-/// [`SettingsError`] if a value is invalid or the classes are inconsistent.
+/// [`SettingsError`] if a value is invalid.
 pub fn read(text: &str) -> Result<InstanceSettings, SettingsError> {
     read_pairs(text.lines().filter_map(|line| line.trim_end_matches('\r').split_once('=')))
 }
@@ -74,7 +74,7 @@
 /// Reads the settings from pairs of key and value.
 ///
 /// # Errors
-/// [`SettingsError`] if a value is invalid or the classes are inconsistent.
+/// [`SettingsError`] if a value is invalid.
 pub fn read_pairs<'a>(
     pairs: impl IntoIterator<Item = (&'a str, &'a str)>,
 ) -> Result<InstanceSettings, SettingsError> {
