--- a/crates/deckproxy/src/program/site_links.rs
+++ b/crates/deckproxy/src/program/site_links.rs
@@ -206,7 +206,7 @@
             if broken || left > limits::LINK_STALLED || link.closing && left == 0 {
                 return self.close_link(now, id);
             }
-            let piece = link.accepts_pieces().then(|| self.subsystems.body_piece(id)).flatten();
+            let piece = link.accepts_pieces().then(|| self.subsystems.next_body_chunk(id)).flatten();
             let Some(piece) = piece else { return };
             link.send(&piece);
         }
--- a/crates/deckproxy/src/program/sites/mod.rs
+++ b/crates/deckproxy/src/program/sites/mod.rs
@@ -111,7 +111,7 @@
     }
 
     /// The next chunk of a body for a link whose write buffer has room.
-    pub(super) fn body_piece(&mut self, link: LinkId) -> Option<Frame> {
+    pub(super) fn next_body_chunk(&mut self, link: LinkId) -> Option<Frame> {
         self.site.next_chunk(link)
     }
 
--- a/crates/deckproxy/src/program/subsystems.rs
+++ b/crates/deckproxy/src/program/subsystems.rs
@@ -107,9 +107,9 @@
         self.sites.as_ref().is_some_and(|s| s.has_request((client, id)))
     }
 
-    /// The next piece of a body for a link whose write buffer takes more.
-    pub fn body_piece(&mut self, link: LinkId) -> Option<Frame> {
-        self.sites.as_mut().and_then(|s| s.body_piece(link))
+    /// The next chunk of a body for a link whose write buffer has room.
+    pub fn next_body_chunk(&mut self, link: LinkId) -> Option<Frame> {
+        self.sites.as_mut().and_then(|s| s.next_body_chunk(link))
     }
 
     /// The next effect to be carried out.
