--- a/crates/deckproxy/src/program/fleet/mod.rs
+++ b/crates/deckproxy/src/program/fleet/mod.rs
@@ -29,7 +29,7 @@
     health_checks: bool,
     /// Member ids by name.
     members: HashMap<String, u32>,
-    /// Attempts at members on trial: the member's id by attempt key.
+    /// Attempts at half-open members, which decide whether the member is readmitted: the member's id by attempt key.
     trial_attempts: HashMap<AttemptKey, u32>,
     /// Admission control of client requests, if the fleet's overload control is configured.
     admission: Option<RequestAdmission>,
@@ -43,11 +43,11 @@
     zone: String,
 }
 
-/// Most trial attempts tracked at a time. An attempt whose end is never reported would otherwise stay forever.
-const TRIAL_ATTEMPTS: usize = 65_536;
+/// Most trial attempts tracked at a time, as an attempt whose end is never reported would otherwise stay forever.
+const MAX_TRIAL_ATTEMPTS: usize = 65_536;
 
 /// The router's members in the form that the fleet needs.
-fn listed(router: &Router) -> impl Iterator<Item = ListedMember> + '_ {
+fn listed_members(router: &Router) -> impl Iterator<Item = ListedMember> + '_ {
     router.listed_members().map(|(member, name)| ListedMember {
         id: member.id,
         name: name.into(),
@@ -94,7 +94,7 @@
         // The platform may give the same seed to all instances.
         let seed = seed ^ start.rotate_left(32) ^ deckproxy_fleet::rendezvous::hash_of_name(&own.name);
         let mut core = fleet::Fleet::new(clock::steady(), settings, seed);
-        core.set_members(listed(router));
+        core.set_members(listed_members(router));
         let mut fleet = Fleet {
             log: log.clone(),
             core,
@@ -110,7 +110,7 @@
 
     /// Updates the member list from the router's.
     fn update_members(&mut self, router: &Router) {
-        self.core.set_members(listed(router));
+        self.core.set_members(listed_members(router));
         self.members = router.listed_members().map(|(member, name)| (name.to_string(), member.id)).collect();
     }
 
@@ -119,13 +119,13 @@
         self.admission.as_ref().is_some_and(admission::RequestAdmission::wants_addresses)
     }
 
-    /// Records an attempt if its member is on trial.
+    /// Records an attempt if its member is half-open.
     fn trial_sent(&mut self, key: AttemptKey, member: &str) {
         let Some(member) = self.members.get(member).copied() else { return };
         if !self.core.is_on_trial(member) {
             return;
         }
-        if self.trial_attempts.len() >= TRIAL_ATTEMPTS {
+        if self.trial_attempts.len() >= MAX_TRIAL_ATTEMPTS {
             self.trial_attempts.clear();
         }
         self.trial_attempts.insert(key, member);
