--- a/crates/deckproxy/tests/connection_close.rs
+++ b/crates/deckproxy/tests/connection_close.rs
@@ -28,14 +28,14 @@
     let _others: Vec<Client> = (0..8).map(|_| ready_client(&gateway)).collect();
     gateway.pause();
     // The new connection is read first, while the request of the longest idle client is still unread.
-    let mut newcomer = gateway.client();
-    let ping = newcomer.ping();
+    let mut new_client = gateway.client();
+    let ping = new_client.ping();
     let id = oldest.request_object(OBJECT);
     gateway.resume();
     let (cache, request) = site.next_request();
     cache.answer(&request, "200", b"there");
     oldest.expect_served(id, b"there");
-    assert_eq!(newcomer.next_answer(), (ping, Answer::Ready(true)), "another client was evicted");
+    assert_eq!(new_client.next_answer(), (ping, Answer::Ready(true)), "another client was evicted");
 }
 
 #[test]
--- a/crates/deckproxy/tests/fleet/cache_ejection.rs
+++ b/crates/deckproxy/tests/fleet/cache_ejection.rs
@@ -1,6 +1,6 @@
 //! Caches that hang, fail, crash or are slow: which of them are ejected, and until when.
 
-use crate::{count_live_peers, draw, finish_and_check, plan, start, wait_for_health_checks};
+use crate::{count_live_peers, finish_and_check, plan, request_generator, start, wait_for_health_checks};
 use deckproxy_rig::plan::{CacheFault, FaultKind};
 use deckproxy_rig::rig::Rig;
 
@@ -13,8 +13,8 @@
     rig.until("all instances eject the cache", |rig| {
         (0..4).all(|i| rig.view(i).is_some_and(|v| v.ejected == 1))
     });
-    let (before, probes) = (rig.attempts(&cache), rig.health_checks(&cache));
-    rig.until("health checks continue", |rig| rig.health_checks(&cache) > probes + 4);
+    let (before, health_checks) = (rig.attempts(&cache), rig.health_checks(&cache));
+    rig.until("health checks continue", |rig| rig.health_checks(&cache) > health_checks + 4);
     // Requests that were in flight when the last instance learned of it may have arrived.
     assert!(rig.attempts(&cache) <= before + 2, "{} requests were sent to it", rig.attempts(&cache) - before);
     rig.end_fault(&hangs);
@@ -23,7 +23,7 @@
     });
     let now = rig.attempts(&cache);
     rig.until("the cache receives requests again", |rig| rig.attempts(&cache) > now);
-    let lifts: Vec<f64> = (0..4)
+    let readmitted_at: Vec<f64> = (0..4)
         .map(|i| {
             let views = deckproxy_rig::fleet_view::views(&rig.log(i));
             let at = views
@@ -34,9 +34,9 @@
             at.expect("the instance ejected and readmitted the cache")
         })
         .collect();
-    let first = lifts.iter().copied().fold(f64::MAX, f64::min);
-    let last = lifts.iter().copied().fold(0.0, f64::max);
-    assert!(last - first > 100.0, "all instances readmitted it at once: {lifts:?}");
+    let first = readmitted_at.iter().copied().fold(f64::MAX, f64::min);
+    let last = readmitted_at.iter().copied().fold(0.0, f64::max);
+    assert!(last - first > 100.0, "all instances readmitted it at once: {readmitted_at:?}");
     finish_and_check(rig);
 }
 
@@ -54,9 +54,9 @@
     rig.wait_for_processes();
     let others: Vec<usize> = (0..4).filter(|i| *i != observer).collect();
     rig.until("the others consider it dead", |rig| others.iter().all(|i| count_live_peers(rig, *i) == 2));
-    let (before, probes) = (rig.attempts(&cache), rig.health_checks(&cache));
+    let (before, health_checks) = (rig.attempts(&cache), rig.health_checks(&cache));
     // The observer's successor has decided by then.
-    rig.until("health checks continue", |rig| rig.health_checks(&cache) > probes + 10);
+    rig.until("health checks continue", |rig| rig.health_checks(&cache) > health_checks + 10);
     assert!(rig.attempts(&cache) <= before, "{} requests were sent to it", rig.attempts(&cache) - before);
     assert!(others.iter().all(|i| rig.view(*i).is_some_and(|v| v.ejected == 1)));
     rig.end_fault(&FaultKind::Cache(0, CacheFault::Hangs));
@@ -81,15 +81,15 @@
     rig.until("all instances readmit the cache", |rig| {
         (0..3).all(|i| rig.view(i).is_some_and(|v| v.ejected == 0))
     });
-    let probes = rig.health_checks(&rig.caches()[3]);
+    let health_checks = rig.health_checks(&rig.caches()[3]);
     rig.until("health checks of the slow cache continue", |rig| {
-        rig.health_checks(&rig.caches()[3]) > probes + 8
+        rig.health_checks(&rig.caches()[3]) > health_checks + 8
     });
     assert!((0..3).all(|i| rig.view(i).is_some_and(|v| v.ejected == 0)));
     // Half of its requests fail: whatever its observers conclude, its rate of health checks does not rise.
     rig.begin_fault(&FaultKind::Cache(3, CacheFault::Fails(0.5)), 0.0);
-    let probes = rig.health_checks(&rig.caches()[3]);
-    rig.until("health checks continue", |rig| rig.health_checks(&rig.caches()[3]) > probes + 8);
+    let health_checks = rig.health_checks(&rig.caches()[3]);
+    rig.until("health checks continue", |rig| rig.health_checks(&rig.caches()[3]) > health_checks + 8);
     rig.end_fault(&fails);
     rig.until("no cache is ejected", |rig| (0..3).all(|i| rig.view(i).is_some_and(|v| v.ejected == 0)));
     finish_and_check(rig);
@@ -113,10 +113,10 @@
 #[test]
 fn isolated_observer_ejects_nothing() {
     let mut plan = plan(4, 9);
-    // The rig places relays where the plan has cuts.
+    // The rig inserts relays only where the plan has a partition.
     let cut = FaultKind::Cut { instances: vec![0], zone: 0, is_silent: true };
     plan.faults.push(deckproxy_rig::plan::Fault { at: 1.0, duration: 1.0, kind: cut.clone() });
-    let mut rig = Rig::start(&plan, &draw());
+    let mut rig = Rig::start(&plan, &request_generator());
     rig.begin_fault(&cut, 0.0);
     rig.until("the instance observes failing caches", |rig| {
         rig.log(0).contains("is failing, as this instance observes it")
--- a/crates/deckproxy/tests/fleet/datagrams.rs
+++ b/crates/deckproxy/tests/fleet/datagrams.rs
@@ -11,7 +11,7 @@
     let mut rig = start(5, 4);
     let mute = FaultKind::Mute(vec![0, 3]);
     rig.begin_fault(&mute, 0.0);
-    rig.until("the unheard instances detect that they are in the minority", |rig| {
+    rig.until("the muted instances detect that they are in the minority", |rig| {
         [0, 3].into_iter().all(|i| rig.view(i).is_some_and(|v| !v.in_larger_part))
             && [1, 2, 4]
                 .into_iter()
--- a/crates/deckproxy/tests/fleet/main.rs
+++ b/crates/deckproxy/tests/fleet/main.rs
@@ -15,7 +15,7 @@
 use rand::RngExt;
 use std::sync::Arc;
 
-fn draw() -> RequestGenerator {
+fn request_generator() -> RequestGenerator {
     Arc::new(|rng| {
         let object = rng.random_range(0..200u64) * 0x0101_0101_0101;
         let class = if rng.random_bool(0.05) { "post" } else { "page" };
@@ -37,7 +37,7 @@
 }
 
 fn start(instances: usize, seed: u64) -> Rig {
-    Rig::start(&plan(instances, seed), &draw())
+    Rig::start(&plan(instances, seed), &request_generator())
 }
 
 /// Waits until each cache has received `times` further health checks.
--- a/crates/deckproxy/tests/fleet/partitions.rs
+++ b/crates/deckproxy/tests/fleet/partitions.rs
@@ -1,6 +1,6 @@
 //! Partitions of the fleet, and faults that must not be treated as one.
 
-use crate::{draw, finish_and_check, plan, start, wait_for_health_checks};
+use crate::{finish_and_check, plan, request_generator, start, wait_for_health_checks};
 use deckproxy_rig::plan::{CacheFault, FaultKind};
 use deckproxy_rig::rig::Rig;
 
@@ -24,10 +24,10 @@
 #[test]
 fn isolated_zone_keeps_serving_and_rejoins() {
     let mut plan = plan(5, 15);
-    // Instances 1 and 3 are in the second zone. The rig places relays where the plan has cuts.
+    // Instances 1 and 3 are in the second zone. The rig inserts relays only where the plan has a partition.
     let cut = FaultKind::Cut { instances: vec![1, 3], zone: 0, is_silent: true };
     plan.faults.push(deckproxy_rig::plan::Fault { at: 1.0, duration: 1.0, kind: cut.clone() });
-    let mut rig = Rig::start(&plan, &draw());
+    let mut rig = Rig::start(&plan, &request_generator());
     let all = [FaultKind::Split(vec![1, 3]), cut, FaultKind::Feed { instances: vec![1, 3], delay_ms: 0 }];
     for what in &all {
         rig.begin_fault(what, 0.0);
--- a/crates/deckproxy/tests/log_aliases.rs
+++ b/crates/deckproxy/tests/log_aliases.rs
@@ -46,7 +46,7 @@
 }
 
 /// The value of a field in a text such as `a:1,b:2`.
-fn figure<'a>(text: &'a str, name: &str) -> &'a str {
+fn field_value<'a>(text: &'a str, name: &str) -> &'a str {
     let values = text.split([',', '[', ']']).filter_map(|part| part.split_once(':'));
     values
         .filter(|(key, _)| *key == name)
@@ -85,7 +85,7 @@
     }
     let sizes = end["sizes"].as_str().unwrap();
     for (new, old) in SIZES {
-        assert_eq!(figure(sizes, new), figure(sizes, old), "{new}, {old}: {sizes}");
+        assert_eq!(field_value(sizes, new), field_value(sizes, old), "{new}, {old}: {sizes}");
     }
 }
 
--- a/crates/deckproxy/tests/overload.rs
+++ b/crates/deckproxy/tests/overload.rs
@@ -40,18 +40,18 @@
     }
 }
 
-/// When the load begins, and how long it lasts, s.
-const BEGIN: f64 = 4.0;
-const LASTS: f64 = 8.0;
+/// Start and duration of the overload, s.
+const LOAD_START_S: f64 = 4.0;
+const LOAD_DURATION_S: f64 = 8.0;
 
 /// Four instances at three times the traffic, half of which the origin can serve, and further faults.
 fn plan(seed: u64, faults: &[(f64, f64, FaultKind)]) -> Plan {
     let fault = |(at, lasts, what): &(f64, f64, FaultKind)| Fault {
-        at: BEGIN + at,
+        at: LOAD_START_S + at,
         duration: *lasts,
         kind: what.clone(),
     };
-    let load = Fault { at: BEGIN, duration: LASTS, kind: FaultKind::Load(3.0) };
+    let load = Fault { at: LOAD_START_S, duration: LOAD_DURATION_S, kind: FaultKind::Load(3.0) };
     Plan {
         seconds: 20.0,
         instances: 4,
@@ -70,7 +70,7 @@
 
 /// Runs a plan and checks the requirements on every run: no rule is violated, a first attempt costs little more work
 /// than without overload, retries stay within their budget, higher priority is served first, clients of all instances
-/// are treated equally, and service recovers.
+/// are served nearly equally well, and service recovers.
 fn run_and_check(plan: &Plan) -> (RunRecord, OverloadFigures) {
     let _turn = Turn::wait();
     let run = run_plan(plan, &requests(), |_, _| {});
@@ -104,7 +104,7 @@
 fn fleet_sheds_three_times_the_load_consistently() {
     // Twice as long as the others: in the first seconds no Retry-After is given, as the capacity is not known yet.
     let mut long = plan(1, &[]);
-    (long.seconds, long.faults[0].duration) = (28.0, 2.0 * LASTS);
+    (long.seconds, long.faults[0].duration) = (28.0, 2.0 * LOAD_DURATION_S);
     let (run, f) = run_and_check(&long);
     assert_eq!(logged(&run, "the path to the sources is overloaded"), 4, "each instance sheds load");
     assert_eq!(logged(&run, "the path to the sources: all requests are admitted again"), 4);
@@ -112,51 +112,51 @@
     // At least two in three clients that return after their Retry-After are served: nine in ten is the target, but
     // times announced before the queue was measured are not met.
     assert!(f.returns >= 5 && 3 * f.served_returns >= 2 * f.returns, "{} of {}", f.served_returns, f.returns);
-    // Each judge detects a fault that is planted in the record.
+    // Each figure shows a fault that is planted in the record.
     let judge_with_fault = |plant_fault: &dyn Fn(&mut RunRecord)| {
         let mut copy = run.clone();
         plant_fault(&mut copy);
         judge(&copy, OverloadCriteria::default())
     };
-    let twice = judge_with_fault(&|p| {
+    let doubled_work = judge_with_fault(&|p| {
         let again: Vec<_> = p.facts.iter().filter(|s| s.at > p.traffic_from + 5000.0).cloned().collect();
         p.facts.extend(again);
         p.facts.sort_by(|a, b| a.at.total_cmp(&b.at));
     });
     assert!(
-        twice.member_amplification > 1.5 * f.member_amplification,
+        doubled_work.member_amplification > 1.5 * f.member_amplification,
         "{} and {}",
-        twice.member_amplification,
+        doubled_work.member_amplification,
         f.member_amplification
     );
-    let broken = judge_with_fault(&|p| {
+    let rejected_returns = judge_with_fault(&|p| {
         for t in p.attempts.iter_mut().filter(|t| t.after_retry_after) {
             t.answer = t.answer.map(|answer| AttemptAnswer { outcome: Outcome::Rejected(None), ..answer });
         }
     });
-    assert_eq!(broken.served_returns, 0);
-    let unjust = judge_with_fault(&|p| {
+    assert_eq!(rejected_returns.served_returns, 0);
+    let priority_inversions = judge_with_fault(&|p| {
         for t in p.attempts.iter_mut().filter(|t| t.class != "page") {
             t.answer = t.answer.map(|answer| AttemptAnswer { outcome: Outcome::Rejected(None), ..answer });
         }
     });
-    assert!(unjust.inversions > 0.03, "{}", unjust.inversions);
-    let unfair = judge_with_fault(&|p| {
+    assert!(priority_inversions.inversions > 0.03, "{}", priority_inversions.inversions);
+    let unequal_instances = judge_with_fault(&|p| {
         for t in p.attempts.iter_mut().filter(|t| t.instance < 2) {
             t.answer = t.answer.map(|answer| AttemptAnswer { outcome: Outcome::Rejected(None), ..answer });
         }
     });
-    assert!(unfair.jain_index < 0.9, "{}", unfair.jain_index);
-    let repeats = judge_with_fault(&|p| {
+    assert!(unequal_instances.jain_index < 0.9, "{}", unequal_instances.jain_index);
+    let extra_retries = judge_with_fault(&|p| {
         p.attempts.iter_mut().filter(|t| t.request % 2 == 0).for_each(|t| t.earlier_attempts += 1);
     });
-    assert!(repeats.budget_ratio > 1.2, "{}", repeats.budget_ratio);
-    let stuck = judge_with_fault(&|p| {
+    assert!(extra_retries.budget_ratio > 1.2, "{}", extra_retries.budget_ratio);
+    let unrecovered = judge_with_fault(&|p| {
         for t in p.attempts.iter_mut().filter(|t| t.at > p.traffic_to - 5000.0) {
             t.answer = t.answer.map(|answer| AttemptAnswer { outcome: Outcome::Rejected(None), ..answer });
         }
     });
-    assert_eq!(stuck.recovery_seconds, None);
+    assert_eq!(unrecovered.recovery_seconds, None);
 }
 
 #[test]
@@ -180,7 +180,7 @@
         4,
         &[(
             0.0,
-            LASTS,
+            LOAD_DURATION_S,
             FaultKind::Datagrams(DatagramFaults { lost_share: 0.3, duplicated_share: 0.2, max_delay_ms: 40 }),
         )],
     ));
--- a/crates/deckproxy/tests/request_path.rs
+++ b/crates/deckproxy/tests/request_path.rs
@@ -64,7 +64,7 @@
     assert_eq!((got, answer), (id, Answer::Served(Vec::new(), notmod)));
 }
 
-/// Forwarded to the client, such an answer would wrongly confirm the client's own copy.
+/// A "not modified" answer for another tag, forwarded to the client, would wrongly confirm the client's own copy.
 #[test]
 fn not_modified_for_another_tag_is_retried() {
     for fields in ["entity=4be0c1927d55a6f4,issued=1", "entity=,issued=1", "issued=1", "-"] {
--- a/crates/deckproxy/tests/structure.rs
+++ b/crates/deckproxy/tests/structure.rs
@@ -95,7 +95,7 @@
     modules(&program_folder())
 }
 
-/// Which modules of the program each one imports by `crate::program::NAME`.
+/// The modules of the program that each of them imports by `crate::program::NAME`.
 fn graph(modules: &BTreeMap<String, String>) -> BTreeMap<String, BTreeSet<String>> {
     let imports = |text: &String| {
         names_after(text, "crate::program::").into_iter().filter(|name| modules.contains_key(name)).collect()
@@ -103,8 +103,8 @@
     modules.iter().map(|(name, text)| (name.clone(), imports(text))).collect()
 }
 
-/// Which files of a module's folder each one imports: `super::NAME` is a sibling's or else an item of `mod`; `mod`
-/// imports by `use NAME::`.
+/// The files of a folder that each of them imports. `super::NAME` names a sibling file or else an item of `mod.rs`, which
+/// itself imports files by `use NAME::`.
 fn graph_within(files: &BTreeMap<String, String>) -> BTreeMap<String, BTreeSet<String>> {
     let imports = |name: &String, text: &String| -> BTreeSet<String> {
         if name == "mod" {
--- a/crates/deckproxy/tests/write_buffer.rs
+++ b/crates/deckproxy/tests/write_buffer.rs
@@ -48,7 +48,7 @@
     #[test]
     fn all_is_written_in_order_with_any_short_writes(
         sizes in prop::collection::vec((0usize..50, 0usize..500, 1usize..5), 1..80),
-        takes in prop::collection::vec(0usize..700, 0..60),
+        accepts in prop::collection::vec(0usize..700, 0..60),
     ) {
         let mut buffer = WriteBuffer::default();
         let mut want = Vec::new();
@@ -57,7 +57,7 @@
             m.parts.iter().for_each(|p| want.extend_from_slice(p));
             buffer.push(m);
         }
-        let mut kernel = Kernel { accepts: takes, got: Vec::new() };
+        let mut kernel = Kernel { accepts, got: Vec::new() };
         let mut written = Vec::new();
         let mut done = false;
         while !done {
