--- a/crates/deckproxy/tests/fleet/datagrams.rs
+++ b/crates/deckproxy/tests/fleet/datagrams.rs
@@ -64,8 +64,8 @@
     for log in &run.logs {
         let summary =
             log.lines().rfind(|line| line.contains("\"msg\":\"end\"")).expect("a summary at the end");
-        for doubt in ["garbled:1", "too_large:1", "other_fleet:1"] {
-            assert!(summary.contains(doubt), "{doubt}: {summary}");
+        for counter in ["garbled:1", "too_large:1", "other_fleet:1"] {
+            assert!(summary.contains(counter), "{counter}: {summary}");
         }
         assert!(!log.contains("i9"));
     }
--- a/crates/deckproxy/tests/fleet/membership.rs
+++ b/crates/deckproxy/tests/fleet/membership.rs
@@ -42,11 +42,11 @@
     };
     // An instance continues health checks that others took over.
     let extra_checks = judge_with_fault(&|record| {
-        let probe = |i: usize| Seen {
+        let health_check = |i: usize| Seen {
             at: middle + i as f64 * 100.0,
             fact: Fact::HealthChecked { member: member.clone() },
         };
-        record.facts.extend((0..16).map(probe));
+        record.facts.extend((0..16).map(health_check));
     });
     assert!(extra_checks.check_ratio_max >= 2.0, "{}", extra_checks.check_ratio_max);
     // An instance does not take over, so that a member gets no health checks for a while.
--- a/crates/deckproxy/tests/lifecycle.rs
+++ b/crates/deckproxy/tests/lifecycle.rs
@@ -57,7 +57,7 @@
     let mut gateway = setup.start();
     let mut client = gateway.client();
     let id = client.send_request("page", &[("lookup", OBJECT), ("allow", "19000")], &[]);
-    let (_, _ask) = site.next_request();
+    let (_, _request) = site.next_request();
     let start = Instant::now();
     gateway.signal("TERM");
     client.expect_error(id, "Fault");
--- a/crates/deckproxy/tests/member_drain.rs
+++ b/crates/deckproxy/tests/member_drain.rs
@@ -46,10 +46,10 @@
     let drain = entry("s-00000009", listener.address, "hub", "origin", "Terminating");
     send_line(&subscription, &member_update(2, &[drain]));
     let announced = Instant::now();
-    let mut up = listener.accept();
+    let mut connection = listener.accept();
     assert!(announced.elapsed() > PAST_GRACE, "connected within the grace period: {:?}", announced.elapsed());
-    up.set_read_timeout(Some(Duration::from_millis(500))).unwrap();
-    let got = up.read(&mut [0; 64]);
+    connection.set_read_timeout(Some(Duration::from_millis(500))).unwrap();
+    let got = connection.read(&mut [0; 64]);
     assert!(!matches!(got, Ok(1..)), "written after the drain: {got:?}");
     // It never ran, so it may be rejected as retryable.
     let answered = client.next_answer();
--- a/crates/deckproxy/tests/slow_start.rs
+++ b/crates/deckproxy/tests/slow_start.rs
@@ -12,14 +12,14 @@
 use std::time::{Duration, Instant};
 
 const PROCESSES: usize = 24;
-/// Sending time of each answer, ms: 100 KB at 1,000 KB a second, so that all have mean work.
+/// Sending time of each answer, ms: 100 KB at 1,000 KB a second, which is the mean work of a request.
 const WORK: f64 = 100.0;
 /// Requests of one process in a surge: at least one of them has the starting member as its home.
 const SURGE: usize = 8;
 
 /// A request that a member received.
 struct ReceivedRequest {
-    /// When it was received, Unix ms.
+    /// Time of receipt, Unix ms.
     at_ms: f64,
     /// The member.
     member: String,
@@ -113,18 +113,18 @@
     settings: Value,
     known: Vec<Value>,
     feed: Feed,
-    lines: Vec<TcpStream>,
-    all: Vec<Process>,
+    subscriptions: Vec<TcpStream>,
+    processes: Vec<Process>,
 }
 
 impl Fleet {
     fn start(settings: Value, known: &[Value]) -> Self {
         let (feed, known) = (Feed::start(), known.to_vec());
-        let mut fleet = Fleet { settings, known, feed, lines: Vec::new(), all: Vec::new() };
+        let mut fleet = Fleet { settings, known, feed, subscriptions: Vec::new(), processes: Vec::new() };
         for i in 0..PROCESSES {
             let gateway = fleet.setup(i, &[]).start();
-            fleet.all.push(Process::new(gateway, i));
-            fleet.lines.push(fleet.feed.accept().1);
+            fleet.processes.push(Process::new(gateway, i));
+            fleet.subscriptions.push(fleet.feed.accept().1);
         }
         fleet
     }
@@ -138,11 +138,11 @@
     }
 
     fn restart(&mut self, i: usize, cold: &Value) {
-        self.all[i].gateway.child.kill().unwrap();
+        self.processes[i].gateway.child.kill().unwrap();
         let setup = self.setup(i, std::slice::from_ref(cold));
         let mut process = Process::new(setup.start(), i);
-        process.objects = self.all[i].objects;
-        self.all[i] = process;
+        process.objects = self.processes[i].objects;
+        self.processes[i] = process;
     }
 }
 
@@ -184,9 +184,9 @@
     for step in 0..100_u32 {
         let at = Duration::from_millis(10) * step;
         thread::sleep(at.saturating_sub(start.elapsed()));
-        for (i, process) in fleet.all.iter_mut().enumerate() {
+        for (i, process) in fleet.processes.iter_mut().enumerate() {
             if step == 10 * (i as u32 % 5) {
-                send_line(&fleet.lines[i], &event);
+                send_line(&fleet.subscriptions[i], &event);
             }
             // The busiest process has about ten times the traffic of the least busy one.
             if step % (5 + 2 * i as u32) == 0 {
@@ -194,15 +194,15 @@
             }
         }
     }
-    fleet.all.iter_mut().for_each(Process::settle);
+    fleet.processes.iter_mut().for_each(Process::settle);
     // A process gets a slot every 2.9 s, so each could save one during this pause.
     thread::sleep(Duration::from_millis(3300));
-    (0..SURGE).for_each(|_| fleet.all.iter_mut().for_each(Process::send_request));
-    fleet.all.iter_mut().for_each(Process::settle);
+    (0..SURGE).for_each(|_| fleet.processes.iter_mut().for_each(Process::send_request));
+    fleet.processes.iter_mut().for_each(Process::settle);
     // The restarted processes do not know what was sent just before.
     (0..PROCESSES).step_by(4).for_each(|i| fleet.restart(i, &entry));
-    (0..SURGE).for_each(|_| fleet.all.iter_mut().for_each(Process::send_request));
-    fleet.all.iter_mut().for_each(Process::settle);
+    (0..SURGE).for_each(|_| fleet.processes.iter_mut().for_each(Process::send_request));
+    fleet.processes.iter_mut().for_each(Process::settle);
 
     let mut checker = SlowStartChecker::default();
     for request in received.lock().unwrap().iter() {
--- a/crates/deckproxy/tests/unsent_requests.rs
+++ b/crates/deckproxy/tests/unsent_requests.rs
@@ -44,7 +44,7 @@
         }
     }
     assert!(rejected.len() > 50 && failed.len() > 5, "{} rejected, {} failed", rejected.len(), failed.len());
-    // No rejected request is among those that the kernel had buffered when the origin resumes reading.
+    // What the origin reads from the kernel's buffers when it resumes includes no rejected request.
     site.origin.resume_reading();
     while let Some(request) = site.origin.request_if_any() {
         assert!(failed.contains(&request.id), "{} was rejected and yet arrived", request.id);
