--- a/crates/deckproxy/tests/check.rs
+++ b/crates/deckproxy/tests/check.rs
@@ -1,4 +1,4 @@
-//! The `deckproxy check` command: prints each fault on a line of standard error, followed by their number.
+//! The `deckproxy check` command: prints each fault on a line of standard error, followed by a line with their number.
 
 use std::path::Path;
 use std::process::Command;
--- a/crates/deckproxy/tests/client_limits.rs
+++ b/crates/deckproxy/tests/client_limits.rs
@@ -34,14 +34,14 @@
     let mut setup = site.setup();
     setup.sockets = 96;
     let gateway = setup.start();
-    let mut kept: Vec<Client> = (0..10).map(|_| gateway.client()).collect();
-    for client in &mut kept {
+    let mut active: Vec<Client> = (0..10).map(|_| gateway.client()).collect();
+    for client in &mut active {
         client.expect_ready();
     }
     let _silent: Vec<Client> = (0..200).map(|_| gateway.client()).collect();
     let start = Instant::now();
-    kept.push(gateway.client());
-    for client in &mut kept {
+    active.push(gateway.client());
+    for client in &mut active {
         site.serve_object(client, OBJECT, b"good");
     }
     assert!(start.elapsed() < Duration::from_millis(1500), "{:?}", start.elapsed());
--- a/crates/deckproxy/tests/codecs.rs
+++ b/crates/deckproxy/tests/codecs.rs
@@ -170,23 +170,23 @@
         answers in prop::collection::vec(("[0-9a-f]{16}", 0usize..6, 0usize..40_000), 1..4),
         cuts in prop::collection::vec(any::<usize>(), 0..12),
     ) {
-        let words = [
+        let statuses = [
             ("200", Status::Ok), ("304", Status::NotModified), ("404", Status::Miss), ("503", Status::Rejected),
             ("500", Status::Error), ("504", Status::Expired),
         ];
         let mut bytes = Vec::new();
-        for (id, word, size) in &answers {
+        for (id, status, size) in &answers {
             let fields = "entity=a1,issued=17,rep=inflight:7;util:0.61;odd:x";
-            bytes.extend(format!("*4\r\n$16\r\n{id}\r\n$3\r\n{}\r\n", words[*word].0).bytes());
+            bytes.extend(format!("*4\r\n$16\r\n{id}\r\n$3\r\n{}\r\n", statuses[*status].0).bytes());
             bytes.extend(format!("${}\r\n{fields}\r\n${size}\r\n", fields.len()).bytes());
             bytes.extend(vec![b'\r'; *size]);
             bytes.extend(b"\r\n");
         }
         let whole = replies(&bytes, &[]);
         prop_assert_eq!(whole.len(), answers.len());
-        for (reply, (id, word, size)) in whole.iter().zip(&answers) {
+        for (reply, (id, status, size)) in whole.iter().zip(&answers) {
             let reply = reply.as_ref().unwrap();
-            prop_assert_eq!((&*reply.id, reply.status, reply.body.len()), (id.as_str(), words[*word].1, *size));
+            prop_assert_eq!((&*reply.id, reply.status, reply.body.len()), (id.as_str(), statuses[*status].1, *size));
             prop_assert_eq!(&reply.load_report, &[("inflight".into(), 7.0), ("util".into(), 0.61)]);
         }
         prop_assert_eq!(replies(&bytes, &cuts), whole);
@@ -205,16 +205,16 @@
 
 #[test]
 fn limits_apply_before_anything_is_buffered() {
-    let broken = |bytes: &[u8]| messages(bytes, &[]).pop().unwrap().unwrap_err();
+    let decode_error = |bytes: &[u8]| messages(bytes, &[]).pop().unwrap().unwrap_err();
     let nested: Vec<u8> = std::iter::repeat_n(0x91, 2000).collect();
-    assert_eq!(broken(&nested).error, RequestError::MessageTooLarge);
-    assert_eq!(broken(&nested).error.to_string(), "a message over the limit");
+    assert_eq!(decode_error(&nested).error, RequestError::MessageTooLarge);
+    assert_eq!(decode_error(&nested).error.to_string(), "a message over the limit");
     // Lengths over the limits are rejected before their bytes arrive.
     assert_eq!(
-        broken(b"\x94\x00\x05\xdb\xff\xff\xff\xff"),
+        decode_error(b"\x94\x00\x05\xdb\xff\xff\xff\xff"),
         ProtocolError { error: RequestError::MessageTooLarge, request_id: Some(5) }
     );
-    assert_eq!(broken(b"\x94\x00\x05\xdf\xff\xff\xff\xff").request_id, Some(5));
+    assert_eq!(decode_error(b"\x94\x00\x05\xdf\xff\xff\xff\xff").request_id, Some(5));
     for bad in ["*9\r\n", "*1\r\n", "*-1\r\n", "$3\r\n", "*4\r\n$4097\r\n", "*4\r\n$99999999999999999999\r\n"]
     {
         assert!(replies(bad.as_bytes(), &[])[0].is_err(), "{bad}");
@@ -240,8 +240,8 @@
         is_retry: true,
         body: Bytes::from_static(b"body"),
     };
-    let text = |orders: &AttemptOptions| {
-        let all: Vec<u8> = upstream::encode_attempt(&call, orders).iter().flat_map(|p| p.to_vec()).collect();
+    let text = |options: &AttemptOptions| {
+        let all: Vec<u8> = upstream::encode_attempt(&call, options).iter().flat_map(|p| p.to_vec()).collect();
         String::from_utf8(all).unwrap()
     };
     let fields = "lane=page,name=7f3a9c21e0b4d655,piece=3,ttl=1499,dedupe=5c0f,mine=4be0";
--- a/crates/deckproxy/tests/flows.rs
+++ b/crates/deckproxy/tests/flows.rs
@@ -208,13 +208,13 @@
     // More than the kernel buffers for one connection, whatever size it grants, and more than the gateway buffers for a
     // client before it stops reading requests.
     let mut requests = Client::connect(gateway.address);
-    let (mut wrote, mut asked) = (0, 0);
+    let (mut written, mut request_count) = (0, 0);
     for n in 0..30 {
         let object = format!("7f3a9c21e0b4{n:04x}");
         let (_, bytes) = requests.encode_request("page", &[("lookup", &object)], &[]);
         stream.write_all(&bytes).unwrap();
         let Some((cache, request)) = site.request_if_any() else { break };
-        (wrote, asked) = (wrote + bytes.len() as u64, asked + 1);
+        (written, request_count) = (written + bytes.len() as u64, request_count + 1);
         cache.answer(&request, "200", &vec![b'x'; 200_000]);
     }
     let mut read = vec![0; 3000];
@@ -222,27 +222,29 @@
     drop(stream);
     let own = |f: &FlowRecord| f.leg == "client" && f.class == "page";
     let cut = |f: &FlowRecord| own(f) && f.result == "cut";
-    until("all requests are reported", || collector.collection().sums(own)[2] == asked);
+    until("all requests are reported", || collector.collection().sums(own)[2] == request_count);
     let got = collector.collection();
     assert!(got.sums(cut)[2] >= 1, "a part of the answers stayed in the gateway");
-    let [out, back, _] = got.sums(own);
-    assert!((3000..asked * 200_100).contains(&out), "{out} of {asked}");
-    assert_eq!(back, wrote);
+    let [sent, received, _] = got.sums(own);
+    assert!((3000..request_count * 200_100).contains(&sent), "{sent} of {request_count}");
+    assert_eq!(received, written);
     let before = got.sums(cut)[2];
     // A client that cancels a request and then sends an incomplete message.
     let mut client = gateway.client();
     let id = client.request_object(OBJECT);
     let _ = site.next_request();
     client.cancel(id);
-    let wrote = client.bytes_written;
+    let written = client.bytes_written;
     client.send(&[0x94, 0x00]);
     drop(client);
     until("the flow is reported", || collector.collection().sums(cut)[2] == before + 1);
     let unclassified = |f: &FlowRecord| f.leg == "client" && f.class.is_empty();
     // The flow without a class counts the initial ping, the cancellation and the two bytes of the incomplete message.
     until("the bytes without a class are reported", || collector.collection().sums(unclassified)[1] > 2);
-    until("all bytes are reported", || collector.collection().leg_sums("client")[1] >= back + wrote + 2);
-    assert_eq!(collector.collection().leg_sums("client")[2], asked + 1);
+    until("all bytes are reported", || {
+        collector.collection().leg_sums("client")[1] >= received + written + 2
+    });
+    assert_eq!(collector.collection().leg_sums("client")[2], request_count + 1);
 }
 
 #[test]
@@ -264,12 +266,12 @@
         stream.write_all(&[0x94, 0, 1, 0xa4, b'p', b'i', b'n', b'g', 0x91, 0x80]).unwrap();
         stream.read_exact(&mut [0; 7]).unwrap();
     };
-    let mut asked = 0;
+    let mut request_count = 0;
     let end = Instant::now() + Duration::from_secs(30);
     while !gateway.log().contains("collector 0: stalled") {
-        assert!(Instant::now() < end, "never dropped after {asked} clients: {}", gateway.log());
-        (asked..asked + 500).for_each(request);
-        asked += 500;
+        assert!(Instant::now() < end, "never dropped after {request_count} clients: {}", gateway.log());
+        (request_count..request_count + 500).for_each(request);
+        request_count += 500;
     }
     until("the other collector receives flows", || !second.collection().flows.is_empty());
 }
--- a/crates/deckproxy/tests/lifecycle.rs
+++ b/crates/deckproxy/tests/lifecycle.rs
@@ -144,10 +144,10 @@
 #[test]
 fn closed_log_reader_does_not_end_the_process() {
     let site = TestSite::start();
-    let SubscribedGateway { mut gateway, mut client, feed, subscription: line } = site.start_subscribed();
+    let SubscribedGateway { mut gateway, mut client, feed, subscription } = site.start_subscribed();
     gateway.stop_reading_log();
     // Each lost feed connection logs a line; the first makes the log's reader close, the others get a broken pipe.
-    drop(line);
+    drop(subscription);
     for _ in 0..4 {
         drop(feed.accept());
     }
--- a/crates/deckproxy/tests/malformed_requests.rs
+++ b/crates/deckproxy/tests/malformed_requests.rs
@@ -104,8 +104,8 @@
     let first = client.request_object(OBJECT);
     let (cache, request) = site.next_request();
     client.encode_request("page", &[], &[]);
-    let made_up = client.request_object(OBJECT);
-    client.expect_error(made_up, "Unusable");
+    let non_consecutive = client.request_object(OBJECT);
+    client.expect_error(non_consecutive, "Unusable");
     let unread = client.request_object(OBJECT);
     cache.answer(&request, "200", b"first");
     client.expect_served(first, b"first");
--- a/crates/deckproxy/tests/member_connections.rs
+++ b/crates/deckproxy/tests/member_connections.rs
@@ -116,7 +116,7 @@
 #[test]
 fn address_taken_over_by_a_new_member_gets_a_new_connection() {
     let site = TestSite::start();
-    let SubscribedGateway { gateway: _gateway, mut client, subscription: line, .. } = site.start_subscribed();
+    let SubscribedGateway { gateway: _gateway, mut client, subscription, .. } = site.start_subscribed();
     let (cache, connection) = use_connection(&site, &mut client);
     let other = site.other_cache(cache);
     let members = [
@@ -124,7 +124,7 @@
         other.entry("edge", "box", "Gone"),
         entry("s-0000000a", cache.address, "edge", "box", "Ready"),
     ];
-    send_line(&line, &member_update(2, &members));
+    send_line(&subscription, &member_update(2, &members));
     // The old member's idle connection is closed, though the address is the same.
     cache.expect_closed();
     let id = client.request_object(OBJECT);
@@ -137,13 +137,13 @@
 #[test]
 fn restarted_member_gets_a_new_connection() {
     let site = TestSite::start();
-    let SubscribedGateway { gateway: _gateway, mut client, subscription: line, .. } = site.start_subscribed();
+    let SubscribedGateway { gateway: _gateway, mut client, subscription, .. } = site.start_subscribed();
     let (cache, connection) = use_connection(&site, &mut client);
     // The old process crashed silently: the connection still looks open.
     let mut again = cache.entry("edge", "box", "Ready");
     again["up_since_ms"] = json!(unix_ms() - 60_000);
     let other = site.other_cache(cache).entry("edge", "box", "Terminating");
-    send_line(&line, &member_update(2, &[again, other]));
+    send_line(&subscription, &member_update(2, &[again, other]));
     until("requests use a new connection", || {
         let (_, now) = use_connection(&site, &mut client);
         now != connection
--- a/crates/deckproxy/tests/member_list.rs
+++ b/crates/deckproxy/tests/member_list.rs
@@ -4,7 +4,7 @@
 use deckproxy::routing::members::Members;
 use deckproxy_control::interface::Lifecycle;
 
-fn line(id: &str, address: Option<&str>, lifecycle: Lifecycle) -> MemberEntry {
+fn member_entry(id: &str, address: Option<&str>, lifecycle: Lifecycle) -> MemberEntry {
     MemberEntry {
         id: id.into(),
         address: address.map(|a| a.parse().unwrap()),
@@ -23,7 +23,8 @@
     let at = Some("127.0.0.1:9");
     let ids = |names: &[&str]| -> Vec<u32> {
         let mut members = Members::default();
-        let take = |n: &&str| members.take(&line(n, at, Lifecycle::Ready), &zones, &kinds).unwrap().id;
+        let take =
+            |n: &&str| members.take(&member_entry(n, at, Lifecycle::Ready), &zones, &kinds).unwrap().id;
         names.iter().map(take).collect()
     };
     // Gateways that know other members, or in another order, assign the same ids: the shared hash depends on them.
@@ -36,15 +37,16 @@
 fn entry_needs_a_known_zone_and_keeps_its_address() {
     let (zones, kinds) = (["hub".to_string(), "edge_one".to_string()], ["box".to_string()]);
     let mut members = Members::default();
-    let m = members.take(&line("s-1", Some("127.0.0.1:9"), Lifecycle::Ready), &zones, &kinds).unwrap();
+    let m =
+        members.take(&member_entry("s-1", Some("127.0.0.1:9"), Lifecycle::Ready), &zones, &kinds).unwrap();
     assert_eq!((m.zone, m.kind, m.cell, m.weight, m.lifecycle), (1, 0, 2, 4.0, Lifecycle::Ready));
     assert_eq!(members.name(m.id), Some("s-1"));
     assert!(members.endpoint(m.id).is_some());
     // An entry without an address leaves the known address in place, for attempts in flight.
-    let gone = members.take(&line("s-1", None, Lifecycle::Gone), &zones, &kinds).unwrap();
+    let gone = members.take(&member_entry("s-1", None, Lifecycle::Gone), &zones, &kinds).unwrap();
     assert_eq!((gone.id, gone.lifecycle), (m.id, Lifecycle::Gone));
     assert!(members.endpoint(m.id).is_some());
-    let mut other = line("s-2", Some("127.0.0.1:9"), Lifecycle::Ready);
+    let mut other = member_entry("s-2", Some("127.0.0.1:9"), Lifecycle::Ready);
     other.zone = "nowhere".into();
     assert_eq!(members.take(&other, &zones, &kinds), None);
 }
--- a/crates/deckproxy/tests/reload.rs
+++ b/crates/deckproxy/tests/reload.rs
@@ -12,8 +12,8 @@
     setup.feed = old.address;
     let gateway = setup.start();
     let mut client = gateway.client();
-    let (_, line) = old.accept();
-    send_line(&line, &group_purge(2, 5));
+    let (_, subscription) = old.accept();
+    send_line(&subscription, &group_purge(2, 5));
     until("the purge is applied", || site.is_bound_by_purge(&mut client, 5));
     let held = client.request_object(OBJECT);
     let (cache, request) = site.next_request();
@@ -21,13 +21,13 @@
     let mut lines = Vec::new();
     for _ in 0..3 {
         gateway.reload(Some(&setup.config().to_string()));
-        let (from, line) = new.accept();
+        let (from, subscription) = new.accept();
         assert_eq!(from, 2, "subscribed after the last event");
-        lines.push(line);
+        lines.push(subscription);
     }
     // The old connection is closed, and no new one is opened to the old address.
-    line.set_read_timeout(Some(PATIENCE)).unwrap();
-    assert!(matches!((&line).read(&mut [0]), Ok(0) | Err(_)));
+    subscription.set_read_timeout(Some(PATIENCE)).unwrap();
+    assert!(matches!((&subscription).read(&mut [0]), Ok(0) | Err(_)));
     send_line(&lines[2], &group_purge(3, 6));
     until("the purge is applied", || site.is_bound_by_purge(&mut client, 6));
     cache.answer(&request, "200", b"held");
@@ -37,7 +37,7 @@
 #[test]
 fn invalid_configuration_changes_nothing_and_is_logged() {
     let site = TestSite::start();
-    let SubscribedGateway { gateway, mut client, feed, subscription: line } = site.start_subscribed();
+    let SubscribedGateway { gateway, mut client, feed, subscription } = site.start_subscribed();
     let mut wrong = site.setup().config();
     wrong["feed"] = json!("nowhere");
     let whole = site.setup().config().to_string();
@@ -51,9 +51,9 @@
         gateway.reload(text.as_deref());
         until(why, || gateway.log().contains(why));
     }
-    send_line(&line, &group_purge(2, 5));
+    send_line(&subscription, &group_purge(2, 5));
     until("events of the old feed still apply", || site.is_bound_by_purge(&mut client, 5));
-    drop(line);
+    drop(subscription);
     assert_eq!(feed.accept().0, 2);
 }
 
--- a/crates/deckproxy/tests/request_path.rs
+++ b/crates/deckproxy/tests/request_path.rs
@@ -130,21 +130,21 @@
 
 #[test]
 fn failed_read_is_retried_at_the_next_cache() {
-    for word in ["500", "503", "504", "reset", "unreadable"] {
+    for ending in ["500", "503", "504", "reset", "unreadable"] {
         let site = TestSite::start();
         let gateway = site.setup().start();
         let mut client = gateway.client();
         let id = client.request_object(OBJECT);
         let (cache, request) = site.next_request();
-        match word {
+        match ending {
             "reset" => cache.reset(request.connection),
             "unreadable" => cache.send(request.connection, b"*4\r\n$99999999\r\n"),
-            word => cache.answer(&request, word, &[]),
+            ending => cache.answer(&request, ending, &[]),
         }
         let other = site.other_cache(cache);
         let again = other.next_request();
-        other.answer(&again, "200", word.as_bytes());
-        client.expect_served(id, word.as_bytes());
+        other.answer(&again, "200", ending.as_bytes());
+        client.expect_served(id, ending.as_bytes());
     }
 }
 
@@ -177,9 +177,9 @@
     assert!((1000..3000).contains(&within(&request)), "{request:?}");
     cache.answer(&request, "200", b"1");
     client.expect_served(id, b"1");
-    let (from, line) = feed.accept();
+    let (from, subscription) = feed.accept();
     assert_eq!(from, 2);
-    send_line(&line, &json!({"n": 3, "purge": {"group": 17, "at": unix_ms() - 300}}));
+    send_line(&subscription, &json!({"n": 3, "purge": {"group": 17, "at": unix_ms() - 300}}));
     until("the purge is applied", || {
         let id = client.send_request("page", &[("lookup", OBJECT), ("bucket", "17")], &[]);
         let (cache, request) = site.next_request();
@@ -197,11 +197,11 @@
 #[test]
 fn draining_cache_gets_no_new_requests_and_finishes_its_own() {
     let site = TestSite::start();
-    let SubscribedGateway { gateway: _gateway, mut client, subscription: line, .. } = site.start_subscribed();
+    let SubscribedGateway { gateway: _gateway, mut client, subscription, .. } = site.start_subscribed();
     let first = client.request_object(OBJECT);
     let (cache, request) = site.next_request();
     let draining = cache.entry("edge", "box", "Terminating");
-    send_line(&line, &member_update(2, &[draining]));
+    send_line(&subscription, &member_update(2, &[draining]));
     let other = site.other_cache(cache);
     // Requests that still reach the draining cache were sent before the event was applied.
     until("requests go to the other cache", || {
--- a/crates/deckproxy/tests/sites/purges.rs
+++ b/crates/deckproxy/tests/sites/purges.rs
@@ -45,8 +45,8 @@
     until("the north considers the south unreachable", || {
         pair.north.gateway.log().matches("is unreachable").count() == 2
     });
-    let bound = within(&pair);
-    assert!(bound.is_some_and(|w| w <= 1000), "{bound:?}");
+    let max_age = within(&pair);
+    assert!(max_age.is_some_and(|w| w <= 1000), "{max_age:?}");
     pair.link.set_state(LinkState::Up);
     until("the south is reachable again", || {
         pair.north.gateway.log().matches("all peers are reachable").count() == 2
