--- a/crates/deckproxy/src/program/effects.rs
+++ b/crates/deckproxy/src/program/effects.rs
@@ -72,8 +72,8 @@
         if !self.subsystems.is_on() {
             return false;
         }
-        let full = self.subsystems.has_sites() && (self.is_memory_full() || self.is_rejecting());
-        self.subsystems.poll(&Context { now, router: &self.router, full });
+        let rejects_requests = self.subsystems.has_sites() && (self.is_memory_full() || self.is_rejecting());
+        self.subsystems.poll(&Context { now, router: &self.router, rejects_requests });
         let any = self.apply_subsystem_effects(now);
         self.flush_links(now) || any
     }
--- a/crates/deckproxy/src/program/gateway.rs
+++ b/crates/deckproxy/src/program/gateway.rs
@@ -120,7 +120,7 @@
 
 /// What subsystems may look at, while the gateway's other fields are in use.
 pub(super) fn context(now: f64, router: &Router) -> Context<'_> {
-    Context { now, router, full: false }
+    Context { now, router, rejects_requests: false }
 }
 
 /// Binds the address for links of other sites' gateways, where an operator file names one.
--- a/crates/deckproxy/src/program/sites/forwarding.rs
+++ b/crates/deckproxy/src/program/sites/forwarding.rs
@@ -90,7 +90,7 @@
         let site = path.last().cloned();
         out.push_back(Effect::Notify(Note::LinkRequestBegan { run, class: request.class.clone(), site }));
         let call = match link::call_from_request(request) {
-            Ok(call) if !cx.full => call,
+            Ok(call) if !cx.rejects_requests => call,
             Ok(_) => return self.answer_link(cx, run, Answer::Rejected(0.0), None, out),
             Err(why) => return self.answer_link(cx, run, Answer::Invalid(why), None, out),
         };
--- a/crates/deckproxy/src/program/subsystem/mod.rs
+++ b/crates/deckproxy/src/program/subsystem/mod.rs
@@ -34,9 +34,9 @@
     pub now: f64,
     /// The router, its settings and the names of members.
     pub router: &'a Router,
-    /// Requests that would stay open for long must be rejected, because the memory limit is reached or a shutdown is in
-    /// its rejecting phase. Determined only for [`Subsystem::poll`]; false in all other calls.
-    pub full: bool,
+    /// Whether new requests must be rejected, because the memory limit is reached or a shutdown is in its rejecting
+    /// phase. Determined only for [`Subsystem::poll`]; false in all other calls.
+    pub rejects_requests: bool,
 }
 
 /// A subsystem's decision on a client's request, made before the router receives it.
