--- a/crates/deckproxy/src/program/flows/accounting.rs
+++ b/crates/deckproxy/src/program/flows/accounting.rs
@@ -12,7 +12,7 @@
 use std::collections::HashMap;
 use std::net::IpAddr;
 
-/// Most names of classes, members and sites that get a number of their own; further names share one.
+/// Maximum number of names of classes, members and sites with a number of their own; further names share one.
 const MAX_NAMES: usize = 65_536;
 /// Client networks tracked separately to find those with most bytes.
 const TOP_TRACKED: usize = 64;
