--- a/crates/deckproxy/src/program/sites/forwarding.rs
+++ b/crates/deckproxy/src/program/sites/forwarding.rs
@@ -1,6 +1,6 @@
 //! Forwards requests to other sites, and serves requests that other sites forward.
 
-use super::{Owner, Sites};
+use super::{ReplyTarget, Sites};
 use crate::program::subsystem::{
     Context, Effect, Effects, Event, FIRST_LINK_CLIENT, Note, RequestKey, Verdict, outcome_of,
 };
@@ -23,7 +23,7 @@
     if below + above == 0 { 0.5 } else { below as f64 / (below + above) as f64 }
 }
 
-/// Builds the forwarded form of a request; the error says why the request is invalid.
+/// Builds the forwarded form of a request, or returns why the request is invalid.
 fn forwarded_request(
     cx: &Context<'_>,
     call: &Call,
@@ -44,17 +44,17 @@
 }
 
 impl Sites {
-    /// Assigns a token to a forwarded request and records who waits for its answer.
-    fn new_token(&mut self, owner: Owner) -> RequestToken {
+    /// Assigns a token to a forwarded request and records where its answer is sent.
+    fn new_token(&mut self, target: ReplyTarget) -> RequestToken {
         self.last_token += 1;
-        self.owners.insert(self.last_token, owner);
+        self.reply_targets.insert(self.last_token, target);
         self.last_token
     }
 
     /// Cancels a forwarded request that its client cancelled, or all those of a client that disconnected.
     pub(super) fn cancel_client_requests(&mut self, now: f64, event: &Event<'_>, out: &mut Effects) {
         for (_, token) in self.client_requests.remove_cancelled(event) {
-            self.owners.remove(&token);
+            self.reply_targets.remove(&token);
             self.site.cancel(now, token);
             out.push_back(Effect::CountCancelled);
         }
@@ -71,9 +71,9 @@
         let destination = self.site.destination(cx.now, &call.class, call.group, call.object.number, &[]);
         let Destination::Remote(site) = destination else { return Verdict::Pass };
         match forwarded_request(cx, call, vec![self.site.own_site().to_string()]) {
-            Err(why) => Verdict::Answer(Answer::Invalid(why)),
+            Err(error) => Verdict::Answer(Answer::Invalid(error)),
             Ok(forwarded) => {
-                let token = self.new_token(Owner::Client(request));
+                let token = self.new_token(ReplyTarget::Client(request));
                 self.client_requests.insert(request, token);
                 self.site.request(cx.now, token, &site, forwarded);
                 let (client, id) = request;
@@ -92,7 +92,7 @@
         let call = match link::call_from_request(request) {
             Ok(call) if !cx.rejects_requests => call,
             Ok(_) => return self.answer_link(cx, run, Answer::Rejected(0.0), None, out),
-            Err(why) => return self.answer_link(cx, run, Answer::Invalid(why), None, out),
+            Err(error) => return self.answer_link(cx, run, Answer::Invalid(error), None, out),
         };
         match self.site.destination(cx.now, &call.class, call.group, call.object.number, &path) {
             Destination::Local => {
@@ -106,9 +106,9 @@
             Destination::Remote(site) => {
                 let path = path.into_iter().chain([self.site.own_site().to_string()]).collect();
                 match forwarded_request(cx, &call, path) {
-                    Err(why) => self.answer_link(cx, run, Answer::Invalid(why), None, out),
+                    Err(error) => self.answer_link(cx, run, Answer::Invalid(error), None, out),
                     Ok(forwarded) => {
-                        let token = self.new_token(Owner::Run(run));
+                        let token = self.new_token(ReplyTarget::Run(run));
                         self.transit_requests.insert(run, token);
                         self.site.request(cx.now, token, &site, forwarded);
                     }
@@ -164,12 +164,12 @@
             Reply::Failed => (Answer::Failed, None),
             Reply::Invalid => (Answer::Invalid(RequestError::InvalidAtOtherSite), None),
         };
-        match self.owners.remove(&token) {
-            Some(Owner::Client((client, id))) => {
+        match self.reply_targets.remove(&token) {
+            Some(ReplyTarget::Client((client, id))) => {
                 self.client_requests.remove((client, id));
                 out.push_back(Effect::Answer { client, id, answer });
             }
-            Some(Owner::Run(run)) => {
+            Some(ReplyTarget::Run(run)) => {
                 self.transit_requests.remove(&run);
                 self.answer_link(cx, run, answer, copy, out);
             }
@@ -182,7 +182,7 @@
         out.push_back(Effect::Notify(Note::LinkRequestEnded { run, outcome: Outcome::Canceled }));
         match self.transit_requests.remove(&run) {
             Some(token) => {
-                self.owners.remove(&token);
+                self.reply_targets.remove(&token);
                 self.site.cancel(cx.now, token);
             }
             None => out.push_back(Effect::Abort(FIRST_LINK_CLIENT + run)),
--- a/crates/deckproxy/src/program/sites/mod.rs
+++ b/crates/deckproxy/src/program/sites/mod.rs
@@ -20,12 +20,12 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-/// Who waits for the answer to a forwarded request.
+/// Where the answer to a forwarded request is sent.
 #[derive(Clone, Copy, Debug)]
-enum Owner {
+enum ReplyTarget {
     /// A client.
     Client(RequestKey),
-    /// Another site: the request was received over one link and forwarded over another.
+    /// Another site, as the request was received over one link and forwarded over another.
     Run(RunId),
 }
 
@@ -45,8 +45,8 @@
     addresses: Vec<Vec<SocketAddr>>,
     /// The configured peers by site name.
     peers: BTreeMap<String, ActivePeer>,
-    /// Who waits for each forwarded request.
-    owners: HashMap<RequestToken, Owner>,
+    /// Where the answer to each forwarded request is sent.
+    reply_targets: HashMap<RequestToken, ReplyTarget>,
     /// Forwarded requests of clients.
     client_requests: OpenRequests<RequestToken>,
     /// Requests that were received over one link and forwarded over another.
@@ -92,7 +92,7 @@
             site: SiteGateway::new(config, epoch, now),
             addresses: sites.peers.iter().map(addresses).collect(),
             peers: peers.collect(),
-            owners: HashMap::new(),
+            reply_targets: HashMap::new(),
             client_requests: OpenRequests::default(),
             transit_requests: HashMap::new(),
             last_token: 0,
@@ -120,8 +120,8 @@
         let is_kept = |name: &str, old: &ActivePeer| {
             new.peers.iter().any(|peer| peer.site == name && *peer == old.settings)
         };
-        let gone = self.peers.iter().filter(|(name, peer)| !is_kept(name, peer));
-        for name in gone.map(|(name, _)| name.clone()).collect::<Vec<_>>() {
+        let removed = self.peers.iter().filter(|(name, peer)| !is_kept(name, peer));
+        for name in removed.map(|(name, _)| name.clone()).collect::<Vec<_>>() {
             if let Some(peer) = self.peers.remove(&name) {
                 self.site.remove_peer(peer.index);
             }
@@ -188,7 +188,9 @@
                     out.push_back(Effect::ConnectLink { peer, address_index, to });
                 }
                 site::Effect::Send(link, frame) => out.push_back(Effect::SendFrame(link, frame)),
-                site::Effect::Close(link, why) => out.push_back(Effect::CloseLink(link, why.to_string())),
+                site::Effect::Close(link, reason) => {
+                    out.push_back(Effect::CloseLink(link, reason.to_string()));
+                }
                 site::Effect::Reply(token, reply) => self.forwarded_reply(cx, token, reply, out),
                 site::Effect::Run(run, request) => self.link_request(cx, run, request, out),
                 site::Effect::Cancel(run) => self.cancel_link_request(cx, run, out),
@@ -223,7 +225,7 @@
 
     /// Answers all forwarded requests as failed, as the process is about to be killed.
     fn fail_open(&mut self, cx: &Context<'_>, out: &mut Effects) {
-        let all: Vec<RequestToken> = self.owners.keys().copied().collect();
+        let all: Vec<RequestToken> = self.reply_targets.keys().copied().collect();
         for token in all {
             self.site.cancel(cx.now, token);
             self.forwarded_reply(cx, token, Reply::Failed, out);
