--- a/crates/deckproxy/src/program/gateway.rs
+++ b/crates/deckproxy/src/program/gateway.rs
@@ -120,7 +120,7 @@
 
 /// The context for subsystems. A function, so that the gateway's other fields can be borrowed at the same time.
 pub(super) fn context(now: f64, router: &Router) -> Context<'_> {
-    Context { now, router, full: false }
+    Context { now, router, rejects_requests: false }
 }
 
 /// Binds the address for links of other sites' gateways, if the operator file has one.
