--- a/crates/deckproxy/src/transport/member.rs
+++ b/crates/deckproxy/src/transport/member.rs
@@ -9,15 +9,15 @@
 
 /// Key of messages that are neither an attempt nor a health check.
 const OTHER: u64 = u64::MAX;
-/// Cancelled names without an answer on one connection above which it is retired; also the number of answered names
-/// that are remembered.
+/// A connection with more cancelled names without an answer than this is retired. It also remembers at most this many
+/// of the most recently answered names.
 const MAX_TRACKED_NAMES: usize = 32;
 
 /// A message to a member.
 pub enum MemberMessage {
     /// An attempt.
     Attempt {
-        /// Its encoded command.
+        /// The encoded command.
         parts: [Bytes; 3],
         /// Time after which the attempt is cancelled if no byte of it was written, ms.
         unsent_timeout: f64,
@@ -85,6 +85,7 @@
     consumed: bool,
     /// Accepts no new attempts; closes once nothing is in flight.
     pub retired: bool,
+    /// Messages that the current flush has written completely; a field to reuse its memory.
     written: Vec<WrittenMessage>,
 }
 
@@ -122,12 +123,12 @@
         !self.retired && !used && !self.answered.iter().any(|other| **other == *name)
     }
 
-    /// Appends an attempt.
+    /// Appends an attempt to the write buffer.
     pub fn send_attempt(&mut self, key: u64, name: Box<str>, parts: [Bytes; 3], now: f64) {
         self.send(name, OutgoingMessage { key, parts }, true, now);
     }
 
-    /// Appends a health check.
+    /// Appends a health check to the write buffer.
     pub fn send_health_check(&mut self, key: u64, tag: Box<str>, now: f64) {
         let message = OutgoingMessage::single(key, encode_health_check(&tag));
         self.send(tag, message, false, now);
@@ -151,7 +152,7 @@
         true
     }
 
-    /// Attempts that are not written completely.
+    /// Keys of the attempts that are not written completely.
     pub fn unwritten_attempts(&self) -> Vec<u64> {
         let unwritten = |message: &InFlight| message.is_attempt && message.written_at.is_none();
         self.in_flight.iter().filter(|(_, message)| unwritten(message)).map(|(key, _)| *key).collect()
@@ -162,10 +163,11 @@
         self.in_flight.get(&key).is_none_or(|message| message.written_at.is_some())
     }
 
-    /// Cancels an attempt. Returns how much of it was written; none if it is not in flight here.
+    /// Cancels an attempt or a health check. Returns how much of it was written; none if it is not in flight here.
     ///
-    /// Retires the connection if nothing was received for `silence_timeout` ms after the attempt was written, as it may
-    /// be silently broken, or if a partial answer has been incomplete for so long, as the rest is unlikely to arrive.
+    /// Retires the connection if the message was written more than `silence_timeout` ms ago and nothing was received
+    /// since, as it may be silently broken; or if the last bytes of an incomplete answer were received as long ago, as
+    /// the rest is unlikely to arrive.
     pub fn cancel(&mut self, key: u64, now: f64, silence_timeout: f64) -> Option<WrittenPart> {
         let message = self.in_flight.remove(&key)?;
         self.keys.remove(&message.name);
