--- a/crates/deckproxy/src/transport/client.rs
+++ b/crates/deckproxy/src/transport/client.rs
@@ -35,7 +35,7 @@
     consumed: bool,
     /// The id that the next request must have.
     next_id: u32,
-    /// Requests cancelled since the last answer was written.
+    /// Requests cancelled since the last answer to an open request was written.
     cancelled: usize,
     /// Bytes waiting to be written that answer no open request.
     other_bytes: usize,
@@ -43,6 +43,7 @@
     closing: bool,
     /// When the connection was half-closed, Unix ms.
     half_closed_at: Option<f64>,
+    /// Messages that the current flush has written completely; a field to reuse its memory.
     written: Vec<WrittenMessage>,
 }
 
@@ -119,7 +120,7 @@
         follows
     }
 
-    /// Starts to close: received messages are dropped, pending answers are still written.
+    /// Starts to close: received messages are dropped, open requests are still answered.
     pub fn begin_close(&mut self) {
         self.closing = true;
     }
--- a/crates/deckproxy/src/transport/feed.rs
+++ b/crates/deckproxy/src/transport/feed.rs
@@ -16,6 +16,7 @@
     /// When the last line arrived; before the first one, when the connection was opened or established. Unix ms.
     pub last_line_at: f64,
     established: bool,
+    /// Messages that the current flush has written completely; a field to reuse its memory.
     written: Vec<WrittenMessage>,
 }
 
--- a/crates/deckproxy/src/transport/site_link.rs
+++ b/crates/deckproxy/src/transport/site_link.rs
@@ -30,12 +30,13 @@
     /// The target of a link that is not established yet.
     pub connecting: Option<LinkTarget>,
     decoder: Decoder,
-    /// Attempts that are not written completely.
+    /// Numbers of the attempts that are not written completely.
     unwritten: BTreeSet<u64>,
     /// Whether a frame was decoded since the input buffer was last trimmed.
     consumed: bool,
     /// Received frames are dropped; the link closes once its write buffer is empty.
     pub closing: bool,
+    /// Messages that the current flush has written completely; a field to reuse its memory.
     written: Vec<WrittenMessage>,
 }
 
