--- a/crates/deckproxy/src/transport/stream.rs
+++ b/crates/deckproxy/src/transport/stream.rs
@@ -16,13 +16,14 @@
 
 /// Bytes read in one call, unless the decoder is missing more for its next message.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
-/// Bytes read in one turn before other connections get theirs.
+/// Limit of the bytes read from one connection in one turn, before other connections get theirs; the last call may
+/// exceed it by less than a chunk.
 const READ_TURN_BYTES: usize = 256 * 1024;
 /// Time after which the kernel discards the remaining bytes of a closed connection if the remote end does not
 /// acknowledge them.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(10);
-/// Size of the kernel's send buffer of an outgoing connection. It is limited as only bytes that the kernel has not
-/// accepted are known not to have been sent.
+/// Size of the kernel's send buffer of an outgoing connection. It is limited because only bytes that the kernel has
+/// not accepted are known not to have been sent.
 const SEND_BUFFER_BYTES: usize = 128 * 1024;
 
 /// Out of memory.
@@ -62,8 +63,12 @@
     /// Lower bound of the bytes that the decoder is missing for its next message.
     pub missing: usize,
     output: WriteBuffer,
+    /// Whether a read may return bytes: set when the kernel reports readiness and by `assume_readable`, cleared when a
+    /// read would block.
     readable: bool,
+    /// Whether a write may succeed: set when the kernel reports readiness, cleared when a write would block.
     writable: bool,
+    /// Whether the handshake is still in progress.
     connecting: bool,
     usage: UsageShare,
 }
@@ -72,7 +77,7 @@
     /// Wraps an accepted connection. `ready` is called when the kernel reports readiness.
     ///
     /// # Errors
-    /// The error of the operating system if the socket cannot be made non-blocking or registered.
+    /// The error of the operating system if the socket cannot be configured or registered.
     pub fn accepted<D: 'static>(
         handle: &LoopHandle<'static, D>,
         usage: &Rc<BufferUsage>,
@@ -86,7 +91,8 @@
     /// Starts to connect. `ready` is called when the kernel reports readiness.
     ///
     /// # Errors
-    /// The error of the operating system if the socket cannot be created, connected or registered; nothing was sent.
+    /// The error of the operating system if the socket cannot be created, configured, connected or registered;
+    /// nothing was sent.
     pub fn connect<D: 'static>(
         handle: &LoopHandle<'static, D>,
         usage: &Rc<BufferUsage>,
@@ -97,8 +103,9 @@
         socket.set_nonblocking(true)?;
         socket.set_send_buffer_size(SEND_BUFFER_BYTES)?;
         if let Err(error) = socket.connect(&to.into()) {
-            let begun = error.kind() == ErrorKind::WouldBlock || error.raw_os_error() == Some(EINPROGRESS);
-            if !begun {
+            let in_progress =
+                error.kind() == ErrorKind::WouldBlock || error.raw_os_error() == Some(EINPROGRESS);
+            if !in_progress {
                 return Err(error);
             }
         }
@@ -171,7 +178,7 @@
     /// Reads the available bytes, up to the limit of one turn.
     pub fn read(&mut self) -> Progress {
         let progress = self.read_turn();
-        self.account();
+        self.update_usage();
         progress
     }
 
@@ -206,7 +213,7 @@
     }
 
     /// Updates the accounting with the current sizes of the buffers.
-    fn account(&mut self) {
+    fn update_usage(&mut self) {
         self.usage.set(self.input.len(), self.output.bytes());
     }
 
@@ -217,19 +224,19 @@
         if consumed || self.input.is_empty() {
             self.input = BytesMut::from(&self.input[..]);
         }
-        self.account();
+        self.update_usage();
     }
 
     /// Appends a message to the write buffer.
     pub fn push(&mut self, message: OutgoingMessage) {
         self.output.push(message);
-        self.account();
+        self.update_usage();
     }
 
     /// Removes a message of which no byte was written. Returns whether it was removed.
     pub fn cancel(&mut self, key: u64) -> bool {
         let cancelled = self.output.cancel(key);
-        self.account();
+        self.update_usage();
         cancelled
     }
 
@@ -252,7 +259,7 @@
             return Ok(());
         }
         let complete = self.output.flush(&mut &*self.socket, written);
-        self.account();
+        self.update_usage();
         self.writable = complete?;
         Ok(())
     }
--- a/crates/deckproxy/src/transport/write_buffer.rs
+++ b/crates/deckproxy/src/transport/write_buffer.rs
@@ -122,7 +122,7 @@
         slices
     }
 
-    /// Accounts for bytes that the kernel accepted.
+    /// Records that the kernel accepted `bytes`, and moves completely written messages from the queue to `written`.
     fn advance(&mut self, bytes: usize, written: &mut Vec<WrittenMessage>) {
         self.bytes -= bytes;
         self.first_written += bytes;
