--- a/crates/deckproxy/src/transport/clock.rs
+++ b/crates/deckproxy/src/transport/clock.rs
@@ -1,4 +1,4 @@
-//! The clocks: Unix time in milliseconds, as all parties of the protocols use it, and a monotonic one.
+//! The clocks: Unix time in milliseconds, as the protocols use it, and a monotonic clock.
 
 use std::sync::OnceLock;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
--- a/crates/deckproxy/src/transport/collector.rs
+++ b/crates/deckproxy/src/transport/collector.rs
@@ -157,7 +157,7 @@
                 self.flush(written)
             }
             CollectorConnection::Udp(socket) => {
-                // An error here is that of an earlier datagram; this one was not sent.
+                // An error may be that of an earlier datagram; this one was not sent in any case.
                 socket.send(&message)?;
                 written.push(WrittenMessage { key: number, bytes: message.len() });
                 Ok(true)
--- a/crates/deckproxy/src/transport/datagram_socket.rs
+++ b/crates/deckproxy/src/transport/datagram_socket.rs
@@ -6,14 +6,14 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
 
-/// Bytes read of a datagram; a longer one is truncated and exceeds the length that its decoder accepts.
-const MAX_DATAGRAM_BYTES: usize = 2048;
+/// Size of the receive buffer. A longer datagram is truncated to this length, which exceeds what its decoder accepts.
+const RECEIVE_BUFFER_BYTES: usize = 2048;
 
 /// A UDP socket, registered edge-triggered: once it is ready, call `receive` until it returns none.
 pub struct DatagramSocket {
     socket: Rc<UdpSocket>,
     token: RegistrationToken,
-    buffer: Box<[u8; MAX_DATAGRAM_BYTES]>,
+    buffer: Box<[u8; RECEIVE_BUFFER_BYTES]>,
     /// Datagrams that the kernel did not accept.
     pub unsent: u64,
 }
@@ -31,7 +31,7 @@
         let socket = Rc::new(UdpSocket::bind(address)?);
         socket.set_nonblocking(true)?;
         let token = register(handle, Rc::clone(&socket), Interest::READ, move |data, _| ready(data))?;
-        Ok(DatagramSocket { socket, token, buffer: Box::new([0; MAX_DATAGRAM_BYTES]), unsent: 0 })
+        Ok(DatagramSocket { socket, token, buffer: Box::new([0; RECEIVE_BUFFER_BYTES]), unsent: 0 })
     }
 
     /// Receives the next datagram and its sender; none if none is available.
@@ -40,7 +40,8 @@
             match self.socket.recv_from(&mut self.buffer[..]) {
                 Ok((length, from)) => return Some((from, &self.buffer[..length])),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return None,
-                // The error is that of an earlier datagram that its destination rejected; the next receive may succeed.
+                // `ConnectionRefused` reports an earlier datagram that its destination rejected; the next receive may
+                // succeed.
                 Err(error)
                     if matches!(error.kind(), ErrorKind::ConnectionRefused | ErrorKind::Interrupted) => {}
                 Err(_) => return None,
@@ -48,7 +49,8 @@
         }
     }
 
-    /// Sends a datagram. One that the kernel does not accept is counted and lost, as it could be on the network.
+    /// Sends a datagram. One that the kernel does not accept is counted and dropped, as it could also be lost on the
+    /// network.
     pub fn send(&mut self, to: SocketAddr, bytes: &[u8]) {
         self.unsent += u64::from(self.socket.send_to(bytes, to).is_err());
     }
--- a/crates/deckproxy/src/transport/listener.rs
+++ b/crates/deckproxy/src/transport/listener.rs
@@ -17,7 +17,7 @@
     One(TcpStream),
     /// No connection is waiting.
     None,
-    /// The process or the system has no descriptor left; retrying at once would busy-loop.
+    /// The process or the system is out of descriptors, buffers or memory; retrying at once would busy-loop.
     Exhausted,
 }
 
--- a/crates/deckproxy/src/transport/loop_timer.rs
+++ b/crates/deckproxy/src/transport/loop_timer.rs
@@ -13,7 +13,7 @@
 }
 
 impl<D: 'static> LoopTimer<D> {
-    /// Registers a timer that is not set.
+    /// Registers a timer without a deadline.
     ///
     /// # Errors
     /// The error of the event loop if the timer cannot be registered.
