--- a/crates/deckproxy/src/protocol/limits.rs
+++ b/crates/deckproxy/src/protocol/limits.rs
@@ -45,7 +45,7 @@
 pub const RESERVE: usize = 40;
 /// At most one in this many descriptors is reserved; takes effect if the process has few.
 pub const RESERVE_SHARE: usize = 4;
-/// Attempts begin to share member connections when one in this many is left.
+/// Attempts begin to share member connections when one in this many of the allowed connections is left.
 pub const SHARING_RESERVE: usize = 4;
 /// Most connections being established to one member before its attempts share them, so that a burst does not overflow
 /// the member's accept queue and an unreachable member uses few descriptors.
@@ -53,7 +53,7 @@
 
 /// Shortest delay of a timer of the decision module.
 pub const MIN_TIMER_DELAY: f64 = 1.0;
-/// Extension of deadlines for delays on the sockets.
+/// Time by which deadlines are extended to allow for delays on the sockets.
 pub const SOCKET_SLACK: f64 = 50.0;
 /// Time after SIGTERM during which new connections and requests are still accepted.
 pub const DRAIN_ACCEPT: f64 = 700.0;
@@ -74,7 +74,7 @@
 /// Time in which the first message on a new connection must be received, and any message after its first byte.
 pub const CLIENT_READ_TIMEOUT: f64 = 2000.0;
 /// Age below which a new connection is not evicted for another client, as its first message may be in transit. The
-/// gateway's own connections may still displace it.
+/// gateway's own connections may still evict it.
 pub const CLIENT_MIN_AGE: f64 = 50.0;
 /// Requests that a client may cancel one after another without one being answered.
 pub const CLIENT_CANCELLATIONS: usize = 4 * CLIENT_REQUESTS;
@@ -82,7 +82,7 @@
 /// longest time that a half-closed connection stays open for a client that still sends.
 pub const CLOSING_INTERVAL: f64 = 1500.0;
 /// Time that a client has to close its side of a half-closed connection (lingering close); extended while it still
-/// sends.
+/// sends. Also the time from failing all open requests at a shutdown until connections are closed.
 pub const LINGER: f64 = 300.0;
 /// Time before a member's idle timeout from which a connection to it is no longer used.
 pub const IDLE_MARGIN: f64 = 500.0;
--- a/crates/deckproxy/src/protocol/mod.rs
+++ b/crates/deckproxy/src/protocol/mod.rs
@@ -1,5 +1,5 @@
-//! Decoders and encoders of all protocols on the sockets, without I/O. Names on the wire are used only in this module:
-//! parsing maps them to the terms of the code.
+//! Decoders and encoders of all protocols on the sockets, without I/O. Names on the wire are mapped to
+//! the terms of the code here, so that other modules don't depend on them.
 
 pub mod config;
 pub mod config_file;
@@ -8,5 +8,4 @@
 pub mod feed;
 pub mod limits;
 pub mod link;
-
 pub mod upstream;
