--- a/crates/deckproxy/src/protocol/feed.rs
+++ b/crates/deckproxy/src/protocol/feed.rs
@@ -25,7 +25,7 @@
     pub lifecycle: Lifecycle,
     /// Its size; 1 if the feed sets none.
     pub size: f64,
-    /// When its process started, Unix ms, if the feed reports it.
+    /// When its process started, Unix ms; `None` if the feed sends 0 or nothing, as for a start that is not recent.
     pub started: Option<f64>,
 }
 
@@ -122,7 +122,8 @@
 
 impl std::error::Error for EventError {}
 
-/// A line is longer than the limit. Nothing that follows on the connection can be decoded.
+/// More bytes than the limit were received without the end of a line. Nothing that follows on the connection can be
+/// decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LineTooLong;
 
@@ -150,7 +151,7 @@
     /// Removes the next line from the buffer and decodes it, if it is complete.
     ///
     /// # Errors
-    /// The line is longer than [`limits::FEED_LINE`].
+    /// The buffer has no end of a line and is longer than [`limits::FEED_LINE`].
     pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<FeedLine>, LineTooLong> {
         let Some(end) = buffer[self.searched..].iter().position(|byte| *byte == b'\n') else {
             self.searched = buffer.len();
--- a/crates/deckproxy/src/protocol/link.rs
+++ b/crates/deckproxy/src/protocol/link.rs
@@ -8,7 +8,7 @@
 use std::fmt;
 
 /// Size of the length prefix in bytes.
-const LENGTH: usize = 4;
+const LENGTH_PREFIX_BYTES: usize = 4;
 
 /// Why a frame can't be decoded. Nothing that follows on its connection can be decoded either.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,7 +36,7 @@
 
 /// The length of the frame at the start of `bytes`, if the length prefix is complete.
 fn frame_length(bytes: &[u8]) -> Option<usize> {
-    let length = bytes.first_chunk::<LENGTH>()?;
+    let length = bytes.first_chunk::<LENGTH_PREFIX_BYTES>()?;
     Some(u32::from_be_bytes(*length) as usize)
 }
 
@@ -51,10 +51,10 @@
         if length > limits::LINK_FRAME {
             return Err(FrameError::TooLong);
         }
-        if buffer.len() < LENGTH + length {
+        if buffer.len() < LENGTH_PREFIX_BYTES + length {
             return Ok(None);
         }
-        buffer.advance(LENGTH);
+        buffer.advance(LENGTH_PREFIX_BYTES);
         let frame = buffer.split_to(length).freeze();
         // The decoder drops fields that only a later version knows.
         Frame::decode(frame).map(Some).map_err(|_| FrameError::Unreadable)
@@ -63,14 +63,14 @@
     /// Minimum number of bytes that are still missing.
     pub fn missing(&self, buffer: &[u8]) -> usize {
         let length = frame_length(buffer).unwrap_or(0);
-        (LENGTH + length.min(limits::LINK_FRAME)).saturating_sub(buffer.len())
+        (LENGTH_PREFIX_BYTES + length.min(limits::LINK_FRAME)).saturating_sub(buffer.len())
     }
 }
 
 /// Encodes a frame.
 pub fn encode_frame(frame: &Frame) -> Bytes {
     let length = frame.encoded_len();
-    let mut bytes = BytesMut::with_capacity(LENGTH + length);
+    let mut bytes = BytesMut::with_capacity(LENGTH_PREFIX_BYTES + length);
     // A frame is far below 2^32 bytes, as bodies are sent in chunks.
     bytes.put_u32(u32::try_from(length).unwrap_or(u32::MAX));
     // Fails only if the buffer is too small; it has room for the whole frame.
@@ -78,7 +78,7 @@
     bytes.freeze()
 }
 
-/// Converts a client's request into one to another site; its number and remaining time are set when it is sent.
+/// Converts a client's request into a request to another site; its number and remaining time are set when it is sent.
 pub fn request_from_call(call: &Call, path: Vec<String>) -> Request {
     Request {
         number: 0,
