--- a/crates/deckproxy/src/protocol/upstream/decode.rs
+++ b/crates/deckproxy/src/protocol/upstream/decode.rs
@@ -1,7 +1,7 @@
 //! Decoding of members' answers.
 //!
-//! The decoder is written for this project: it saves its position in a partially received message, checks each length
-//! before it allocates for it, and returns large bodies as slices of the read buffer.
+//! The decoder is hand-written: it saves its position in a partially received message, checks each length before it
+//! allocates for it, and returns large bodies as slices of the read buffer.
 
 use crate::protocol::limits;
 use crate::protocol::upstream::message::{CopyInfo, Reply, Status};
@@ -14,13 +14,13 @@
 pub enum ReplyError {
     /// A string is not terminated at the end of its declared length.
     UnterminatedString,
-    /// A line that should hold a length does not.
+    /// A line that should contain a length does not.
     InvalidLength,
     /// A string is longer than the limit.
     StringTooLong,
-    /// The value is not an answer.
+    /// The message is not an array of bulk strings, or the array's length is not allowed.
     NotAReply,
-    /// A field is not UTF-8.
+    /// The id, the status or the fields are not UTF-8.
     NotUtf8,
     /// The status is unknown.
     UnknownStatus,
@@ -44,8 +44,8 @@
 
 impl std::error::Error for ReplyError {}
 
-/// Upper bound on the bytes of a length line, above any valid length.
-const LENGTH_DIGITS: usize = 16;
+/// A length line is invalid with more bytes than this, or with as many digits; valid lengths are much shorter.
+const LENGTH_LINE_LIMIT: usize = 16;
 /// Terminator of lines and strings.
 const LINE_END: &[u8; 2] = b"\r\n";
 
@@ -87,7 +87,7 @@
                 if self.strings_left == 0 {
                     let complete = buffer.split_to(self.position).freeze();
                     let strings = std::mem::take(self).strings;
-                    return reply(&complete, &strings).map(Some);
+                    return decode_reply(&complete, &strings).map(Some);
                 }
             } else if !self.read_length_line(buffer)? {
                 return Ok(None);
@@ -117,7 +117,7 @@
         let Some(offset) = buffer[from..].windows(LINE_END.len()).position(|pair| pair == LINE_END) else {
             // The last byte may be the first half of a terminator.
             self.searched = buffer.len().saturating_sub(1).max(self.position);
-            let too_long = buffer.len() - self.position > LENGTH_DIGITS;
+            let too_long = buffer.len() - self.position > LENGTH_LINE_LIMIT;
             return if too_long { Err(ReplyError::InvalidLength) } else { Ok(false) };
         };
         let end = from + offset;
@@ -147,17 +147,17 @@
 /// The length in a line, after its type byte.
 fn parse_length(line: &[u8]) -> Option<usize> {
     let digits = std::str::from_utf8(line.get(1..)?).ok()?;
-    let is_plain = digits.bytes().all(|byte| byte.is_ascii_digit()) && digits.len() < LENGTH_DIGITS;
+    let is_plain = digits.bytes().all(|byte| byte.is_ascii_digit()) && digits.len() < LENGTH_LINE_LIMIT;
     digits.parse().ok().filter(|_| is_plain)
 }
 
-fn reply(complete: &Bytes, strings: &[Range<usize>]) -> Result<Reply, ReplyError> {
+fn decode_reply(complete: &Bytes, strings: &[Range<usize>]) -> Result<Reply, ReplyError> {
     let text = |position: usize| match strings.get(position) {
         Some(range) => std::str::from_utf8(&complete[range.clone()]).map_err(|_| ReplyError::NotUtf8),
         None => Ok(""),
     };
     let id = text(ID)?;
-    let status = status(text(STATUS)?)?;
+    let status = parse_status(text(STATUS)?)?;
     if status == Status::Ok && strings.len() <= BODY {
         return Err(ReplyError::BodyMissing);
     }
@@ -172,7 +172,7 @@
     })
 }
 
-fn status(word: &str) -> Result<Status, ReplyError> {
+fn parse_status(word: &str) -> Result<Status, ReplyError> {
     Ok(match word {
         "200" => Status::Ok,
         "304" => Status::NotModified,
@@ -189,7 +189,7 @@
 fn body(complete: &Bytes, range: Option<&Range<usize>>) -> Bytes {
     let Some(range) = range else { return Bytes::new() };
     if range.len() < limits::SMALL_BODY {
-        // A slice would keep the whole read buffer alive, which is many times its size.
+        // A slice would keep the whole read buffer alive, which is many times the size of the body.
         return Bytes::copy_from_slice(&complete[range.clone()]);
     }
     complete.slice(range.clone())
--- a/crates/deckproxy/src/protocol/upstream/encode.rs
+++ b/crates/deckproxy/src/protocol/upstream/encode.rs
@@ -15,7 +15,7 @@
     [head.into(), call.body.clone(), Bytes::from_static(b"\r\n")]
 }
 
-/// The fields of an attempt under the protocol's names, in its order.
+/// The fields of an attempt, with the names and in the order of the protocol.
 fn fields(call: &Call, options: &AttemptOptions) -> String {
     let mut fields = format!("lane={},name={}", call.class, call.object.text);
     // Writing to a string can't fail.
@@ -33,7 +33,7 @@
         let _ = write!(fields, ",prio={}", options.copy_rank);
     }
     if options.max_age > 0.0 {
-        // Rounded down, as no copy may be older. A value below 1 would be read as no bound.
+        // Rounded down, as no copy may be older than the maximum age. A value below 1 would be read as no bound.
         let _ = write!(fields, ",within={:.0}", options.max_age.floor().max(1.0));
     }
     let flags = flags(options);
--- a/crates/deckproxy/src/protocol/upstream/message.rs
+++ b/crates/deckproxy/src/protocol/upstream/message.rs
@@ -13,13 +13,13 @@
     pub copy_rank: u8,
     /// The greatest accepted age of a copy, ms; 0: the class's freshness lifetime.
     pub max_age: f64,
-    /// Join a fill that is in flight.
+    /// Whether to join a fill that is in flight.
     pub join: bool,
-    /// The source answers only from its cache.
+    /// Whether the source answers only from its cache.
     pub cached_only: bool,
-    /// The parent caches no copy.
+    /// Whether the parent caches no copy.
     pub no_parent_copy: bool,
-    /// Revalidate in the background.
+    /// Whether to revalidate in the background.
     pub renew: bool,
 }
 
