--- a/crates/deckproxy/src/protocol/downstream/error.rs
+++ b/crates/deckproxy/src/protocol/downstream/error.rs
@@ -28,7 +28,7 @@
     FieldsNotAMap,
     /// The value of the field with this name on the wire is not allowed.
     Field(&'static str),
-    /// A required field is missing.
+    /// A required field is missing, or the timeout is 0.
     FieldMissing,
     /// The body is not binary.
     BodyNotBinary,
@@ -42,7 +42,7 @@
     UnknownClass,
     /// An idempotency key is missing, or set in a class without idempotency keys.
     IdempotencyKey,
-    /// The timeout exceeds the class's deadline.
+    /// The timeout exceeds the class's deadline by more than [`limits::SOCKET_SLACK`](crate::protocol::limits::SOCKET_SLACK).
     TimeoutOutOfRange,
     /// The size exceeds what the class's deadline allows.
     SizeOutOfRange,
--- a/crates/deckproxy/src/protocol/downstream/framing.rs
+++ b/crates/deckproxy/src/protocol/downstream/framing.rs
@@ -22,10 +22,12 @@
 fn extent(bytes: &[u8]) -> Result<Option<Extent>, RequestError> {
     let Some(first) = bytes.first() else { return Ok(None) };
     let number = |size: usize| {
-        let digits = bytes.get(1..1 + size)?;
-        Some(digits.iter().fold(0usize, |n, byte| n << 8 | usize::from(*byte)))
+        let number = bytes.get(1..1 + size)?;
+        Some(number.iter().fold(0usize, |n, byte| n << 8 | usize::from(*byte)))
     };
-    let data = |size: usize, more: usize| number(size).map(|n| Extent::of(1 + size + more + n));
+    // Data with a length of `size` bytes, and `type_bytes` bytes for the type of an extension.
+    let data = |size: usize, type_bytes: usize| number(size).map(|n| Extent::of(1 + size + type_bytes + n));
+    // A collection with a count of `size` bytes and `each` values per element: two in a map.
     let list =
         |size: usize, each: u64| number(size).map(|n| Extent { bytes: 1 + size, values: each * n as u64 });
     Ok(match Marker::from_u8(*first) {
@@ -71,7 +73,7 @@
 /// Finds the end of one message that is received in several reads.
 #[derive(Debug, Default)]
 pub(super) struct Scanner {
-    /// Bytes of the message that were skipped; may be beyond the bytes received.
+    /// Offset of the next value in the message; may be beyond the bytes received.
     position: usize,
     /// Values still to skip; `None` between messages. It is `Some(0)` while the end of the last value, a body, has not
     /// been received, which differs from being between messages.
--- a/crates/deckproxy/src/protocol/downstream/message.rs
+++ b/crates/deckproxy/src/protocol/downstream/message.rs
@@ -49,15 +49,15 @@
         /// The request.
         call: Box<Call>,
     },
-    /// A ping, which asks whether the gateway is ready.
+    /// A ping with its id, which asks whether the gateway is ready.
     Ping(u32),
-    /// Requests that the client cancels.
+    /// A cancellation of the requests with these ids.
     Cancel(Vec<u32>),
     /// An invalid request.
     Invalid {
         /// The client's id for it.
         id: u32,
-        /// What is wrong with it.
+        /// Why it is invalid.
         error: RequestError,
     },
     /// A notification that the gateway does not use.
