--- a/crates/deckproxy/src/protocol/config.rs
+++ b/crates/deckproxy/src/protocol/config.rs
@@ -10,7 +10,7 @@
 /// Limit of descriptors if the configuration sets none.
 const DEFAULT_SOCKETS: f64 = 1024.0;
 /// Limit of memory in MB if the configuration sets none.
-const DEFAULT_MEMORY: f64 = 192.0;
+const DEFAULT_MEMORY_MB: f64 = 192.0;
 /// Numbers of this magnitude or more are not reformatted.
 const LARGEST_INTEGER: f64 = 1e15;
 
@@ -31,7 +31,7 @@
     pub memory: f64,
     /// The settings.
     pub settings: InstanceSettings,
-    /// The feed's events up to its start.
+    /// The feed's events that the configuration contains.
     pub known: KnownEvents,
 }
 
@@ -54,7 +54,7 @@
         /// Its text.
         text: String,
     },
-    /// The settings are invalid; the error message of their reader.
+    /// The settings are invalid; contains the error message of the settings' reader.
     Settings(String),
     /// An event of the field `known` can't be parsed.
     Known(EventError),
@@ -85,7 +85,7 @@
 /// Reads the configuration.
 ///
 /// # Errors
-/// It is not JSON, or a field is missing or not allowed; the error names the field.
+/// It is not JSON, or a field is missing or has an invalid value; the error names the field.
 pub fn read(text: &[u8]) -> Result<Config, ConfigError> {
     let root: Value = serde_json::from_slice(text).map_err(ConfigError::NotJson)?;
     let settings = settings(&root)?;
@@ -96,7 +96,7 @@
         feed: if root["feed"].is_null() { None } else { Some(address(&root, "feed")?) },
         seed: seed(&root["seed"]).ok_or_else(|| ConfigError::field("seed", "no number"))?,
         sockets: limit(&root, "sockets", DEFAULT_SOCKETS)? as usize,
-        memory: limit(&root, "memory_mb", DEFAULT_MEMORY)?,
+        memory: limit(&root, "memory_mb", DEFAULT_MEMORY_MB)?,
         settings,
         known,
     })
@@ -165,7 +165,7 @@
     }
 }
 
-/// A scalar in the text form of the settings.
+/// A scalar in the text form of the settings. Spaces and commas of a string are replaced by underscores.
 fn scalar(value: &Value) -> String {
     match value {
         Value::String(text) => text.replace([' ', ','], "_"),
--- a/crates/deckproxy/src/protocol/config_file.rs
+++ b/crates/deckproxy/src/protocol/config_file.rs
@@ -49,7 +49,7 @@
 }
 
 /// Options for strict JSON, without any of the parser's extensions.
-fn strict() -> ParseOptions {
+fn strict_json() -> ParseOptions {
     ParseOptions {
         allow_comments: false,
         allow_loose_object_property_names: false,
@@ -69,7 +69,7 @@
 /// # Errors
 /// The faults of the file in order of their position; only the first one if the file is not strict JSON.
 pub fn read(text: &str, completeness: Completeness) -> Result<Value, Vec<Fault>> {
-    let parsed = parse_to_ast(text, &CollectOptions::default(), &strict()).map_err(|error| {
+    let parsed = parse_to_ast(text, &CollectOptions::default(), &strict_json()).map_err(|error| {
         vec![locate(
             text,
             FaultAtOffset { offset: error.range().start, what: format!("file: {}", error.kind()) },
@@ -94,7 +94,8 @@
         && completeness == Completeness::Complete
         && let Err(error) = config::read(text.as_bytes())
     {
-        // Some faults are found only in the complete file, such as a feed event without its number.
+        // Reading the complete file finds faults that the checks of single fields miss, such as a feed event without its
+        // number.
         faults.push(FaultAtOffset { offset: 0, what: error.to_string() });
     }
     if faults.is_empty() {
@@ -115,7 +116,7 @@
     }
 }
 
-/// The path of a field below another.
+/// The path of a field that is nested in another.
 pub(super) fn join(path: &str, field: &str) -> String {
     if path.is_empty() { field.to_string() } else { format!("{path}.{field}") }
 }
--- a/crates/deckproxy/src/protocol/config_migration.rs
+++ b/crates/deckproxy/src/protocol/config_migration.rs
@@ -7,9 +7,9 @@
 /// The top-level fields that are read.
 const FIELDS: [&str; 9] =
     ["name", "listen", "seed", "limits", "feed", "flow_bytes_per_s", "link_bytes_per_s", "known", "settings"];
-/// Settings of the family that are lists with a value for each class.
+/// Settings in `familyInfo` that are lists with a value for each class.
 const BY_CLASS: [&str; 4] = ["maxAgeMs", "usableAfterMs", "agedWorth", "goesThrough"];
-/// Settings of the family that are lists with a value for each zone.
+/// Settings in `familyInfo` that are lists with a value for each zone.
 const BY_ZONE: [&str; 2] = ["zoneBalancers", "inletKbPerS"];
 /// Settings whose value is a position in a list.
 const POSITIONS: [PositionSetting; 3] = [
@@ -57,12 +57,12 @@
     let zones = migration.names("zones");
     let kinds = migration.names("machineTypes");
     let classes = migration.config["settings"].get("services").and_then(Value::as_array).map(Vec::len);
-    migration.remove_misfit_lists(&BY_CLASS, classes, "classes");
-    migration.remove_misfit_lists(&BY_ZONE, zones.as_ref().map(Vec::len), "zones");
+    migration.remove_lists_of_wrong_length(&BY_CLASS, classes, "classes");
+    migration.remove_lists_of_wrong_length(&BY_ZONE, zones.as_ref().map(Vec::len), "zones");
     for position in &POSITIONS {
-        migration.remove_misfit_position(position);
+        migration.remove_position_out_of_range(position);
     }
-    migration.remove_misfit_members(zones.as_deref(), kinds.as_deref());
+    migration.remove_members_with_unknown_names(zones.as_deref(), kinds.as_deref());
     Migrated { config: migration.config, losses: migration.losses }
 }
 
@@ -95,14 +95,14 @@
         if let Some(settings) = config.get_mut("settings").and_then(Value::as_object_mut) {
             retain(settings, "settings", losses, |name| is_key(name) || is_group(name));
             for (name, value) in settings.iter_mut() {
-                retain_setting(name, value, losses);
+                remove_unread_in_setting(name, value, losses);
             }
         }
     }
 
-    /// Removes lists by class or zone whose length is not the number of classes or zones because the shape did not
-    /// replace them.
-    fn remove_misfit_lists(&mut self, lists: &[&str], count: Option<usize>, of: &str) {
+    /// Removes lists by class or zone whose length is not the number of classes or zones, as happens if
+    /// the shape changes that number and does not replace the lists.
+    fn remove_lists_of_wrong_length(&mut self, lists: &[&str], count: Option<usize>, of: &str) {
         for list in lists {
             let family = &self.config["settings"]["familyInfo"];
             let length = family.get(*list).and_then(Value::as_array).map(Vec::len);
@@ -116,7 +116,7 @@
     }
 
     /// Removes a position that is out of the range of its list.
-    fn remove_misfit_position(&mut self, setting: &PositionSetting) {
+    fn remove_position_out_of_range(&mut self, setting: &PositionSetting) {
         let PositionSetting { group, field, list } = setting;
         let length = self.names(list).map(|names| i64::try_from(names.len()).unwrap_or(i64::MAX));
         let settings = &mut self.config["settings"];
@@ -135,7 +135,7 @@
     }
 
     /// Removes members whose zone or kind the new shape does not have.
-    fn remove_misfit_members(&mut self, zones: Option<&[String]>, kinds: Option<&[String]>) {
+    fn remove_members_with_unknown_names(&mut self, zones: Option<&[String]>, kinds: Option<&[String]>) {
         let Migration { config, losses } = self;
         let Some(events) = config["known"].get_mut("events").and_then(Value::as_array_mut) else { return };
         for (event_position, event) in events.iter_mut().enumerate() {
@@ -155,7 +155,7 @@
     }
 }
 
-/// The fault of a member's field that must name an entry of a list, if it names none.
+/// Why a member is removed whose field names no entry of a list; `None` if it names one.
 fn unknown_name(member: &Value, field: &str, names: Option<&[String]>, list: &str) -> Option<String> {
     let name = member[field].as_str().unwrap_or_default();
     let is_unknown = names.is_some_and(|names| !names.iter().any(|other| other == name));
@@ -173,7 +173,7 @@
 }
 
 /// Removes the unread fields nested in a setting.
-fn retain_setting(name: &str, value: &mut Value, losses: &mut Vec<Loss>) {
+fn remove_unread_in_setting(name: &str, value: &mut Value, losses: &mut Vec<Loss>) {
     if let Some(fields) = value.as_object_mut().filter(|_| !is_key(name)) {
         retain(fields, &format!("settings.{name}"), losses, |field| is_key(&join(name, field)));
     }
