--- a/crates/deckproxy/src/protocol/downstream/error.rs
+++ b/crates/deckproxy/src/protocol/downstream/error.rs
@@ -42,7 +42,7 @@
     UnknownClass,
     /// An idempotency key is missing, or set in a class without idempotency keys.
     IdempotencyKey,
-    /// The timeout exceeds the class's deadline by more than [`limits::SOCKET_SLACK`](crate::protocol::limits::SOCKET_SLACK).
+    /// The timeout exceeds the class's deadline by more than `limits::SOCKET_SLACK`.
     TimeoutOutOfRange,
     /// The size exceeds what the class's deadline allows.
     SizeOutOfRange,
--- a/crates/deckproxy/src/protocol/limits.rs
+++ b/crates/deckproxy/src/protocol/limits.rs
@@ -13,7 +13,8 @@
 pub const FIELD: usize = 128;
 /// Groups of objects.
 pub const GROUPS: u32 = 256;
-/// Multiple of a class's deadline that the transfer of a part may take by its size.
+/// Multiple of a class's deadline that the transfer of a part of the given size may take at the transfer rate of the
+/// settings.
 pub const TRANSFER_DEADLINES: f64 = 8.0;
 /// Longest text of a number.
 pub const DIGITS: usize = 20;
@@ -43,7 +44,7 @@
 /// Descriptors reserved for the event loop, the listener, the feed, the log and connections that are accepted only to
 /// be closed.
 pub const RESERVE: usize = 40;
-/// At most one in this many descriptors is reserved; takes effect if the process has few.
+/// At most one in this many descriptors is reserved; takes effect if the process has few descriptors.
 pub const RESERVE_SHARE: usize = 4;
 /// Attempts begin to share member connections when one in this many of the allowed connections is left.
 pub const SHARING_RESERVE: usize = 4;
@@ -59,7 +60,7 @@
 pub const DRAIN_ACCEPT: f64 = 700.0;
 /// Upper bound on the deadline that is used to schedule a planned restart.
 pub const DRAIN_DEADLINE: f64 = 3000.0;
-/// Time before the kill that ends a planned restart at which all open requests are ended.
+/// Time before the kill that ends a planned restart at which all open requests are failed.
 pub const DRAIN_MARGIN: f64 = 400.0;
 /// Time without a line after which the feed's connection is considered dead; the feed sends a line each second.
 pub const FEED_SILENCE: f64 = 2200.0;
--- a/crates/deckproxy/src/protocol/link.rs
+++ b/crates/deckproxy/src/protocol/link.rs
@@ -99,7 +99,8 @@
 /// Converts a request forwarded by another site, which is validated by the same rules as a client's.
 ///
 /// # Errors
-/// A field is not allowed; fields are named as in the frame.
+/// A field has an invalid value. The error names the idempotency key `key` and the cached tag `have`; a size or a
+/// remaining time that is out of range has a variant of its own.
 pub fn call_from_request(request: Request) -> Result<Call, RequestError> {
     let idempotency_key =
         request.idempotency_key.as_deref().map(|key| downstream::token(key, "key")).transpose()?;
