--- a/crates/deckproxy/src/protocol/config_file.rs
+++ b/crates/deckproxy/src/protocol/config_file.rs
@@ -94,8 +94,8 @@
         && completeness == Completeness::Complete
         && let Err(error) = config::read(text.as_bytes())
     {
-        // Reading the complete file finds faults that the checks of single fields miss, such as a feed event without its
-        // number.
+        // Reading the complete file finds faults that the checks of single fields miss, such as a feed event without
+        // its number.
         faults.push(FaultAtOffset { offset: 0, what: error.to_string() });
     }
     if faults.is_empty() {
