--- a/crates/deckproxy/src/protocol/config.rs
+++ b/crates/deckproxy/src/protocol/config.rs
@@ -7,9 +7,9 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Limit of descriptors if the configuration sets none.
+/// Limit on the number of descriptors if the configuration sets none.
 const DEFAULT_SOCKETS: f64 = 1024.0;
-/// Limit of memory in MB if the configuration sets none.
+/// Limit on the memory in MB if the configuration sets none.
 const DEFAULT_MEMORY_MB: f64 = 192.0;
 /// Numbers of this magnitude or more are not reformatted.
 const LARGEST_INTEGER: f64 = 1e15;
@@ -25,9 +25,9 @@
     pub feed: Option<SocketAddr>,
     /// Seed of its random numbers.
     pub seed: u64,
-    /// Limit of its descriptors.
+    /// Limit on the number of its descriptors.
     pub sockets: usize,
-    /// Limit of its memory, MB.
+    /// Limit on its memory, MB.
     pub memory: f64,
     /// The settings.
     pub settings: InstanceSettings,
--- a/crates/deckproxy/src/protocol/upstream/decode.rs
+++ b/crates/deckproxy/src/protocol/upstream/decode.rs
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Reads the string of that length; returns whether it was complete.
+    /// Reads a string of that length and its terminator; returns whether it was complete.
     fn read_string(&mut self, buffer: &[u8], length: usize) -> Result<bool, ReplyError> {
         let end = self.position + length;
         let after = end + LINE_END.len();
@@ -111,7 +111,7 @@
         Ok(true)
     }
 
-    /// Reads the line of a length; returns whether it was complete.
+    /// Reads the length line of an array or a string; returns whether it was complete.
     fn read_length_line(&mut self, buffer: &[u8]) -> Result<bool, ReplyError> {
         let from = self.searched.max(self.position);
         let Some(offset) = buffer[from..].windows(LINE_END.len()).position(|pair| pair == LINE_END) else {
