--- a/crates/deckproxy-lab/tests/model.rs
+++ b/crates/deckproxy-lab/tests/model.rs
@@ -74,7 +74,7 @@
     }
     let fault = stderr("faults { at: 1 lasts: 1 site: 4 }", &[]);
     assert!(fault.contains(":1:25: faults[0].site: there is no such site"), "{fault}");
-    assert!(stderr("load { rat: 5 }", &[]).contains(":1:8: load.rat: no such field; there are rate"));
+    assert!(stderr("load { rat: 5 }", &[]).contains(":1:8: load.rat: no such field; the fields are rate"));
     assert!(stderr(GOOD, &["--sweep", "load.rats=5"]).contains("there is no field load.rats"));
     assert!(stderr(GOOD, &["--sweep", "load.rate=-5"]).contains("load.rate: over 0"));
     std::fs::remove_dir_all(&folder).unwrap();
